--- a/internal/cell/seek.go
+++ b/internal/cell/seek.go
@@ -116,7 +116,7 @@
 	at, err := owner.AppendRecord(n.ctx, n.log, &r, end)
 	if err != nil {
 		n.options.Log(events.ClaimRefused, "epoch", r.Epoch, "err", err)
-		if store.FailureOf(err) != store.Moved {
+		if store.FailureOf(err) != store.ConditionFailed {
 			n.sleep(seekPause)
 		}
 		return
--- a/internal/owner/cancel_test.go
+++ b/internal/owner/cancel_test.go
@@ -138,7 +138,7 @@
 func (l *refusingLog) Append(ctx context.Context, a *store.Append) (uint64, error) {
 	if a.Topic == owner.TopicJobs && len(a.Records) > 0 && l.once.CompareAndSwap(false, true) {
 		<-l.refuse
-		return 0, &store.Error{Failure: store.NotDone}
+		return 0, &store.Error{Failure: store.NotApplied}
 	}
 	return l.Log.Append(ctx, a)
 }
--- a/internal/owner/claim.go
+++ b/internal/owner/claim.go
@@ -40,5 +40,5 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	return log.Append(ctx, &store.Append{Topic: TopicOwner, Records: []store.Record{{Key: KeyOwner, Value: data}}, At: &at})
+	return log.Append(ctx, &store.Append{Topic: TopicOwner, Records: []store.Record{{Key: KeyOwner, Value: data}}, ExpectedEnd: &at})
 }
--- a/internal/owner/fake_clock_test.go
+++ b/internal/owner/fake_clock_test.go
@@ -106,7 +106,7 @@
 	o := claimedStill(t, log)
 	entered, keep := make(chan bool), make(chan bool)
 	isFirst := true
-	log.SetFail(func(*store.Append) (error, bool) {
+	log.SetAppendFault(func(*store.Append) (error, bool) {
 		if isFirst {
 			isFirst = false
 			close(entered)
@@ -150,9 +150,9 @@
 		t.Fatal(err)
 	}
 	appends := atomic.Int64{}
-	log.SetFail(func(*store.Append) (error, bool) {
+	log.SetAppendFault(func(*store.Append) (error, bool) {
 		appends.Add(1)
-		return &store.Error{Failure: store.NotDone}, false
+		return &store.Error{Failure: store.NotApplied}, false
 	})
 	cancelled := o.goCancel(t.Context(), "a")
 	<-o.over
@@ -163,7 +163,7 @@
 	if got := appends.Load(); got > 2 {
 		t.Errorf("appends in no time: got: %d, want: 2 at most", got)
 	}
-	log.SetFail(nil)
+	log.SetAppendFault(nil)
 	if c := o.until(t, "the cancelling is answered", cancelled); !c.isKnown || c.err != nil {
 		t.Errorf("the cancelling: got: %v, %v, want: acknowledged", c.isKnown, c.err)
 	}
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -121,11 +121,11 @@
 func TestAJobThatTheStoreRefusesNeverRuns(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := claimed(t, log, workers)
-	log.SetFail(func(*store.Append) (error, bool) { return &store.Error{Failure: store.NotDone}, false })
+	log.SetAppendFault(func(*store.Append) (error, bool) { return &store.Error{Failure: store.NotApplied}, false })
 	if got := verdictOf(o.Submit(t.Context(), job("a"))); got != leverdyke.VerdictNotRun {
 		t.Errorf("got: %v, want: %v", got, leverdyke.VerdictNotRun)
 	}
-	log.SetFail(nil)
+	log.SetAppendFault(nil)
 	if err := o.Submit(t.Context(), job("b")); err != nil {
 		await.True(t, "the store is found to serve", func() bool { return o.Submit(t.Context(), job("b")) == nil })
 	}
@@ -167,7 +167,7 @@
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := claimed(t, log, workers)
 	lost := 0
-	log.SetFail(func(*store.Append) (error, bool) {
+	log.SetAppendFault(func(*store.Append) (error, bool) {
 		if lost++; lost <= 2 {
 			return &store.Error{Failure: store.Unknown}, lost == 1
 		}
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -244,15 +244,15 @@
 		o.options.Log(events.ShardDropped, "epoch", o.Epoch(), "why", "the store has a later owner's records")
 		o.cancel()
 		return tryNever
-	case store.Sequence:
+	case store.WrongSequence:
 		if a.takeSequence(err) {
 			return tryNow
 		}
-	case store.NotDone:
+	case store.NotApplied:
 		if a.mayRefuse && !a.isSent {
 			return tryNever
 		}
-	case store.Unknown, store.Moved, store.Gone:
+	case store.Unknown, store.ConditionFailed, store.Trimmed:
 		a.isSent = true
 		o.put(storeOutEvent{})
 	}
@@ -263,10 +263,10 @@
 // another one. After a try that may have been done it never goes back.
 func (a *appending) takeSequence(err error) bool {
 	e := &store.Error{}
-	if !errors.As(err, &e) || e.Want == a.sequence || a.isSent && e.Want < a.sequence {
+	if !errors.As(err, &e) || e.ExpectedSequence == a.sequence || a.isSent && e.ExpectedSequence < a.sequence {
 		return false
 	}
-	a.sequence = e.Want
+	a.sequence = e.ExpectedSequence
 	return true
 }
 
@@ -376,7 +376,7 @@
 		return
 	}
 	o.options.Log(events.StoreFailed, "what", "beat", "err", err)
-	if store.FailureOf(err) == store.Moved {
+	if store.FailureOf(err) == store.ConditionFailed {
 		o.checkRecord(sentAt)
 	}
 }
--- a/internal/owner/write_behind_test.go
+++ b/internal/owner/write_behind_test.go
@@ -86,7 +86,7 @@
 			if err := o.Submit(t.Context(), &work.Spec{ID: "a", Queue: "q", Steps: []work.Step{{Count: 1, MayMiss: -1}, {Count: 1, MayMiss: -1, After: []int{0}}}}); err != nil {
 				t.Fatal(err)
 			}
-			log.SetFail(func(*store.Append) (error, bool) { return &store.Error{Failure: store.NotDone}, false })
+			log.SetAppendFault(func(*store.Append) (error, bool) { return &store.Error{Failure: store.NotApplied}, false })
 			log.SetDown(true)
 			close(release)
 			<-ended
@@ -102,7 +102,7 @@
 				await.True(t, "nothing of the owner is left", workers.isClosed.Load)
 				workers = newFakeWorkers()
 			}
-			log.SetFail(nil)
+			log.SetAppendFault(nil)
 			log.SetDown(false)
 			if !isBack {
 				o = claimed(t, log, workers)
--- a/internal/store/fakestore/fakelog.go
+++ b/internal/store/fakestore/fakelog.go
@@ -22,7 +22,7 @@
 	answers map[uint64]uint64
 	// fail is asked before an append with records; isDone says whether the append
 	// is done all the same.
-	fail func(a *store.Append) (err error, isDone bool)
+	appendFault func(a *store.Append) (err error, isApplied bool)
 	// isDown makes the store refuse everything.
 	isDown bool
 	// changed is closed at the next append.
@@ -43,12 +43,12 @@
 		return 0, &store.Error{Failure: store.Unknown, Err: ctx.Err()}
 	}
 	if l.isDown {
-		return 0, &store.Error{Failure: store.NotDone}
+		return 0, &store.Error{Failure: store.NotApplied}
 	}
 	if a.Writer != nil && len(a.Records) > 0 {
-		if l.fail != nil {
-			if err, isDone := l.fail(a); err != nil {
-				if isDone {
+		if l.appendFault != nil {
+			if err, isApplied := l.appendFault(a); err != nil {
+				if isApplied {
 					_, _ = l.append(a)
 				}
 				return 0, err
@@ -60,8 +60,8 @@
 
 func (l *Log) append(a *store.Append) (uint64, error) {
 	end := uint64(len(l.topics[a.Topic]))
-	if a.At != nil && *a.At != end {
-		return 0, &store.Error{Failure: store.Moved, End: end}
+	if a.ExpectedEnd != nil && *a.ExpectedEnd != end {
+		return 0, &store.Error{Failure: store.ConditionFailed, End: end}
 	}
 	if w := a.Writer; w != nil {
 		if w.Epoch < l.epoch {
@@ -90,7 +90,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.isDown {
-		return nil, &store.Error{Failure: store.NotDone}
+		return nil, &store.Error{Failure: store.NotApplied}
 	}
 	newest := map[string]store.Record{}
 	for _, r := range l.topics[topic] {
@@ -106,8 +106,8 @@
 }
 
 // Wait returns the records from an offset on, as soon as there is one.
-func (l *Log) Wait(ctx context.Context, topic string, from uint64, wait time.Duration) ([]store.Record, error) {
-	tooLate := time.After(wait)
+func (l *Log) Wait(ctx context.Context, topic string, from uint64, maxWait time.Duration) ([]store.Record, error) {
+	timeout := time.After(maxWait)
 	for {
 		l.mu.Lock()
 		all := l.topics[topic]
@@ -116,13 +116,13 @@
 		l.mu.Unlock()
 		switch {
 		case isDown:
-			return nil, &store.Error{Failure: store.NotDone}
+			return nil, &store.Error{Failure: store.NotApplied}
 		case from < uint64(len(all)):
 			return all[from:], nil
 		}
 		select {
 		case <-changed:
-		case <-tooLate:
+		case <-timeout:
 			return nil, nil
 		case <-ctx.Done():
 			return nil, &store.Error{Failure: store.Unknown, Err: ctx.Err()}
@@ -137,12 +137,12 @@
 	l.isDown = isDown
 }
 
-// SetFail sets what is asked before an append by a writer: the error that it
+// SetAppendFault sets what is asked before an append by a writer: the error that it
 // gets, and whether it is done all the same. nil lets all appends succeed.
-func (l *Log) SetFail(fail func(a *store.Append) (err error, isDone bool)) {
+func (l *Log) SetAppendFault(appendFault func(a *store.Append) (err error, isApplied bool)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fail = fail
+	l.appendFault = appendFault
 }
 
 // CountKey returns how many records of a topic have the key and a value.
--- a/internal/store/fakestore/fakelog_test.go
+++ b/internal/store/fakestore/fakelog_test.go
@@ -11,7 +11,7 @@
 )
 
 // A repeated append gets its first answer, but only under the same epoch.
-func TestAnswersCountForOneEpoch(t *testing.T) {
+func TestRepeatedAppendIsDetectedPerEpoch(t *testing.T) {
 	log := fakestore.NewLog()
 	for _, c := range []struct {
 		epoch uint64
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -33,8 +33,8 @@
 type Append struct {
 	Topic   string
 	Records []Record
-	// At is where the topic must end for it to be done; nil sets no condition.
-	At *uint64
+	// ExpectedEnd is where the topic must end for it to be done; nil sets no condition.
+	ExpectedEnd *uint64
 	// Writer is nil for an append without an identity.
 	Writer *Writer
 }
@@ -56,7 +56,7 @@
 	ReadNewest(ctx context.Context, topic string) (*Newest, error)
 	// Wait returns the records from an offset on, as soon as there is one, or none
 	// when the time is over.
-	Wait(ctx context.Context, topic string, from uint64, wait time.Duration) ([]Record, error)
+	Wait(ctx context.Context, topic string, from uint64, maxWait time.Duration) ([]Record, error)
 }
 
 // Failure is what an error of the store means.
@@ -64,18 +64,18 @@
 
 // The failures.
 const (
-	// NotDone means that nothing was done.
-	NotDone Failure = "not done"
+	// NotApplied means that nothing was done.
+	NotApplied Failure = "not done"
 	// Unknown means that it may have been done or may be done later.
 	Unknown Failure = "unknown"
-	// Moved means that the topic does not end where the condition says.
-	Moved Failure = "moved"
+	// ConditionFailed means that the topic does not end where the condition says.
+	ConditionFailed Failure = "moved"
 	// Fenced means that a later epoch has appended.
 	Fenced Failure = "fenced"
-	// Sequence means that another sequence number is wanted.
-	Sequence Failure = "sequence"
-	// Gone means that the records from that offset on are not kept any more.
-	Gone Failure = "gone"
+	// WrongSequence means that another sequence number is wanted.
+	WrongSequence Failure = "sequence"
+	// Trimmed means that the records from that offset on are not kept any more.
+	Trimmed Failure = "gone"
 )
 
 // Error is an error of the store.
@@ -83,8 +83,8 @@
 	Failure Failure
 	// End is where the topic ends, with Moved.
 	End uint64
-	// Want is the sequence number that is wanted, with Sequence.
-	Want uint64
+	// ExpectedSequence is the sequence number that is wanted, with Sequence.
+	ExpectedSequence uint64
 	// Err is the cause; it may be nil.
 	Err error
 }
