--- a/internal/store/fakestore/fakelog.go
+++ b/internal/store/fakestore/fakelog.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fakestore is a store in memory, for tests.
+// Package fakestore is an in-memory store for tests.
 package fakestore
 
 import (
@@ -12,18 +12,17 @@
 	"github.com/leverdyke/leverdyke/internal/store"
 )
 
-// Log is a store in memory that fails as it is told. It is safe for concurrent
-// use.
+// Log is an in-memory store with faults that a test can inject. It is safe for concurrent use.
 type Log struct {
 	mu     sync.Mutex
 	topics map[string][]store.Record
 	epoch  uint64
 	// answers has the first answer to each sequence number of the epoch.
 	answers map[uint64]uint64
-	// fail is asked before an append with records; isDone says whether the append
-	// is done all the same.
+	// appendFault is called before an append of records by a writer. It returns the error that the
+	// writer gets, and whether the append is applied nevertheless.
 	appendFault func(a *store.Append) (err error, isApplied bool)
-	// isDown makes the store refuse everything.
+	// isDown makes the store refuse all requests.
 	isDown bool
 	// changed is closed at the next append.
 	changed chan struct{}
@@ -34,8 +33,8 @@
 	return &Log{topics: map[string][]store.Record{}, answers: map[uint64]uint64{}, changed: make(chan struct{})}
 }
 
-// Append adds records as the platform's store does. Like a client of that one it sends nothing
-// for a context that is over.
+// Append adds records as the platform's store does. Like a client of that store, it sends nothing
+// when the context has ended.
 func (l *Log) Append(ctx context.Context, a *store.Append) (uint64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -130,15 +129,16 @@
 	}
 }
 
-// SetDown makes the store refuse everything, or serve again.
+// SetDown makes the store refuse all requests, or serve again.
 func (l *Log) SetDown(isDown bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.isDown = isDown
 }
 
-// SetAppendFault sets what is asked before an append by a writer: the error that it
-// gets, and whether it is done all the same. nil lets all appends succeed.
+// SetAppendFault sets a function that is called before an append of records by a writer. It returns
+// the error that the writer gets, and whether the append is applied nevertheless. nil lets all
+// appends succeed.
 func (l *Log) SetAppendFault(appendFault func(a *store.Append) (err error, isApplied bool)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/store/fakestore/fakelog_test.go
+++ b/internal/store/fakestore/fakelog_test.go
@@ -10,7 +10,9 @@
 	"github.com/leverdyke/leverdyke/internal/store/fakestore"
 )
 
-// A repeated append gets its first answer, but only under the same epoch.
+// An append that is repeated under the same epoch gets its first answer. A new owner numbers its
+// appends anew: an append with a sequence number of an earlier epoch must not be taken for a
+// repetition and dropped.
 func TestRepeatedAppendIsDetectedPerEpoch(t *testing.T) {
 	log := fakestore.NewLog()
 	for _, c := range []struct {
