--- a/internal/cell/carry.go
+++ b/internal/cell/carry.go
@@ -72,6 +72,6 @@
 	o := n.owner
 	n.mu.Unlock()
 	if o != nil {
-		o.Carried(outcomes)
+		o.HandleOutcomes(outcomes)
 	}
 }
--- a/internal/cell/config.go
+++ b/internal/cell/config.go
@@ -225,9 +225,9 @@
 	n.yieldIfUnfit(o)
 	record, keptAt := o.LastRecord()
 	age := n.options.Clock.Now().Sub(keptAt)
-	plain, plainAge := o.LastPlain()
+	plain, plainAge := o.LastUnflagged()
 	for _, p := range n.peers.all() {
-		p.conn.Notify(kindBeat, beat{o.Epoch(), record, age, plain, plainAge, version, o.IsUnlogged()})
+		p.conn.Notify(kindBeat, beat{o.Epoch(), record, age, plain, plainAge, version, o.MayHaveUnpersisted()})
 	}
 }
 
--- a/internal/cell/export_test.go
+++ b/internal/cell/export_test.go
@@ -67,7 +67,7 @@
 func (n *Node) IsUnlogged() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.owner != nil && n.owner.IsUnlogged()
+	return n.owner != nil && n.owner.MayHaveUnpersisted()
 }
 
 // HearBeat takes a beat of an owner that tells of its last record without a mark.
--- a/internal/cell/follow.go
+++ b/internal/cell/follow.go
@@ -215,7 +215,7 @@
 	now := n.options.Clock.Now()
 	n.mu.Lock()
 	isSilent := n.watch.isSilent(now)
-	patience := n.watch.patience(now, newest.Beat, now.Sub(began))
+	patience := n.watch.patience(now, newest.HeartbeatSeq, now.Sub(began))
 	n.mu.Unlock()
 	if !isSilent || !n.isDeadByStore(ctx, newest, at, patience) {
 		return ownerState{word: ownerLives}
--- a/internal/cell/messages.go
+++ b/internal/cell/messages.go
@@ -140,7 +140,7 @@
 	}
 	e := &leverdyke.Error{Verdict: a.Verdict, Reason: a.Reason, RetryAfterSeconds: a.RetryAfter, Refusal: a.Refusal}
 	if a.IsAway {
-		return &owner.AwayError{Failure: e}
+		return &owner.ChangeError{Failure: e}
 	}
 	return e
 }
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -232,7 +232,7 @@
 		return false
 	}
 	if n.owner != nil {
-		return n.owner.IsLoaded() && n.owner.IsTrusted()
+		return n.owner.IsLoaded() && n.owner.MayActAsOwner()
 	}
 	return n.ownerLink != nil && n.options.Clock.Now().Sub(n.watch.heardAt) < readySilence
 }
--- a/internal/cell/node_test.go
+++ b/internal/cell/node_test.go
@@ -351,7 +351,7 @@
 // pause until the link was given up, and served nobody for 0.9 s.
 func TestAFollowerLeavesAnOwnerThatWasReplaced(t *testing.T) {
 	log := fakestore.NewLog()
-	claims := []owner.Record{{Node: "a", Life: "1", Epoch: 1}, {Node: "b", Life: "1", Epoch: 2}}
+	claims := []owner.Record{{Node: "a", Incarnation: "1", Epoch: 1}, {Node: "b", Incarnation: "1", Epoch: 2}}
 	for i := range claims {
 		if _, err := owner.AppendRecord(t.Context(), log, &claims[i], uint64(i)); err != nil {
 			t.Fatal(err)
--- a/internal/cell/request.go
+++ b/internal/cell/request.go
@@ -58,12 +58,12 @@
 }
 
 func errNoOwner() error {
-	return &owner.AwayError{Failure: leverdyke.NotRun("the owner of the jobs is not known", retryAfter)}
+	return &owner.ChangeError{Failure: leverdyke.NotRun("the owner of the jobs is not known", retryAfter)}
 }
 
 // isAway reports whether the next owner can answer a request that failed so.
 func isAway(err error) bool {
-	e := &owner.AwayError{}
+	e := &owner.ChangeError{}
 	return errors.As(err, &e)
 }
 
@@ -118,7 +118,7 @@
 	}
 	failure := leverdyke.MayHaveRun("the owner of the jobs did not answer", err)
 	if errors.Is(err, link.ErrClosed) {
-		return nil, &owner.AwayError{Failure: failure}
+		return nil, &owner.ChangeError{Failure: failure}
 	}
 	return nil, failure
 }
--- a/internal/cell/seek.go
+++ b/internal/cell/seek.go
@@ -85,9 +85,9 @@
 	switch {
 	case r == nil:
 		n.claim(nil, at, false)
-	case r.Node == n.options.Name && r.Life == n.options.Life && r.Epoch > n.claimed:
+	case r.Node == n.options.Name && r.Incarnation == n.options.Life && r.Epoch > n.claimed:
 		// The answer to this node's claim was lost.
-		n.become(owner.Claim{Record: *r, Offset: at, Earlier: r, IsExact: !r.IsUnlogged})
+		n.become(owner.Claim{Record: *r, Offset: at, Previous: r, HasAllPlacements: !r.MayHaveUnpersisted})
 	case r.Node == n.options.Name:
 		n.claim(r, at+1, true)
 	default:
@@ -106,12 +106,12 @@
 		n.sleep(d)
 	}
 	r := owner.Record{
-		Node: n.options.Name, Addr: n.options.AdvertiseAddr, Life: n.options.Life, Epoch: end + 1, SentAt: n.options.Clock.TimeOfDay(),
-		Strongest: n.strongestKnown(), IsUnlogged: !n.isExact(earlier),
+		Node: n.options.Name, Addr: n.options.AdvertiseAddr, Incarnation: n.options.Life, Epoch: end + 1, SentAt: n.options.Clock.TimeOfDay(),
+		MaxStrength: n.strongestKnown(), MayHaveUnpersisted: !n.isExact(earlier),
 	}
 	if earlier != nil {
 		// Stronger nodes may not be linked yet.
-		r.Strongest, r.Listed = max(r.Strongest, earlier.Strongest), earlier.Listed
+		r.MaxStrength, r.ListedWorkers = max(r.MaxStrength, earlier.MaxStrength), earlier.ListedWorkers
 	}
 	at, err := owner.AppendRecord(n.ctx, n.log, &r, end)
 	if err != nil {
@@ -121,14 +121,14 @@
 		}
 		return
 	}
-	n.become(owner.Claim{Record: r, Offset: at, Earlier: earlier, IsExact: !r.IsUnlogged, IsOver: isOver})
+	n.become(owner.Claim{Record: r, Offset: at, Previous: earlier, HasAllPlacements: !r.MayHaveUnpersisted, HasPreviousEnded: isOver})
 }
 
 const (
 	// exactAge is the age of an owner's record up to which that owner has not run ahead
 	// of the store without a mark in it. What is left to owner.PlainAge is for clocks
 	// of nodes that differ, and for a beat's way.
-	exactAge = owner.PlainAge - clockSlack
+	exactAge = owner.MinUnflaggedAge - clockSlack
 	// clockSlack is how far clocks of nodes that are alike may differ.
 	clockSlack = 300 * time.Millisecond
 )
@@ -147,7 +147,7 @@
 	defer n.mu.Unlock()
 	heard, isHeard := n.watch.plainAge(now, earlier)
 	isYoung := isHeard && heard < exactAge && age < exactAge && age > -clockSlack
-	return isYoung && !earlier.IsUnlogged && n.unloggedEpoch != earlier.Epoch
+	return isYoung && !earlier.MayHaveUnpersisted && n.unloggedEpoch != earlier.Epoch
 }
 
 // claimDelay is how long a weak node leaves the shard to stronger ones, by the
@@ -155,8 +155,8 @@
 // stronger than a small one.
 func (n *Node) claimDelay(earlier *owner.Record) time.Duration {
 	strongest := usualStrength
-	if earlier != nil && earlier.Strongest > 0 {
-		strongest = earlier.Strongest
+	if earlier != nil && earlier.MaxStrength > 0 {
+		strongest = earlier.MaxStrength
 	}
 	lack := 1 - n.options.Strength/strongest
 	if lack < equalStrength {
@@ -179,10 +179,10 @@
 func (n *Node) become(c owner.Claim) {
 	workers, list := n.options.NewOwner(n.detour)
 	o := owner.New(owner.Options{
-		Claim: c, Store: n.options.NewStore(n.detour), Workers: workers, List: list, Lanes: &lanes{n},
-		Clock: n.options.Clock, Log: n.options.Log, Metrics: n.options.Metrics, HasOutage: n.detour.HasOutage, NodeZone: n.options.Zone,
-		StopTime: n.options.StopTime, Heartbeat: n.options.Heartbeat, Strongest: n.strongestKnown,
-		Carriers: &carriers{n}, OwnWorkers: n.options.Carries,
+		Claim: c, Store: n.options.NewStore(n.detour), Workers: workers, List: list, PermissionChannels: &lanes{n},
+		Clock: n.options.Clock, Log: n.options.Log, Metrics: n.options.Metrics, HasStoreOutage: n.detour.HasOutage, NodeZone: n.options.Zone,
+		StopTime: n.options.StopTime, Heartbeat: n.options.Heartbeat, MaxStrength: n.strongestKnown,
+		Delegates: &carriers{n}, DirectWorkers: n.options.Carries,
 	})
 	n.mu.Lock()
 	n.claimed = c.Record.Epoch
@@ -210,10 +210,10 @@
 }
 
 func earlierNode(c *owner.Claim) string {
-	if c.Earlier == nil {
+	if c.Previous == nil {
 		return ""
 	}
-	return c.Earlier.Node
+	return c.Previous.Node
 }
 
 // follow passes requests to the owner until it is gone.
@@ -231,7 +231,7 @@
 	case conn == nil && isStale:
 		n.claimIfDead(r, at, 0)
 	case conn == nil:
-		n.claimIfDead(r, at, owner.BeatPeriod+recordSlack+slowAnswers*n.answerTime)
+		n.claimIfDead(r, at, owner.HeartbeatPeriod+recordSlack+slowAnswers*n.answerTime)
 	default:
 		n.stay(conn, r)
 	}
@@ -268,7 +268,7 @@
 		return conn, notEnded
 	}
 	conn.Close()
-	if w.Life != r.Life {
+	if w.Life != r.Incarnation {
 		return nil, endedForSure
 	}
 	return nil, notEnded
@@ -310,7 +310,7 @@
 	if err != nil || len(records) > 0 {
 		return false
 	}
-	n.options.Log(events.PeerEnded, "peer", r.Node, "epoch", r.Epoch, "beat", r.Beat, "how", "silent", "patience", patience)
+	n.options.Log(events.PeerEnded, "peer", r.Node, "epoch", r.Epoch, "beat", r.HeartbeatSeq, "how", "silent", "patience", patience)
 	return true
 }
 
--- a/internal/cell/seek_test.go
+++ b/internal/cell/seek_test.go
@@ -41,7 +41,7 @@
 		"no beat at all":          {heard{}, 800 * ms, false, false},
 	} {
 		n.HearBeat(tc.heard.epoch, tc.heard.plain, tc.heard.age)
-		r := &owner.Record{Epoch: 7, Beat: 4, SentAt: clk.Now().Add(-tc.age), IsUnlogged: tc.isMarked}
+		r := &owner.Record{Epoch: 7, HeartbeatSeq: 4, SentAt: clk.Now().Add(-tc.age), MayHaveUnpersisted: tc.isMarked}
 		if got := n.IsExact(r); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
 		}
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -41,7 +41,7 @@
 	o := n.owner
 	n.mu.Unlock()
 	if o == nil || !n.awaitLoaded(ctx, o) {
-		return answerOf(&owner.AwayError{Failure: leverdyke.NotRun("this node is not the owner of the jobs", retryAfter)}), nil
+		return answerOf(&owner.ChangeError{Failure: leverdyke.NotRun("this node is not the owner of the jobs", retryAfter)}), nil
 	}
 	return takeRequest(ctx, o, kind, body)
 }
--- a/internal/cell/watch.go
+++ b/internal/cell/watch.go
@@ -61,8 +61,8 @@
 		return 0, false
 	}
 	// Later records were sent a period apart at least.
-	later := time.Duration(max(newest.Beat, w.plain) - w.plain)
-	return now.Sub(w.plainAt) - later*owner.BeatPeriod, true
+	later := time.Duration(max(newest.HeartbeatSeq, w.plain) - w.plain)
+	return now.Sub(w.plainAt) - later*owner.HeartbeatPeriod, true
 }
 
 // isSilent reports whether beats have stayed away for too long.
@@ -74,7 +74,7 @@
 	late := recordSlack + slowAnswers*answerTime
 	if w.keptAt.IsZero() || newest != w.record {
 		// When that record was kept is not known: at the latest just now.
-		return owner.BeatPeriod + late
+		return owner.HeartbeatPeriod + late
 	}
-	return max(w.keptAt.Add(owner.BeatPeriod+late).Sub(now), 0)
+	return max(w.keptAt.Add(owner.HeartbeatPeriod+late).Sub(now), 0)
 }
--- a/internal/owner/append_timeout_test.go
+++ b/internal/owner/append_timeout_test.go
@@ -24,7 +24,7 @@
 		"quick again":      {[]time.Duration{800 * ms, 4 * ms}, false, 700 * ms},
 		"slow, and failed": {[]time.Duration{800 * ms}, true, 700 * ms},
 	} {
-		if got := owner.LongestAppend(tc.kept, tc.hasFail); got != tc.want {
+		if got := owner.AppendTimeout(tc.kept, tc.hasFail); got != tc.want {
 			t.Errorf("%s: waited for an append: got: %v, want: %v", name, got, tc.want)
 		}
 	}
--- a/internal/owner/cancel.go
+++ b/internal/owner/cancel.go
@@ -28,15 +28,15 @@
 	}
 	isSettled := o.engine.IsSettledCancel(ev.id)
 	switch {
-	case !isSettled && !o.isTrusted():
-		ev.reply <- leverdyke.NotRun("this node may not be the owner of the jobs", retryAfter)
+	case !isSettled && !o.mayActAsOwner():
+		ev.reply <- leverdyke.NotRun("this node may not be the owner of the jobs", retryAfterSeconds)
 		return
-	case !isSettled && o.handOver != nil:
-		ev.reply <- errLeaving()
+	case !isSettled && o.handOverDone != nil:
+		ev.reply <- errHandingOver()
 		return
 	}
 	o.engine.Cancel(ev.id, ev.by.Customer)
-	o.cancels[ev.id] = append(o.cancels[ev.id], ev.reply)
+	o.pendingCancels[ev.id] = append(o.pendingCancels[ev.id], ev.reply)
 	o.answerCancel(ev.id)
 }
 
@@ -44,7 +44,7 @@
 // only the store can tell that this node still is the owner, and only what is kept
 // outlasts it.
 func (o *Owner) answerCancel(id work.JobID) {
-	if len(o.cancels[id]) == 0 || !o.engine.IsSettledCancel(id) {
+	if len(o.pendingCancels[id]) == 0 || !o.engine.IsSettledCancel(id) {
 		return
 	}
 	var err error
@@ -53,7 +53,7 @@
 		err, answer = errNoJob, "no such job"
 	}
 	o.options.Log(events.CancelAnswered, "job", id, "answer", answer, "epoch", o.Epoch(), "confirmed", o.now.Sub(o.confirmedAt))
-	o.answer(o.cancels, id, err)
+	o.answer(o.pendingCancels, id, err)
 }
 
 type stateAnswer struct {
@@ -66,24 +66,24 @@
 	id work.JobID
 	by work.Caller
 	// askedAt is when the question came to this node.
-	askedAt time.Time
-	reply   chan stateAnswer
+	receivedAt time.Time
+	reply      chan stateAnswer
 }
 
 func (ev stateEvent) apply(o *Owner) {
-	state, isKnown := o.stateFor(ev.id, ev.by)
+	state, isKnown := o.visibleState(ev.id, ev.by)
 	switch {
-	case !o.isTrusted() || !isKnown && o.isStalled():
-		ev.reply <- stateAnswer{err: leverdyke.NotRun("this node may not be the owner of the jobs", retryAfter)}
+	case !o.mayActAsOwner() || !isKnown && o.isStoreStalled():
+		ev.reply <- stateAnswer{err: leverdyke.NotRun("this node may not be the owner of the jobs", retryAfterSeconds)}
 	case !isKnown:
-		o.denials = append(o.denials, ev)
+		o.unknownJobQueries = append(o.unknownJobQueries, ev)
 	default:
 		ev.reply <- stateAnswer{state: state, isKnown: true}
 	}
 }
 
 // stateFor returns what a caller is told of a job: there is none of another customer's.
-func (o *Owner) stateFor(id work.JobID, by work.Caller) (work.JobState, bool) {
+func (o *Owner) visibleState(id work.JobID, by work.Caller) (work.JobState, bool) {
 	if !o.engine.MayAccess(id, by) {
 		o.options.Log(events.JobOfAnother, "job", id, "customer", by.Customer, "asked", "state")
 		return "", false
@@ -94,15 +94,15 @@
 // answerDenials answers the questions from before confirmedAt. A later owner may have
 // a job that is not known here, so that it is only denied when this node was the owner
 // after the question came, by the store's word.
-func (o *Owner) answerDenials() {
-	waiting := o.denials[:0]
-	for _, ev := range o.denials {
-		if ev.askedAt.After(o.confirmedAt) {
+func (o *Owner) answerUnknownJobs() {
+	waiting := o.unknownJobQueries[:0]
+	for _, ev := range o.unknownJobQueries {
+		if ev.receivedAt.After(o.confirmedAt) {
 			waiting = append(waiting, ev)
 			continue
 		}
-		state, isKnown := o.stateFor(ev.id, ev.by)
+		state, isKnown := o.visibleState(ev.id, ev.by)
 		ev.reply <- stateAnswer{state: state, isKnown: isKnown}
 	}
-	o.denials = waiting
+	o.unknownJobQueries = waiting
 }
--- a/internal/owner/delegates.go
+++ b/internal/owner/delegates.go
@@ -11,9 +11,9 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// Carriers are the nodes that can talk to workers for the owner. Implementations are
+// Delegates are the nodes that can talk to workers for the owner. Implementations are
 // safe for concurrent use and do not block.
-type Carriers interface {
+type Delegates interface {
 	// Usable returns those that are heard, in the order of their names.
 	Usable() []carrier.Node
 	// Send sends orders to a node; false when it is not linked.
@@ -22,54 +22,54 @@
 
 // nodesPause is the time between two looks at which nodes can carry and ask, and at what
 // is overdue.
-const nodesPause = 100 * time.Millisecond
+const nodeCheckPeriod = 100 * time.Millisecond
 
 // linkPatience is how long a new owner waits for followers to link until it asks workers
 // itself that they could carry for. Without it each change of owner opens a connection to each
 // worker.
-const linkPatience = 400 * time.Millisecond
+const linkTimeout = 400 * time.Millisecond
 
 // tickNodes takes now and then what is due by the other nodes.
-func (o *Owner) tickNodes() {
-	if o.now.Before(o.nextNodes) {
+func (o *Owner) checkNodes() {
+	if o.now.Before(o.nextNodeCheck) {
 		return
 	}
-	o.nextNodes = o.now.Add(nodesPause)
-	o.engine.SetLanes(o.options.Lanes.Names())
-	if o.options.Carriers != nil {
-		o.tickCarriers()
+	o.nextNodeCheck = o.now.Add(nodeCheckPeriod)
+	o.engine.SetLanes(o.options.PermissionChannels.Names())
+	if o.options.Delegates != nil {
+		o.checkDelegates()
 	}
 }
 
 // tickCarriers takes which nodes can carry, and what they have not answered.
-func (o *Owner) tickCarriers() {
+func (o *Owner) checkDelegates() {
 	before := o.router.Carriers()
-	o.takeFailed(o.router.SetNodes(o.options.Carriers.Usable(), o.now), "the node cannot carry any more")
-	o.takeFailed(o.router.Expire(o.now), "the node did not answer in time")
-	if !o.awaitsCarriers() {
-		o.askAwaiting()
+	o.handleFailed(o.router.SetNodes(o.options.Delegates.Usable(), o.now), "the node cannot carry any more")
+	o.handleFailed(o.router.Expire(o.now), "the node did not answer in time")
+	if !o.awaitsDelegates() {
+		o.sendDeferredPolls()
 	}
 	if after := o.router.Carriers(); after != before {
-		o.options.Log(events.CarriersChanged, "epoch", o.Epoch(), "carriers", after, "before", before, "workers", o.listed.Load(), "own", o.options.OwnWorkers)
+		o.options.Log(events.CarriersChanged, "epoch", o.Epoch(), "carriers", after, "before", before, "workers", o.listedWorkers.Load(), "own", o.options.DirectWorkers)
 	}
 }
 
 // awaitsCarriers reports whether listings wait for nodes that could ask for them.
-func (o *Owner) awaitsCarriers() bool {
-	return o.options.Carriers != nil && o.router.LacksCarriers() && o.now.Sub(o.beganAt) < linkPatience
+func (o *Owner) awaitsDelegates() bool {
+	return o.options.Delegates != nil && o.router.LacksCarriers() && o.now.Sub(o.loopStartedAt) < linkTimeout
 }
 
 // askAwaiting asks for the listings that have waited.
-func (o *Owner) askAwaiting() {
-	awaiting := o.awaiting
-	o.awaiting = nil
-	for _, h := range awaiting {
-		o.carryOut(h)
+func (o *Owner) sendDeferredPolls() {
+	deferredPolls := o.deferredPolls
+	o.deferredPolls = nil
+	for _, h := range deferredPolls {
+		o.execute(h)
 	}
 }
 
 // carry leaves an action to a carrier. It reports false when there is none.
-func (o *Owner) carry(a order.Action) bool {
+func (o *Owner) delegateAction(a order.Action) bool {
 	switch a := a.(type) {
 	case order.Start:
 		return o.router.Add(a, a.Worker, carrier.StartTimeout, o.now)
@@ -84,17 +84,17 @@
 }
 
 // sendCarried sends what this step has left to carriers.
-func (o *Owner) sendCarried() {
+func (o *Owner) sendDelegated() {
 	for node, b := range o.router.Batches() {
-		if !o.options.Carriers.Send(node, b) {
-			o.takeFailed(o.router.Unsent(node, o.now), "the node is not linked")
+		if !o.options.Delegates.Send(node, b) {
+			o.handleFailed(o.router.Unsent(node, o.now), "the node is not linked")
 		}
 	}
 }
 
 // takeFailed settles orders of which no outcome comes. Listings are asked for by this
 // node at once: the carrier's silence is not the worker's.
-func (o *Owner) takeFailed(failed []carrier.Failed, why string) {
+func (o *Owner) handleFailed(failed []carrier.Failed, why string) {
 	if len(failed) == 0 {
 		return
 	}
@@ -108,27 +108,27 @@
 		case order.Hold:
 			// The worker may have started again since this was decided.
 			a.Wait, a.Confirmed = 0, 0
-			go o.runHold(a)
+			go o.runPoll(a)
 		}
 	}
 }
 
-// Carried takes what became of orders that were left to carriers.
-func (o *Owner) Carried(outcomes []carrier.Outcome) { o.put(carriedEvent(outcomes)) }
+// HandleOutcomes takes what became of orders that were left to carriers.
+func (o *Owner) HandleOutcomes(outcomes []carrier.Outcome) { o.enqueue(outcomesEvent(outcomes)) }
 
-type carriedEvent []carrier.Outcome
+type outcomesEvent []carrier.Outcome
 
-func (ev carriedEvent) apply(o *Owner) {
+func (ev outcomesEvent) apply(o *Owner) {
 	for _, r := range o.router.Answered(ev, o.now) {
 		switch a := r.Action.(type) {
 		case order.Start:
-			o.noteStart(&a, r.Outcome.Start, r.Took)
+			o.reportStart(&a, r.Outcome.Start, r.Took)
 			startEvent{a, r.Outcome.Start, r.Outcome.At}.apply(o)
 		case order.Stop:
 			o.options.Metrics.OrderAnswered("stop", stopOutcome(r.Outcome.IsStopKnown), r.Took)
 			stopEvent{a, r.Outcome.At, r.Outcome.IsStopKnown}.apply(o)
 		case order.Hold:
-			holdEvent{a, r.Outcome.Listing, r.Outcome.Hold}.apply(o)
+			pollEvent{a, r.Outcome.Listing, r.Outcome.Hold}.apply(o)
 		}
 	}
 }
--- a/internal/owner/delegates_test.go
+++ b/internal/owner/delegates_test.go
@@ -35,7 +35,7 @@
 		f.mu.Lock()
 		to := f.owner
 		f.mu.Unlock()
-		to.Carried(o)
+		to.HandleOutcomes(o)
 	})
 	return f
 }
@@ -82,7 +82,7 @@
 	t.Helper()
 	f := newFakeCarriers(workers)
 	o := run(t, fakestore.NewLog(), workers, twoWorkers{}, clock.Real{}, nil, func(options *owner.Options) {
-		options.Carriers, options.OwnWorkers = f, 1
+		options.Delegates, options.DirectWorkers = f, 1
 	})
 	f.mu.Lock()
 	f.owner = o
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -21,38 +21,38 @@
 	id := ev.spec.ID
 	if !o.engine.MayAccess(id, ev.spec.Caller()) {
 		o.options.Log(events.JobOfAnother, "job", id, "customer", ev.spec.Customer, "asked", "submit")
-		ev.reply <- errTaken()
+		ev.reply <- errIDTaken()
 		return
 	}
 	if o.engine.IsKept(id) {
 		ev.reply <- nil
 		return
 	}
-	_, isWaiting := o.submits[id]
-	if !isWaiting && !o.isTrusted() {
-		ev.reply <- leverdyke.NotRun("this node may not be the owner of the jobs", retryAfter)
+	_, isPending := o.pendingSubmits[id]
+	if !isPending && !o.mayActAsOwner() {
+		ev.reply <- leverdyke.NotRun("this node may not be the owner of the jobs", retryAfterSeconds)
 		return
 	}
-	if !isWaiting && o.handOver != nil {
-		ev.reply <- errLeaving()
+	if !isPending && o.handOverDone != nil {
+		ev.reply <- errHandingOver()
 		return
 	}
-	if !isWaiting && o.isStalled() {
-		ev.reply <- leverdyke.NotRun("the store does not take new jobs", outRetry)
-		o.options.Log(events.JobRefused, "job", id, "why", "store", "stalled", o.writing != nil, "age", o.now.Sub(o.writingAt))
+	if !isPending && o.isStoreStalled() {
+		ev.reply <- leverdyke.NotRun("the store does not take new jobs", storeDownRetrySeconds)
+		o.options.Log(events.JobRefused, "job", id, "why", "store", "stalled", o.inFlight != nil, "age", o.now.Sub(o.inFlightSince))
 		return
 	}
-	if why := o.engine.CheckJob(ev.spec); why != "" && !isWaiting {
+	if why := o.engine.CheckJob(ev.spec); why != "" && !isPending {
 		o.options.Log(events.JobRefused, "job", id, "why", why, "customer", ev.spec.Customer)
 		ev.reply <- errImpossible(why)
 		return
 	}
-	o.submits[id] = append(o.submits[id], ev.reply)
+	o.pendingSubmits[id] = append(o.pendingSubmits[id], ev.reply)
 	o.engine.AddJob(ev.spec)
 }
 
 // errTaken means that the ID of a job names a job of another customer.
-func errTaken() error {
+func errIDTaken() error {
 	return &leverdyke.Error{Verdict: leverdyke.VerdictNotRun, Refusal: leverdyke.RefusalTaken, Reason: "the ID names a job of another customer"}
 }
 
@@ -61,8 +61,8 @@
 	return &leverdyke.Error{Verdict: leverdyke.VerdictNotRun, Refusal: leverdyke.RefusalImpossible, Reason: why}
 }
 
-func (o *Owner) isStalled() bool {
-	return o.isStoreOut || o.writing != nil && o.appends.isTooLong(o.now.Sub(o.writingAt))
+func (o *Owner) isStoreStalled() bool {
+	return o.isStoreDown || o.inFlight != nil && o.appendTimeout.isExceeded(o.now.Sub(o.inFlightSince))
 }
 
 type pendingAnswer struct {
@@ -76,28 +76,28 @@
 }
 
 func (ev pendingEvent) apply(o *Owner) {
-	if !o.isTrusted() {
-		ev.reply <- pendingAnswer{err: leverdyke.NotRun("this node may not be the owner of the jobs", retryAfter)}
+	if !o.mayActAsOwner() {
+		ev.reply <- pendingAnswer{err: leverdyke.NotRun("this node may not be the owner of the jobs", retryAfterSeconds)}
 		return
 	}
 	ev.reply <- pendingAnswer{count: o.engine.Pending(ev.queue)}
 }
 
 type workersEvent struct {
-	list      []order.Worker
-	isCertain bool
+	list       []order.Worker
+	isComplete bool
 }
 
 func (ev workersEvent) apply(o *Owner) {
-	listed := int64(0)
+	listedWorkers := int64(0)
 	for i := range ev.list {
 		if !ev.list[i].IsRemoved {
-			listed++
+			listedWorkers++
 		}
 	}
-	o.listed.Store(listed)
+	o.listedWorkers.Store(listedWorkers)
 	o.router.SetWorkers(ev.list)
-	o.engine.SetWorkers(ev.list, ev.isCertain)
+	o.engine.SetWorkers(ev.list, ev.isComplete)
 }
 
 type startEvent struct {
@@ -107,70 +107,70 @@
 }
 
 func (ev startEvent) apply(o *Owner) {
-	o.orders--
+	o.pendingStarts--
 	o.engine.StartAnswered(ev.start.Worker, ev.start.Task, ev.start.Run, ev.outcome, ev.at)
 }
 
 type stopEvent struct {
-	stop    order.Stop
-	at      order.WorkerTime
-	isKnown bool
+	stop       order.Stop
+	at         order.WorkerTime
+	isAnswered bool
 }
 
 func (ev stopEvent) apply(o *Owner) {
-	o.engine.StopAnswered(ev.stop.Worker, ev.stop.Task, ev.stop.Run, ev.isKnown, ev.at)
+	o.engine.StopAnswered(ev.stop.Worker, ev.stop.Task, ev.stop.Run, ev.isAnswered, ev.at)
 }
 
-type holdEvent struct {
-	hold    order.Hold
+type pollEvent struct {
+	poll    order.Hold
 	listing *order.Listing
 	outcome order.HoldOutcome
 }
 
-func (ev holdEvent) apply(o *Owner) {
+func (ev pollEvent) apply(o *Owner) {
 	switch ev.outcome {
 	case order.HoldListed:
-		o.engine.Listed(&ev.hold, ev.listing)
+		o.engine.Listed(&ev.poll, ev.listing)
 	case order.HoldSilent:
-		o.engine.HoldFailed(&ev.hold)
+		o.engine.HoldFailed(&ev.poll)
 	case order.HoldLifeOver:
-		o.engine.LifeOver(ev.hold.Worker)
+		o.engine.LifeOver(ev.poll.Worker)
 	}
 }
 
-type adviceEvent struct {
-	advise order.Advise
-	good   []order.Ticket
-	valid  time.Duration
-	err    error
+type permissionEvent struct {
+	query    order.Advise
+	permits  []order.Ticket
+	validFor time.Duration
+	err      error
 }
 
-func (ev adviceEvent) apply(o *Owner) {
-	o.engine.Advised(ev.advise.Lane, ev.advise.Step, ev.advise.Workers, ev.good, ev.valid, ev.err == nil)
+func (ev permissionEvent) apply(o *Owner) {
+	o.engine.Advised(ev.query.Lane, ev.query.Step, ev.query.Workers, ev.permits, ev.validFor, ev.err == nil)
 }
 
 type handOverEvent struct{ done chan bool }
 
 func (ev handOverEvent) apply(o *Owner) {
-	if o.isStoreOut {
+	if o.isStoreDown {
 		// Nobody could claim the shard now.
 		ev.done <- false
 		return
 	}
 	o.engine.SetPaused(true)
-	o.handOver, o.handOverAt = ev.done, o.now
+	o.handOverDone, o.handOverStartedAt = ev.done, o.now
 }
 
 // finishHandOver ends the owner once no order and no accepted job is on its way.
 // Ends that are not kept yet are told again to the next owner.
 func (o *Owner) finishHandOver() {
-	if o.handOver == nil {
+	if o.handOverDone == nil {
 		return
 	}
-	isSettled := o.orders == 0 && !o.engine.HasReady() && o.writing == nil && len(o.submits) == 0 && len(o.cancels) == 0
-	if !isSettled && o.now.Sub(o.handOverAt) < handOverBound {
+	isSettled := o.pendingStarts == 0 && !o.engine.HasReady() && o.inFlight == nil && len(o.pendingSubmits) == 0 && len(o.pendingCancels) == 0
+	if !isSettled && o.now.Sub(o.handOverStartedAt) < handOverTimeout {
 		return
 	}
-	o.handOver <- true
+	o.handOverDone <- true
 	o.cancel()
 }
--- a/internal/owner/fake_clock_test.go
+++ b/internal/owner/fake_clock_test.go
@@ -37,8 +37,8 @@
 		}
 	})
 	await.True(t, "the first beat is kept and the jobs are read", func() bool {
-		beat, _ := o.LastRecord()
-		return beat > 0 && o.IsLoaded()
+		heartbeatSeq, _ := o.LastRecord()
+		return heartbeatSeq > 0 && o.IsLoaded()
 	})
 	return o
 }
@@ -174,15 +174,15 @@
 func TestAnOwnerThatTheStoreDoesNotConfirmIsNotTrusted(t *testing.T) {
 	log := fakestore.NewLog()
 	o := claimedStill(t, log)
-	if !o.IsTrusted() {
+	if !o.MayActAsOwner() {
 		t.Error("after a beat: got: not trusted, want: trusted")
 	}
 	log.SetDown(true)
-	o.clock.Advance(owner.TrustPeriod + tick)
-	await.True(t, "it is not trusted", func() bool { return !o.IsTrusted() })
+	o.clock.Advance(owner.ConfirmationTimeout + tick)
+	await.True(t, "it is not trusted", func() bool { return !o.MayActAsOwner() })
 	log.SetDown(false)
 	await.True(t, "it is trusted again", func() bool {
 		o.clock.Advance(tick)
-		return o.IsTrusted()
+		return o.MayActAsOwner()
 	})
 }
--- a/internal/owner/lag.go
+++ b/internal/owner/lag.go
@@ -9,7 +9,7 @@
 // late its ticks come. The zero value works.
 type lagMeter struct {
 	// lastAt is when the last tick was handled; zero before the first.
-	lastAt time.Time
+	lastTickAt time.Time
 	// share is the part of the time that ticks are late, over about lagWindow.
 	share float64
 }
@@ -19,8 +19,8 @@
 
 // tick takes a tick of a clock with that period.
 func (m *lagMeter) tick(now time.Time, period time.Duration) {
-	last := m.lastAt
-	m.lastAt = now
+	last := m.lastTickAt
+	m.lastTickAt = now
 	if last.IsZero() || !now.After(last) {
 		return
 	}
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -125,7 +125,7 @@
 	if err := codec.Unmarshal(data, &out); err != nil {
 		panic(err)
 	}
-	l.owner.Carried(out)
+	l.owner.HandleOutcomes(out)
 }
 
 func (l *loadWorkers) at() order.WorkerTime { return order.WorkerTime(time.Since(l.began)) }
@@ -227,14 +227,14 @@
 func benchOwner(b *testing.B, n int) {
 	workers := newLoadWorkers(n)
 	log := fakestore.NewLog()
-	r := owner.Record{Node: "n", Life: "l", Epoch: 1}
+	r := owner.Record{Node: "n", Incarnation: "l", Epoch: 1}
 	if _, err := owner.AppendRecord(b.Context(), log, &r, 0); err != nil {
 		b.Fatal(err)
 	}
 	o := owner.New(owner.Options{
-		Claim: owner.Claim{Record: r, IsExact: true}, Store: slowLog{log}, Workers: newFakeWorkers(), List: workers,
-		Carriers: workers, OwnWorkers: 1, Lanes: openLanes{}, Clock: clock.Real{}, Metrics: noFigures{},
-		HasOutage: func() bool { return false }, Strongest: func() float64 { return 1 }, Log: func(events.Event, ...any) {},
+		Claim: owner.Claim{Record: r, HasAllPlacements: true}, Store: slowLog{log}, Workers: newFakeWorkers(), List: workers,
+		Delegates: workers, DirectWorkers: 1, PermissionChannels: openLanes{}, Clock: clock.Real{}, Metrics: noFigures{},
+		HasStoreOutage: func() bool { return false }, MaxStrength: func() float64 { return 1 }, Log: func(events.Event, ...any) {},
 		StopTime: 200 * time.Millisecond, Heartbeat: 1500 * time.Millisecond,
 	})
 	workers.owner = o
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -14,15 +14,15 @@
 )
 
 // carryOut starts what the engine wants done; the outcome comes as an event.
-func (o *Owner) carryOut(a order.Action) {
+func (o *Owner) execute(a order.Action) {
 	if _, ok := a.(order.Start); ok {
-		o.orders++
+		o.pendingStarts++
 	}
-	if h, ok := a.(order.Hold); ok && o.awaitsCarriers() {
-		o.awaiting = append(o.awaiting, h)
+	if h, ok := a.(order.Hold); ok && o.awaitsDelegates() {
+		o.deferredPolls = append(o.deferredPolls, h)
 		return
 	}
-	if o.carry(a) {
+	if o.delegateAction(a) {
 		return
 	}
 	switch a := a.(type) {
@@ -31,35 +31,35 @@
 	case order.Stop:
 		go o.runStop(a)
 	case order.Hold:
-		go o.runHold(a)
+		go o.runPoll(a)
 	case order.Pace:
 		go o.runPace(a)
 	case order.Advise:
-		go o.runAsk(a)
+		go o.runPermissionQuery(a)
 	}
 }
 
 // boundStore bounds a try at the store by its progress: a large read or append may
 // take as long as it moves.
-func (o *Owner) boundStore() (context.Context, context.CancelFunc) {
-	return progress.With(o.ctx, writeTimeout)
+func (o *Owner) withStoreTimeout() (context.Context, context.CancelFunc) {
+	return progress.With(o.ctx, storeTimeout)
 }
 
-func (o *Owner) bound(d time.Duration) (context.Context, context.CancelFunc) {
+func (o *Owner) withTimeout(d time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(o.ctx, d)
 }
 
 func (o *Owner) runStart(s order.Start) {
-	ctx, cancel := o.bound(carrier.StartTimeout)
+	ctx, cancel := o.withTimeout(carrier.StartTimeout)
 	defer cancel()
 	began := o.options.Clock.Now()
 	outcome, at := o.options.Workers.Start(ctx, o.Epoch(), &s)
-	o.noteStart(&s, outcome, o.options.Clock.Now().Sub(began))
-	o.put(startEvent{s, outcome, at})
+	o.reportStart(&s, outcome, o.options.Clock.Now().Sub(began))
+	o.enqueue(startEvent{s, outcome, at})
 }
 
 // noteStart notes the answer to an order to start.
-func (o *Owner) noteStart(s *order.Start, outcome order.StartOutcome, took time.Duration) {
+func (o *Owner) reportStart(s *order.Start, outcome order.StartOutcome, took time.Duration) {
 	o.options.Metrics.OrderAnswered("start", string(outcome), took)
 	if outcome == order.StartFenced {
 		o.options.Log(events.RackFenced, "worker", s.Worker, "epoch", o.Epoch())
@@ -67,67 +67,67 @@
 }
 
 func (o *Owner) runStop(s order.Stop) {
-	ctx, cancel := o.bound(carrier.StopTimeout)
+	ctx, cancel := o.withTimeout(carrier.StopTimeout)
 	defer cancel()
 	began := o.options.Clock.Now()
 	at, ok := o.options.Workers.Stop(ctx, o.Epoch(), &s)
 	o.options.Metrics.OrderAnswered("stop", stopOutcome(ok), o.options.Clock.Now().Sub(began))
-	o.put(stopEvent{s, at, ok})
+	o.enqueue(stopEvent{s, at, ok})
 }
 
-func stopOutcome(isKnown bool) string {
-	if isKnown {
+func stopOutcome(isAnswered bool) string {
+	if isAnswered {
 		return "answered"
 	}
 	return "unknown"
 }
 
-func (o *Owner) runHold(h order.Hold) {
-	ctx, cancel := o.bound(h.Wait + h.Patience)
+func (o *Owner) runPoll(h order.Hold) {
+	ctx, cancel := o.withTimeout(h.Wait + h.Patience)
 	defer cancel()
 	listing, outcome := o.options.Workers.Hold(ctx, o.Epoch(), &h)
-	o.put(holdEvent{h, listing, outcome})
+	o.enqueue(pollEvent{h, listing, outcome})
 }
 
 func (o *Owner) runPace(p order.Pace) {
-	ctx, cancel := o.bound(carrier.StopTimeout)
+	ctx, cancel := o.withTimeout(carrier.StopTimeout)
 	defer cancel()
 	if err := o.options.Workers.Pace(ctx, o.Epoch(), &p); err != nil {
 		o.options.Log(events.PaceFailed, "task", p.Task, "run", p.Run, "worker", p.Worker, "percent", p.Percent, "err", err)
 	}
 }
 
-func (o *Owner) runAsk(a order.Advise) {
-	ctx, cancel := o.bound(a.Patience)
+func (o *Owner) runPermissionQuery(a order.Advise) {
+	ctx, cancel := o.withTimeout(a.Patience)
 	defer cancel()
-	good, valid, err := o.options.Lanes.Ask(ctx, a.Lane, a.Step, a.Workers)
-	o.put(adviceEvent{a, good, valid, err})
+	permits, validFor, err := o.options.PermissionChannels.Ask(ctx, a.Lane, a.Step, a.Workers)
+	o.enqueue(permissionEvent{a, permits, validFor, err})
 }
 
 // runList follows the platform's list of workers.
-func (o *Owner) runList() {
+func (o *Owner) runWorkerList() {
 	defer o.wg.Done()
-	isOut := false
-	certainAt := time.Time{}
+	isListDown := false
+	completeAt := time.Time{}
 	for o.ctx.Err() == nil {
-		ctx, cancel := o.boundStore()
+		ctx, cancel := o.withStoreTimeout()
 		list, err := o.options.List.Workers(ctx)
 		cancel()
 		now := o.options.Clock.Now()
 		if err != nil {
-			certainAt = now.Add(listGrace)
+			completeAt = now.Add(workerListGrace)
 		}
 		switch {
-		case err != nil && !isOut:
-			isOut = true
+		case err != nil && !isListDown:
+			isListDown = true
 			o.options.Log(events.VMListFailed, "err", err)
 		case err == nil:
-			if isOut {
-				isOut = false
+			if isListDown {
+				isListDown = false
 				o.options.Log(events.VMListBack, "workers", len(list))
 			}
-			o.put(workersEvent{list, !now.Before(certainAt)})
+			o.enqueue(workersEvent{list, !now.Before(completeAt)})
 		}
-		o.pause(listPeriod)
+		o.sleep(workerListPeriod)
 	}
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -38,15 +38,15 @@
 	loaded chan struct{}
 
 	// isUnlogged is what IsUnlogged returns.
-	isUnlogged atomic.Bool
+	mayHaveUnpersisted atomic.Bool
 	// isTrustedNow is what IsTrusted returns.
-	isTrustedNow atomic.Bool
+	mayAct atomic.Bool
 	// listed is how many workers the list had last.
-	listed atomic.Int64
+	listedWorkers atomic.Int64
 	// customers is what CustomerUse returns; nil before the first look.
-	customers atomic.Pointer[[]quota.CustomerUse]
+	customerUse atomic.Pointer[[]quota.CustomerUse]
 	// lagShare is the bits of what Lag returns.
-	lagShare atomic.Uint64
+	lagBits atomic.Uint64
 
 	mu sync.Mutex
 	// policy is that of a configuration that the engine does not have yet; nil when it has it.
@@ -54,40 +54,40 @@
 	policyVersion uint64
 	// beat is the number of this owner's newest record in the store, keptAt when it
 	// was kept.
-	beat   uint64
-	keptAt time.Time
-	ahead  aheadGate
+	heartbeatSeq uint64
+	persistedAt  time.Time
+	writeBehind  writeBehindGate
 
 	// What follows belongs to the loop.
-	now       time.Time
-	writing   *write
-	writingAt time.Time
+	now           time.Time
+	inFlight      *write
+	inFlightSince time.Time
 	// writeAfter is when the next batch may go out, after one that the store refused.
-	writeAfter  time.Time
-	isStoreOut  bool
-	appends     appendTimes
-	confirmedAt time.Time
-	offset      uint64
-	lag         lagMeter
-	rest        resting
+	nextWriteAt   time.Time
+	isStoreDown   bool
+	appendTimeout appendTimeout
+	confirmedAt   time.Time
+	recordOffset  uint64
+	lag           lagMeter
+	throttle      passThrottle
 	// restEnds fires when the owner may look again; nil while nothing waits for that.
-	restEnds <-chan time.Time
-	submits  map[work.JobID][]chan error
-	cancels  map[work.JobID][]chan error
+	pauseEnds      <-chan time.Time
+	pendingSubmits map[work.JobID][]chan error
+	pendingCancels map[work.JobID][]chan error
 	// denials are questions for jobs that are not known here, until the store confirms
 	// that this node still is the owner.
-	denials     []stateEvent
-	orders      int
-	totalsAt    time.Time
-	customersAt time.Time
-	handOver    chan bool
-	handOverAt  time.Time
-	isAhead     bool
+	unknownJobQueries  []stateEvent
+	pendingStarts      int
+	totalsLoggedAt     time.Time
+	customersSampledAt time.Time
+	handOverDone       chan bool
+	handOverStartedAt  time.Time
+	isWriteBehind      bool
 	// nextNodes is when to look again at the other nodes.
-	nextNodes time.Time
+	nextNodeCheck time.Time
 	// beganAt is when the loop began; awaiting are listings that wait for carriers.
-	beganAt  time.Time
-	awaiting []order.Hold
+	loopStartedAt time.Time
+	deferredPolls []order.Hold
 }
 
 // event is something that happened, for the loop.
@@ -104,12 +104,12 @@
 		engine: dispatch.NewEngine(dispatch.Options{
 			Log: options.Log, NodeZone: options.NodeZone, StopTime: options.StopTime, Heartbeat: options.Heartbeat,
 		}),
-		router: carrier.NewRouter(options.OwnWorkers, options.Claim.Record.Epoch),
-		inbox:  ring.NewRing[event](eventsBound), ctx: ctx, cancel: cancel,
+		router: carrier.NewRouter(options.DirectWorkers, options.Claim.Record.Epoch),
+		inbox:  ring.NewRing[event](inboxSize), ctx: ctx, cancel: cancel,
 		writes: make(chan *write, 1), loaded: make(chan struct{}),
-		submits: map[work.JobID][]chan error{}, cancels: map[work.JobID][]chan error{},
-		offset: options.Claim.Offset, beat: options.Claim.Record.Beat, keptAt: options.Clock.Now(),
-		ahead: newAheadGate(&options.Claim.Record, options.Clock.Now()),
+		pendingSubmits: map[work.JobID][]chan error{}, pendingCancels: map[work.JobID][]chan error{},
+		recordOffset: options.Claim.Offset, heartbeatSeq: options.Claim.Record.HeartbeatSeq, persistedAt: options.Clock.Now(),
+		writeBehind: newWriteBehindGate(&options.Claim.Record, options.Clock.Now()),
 	}
 }
 
@@ -123,7 +123,7 @@
 func (o *Owner) Loaded() <-chan struct{} { return o.loaded }
 
 // Lag returns which part of the time this owner is kept from running, lately.
-func (o *Owner) Lag() float64 { return math.Float64frombits(o.lagShare.Load()) }
+func (o *Owner) Lag() float64 { return math.Float64frombits(o.lagBits.Load()) }
 
 // IsLoaded reports whether the jobs are known.
 func (o *Owner) IsLoaded() bool {
@@ -146,12 +146,12 @@
 	defer context.AfterFunc(ctx, o.cancel)()
 	o.tick()
 	o.confirmedAt = o.now
-	o.isTrustedNow.Store(true)
+	o.mayAct.Store(true)
 	// Reading the jobs may take longer than others wait for a record. The list of
 	// workers is read meanwhile: in a slow store that takes as long as the jobs.
 	o.wg.Add(2)
-	go o.runBeats()
-	go o.runList()
+	go o.runHeartbeats()
+	go o.runWorkerList()
 	sequence, err := o.load()
 	if err != nil {
 		return err
@@ -172,8 +172,8 @@
 func (o *Owner) loop() {
 	ticks, stop := o.options.Clock.Subscribe(tickPeriod)
 	defer stop()
-	defer o.refuseWaiting()
-	o.beganAt = o.options.Clock.Now()
+	defer o.failPendingCalls()
+	o.loopStartedAt = o.options.Clock.Now()
 	for {
 		select {
 		case <-o.ctx.Done():
@@ -186,30 +186,30 @@
 			o.tick()
 			ev.apply(o)
 			o.drainInbox()
-		case <-o.restEnds:
-			o.restEnds = nil
+		case <-o.pauseEnds:
+			o.pauseEnds = nil
 			o.tick()
 		case <-ticks:
 			o.tick()
 			// What has come already is not overdue.
 			o.drainInbox()
 			o.lag.tick(o.now, tickPeriod)
-			o.lagShare.Store(math.Float64bits(o.lag.share))
-			o.tickNodes()
+			o.lagBits.Store(math.Float64bits(o.lag.share))
+			o.checkNodes()
 			o.engine.SetTimeOfDay(o.options.Clock.TimeOfDay())
 			o.engine.Tick()
 			o.logTotals()
 		}
-		o.runAhead()
-		o.step()
+		o.updateWriteBehind()
+		o.runCycle()
 	}
 }
 
 // inboxShare is how many events are taken before the next decision.
-const inboxShare = 256
+const maxEventsPerCycle = 256
 
 func (o *Owner) drainInbox() {
-	for range inboxShare {
+	for range maxEventsPerCycle {
 		select {
 		case ev := <-o.inbox.Out():
 			ev.apply(o)
@@ -222,18 +222,18 @@
 // logTotals writes the engine's totals now and then, for a look back without
 // figures.
 func (o *Owner) logTotals() {
-	if o.now.Sub(o.customersAt) >= customersPeriod {
-		fullest := o.engine.FullestCustomers(maxCustomersTold)
-		o.customersAt = o.now
-		o.customers.Store(&fullest)
+	if o.now.Sub(o.customersSampledAt) >= customerUsePeriod {
+		fullest := o.engine.FullestCustomers(maxCustomersReported)
+		o.customersSampledAt = o.now
+		o.customerUse.Store(&fullest)
 	}
-	if o.now.Sub(o.totalsAt) < totalsPeriod {
+	if o.now.Sub(o.totalsLoggedAt) < totalsPeriod {
 		return
 	}
-	o.totalsAt = o.now
+	o.totalsLoggedAt = o.now
 	c := o.engine.Counts()
 	o.options.Log(events.Totals, "epoch", o.Epoch(), "starts", c.Starts, "done", c.Done, "failed", c.Failed, "stopped", c.Stopped,
-		"lapsed", c.Lapsed, "doubtful", c.Doubtful, "asks", c.Asks, "orders", o.orders)
+		"lapsed", c.Lapsed, "doubtful", c.Doubtful, "asks", c.Asks, "orders", o.pendingStarts)
 	for _, w := range o.engine.TakeWaits() {
 		o.options.Log(events.TasksWaited, "queue", w.Queue, "reason", w.Reason, "waited", w.Time)
 	}
@@ -241,7 +241,7 @@
 
 // CustomerUse returns the customers that use most of their limits, some time ago.
 func (o *Owner) CustomerUse() []quota.CustomerUse {
-	if use := o.customers.Load(); use != nil {
+	if use := o.customerUse.Load(); use != nil {
 		return *use
 	}
 	return nil
@@ -249,119 +249,119 @@
 
 // runAhead finds out whether the store is slow or out, and whether tasks are
 // started without waiting for it.
-func (o *Owner) runAhead() {
-	isSlow := o.isStoreOut || o.writing != nil && o.now.Sub(o.writingAt) > slowAppend || o.now.Sub(o.confirmedAt) > overdueBeat
-	hasUnkept := o.engine.HasUnkept()
+func (o *Owner) updateWriteBehind() {
+	isSlow := o.isStoreDown || o.inFlight != nil && o.now.Sub(o.inFlightSince) > slowAppendTime || o.now.Sub(o.confirmedAt) > heartbeatOverdue
+	hasUnpersisted := o.engine.HasUnkept()
 	o.mu.Lock()
 	if isSlow {
-		o.ahead.noteSlow(o.now)
+		o.writeBehind.noteSlow(o.now)
 	}
-	o.ahead.update(o.now, hasUnkept, o.engine.AllAnswer())
-	isAhead := o.ahead.mayRunAhead(o.now)
+	o.writeBehind.update(o.now, hasUnpersisted, o.engine.AllAnswer())
+	isWriteBehind := o.writeBehind.mayWriteBehind(o.now)
 	o.mu.Unlock()
-	if isAhead != o.isAhead {
-		o.isAhead = isAhead
-		o.options.Log(events.StartsUnlogged, "epoch", o.Epoch(), "ahead", isAhead, "confirmed", o.now.Sub(o.confirmedAt), "out", o.isStoreOut)
+	if isWriteBehind != o.isWriteBehind {
+		o.isWriteBehind = isWriteBehind
+		o.options.Log(events.StartsUnlogged, "epoch", o.Epoch(), "ahead", isWriteBehind, "confirmed", o.now.Sub(o.confirmedAt), "out", o.isStoreDown)
 	}
-	o.isUnlogged.Store(isAhead || hasUnkept)
-	o.engine.SetUnlogged(isAhead)
+	o.mayHaveUnpersisted.Store(isWriteBehind || hasUnpersisted)
+	o.engine.SetUnlogged(isWriteBehind)
 }
 
-// IsUnlogged reports whether tasks may run in places that are not in the store.
-func (o *Owner) IsUnlogged() bool { return o.isUnlogged.Load() }
+// MayHaveUnpersisted reports whether tasks may run in places that are not in the store.
+func (o *Owner) MayHaveUnpersisted() bool { return o.mayHaveUnpersisted.Load() }
 
-// LastPlain returns the number of this owner's last record without a mark, and how
+// LastUnflagged returns the number of this owner's last record without a mark, and how
 // long ago it was sent.
-func (o *Owner) LastPlain() (uint64, time.Duration) {
+func (o *Owner) LastUnflagged() (uint64, time.Duration) {
 	now := o.options.Clock.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ahead.plain, now.Sub(o.ahead.plainAt)
+	return o.writeBehind.unflaggedSeq, now.Sub(o.writeBehind.unflaggedAt)
 }
 
 // step decides on what has happened.
-func (o *Owner) step() {
-	o.takePolicy()
-	isTrusted := o.isTrusted()
-	o.isTrustedNow.Store(isTrusted)
-	o.engine.SetTrusted(isTrusted)
-	o.decide()
+func (o *Owner) runCycle() {
+	o.applyPolicy()
+	mayActAsOwner := o.mayActAsOwner()
+	o.mayAct.Store(mayActAsOwner)
+	o.engine.SetTrusted(mayActAsOwner)
+	o.schedule()
 	for _, a := range o.engine.Actions() {
-		o.carryOut(a)
+		o.execute(a)
 	}
-	o.sendCarried()
+	o.sendDelegated()
 	o.write()
 	o.finishHandOver()
 }
 
 // decide looks at all that waits, unless the owner rests.
-func (o *Owner) decide() {
-	if !o.rest.isOver(o.now) {
-		if o.restEnds == nil && o.engine.MustDecide() {
-			o.restEnds = o.options.Clock.After(o.rest.until.Sub(o.now))
+func (o *Owner) schedule() {
+	if !o.throttle.mayRun(o.now) {
+		if o.pauseEnds == nil && o.engine.MustDecide() {
+			o.pauseEnds = o.options.Clock.After(o.throttle.pausedUntil.Sub(o.now))
 		}
 		return
 	}
 	began := o.options.Clock.Now()
 	o.engine.Decide()
-	o.rest.looked(o.options.Clock.Now().Sub(began), o.now)
+	o.throttle.afterPass(o.options.Clock.Now().Sub(began), o.now)
 }
 
-// IsTrusted reports whether this node may act as the owner: no other one can be it
+// MayActAsOwner reports whether this node may act as the owner: no other one can be it
 // yet. Without that it refuses all that is asked of it.
-func (o *Owner) IsTrusted() bool { return o.isTrustedNow.Load() }
+func (o *Owner) MayActAsOwner() bool { return o.mayAct.Load() }
 
 // isTrusted reports whether no other node can be the owner yet, or whether it
 // would have to reach a store that no node reaches.
-func (o *Owner) isTrusted() bool {
-	return o.now.Sub(o.confirmedAt) < TrustPeriod || o.options.HasOutage()
+func (o *Owner) mayActAsOwner() bool {
+	return o.now.Sub(o.confirmedAt) < ConfirmationTimeout || o.options.HasStoreOutage()
 }
 
-func (o *Owner) put(ev event) bool { return o.inbox.Put(ev, o.ctx.Done()) }
+func (o *Owner) enqueue(ev event) bool { return o.inbox.Put(ev, o.ctx.Done()) }
 
-// AwayError is a failure of a request that the next owner can answer: this one
+// ChangeError is a failure of a request that the next owner can answer: this one
 // has ended or is about to. What was asked of it may be asked again.
-type AwayError struct{ Failure *leverdyke.Error }
+type ChangeError struct{ Failure *leverdyke.Error }
 
 // Error returns the text of the error.
-func (e *AwayError) Error() string { return e.Failure.Error() }
+func (e *ChangeError) Error() string { return e.Failure.Error() }
 
 // Unwrap returns the failure with its verdict.
-func (e *AwayError) Unwrap() error { return e.Failure }
+func (e *ChangeError) Unwrap() error { return e.Failure }
 
 // errGone means that this node is not the owner any more; what was asked may
 // have been done.
-func errGone() error {
-	return &AwayError{leverdyke.MayHaveRun("the owner of the jobs changes", nil)}
+func errOwnerChanged() error {
+	return &ChangeError{leverdyke.MayHaveRun("the owner of the jobs changes", nil)}
 }
 
 // errLeaving means that this node is about to hand over.
-func errLeaving() error {
-	return &AwayError{leverdyke.NotRun("the owner of the jobs hands over", retryAfter)}
+func errHandingOver() error {
+	return &ChangeError{leverdyke.NotRun("the owner of the jobs hands over", retryAfterSeconds)}
 }
 
 // refuseWaiting answers those who wait when the loop ends. Their jobs may have
 // been kept.
-func (o *Owner) refuseWaiting() {
-	for _, waiting := range []map[work.JobID][]chan error{o.submits, o.cancels} {
+func (o *Owner) failPendingCalls() {
+	for _, waiting := range []map[work.JobID][]chan error{o.pendingSubmits, o.pendingCancels} {
 		for id, list := range waiting {
 			for _, ch := range list {
-				ch <- errGone()
+				ch <- errOwnerChanged()
 			}
 			delete(waiting, id)
 		}
 	}
-	for _, ev := range o.denials {
-		ev.reply <- stateAnswer{err: errGone()}
+	for _, ev := range o.unknownJobQueries {
+		ev.reply <- stateAnswer{err: errOwnerChanged()}
 	}
-	o.denials = nil
+	o.unknownJobQueries = nil
 }
 
 // ask puts an event and waits for its answer.
-func ask[T any](ctx context.Context, o *Owner, ev event, ch chan T) (T, error) {
+func call[T any](ctx context.Context, o *Owner, ev event, ch chan T) (T, error) {
 	var none T
 	if !o.inbox.TryPut(ev) {
-		return none, leverdyke.NotRun("the owner of the jobs is overloaded", retryAfter)
+		return none, leverdyke.NotRun("the owner of the jobs is overloaded", retryAfterSeconds)
 	}
 	select {
 	case v := <-ch:
@@ -371,7 +371,7 @@
 		case v := <-ch:
 			return v, nil
 		default:
-			return none, errGone()
+			return none, errOwnerChanged()
 		}
 	case <-ctx.Done():
 		return none, leverdyke.MayHaveRun("the owner of the jobs did not answer in time", ctx.Err())
@@ -381,9 +381,9 @@
 // Submit hands in a job. It returns nil once the job is kept.
 func (o *Owner) Submit(ctx context.Context, spec *work.Spec) error {
 	ch := make(chan error, 1)
-	err, failed := ask(ctx, o, submitEvent{spec, ch}, ch)
-	if failed != nil {
-		return failed
+	err, callErr := call(ctx, o, submitEvent{spec, ch}, ch)
+	if callErr != nil {
+		return callErr
 	}
 	return err
 }
@@ -391,10 +391,10 @@
 // Cancel cancels a job. It returns false when there is no such job of the caller's.
 func (o *Owner) Cancel(ctx context.Context, id work.JobID, by work.Caller) (bool, error) {
 	ch := make(chan error, 1)
-	err, failed := ask(ctx, o, cancelEvent{id, by, ch}, ch)
+	err, callErr := call(ctx, o, cancelEvent{id, by, ch}, ch)
 	switch {
-	case failed != nil:
-		return false, failed
+	case callErr != nil:
+		return false, callErr
 	case err == errNoJob:
 		return false, nil
 	}
@@ -406,7 +406,7 @@
 // State returns what a caller is told of a job; false when there is none of the caller's.
 func (o *Owner) State(ctx context.Context, id work.JobID, by work.Caller) (work.JobState, bool, error) {
 	ch := make(chan stateAnswer, 1)
-	a, err := ask(ctx, o, stateEvent{id, by, o.options.Clock.Now(), ch}, ch)
+	a, err := call(ctx, o, stateEvent{id, by, o.options.Clock.Now(), ch}, ch)
 	if err == nil {
 		err = a.err
 	}
@@ -416,7 +416,7 @@
 // Pending returns how many jobs of a queue have not begun.
 func (o *Owner) Pending(ctx context.Context, queue string) (int, error) {
 	ch := make(chan pendingAnswer, 1)
-	a, err := ask(ctx, o, pendingEvent{queue, ch}, ch)
+	a, err := call(ctx, o, pendingEvent{queue, ch}, ch)
 	if err == nil {
 		err = a.err
 	}
@@ -433,7 +433,7 @@
 }
 
 // takePolicy passes a new configuration to the engine.
-func (o *Owner) takePolicy() {
+func (o *Owner) applyPolicy() {
 	o.mu.Lock()
 	p := o.policy
 	o.policy = nil
@@ -450,12 +450,12 @@
 // can become the owner.
 func (o *Owner) HandOver(ctx context.Context) bool {
 	done := make(chan bool, 1)
-	if !o.put(handOverEvent{done}) {
+	if !o.enqueue(handOverEvent{done}) {
 		return true
 	}
 	select {
-	case isOver := <-done:
-		return isOver
+	case isHandedOver := <-done:
+		return isHandedOver
 	case <-ctx.Done():
 	case <-o.ctx.Done():
 	}
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -51,20 +51,20 @@
 // run claims the shard and runs an owner until the test ends.
 func run(t *testing.T, log store.Log, workers *fakeWorkers, list owner.List, clk clock.Service, logged func(events.Event, ...any), change ...func(*owner.Options)) *owner.Owner {
 	t.Helper()
-	earlier, at, err := owner.ReadRecord(t.Context(), log)
+	previous, at, err := owner.ReadRecord(t.Context(), log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if earlier != nil {
+	if previous != nil {
 		at++
 	}
-	r := owner.Record{Node: "n", Life: "l", Epoch: at + 1}
+	r := owner.Record{Node: "n", Incarnation: "l", Epoch: at + 1}
 	if _, err := owner.AppendRecord(t.Context(), log, &r, at); err != nil {
 		t.Fatal(err)
 	}
 	options := owner.Options{
-		Claim: owner.Claim{Record: r, Offset: at, Earlier: earlier, IsExact: true}, Store: log, Workers: workers, List: list,
-		Lanes: noLanes{}, Clock: clk, Metrics: noFigures{}, HasOutage: func() bool { return false }, Strongest: func() float64 { return 1 },
+		Claim: owner.Claim{Record: r, Offset: at, Previous: previous, HasAllPlacements: true}, Store: log, Workers: workers, List: list,
+		PermissionChannels: noLanes{}, Clock: clk, Metrics: noFigures{}, HasStoreOutage: func() bool { return false }, MaxStrength: func() float64 { return 1 },
 		Log: logged,
 	}
 	for _, f := range change {
--- a/internal/owner/pass_throttle_test.go
+++ b/internal/owner/pass_throttle_test.go
@@ -20,7 +20,7 @@
 		{20 * time.Millisecond, 60 * time.Millisecond},
 		{time.Second, 100 * time.Millisecond},
 	} {
-		if got := owner.RestAfter(c.took, now); got != c.want {
+		if got := owner.PauseAfter(c.took, now); got != c.want {
 			t.Errorf("rest after a look of %v: got: %v, want: %v", c.took, got, c.want)
 		}
 	}
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -28,25 +28,25 @@
 // the sequence number of the next append.
 func (o *Owner) load() (uint64, error) {
 	began := o.now
-	newest, err := o.readFenced()
+	newest, err := o.fenceAndRead()
 	if err != nil {
 		return 0, err
 	}
 	o.tick()
 	o.engine.SetTimeOfDay(o.options.Clock.TimeOfDay())
-	o.takePolicy()
+	o.applyPolicy()
 	jobs := parseJobs(newest.Records, func(key string, err error) { o.options.Log(events.BadRecord, "key", key, "err", err) })
-	slices.SortFunc(jobs, func(a, b *kept) int { return cmp.Compare(a.offset, b.offset) })
+	slices.SortFunc(jobs, func(a, b *storedJob) int { return cmp.Compare(a.offset, b.offset) })
 	for _, k := range jobs {
 		o.engine.RestoreJob(k.spec, k.progress)
 	}
-	earlier := o.options.Claim.Earlier
-	if earlier != nil {
-		bound := leaseBound
-		if o.options.Claim.IsOver {
-			bound = leaseRest
+	previous := o.options.Claim.Previous
+	if previous != nil {
+		leaseLeft := maxInheritedLease
+		if o.options.Claim.HasPreviousEnded {
+			leaseLeft = maxLease
 		}
-		o.engine.Inherit(o.now.Add(bound), o.options.Claim.IsExact, earlier.Listed)
+		o.engine.Inherit(o.now.Add(leaseLeft), o.options.Claim.HasAllPlacements, previous.ListedWorkers)
 	}
 	o.options.Log(events.JobsLoaded, "epoch", o.Epoch(), "jobs", len(jobs), "records", len(newest.Records), "end", newest.End, "took", o.now.Sub(began))
 	return 1, nil
@@ -55,8 +55,8 @@
 // readFenced reads the jobs as they are once no earlier owner can append any more. The
 // jobs are read while the store is told so, as both take long at a slow store. What was read
 // counts if the topic has not grown between; else it is read again.
-func (o *Owner) readFenced() (*store.Newest, error) {
-	read := make(chan readAnswer, 1)
+func (o *Owner) fenceAndRead() (*store.Newest, error) {
+	read := make(chan readResult, 1)
 	o.wg.Add(1)
 	go o.runRead(read)
 	end := uint64(0)
@@ -74,16 +74,16 @@
 }
 
 // readAnswer is what came of reading the jobs.
-type readAnswer struct {
+type readResult struct {
 	newest *store.Newest
 	err    error
 }
 
 // runRead reads the jobs once.
-func (o *Owner) runRead(answer chan<- readAnswer) {
+func (o *Owner) runRead(answer chan<- readResult) {
 	defer o.wg.Done()
 	newest, err := o.readJobs()
-	answer <- readAnswer{newest, err}
+	answer <- readResult{newest, err}
 }
 
 func (o *Owner) readJobs() (*store.Newest, error) {
@@ -103,7 +103,7 @@
 // the owner is stopped.
 func (o *Owner) retry(what string, do func(ctx context.Context) error) error {
 	for {
-		ctx, cancel := o.boundStore()
+		ctx, cancel := o.withStoreTimeout()
 		err := do(ctx)
 		cancel()
 		switch {
@@ -115,19 +115,19 @@
 			return fmt.Errorf("owner: %s: %w", what, err)
 		}
 		o.options.Log(events.StoreFailed, "what", what, "err", err)
-		o.pause(writeRetry)
+		o.sleep(storeRetryDelay)
 	}
 }
 
 // write hands the next batch to the writer, if it is free.
 func (o *Owner) write() {
-	if o.writing != nil {
-		if o.appends.isTooLong(o.now.Sub(o.writingAt)) {
-			o.refuseNew("the store does not answer")
+	if o.inFlight != nil {
+		if o.appendTimeout.isExceeded(o.now.Sub(o.inFlightSince)) {
+			o.refuseNewJobs("the store does not answer")
 		}
 		return
 	}
-	if o.now.Before(o.writeAfter) {
+	if o.now.Before(o.nextWriteAt) {
 		return
 	}
 	batch := o.engine.TakeBatch()
@@ -143,14 +143,14 @@
 		// The types are the program's own: one that cannot be encoded is a bug.
 		panic(fmt.Sprintf("owner: batch: %v", err))
 	}
-	o.writing, o.writingAt = &write{batch, parts}, o.now
-	o.writes <- o.writing
+	o.inFlight, o.inFlightSince = &write{batch, parts}, o.now
+	o.writes <- o.inFlight
 }
 
 // refuseNew refuses the jobs that are not yet on their way to the store.
-func (o *Owner) refuseNew(why string) {
+func (o *Owner) refuseNewJobs(why string) {
 	for _, id := range o.engine.RefuseNew() {
-		o.answer(o.submits, id, leverdyke.NotRun(why, outRetry))
+		o.answer(o.pendingSubmits, id, leverdyke.NotRun(why, storeDownRetrySeconds))
 	}
 }
 
@@ -169,16 +169,16 @@
 		case <-o.ctx.Done():
 			return
 		case w := <-o.writes:
-			isKept := true
+			isPersisted := true
 			for _, part := range w.parts {
-				next, ok := o.append(part, sequence, isKept && len(w.parts) == 1)
+				next, ok := o.append(part, sequence, isPersisted && len(w.parts) == 1)
 				if o.ctx.Err() != nil {
 					return
 				}
 				sequence = next
-				isKept = isKept && ok
+				isPersisted = isPersisted && ok
 			}
-			o.put(writtenEvent{w, isKept})
+			o.enqueue(writtenEvent{w, isPersisted})
 		}
 	}
 }
@@ -187,7 +187,7 @@
 // next sequence number. Where mayRefuse is set it reports false when the store
 // says that nothing was done.
 func (o *Owner) append(records []store.Record, sequence uint64, mayRefuse bool) (uint64, bool) {
-	a := &appending{owner: o, records: records, sequence: sequence, mayRefuse: mayRefuse}
+	a := &appendCall{owner: o, records: records, sequence: sequence, mayRefuse: mayRefuse}
 	for tries := 0; ; tries++ {
 		err := a.try()
 		if err == nil {
@@ -197,15 +197,15 @@
 			return a.sequence, false
 		}
 		o.options.Log(events.StoreFailed, "what", "append", "records", len(records), "sequence", a.sequence, "try", tries, "err", err)
-		next := a.judge(err)
-		if next == tryNever || next == tryLater && !o.pause(writeRetry) {
+		next := a.decideRetry(err)
+		if next == retryNever || next == retryLater && !o.sleep(storeRetryDelay) {
 			return a.sequence, false
 		}
 	}
 }
 
 // appending is the append of some records, repeated until its fate is known.
-type appending struct {
+type appendCall struct {
 	owner   *Owner
 	records []store.Record
 	// sequence is the number of the append; the store may want another.
@@ -213,13 +213,13 @@
 	// mayRefuse lets it end when the store says that nothing was done.
 	mayRefuse bool
 	// isSent is set once the fate of a try is open: it may have been done.
-	isSent bool
+	mayBeApplied bool
 }
 
 // try sends the append once.
-func (a *appending) try() error {
+func (a *appendCall) try() error {
 	o := a.owner
-	ctx, cancel := o.boundStore()
+	ctx, cancel := o.withStoreTimeout()
 	defer cancel()
 	began := o.options.Clock.Now()
 	_, err := o.options.Store.Append(ctx, &store.Append{Topic: TopicJobs, Records: a.records, Writer: o.writer(a.sequence)})
@@ -228,42 +228,42 @@
 }
 
 // nextTry is when an append that failed is tried again.
-type nextTry string
+type retryDecision string
 
 const (
-	tryNow   nextTry = "now"
-	tryLater nextTry = "later"
-	tryNever nextTry = "never"
+	retryNow   retryDecision = "now"
+	retryLater retryDecision = "later"
+	retryNever retryDecision = "never"
 )
 
 // judge tells by the error of a try how to go on.
-func (a *appending) judge(err error) nextTry {
+func (a *appendCall) decideRetry(err error) retryDecision {
 	o := a.owner
 	switch store.FailureOf(err) {
 	case store.Fenced:
 		o.options.Log(events.ShardDropped, "epoch", o.Epoch(), "why", "the store has a later owner's records")
 		o.cancel()
-		return tryNever
+		return retryNever
 	case store.WrongSequence:
-		if a.takeSequence(err) {
-			return tryNow
+		if a.adoptSequence(err) {
+			return retryNow
 		}
 	case store.NotApplied:
-		if a.mayRefuse && !a.isSent {
-			return tryNever
+		if a.mayRefuse && !a.mayBeApplied {
+			return retryNever
 		}
 	case store.Unknown, store.ConditionFailed, store.Trimmed:
-		a.isSent = true
-		o.put(storeOutEvent{})
+		a.mayBeApplied = true
+		o.enqueue(storeDownEvent{})
 	}
-	return tryLater
+	return retryLater
 }
 
 // takeSequence takes the number that the store wants, and reports whether it is
 // another one. After a try that may have been done it never goes back.
-func (a *appending) takeSequence(err error) bool {
+func (a *appendCall) adoptSequence(err error) bool {
 	e := &store.Error{}
-	if !errors.As(err, &e) || e.ExpectedSequence == a.sequence || a.isSent && e.ExpectedSequence < a.sequence {
+	if !errors.As(err, &e) || e.ExpectedSequence == a.sequence || a.mayBeApplied && e.ExpectedSequence < a.sequence {
 		return false
 	}
 	a.sequence = e.ExpectedSequence
@@ -271,7 +271,7 @@
 }
 
 // pause waits, and reports false when the owner ended meanwhile.
-func (o *Owner) pause(d time.Duration) bool {
+func (o *Owner) sleep(d time.Duration) bool {
 	select {
 	case <-o.ctx.Done():
 		return false
@@ -287,89 +287,89 @@
 	return string(store.FailureOf(err))
 }
 
-type storeOutEvent struct{}
+type storeDownEvent struct{}
 
-func (storeOutEvent) apply(o *Owner) {
-	o.isStoreOut = true
-	o.appends.failed()
-	o.refuseNew("the store does not answer")
+func (storeDownEvent) apply(o *Owner) {
+	o.isStoreDown = true
+	o.appendTimeout.failed()
+	o.refuseNewJobs("the store does not answer")
 }
 
 type writtenEvent struct {
-	write  *write
-	isKept bool
+	write       *write
+	isPersisted bool
 }
 
 func (ev writtenEvent) apply(o *Owner) {
-	o.writing = nil
-	o.isStoreOut = !ev.isKept
-	if ev.isKept {
-		o.appends.kept(o.now.Sub(o.writingAt))
-		o.noteKept(ev.write.batch)
+	o.inFlight = nil
+	o.isStoreDown = !ev.isPersisted
+	if ev.isPersisted {
+		o.appendTimeout.succeeded(o.now.Sub(o.inFlightSince))
+		o.batchPersisted(ev.write.batch)
 	} else {
-		o.appends.failed()
-		o.noteRefused(ev.write.batch)
+		o.appendTimeout.failed()
+		o.batchRefused(ev.write.batch)
 	}
 }
 
 // noteKept answers for what the store has kept.
-func (o *Owner) noteKept(b *dispatch.Batch) {
+func (o *Owner) batchPersisted(b *dispatch.Batch) {
 	o.engine.Committed(b)
 	for _, spec := range b.Specs {
-		o.answer(o.submits, spec.ID, nil)
-		o.options.Log(events.JobAccepted, "job", spec.ID, "queue", spec.Queue, "steps", len(spec.Steps), "batch", len(b.Specs), "took", o.now.Sub(o.writingAt))
+		o.answer(o.pendingSubmits, spec.ID, nil)
+		o.options.Log(events.JobAccepted, "job", spec.ID, "queue", spec.Queue, "steps", len(spec.Steps), "batch", len(b.Specs), "took", o.now.Sub(o.inFlightSince))
 	}
 	for id := range b.Progress {
 		o.answerCancel(id)
 		if o.engine.IsKept(id) {
 			// It was withdrawn before it was handed in.
-			o.answer(o.submits, id, nil)
+			o.answer(o.pendingSubmits, id, nil)
 		}
 	}
 }
 
 // noteRefused refuses the jobs of a batch that the store refused, and those that
 // would be in the next. All else of the batch is sent again.
-func (o *Owner) noteRefused(b *dispatch.Batch) {
+func (o *Owner) batchRefused(b *dispatch.Batch) {
 	const why = "the store does not take new jobs"
-	o.writeAfter = o.now.Add(writeRetry)
+	o.nextWriteAt = o.now.Add(storeRetryDelay)
 	o.engine.Refused(b)
 	for _, spec := range b.Specs {
-		o.answer(o.submits, spec.ID, leverdyke.NotRun(why, outRetry))
+		o.answer(o.pendingSubmits, spec.ID, leverdyke.NotRun(why, storeDownRetrySeconds))
 	}
 	for id := range b.Progress {
 		if !o.engine.IsKept(id) {
 			// It was withdrawn before it was handed in, and never runs.
-			o.answer(o.submits, id, leverdyke.NotRun(why, outRetry))
+			o.answer(o.pendingSubmits, id, leverdyke.NotRun(why, storeDownRetrySeconds))
 		}
 	}
-	o.refuseNew(why)
+	o.refuseNewJobs(why)
 }
 
 // runBeats writes down every so often that this node is the owner.
-func (o *Owner) runBeats() {
+func (o *Owner) runHeartbeats() {
 	defer o.wg.Done()
 	for o.ctx.Err() == nil {
-		o.sendBeat()
-		o.pause(BeatPeriod)
+		o.sendHeartbeat()
+		o.sleep(HeartbeatPeriod)
 	}
 }
 
 // sendBeat appends one record. Only this goroutine uses offset and beat.
-func (o *Owner) sendBeat() {
+func (o *Owner) sendHeartbeat() {
 	sentAt := o.options.Clock.Now()
 	r := o.options.Claim.Record
-	r.Beat = o.beat + 1
+	r.HeartbeatSeq = o.heartbeatSeq + 1
 	r.SentAt = o.options.Clock.TimeOfDay()
-	r.Strongest = o.options.Strongest()
-	r.Listed = int(o.listed.Load())
+	r.MaxStrength = o.options.MaxStrength()
+	r.ListedWorkers = int(o.listedWorkers.Load())
 	o.mu.Lock()
-	r.IsUnlogged = o.ahead.compose(r.Beat, sentAt)
+	r.MayHaveUnpersisted = o.writeBehind.nextFlag(r.HeartbeatSeq, sentAt)
 	o.mu.Unlock()
-	at := o.offset + 1
+	at := o.recordOffset + 1
 	offset, err := AppendRecord(o.ctx, o.options.Store, &r, at)
 	if err == nil {
-		o.noteRecord(&r, offset, sentAt)
+		o.heartbeatPersisted(&r, offset, sentAt)
 		return
 	}
 	if o.ctx.Err() != nil {
@@ -377,18 +377,18 @@
 	}
 	o.options.Log(events.StoreFailed, "what", "beat", "err", err)
 	if store.FailureOf(err) == store.ConditionFailed {
-		o.checkRecord(sentAt)
+		o.checkOwnerRecord(sentAt)
 	}
 }
 
 // noteRecord notes the newest record of this owner in the store.
-func (o *Owner) noteRecord(r *Record, offset uint64, sentAt time.Time) {
-	o.offset = offset
+func (o *Owner) heartbeatPersisted(r *Record, offset uint64, sentAt time.Time) {
+	o.recordOffset = offset
 	o.mu.Lock()
-	o.beat, o.keptAt = r.Beat, o.options.Clock.Now()
-	o.ahead.kept(r.IsUnlogged)
+	o.heartbeatSeq, o.persistedAt = r.HeartbeatSeq, o.options.Clock.Now()
+	o.writeBehind.persisted(r.MayHaveUnpersisted)
 	o.mu.Unlock()
-	o.put(beatEvent{sentAt})
+	o.enqueue(heartbeatEvent{sentAt})
 }
 
 // LastRecord returns the number of this owner's newest record in the store, and
@@ -396,18 +396,18 @@
 func (o *Owner) LastRecord() (uint64, time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.beat, o.keptAt
+	return o.heartbeatSeq, o.persistedAt
 }
 
 // checkRecord finds out whose record made the topic move on: an own one whose
 // answer was lost, or that of another owner.
-func (o *Owner) checkRecord(sentAt time.Time) {
+func (o *Owner) checkOwnerRecord(sentAt time.Time) {
 	r, offset, err := ReadRecord(o.ctx, o.options.Store)
 	switch {
 	case err != nil:
 		o.options.Log(events.StoreFailed, "what", "read of the owner", "err", err)
 	case r != nil && r.Epoch == o.Epoch():
-		o.noteRecord(r, offset, sentAt)
+		o.heartbeatPersisted(r, offset, sentAt)
 	default:
 		o.options.Log(events.ShardDropped, "epoch", o.Epoch(), "why", "the store names another owner")
 		o.cancel()
@@ -415,14 +415,14 @@
 }
 
 // beatEvent says that at sentAt this node was the owner, by the store's word.
-type beatEvent struct {
+type heartbeatEvent struct {
 	sentAt time.Time
 }
 
-func (ev beatEvent) apply(o *Owner) {
+func (ev heartbeatEvent) apply(o *Owner) {
 	o.confirmedAt = ev.sentAt
-	o.answerDenials()
-	if o.writing == nil {
-		o.isStoreOut = false
+	o.answerUnknownJobs()
+	if o.inFlight == nil {
+		o.isStoreDown = false
 	}
 }
--- a/internal/owner/record.go
+++ b/internal/owner/record.go
@@ -19,21 +19,21 @@
 type Record struct {
 	Node string         `msgpack:"n"`
 	Addr netip.AddrPort `msgpack:"a"`
-	// Life tells the processes of one node apart.
-	Life string `msgpack:"l"`
+	// Incarnation tells the processes of one node apart.
+	Incarnation string `msgpack:"l"`
 	// Epoch is the number of the ownership; it rises with each change.
 	Epoch uint64 `msgpack:"e"`
-	// Beat counts the records of one ownership.
-	Beat uint64 `msgpack:"b"`
+	// HeartbeatSeq counts the records of one ownership.
+	HeartbeatSeq uint64 `msgpack:"b"`
 	// SentAt is when it was sent, by the owner's time of day, which may differ from
 	// that of other nodes.
 	SentAt time.Time `msgpack:"t"`
-	// Strongest is the strength of the strongest node that the owner knows.
-	Strongest float64 `msgpack:"s"`
-	// IsUnlogged means that tasks may run in places that are not kept.
-	IsUnlogged bool `msgpack:"u"`
-	// Listed is how many workers the owner's list had; 0 when it had none yet.
-	Listed int `msgpack:"w"`
+	// MaxStrength is the strength of the strongest node that the owner knows.
+	MaxStrength float64 `msgpack:"s"`
+	// MayHaveUnpersisted means that tasks may run in places that are not kept.
+	MayHaveUnpersisted bool `msgpack:"u"`
+	// ListedWorkers is how many workers the owner's list had; 0 when it had none yet.
+	ListedWorkers int `msgpack:"w"`
 }
 
 // Age returns how old the record is at that time of day.
@@ -59,7 +59,7 @@
 	parts := [][]store.Record{{}}
 	size := 0
 	add := func(key string, value []byte) {
-		if size += len(key) + len(value); size > batchBytes && len(parts[len(parts)-1]) > 0 {
+		if size += len(key) + len(value); size > maxAppendBytes && len(parts[len(parts)-1]) > 0 {
 			parts = append(parts, nil)
 			size = len(key) + len(value)
 		}
@@ -93,7 +93,7 @@
 }
 
 // kept is a job as the store has it.
-type kept struct {
+type storedJob struct {
 	// spec has only the ID and the customer when the job is over.
 	spec     *work.Spec
 	progress *work.Progress
@@ -102,9 +102,9 @@
 
 // parseJobs returns the jobs in the order in which they were kept. A record that
 // cannot be read is told to bad and left out.
-func parseJobs(records []store.Record, bad func(key string, err error)) []*kept {
-	byID := map[string]*kept{}
-	jobs := []*kept{}
+func parseJobs(records []store.Record, onBadRecord func(key string, err error)) []*storedJob {
+	byID := map[string]*storedJob{}
+	jobs := []*storedJob{}
 	for i := range records {
 		r := &records[i]
 		id, ok := strings.CutPrefix(r.Key, specPrefix)
@@ -113,10 +113,10 @@
 		}
 		spec := &work.Spec{}
 		if err := codec.Unmarshal(r.Value, spec); err != nil {
-			bad(r.Key, err)
+			onBadRecord(r.Key, err)
 			continue
 		}
-		k := &kept{spec: spec, offset: r.Offset}
+		k := &storedJob{spec: spec, offset: r.Offset}
 		byID[id] = k
 		jobs = append(jobs, k)
 	}
@@ -128,11 +128,11 @@
 		}
 		p := &work.Progress{}
 		if err := codec.Unmarshal(r.Value, p); err != nil {
-			bad(r.Key, err)
+			onBadRecord(r.Key, err)
 			continue
 		}
 		if byID[id] == nil && p.State.IsFinal() {
-			byID[id] = &kept{spec: &work.Spec{ID: work.JobID(id), Customer: p.Customer}, offset: r.Offset}
+			byID[id] = &storedJob{spec: &work.Spec{ID: work.JobID(id), Customer: p.Customer}, offset: r.Offset}
 			jobs = append(jobs, byID[id])
 		}
 		if k := byID[id]; k != nil {
--- a/internal/owner/record_test.go
+++ b/internal/owner/record_test.go
@@ -18,15 +18,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	isKept := false
+	isPersisted := false
 	for _, part := range parts {
 		for _, r := range part {
 			if r.Key == "j/a" {
-				isKept = len(r.Value) > 0
+				isPersisted = len(r.Value) > 0
 			}
 		}
 	}
-	if !isKept {
+	if !isPersisted {
 		t.Error("the job after the batch: got: removed, want: kept")
 	}
 }
--- a/internal/owner/write_behind_test.go
+++ b/internal/owner/write_behind_test.go
@@ -22,48 +22,48 @@
 	const ms = time.Millisecond
 	begin := clock.NewFake().Now()
 	for name, tc := range map[string]struct {
-		play func(g *owner.AheadGate)
+		play func(g *owner.WriteBehindGate)
 		at   time.Duration
 		want bool
 	}{
-		"the store is quick": {func(*owner.AheadGate) {}, 5000 * ms, false},
-		"slow, the plain record is young": {func(g *owner.AheadGate) {
-			g.Slow(begin.Add(1100 * ms))
+		"the store is quick": {func(*owner.WriteBehindGate) {}, 5000 * ms, false},
+		"slow, the plain record is young": {func(g *owner.WriteBehindGate) {
+			g.NoteSlow(begin.Add(1100 * ms))
 		}, 1100 * ms, false},
-		"slow, the plain record is old": {func(g *owner.AheadGate) {
-			g.Slow(begin.Add(1100 * ms))
+		"slow, the plain record is old": {func(g *owner.WriteBehindGate) {
+			g.NoteSlow(begin.Add(1100 * ms))
 		}, 1300 * ms, true},
-		"slow, the mark is written": {func(g *owner.AheadGate) {
-			g.Slow(begin.Add(100 * ms))
-			g.Compose(begin.Add(150 * ms))
+		"slow, the mark is written": {func(g *owner.WriteBehindGate) {
+			g.NoteSlow(begin.Add(100 * ms))
+			g.NextFlag(begin.Add(150 * ms))
 		}, 200 * ms, false},
-		"slow, the mark is kept": {func(g *owner.AheadGate) {
-			g.Slow(begin.Add(100 * ms))
-			g.Kept(g.Compose(begin.Add(150 * ms)))
+		"slow, the mark is kept": {func(g *owner.WriteBehindGate) {
+			g.NoteSlow(begin.Add(100 * ms))
+			g.Persisted(g.NextFlag(begin.Add(150 * ms)))
 		}, 200 * ms, true},
-		"the mark is kept before, as all workers answer": {func(g *owner.AheadGate) {
+		"the mark is kept before, as all workers answer": {func(g *owner.WriteBehindGate) {
 			g.Update(begin, false, true)
-			g.Kept(g.Compose(begin.Add(50 * ms)))
-			g.Slow(begin.Add(100 * ms))
+			g.Persisted(g.NextFlag(begin.Add(50 * ms)))
+			g.NoteSlow(begin.Add(100 * ms))
 		}, 100 * ms, true},
-		"a plain record follows the mark": {func(g *owner.AheadGate) {
-			g.Slow(begin.Add(100 * ms))
-			g.Kept(g.Compose(begin.Add(150 * ms)))
+		"a plain record follows the mark": {func(g *owner.WriteBehindGate) {
+			g.NoteSlow(begin.Add(100 * ms))
+			g.Persisted(g.NextFlag(begin.Add(150 * ms)))
 			g.Update(begin.Add(2000*ms), false, false)
-			g.Compose(begin.Add(2000 * ms))
-			g.Slow(begin.Add(2100 * ms))
+			g.NextFlag(begin.Add(2000 * ms))
+			g.NoteSlow(begin.Add(2100 * ms))
 		}, 2200 * ms, false},
-		"places are unkept after the store is back": {func(g *owner.AheadGate) {
-			g.Slow(begin.Add(100 * ms))
-			g.Kept(g.Compose(begin.Add(150 * ms)))
+		"places are unkept after the store is back": {func(g *owner.WriteBehindGate) {
+			g.NoteSlow(begin.Add(100 * ms))
+			g.Persisted(g.NextFlag(begin.Add(150 * ms)))
 			g.Update(begin.Add(2000*ms), true, false)
-			g.Kept(g.Compose(begin.Add(2000 * ms)))
-			g.Slow(begin.Add(2100 * ms))
+			g.Persisted(g.NextFlag(begin.Add(2000 * ms)))
+			g.NoteSlow(begin.Add(2100 * ms))
 		}, 2200 * ms, true},
 	} {
-		g := owner.NewAheadGate(begin)
+		g := owner.NewWriteBehindGate(begin)
 		tc.play(g)
-		if got := g.MayRunAhead(begin.Add(tc.at)); got != tc.want {
+		if got := g.MayWriteBehind(begin.Add(tc.at)); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
 		}
 	}
@@ -93,7 +93,7 @@
 			if got, _, err := o.State(t.Context(), "a", work.Caller{}); err != nil || got != work.JobRunning {
 				t.Errorf("the state while its end is not kept: got: %v, %v, want: %v", got, err, work.JobRunning)
 			}
-			if !o.IsUnlogged() {
+			if !o.MayHaveUnpersisted() {
 				t.Error("the owner: got: all is kept, want: the next owner must not rely on it")
 			}
 			if !isBack {
@@ -108,7 +108,7 @@
 				o = claimed(t, log, workers)
 			}
 			awaitState(t, o, "a", work.JobSucceeded)
-			await.True(t, "all is kept", func() bool { return !o.IsUnlogged() })
+			await.True(t, "all is kept", func() bool { return !o.MayHaveUnpersisted() })
 			if got := len(workers.starts); got != 2 {
 				t.Errorf("starts at the worker that is left: got: %d, want: 2", got)
 			}
