--- a/internal/owner/append_timeout_test.go
+++ b/internal/owner/append_timeout_test.go
@@ -10,12 +10,12 @@
 	"github.com/leverdyke/leverdyke/internal/owner"
 )
 
-func TestAnAppendMayTakeLongerWhereTheStoreIsSlow(t *testing.T) {
+func TestAppendTimeoutFollowsSlowStore(t *testing.T) {
 	const ms = time.Millisecond
 	for name, tc := range map[string]struct {
-		kept    []time.Duration
-		hasFail bool
-		want    time.Duration
+		persisted []time.Duration
+		hasFailed bool
+		want      time.Duration
 	}{
 		"nothing known":    {nil, false, 700 * ms},
 		"a quick store":    {[]time.Duration{4 * ms}, false, 700 * ms},
@@ -24,7 +24,7 @@
 		"quick again":      {[]time.Duration{800 * ms, 4 * ms}, false, 700 * ms},
 		"slow, and failed": {[]time.Duration{800 * ms}, true, 700 * ms},
 	} {
-		if got := owner.AppendTimeout(tc.kept, tc.hasFail); got != tc.want {
+		if got := owner.AppendTimeout(tc.persisted, tc.hasFailed); got != tc.want {
 			t.Errorf("%s: waited for an append: got: %v, want: %v", name, got, tc.want)
 		}
 	}
--- a/internal/owner/cancel_test.go
+++ b/internal/owner/cancel_test.go
@@ -17,50 +17,50 @@
 )
 
 // cutLog is a store that a node may be cut off from, while others reach it.
-type cutLog struct {
+type partitionedLog struct {
 	store.Log
-	isCut atomic.Bool
+	isPartitioned atomic.Bool
 }
 
-var errCut = &store.Error{Failure: store.Unknown, Err: errors.New("cut off")}
+var errPartitioned = &store.Error{Failure: store.Unknown, Err: errors.New("cut off")}
 
-func (l *cutLog) Append(ctx context.Context, a *store.Append) (uint64, error) {
-	if l.isCut.Load() {
-		return 0, errCut
+func (l *partitionedLog) Append(ctx context.Context, a *store.Append) (uint64, error) {
+	if l.isPartitioned.Load() {
+		return 0, errPartitioned
 	}
 	return l.Log.Append(ctx, a)
 }
 
-func (l *cutLog) ReadNewest(ctx context.Context, topic string) (*store.Newest, error) {
-	if l.isCut.Load() {
-		return nil, errCut
+func (l *partitionedLog) ReadNewest(ctx context.Context, topic string) (*store.Newest, error) {
+	if l.isPartitioned.Load() {
+		return nil, errPartitioned
 	}
 	return l.Log.ReadNewest(ctx, topic)
 }
 
 // replaced returns an owner that does not know that it was replaced, the store that
 // it is cut off from, and the owner that runs since, which has accepted the job a.
-func replaced(t *testing.T) (first *owner.Owner, cut *cutLog, second *owner.Owner) {
+func replaced(t *testing.T) (first *owner.Owner, partitioned *partitionedLog, second *owner.Owner) {
 	t.Helper()
 	log := fakestore.NewLog()
-	cut = &cutLog{Log: log}
-	first = claimed(t, cut, newFakeWorkers())
-	cut.isCut.Store(true)
+	partitioned = &partitionedLog{Log: log}
+	first = startOwner(t, partitioned, newFakeWorkers())
+	partitioned.isPartitioned.Store(true)
 	workers := newFakeWorkers()
 	workers.gate = make(chan struct{})
 	t.Cleanup(func() { close(workers.gate) })
-	second = claimed(t, log, workers)
+	second = startOwner(t, log, workers)
 	if err := second.Submit(t.Context(), job("a")); err != nil {
 		t.Fatal(err)
 	}
-	return first, cut, second
+	return first, partitioned, second
 }
 
 // The incident of issue 15: the earlier owner, cut off, said of a job that it did
 // not know that there is none. Its caller took that for an acknowledgement, and
 // the job ran on.
-func TestAnOwnerThatWasReplacedAcknowledgesNoCancel(t *testing.T) {
-	first, cut, second := replaced(t)
+func TestReplacedOwnerAcknowledgesNoCancel(t *testing.T) {
+	first, partitioned, second := replaced(t)
 	// While it is cut off it cannot know, and says nothing.
 	ctx, cancel := context.WithTimeout(t.Context(), 2*tick)
 	defer cancel()
@@ -72,7 +72,7 @@
 		_, err := first.Cancel(t.Context(), "a", work.Caller{})
 		answered <- err
 	}()
-	cut.isCut.Store(false)
+	partitioned.isPartitioned.Store(false)
 	if err := <-answered; err == nil {
 		t.Error("cancelling at the earlier owner: got: acknowledged, want: an error")
 	}
@@ -82,8 +82,8 @@
 }
 
 // As with cancellings: that there is no such job is for the owner to say.
-func TestAnOwnerThatWasReplacedDeniesNoJob(t *testing.T) {
-	first, cut, _ := replaced(t)
+func TestReplacedOwnerDeniesNoJob(t *testing.T) {
+	first, partitioned, _ := replaced(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*tick)
 	defer cancel()
 	if _, _, err := first.State(ctx, "a", work.Caller{}); err == nil {
@@ -94,7 +94,7 @@
 		_, _, err := first.State(t.Context(), "a", work.Caller{})
 		answered <- err
 	}()
-	cut.isCut.Store(false)
+	partitioned.isPartitioned.Store(false)
 	if err := <-answered; err == nil {
 		t.Error("state at the earlier owner: got: no such job, want: an error")
 	}
@@ -102,9 +102,9 @@
 
 // A cancelling may overtake the submission of its job, which a caller may have sent
 // more than once. What was cancelled must not run, whoever owns the shard then.
-func TestACancelOfAnUnknownJobIsKept(t *testing.T) {
+func TestCancelOfUnknownJobIsPersisted(t *testing.T) {
 	log := fakestore.NewLog()
-	o := claimed(t, log, newFakeWorkers())
+	o := startOwner(t, log, newFakeWorkers())
 	if ok, err := o.Cancel(t.Context(), "a", work.Caller{}); ok || err != nil {
 		t.Fatalf("cancelling before the submission: got: %v, %v, want: not known", ok, err)
 	}
@@ -113,7 +113,7 @@
 	}
 	o.Stop()
 	workers := newFakeWorkers()
-	next := claimed(t, log, workers)
+	next := startOwner(t, log, workers)
 	for _, id := range []string{"a", "b"} {
 		if err := next.Submit(t.Context(), job(id)); err != nil {
 			t.Fatalf("submission of %s: got: %v, want: accepted", id, err)
@@ -145,9 +145,9 @@
 
 // The store refuses a job while its caller cancels it: the retry of the submission
 // must not bring it back.
-func TestACancelOfARefusedJobIsKept(t *testing.T) {
+func TestCancelOfRefusedJobIsPersisted(t *testing.T) {
 	log, workers := &refusingLog{Log: fakestore.NewLog(), refuse: make(chan struct{})}, newFakeWorkers()
-	o := claimed(t, log, workers)
+	o := startOwner(t, log, workers)
 	submitted, cancelled := make(chan error, 1), make(chan error, 1)
 	go func() { submitted <- o.Submit(t.Context(), job("a")) }()
 	awaitState(t, o, "a", work.JobQueued)
--- a/internal/owner/delegates_test.go
+++ b/internal/owner/delegates_test.go
@@ -19,18 +19,18 @@
 )
 
 // fakeCarriers is one node that carries for an owner, over a link that can be cut.
-type fakeCarriers struct {
+type fakeDelegates struct {
 	mu    sync.Mutex
 	owner *owner.Owner
 	// session is what takes orders; carried counts them.
-	session *carrier.Session
-	carried int
+	session   *carrier.Session
+	delegated int
 	// isSilent means that orders get lost, isUnlinked that none can be sent.
 	isSilent, isUnlinked bool
 }
 
-func newFakeCarriers(w *fakeWorkers) *fakeCarriers {
-	f := &fakeCarriers{}
+func newFakeDelegates(w *fakeWorkers) *fakeDelegates {
+	f := &fakeDelegates{}
 	f.session = carrier.New(w, clock.Real{}).NewSession(func(o []carrier.Outcome) {
 		f.mu.Lock()
 		to := f.owner
@@ -40,48 +40,48 @@
 	return f
 }
 
-func (*fakeCarriers) Usable() []carrier.Node {
+func (*fakeDelegates) Usable() []carrier.Node {
 	return []carrier.Node{{Name: "c", Zone: "z", Link: 1, Workers: 10}}
 }
 
-func (f *fakeCarriers) Send(_ string, b *carrier.Batch) bool {
+func (f *fakeDelegates) Send(_ string, b *carrier.Batch) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.isUnlinked {
 		return false
 	}
-	f.carried += len(b.Orders)
+	f.delegated += len(b.Orders)
 	if !f.isSilent {
 		f.session.Take(context.Background(), b)
 	}
 	return true
 }
 
-func (f *fakeCarriers) set(isSilent, isUnlinked bool) {
+func (f *fakeDelegates) set(isSilent, isUnlinked bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isSilent, f.isUnlinked = isSilent, isUnlinked
 }
 
-func (f *fakeCarriers) count() int {
+func (f *fakeDelegates) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.carried
+	return f.delegated
 }
 
 // twoWorkers is a list of one more than the owner talks to itself: the second is only an
 // entry of a worker that does not answer.
-type twoWorkers struct{}
+type twoWorkerList struct{}
 
-func (twoWorkers) Workers(context.Context) ([]order.Worker, error) {
+func (twoWorkerList) Workers(context.Context) ([]order.Worker, error) {
 	return []order.Worker{{ID: "w", Service: "pool"}, {ID: "other", Service: "elsewhere"}}, nil
 }
 
 // carriedOwner returns an owner that leaves its workers to a carrier.
-func carriedOwner(t *testing.T, workers *fakeWorkers) (*owner.Owner, *fakeCarriers) {
+func startDelegatingOwner(t *testing.T, workers *fakeWorkers) (*owner.Owner, *fakeDelegates) {
 	t.Helper()
-	f := newFakeCarriers(workers)
-	o := run(t, fakestore.NewLog(), workers, twoWorkers{}, clock.Real{}, nil, func(options *owner.Options) {
+	f := newFakeDelegates(workers)
+	o := runOwner(t, fakestore.NewLog(), workers, twoWorkerList{}, clock.Real{}, nil, func(options *owner.Options) {
 		options.Delegates, options.DirectWorkers = f, 1
 	})
 	f.mu.Lock()
@@ -91,8 +91,8 @@
 	return o, f
 }
 
-func TestACarrierRunsJobsForTheOwner(t *testing.T) {
-	o, f := carriedOwner(t, newFakeWorkers())
+func TestDelegateRunsJobsForOwner(t *testing.T) {
+	o, f := startDelegatingOwner(t, newFakeWorkers())
 	for i := range 20 {
 		id := fmt.Sprintf("j%d", i)
 		if err := o.Submit(t.Context(), job(id)); err != nil {
@@ -106,13 +106,13 @@
 }
 
 // Whatever becomes of the carrier, jobs are done, each task once.
-func TestJobsAreDoneWhenTheCarrierFails(t *testing.T) {
-	for name, fail := range map[string]func(f *fakeCarriers, on bool){
-		"silent":     func(f *fakeCarriers, on bool) { f.set(on, false) },
-		"not linked": func(f *fakeCarriers, on bool) { f.set(false, on) },
+func TestJobsRunOnceWhenDelegateFails(t *testing.T) {
+	for name, fail := range map[string]func(f *fakeDelegates, on bool){
+		"silent":     func(f *fakeDelegates, on bool) { f.set(on, false) },
+		"not linked": func(f *fakeDelegates, on bool) { f.set(false, on) },
 	} {
 		workers := newFakeWorkers()
-		o, f := carriedOwner(t, workers)
+		o, f := startDelegatingOwner(t, workers)
 		await.True(t, "orders are carried", func() bool { return f.count() > 0 })
 		for i := range 6 {
 			fail(f, i%2 == 0)
--- a/internal/owner/fake_clock_test.go
+++ b/internal/owner/fake_clock_test.go
@@ -21,19 +21,19 @@
 
 // stillOwner is an owner whose clock stands still unless the test moves it: it
 // writes its first beat and no further one.
-type stillOwner struct {
+type fakeClockOwner struct {
 	*owner.Owner
 	clock *clock.Fake
 	// over gets each job that the owner takes as over.
-	over chan work.JobID
+	ended chan work.JobID
 }
 
-func claimedStill(t *testing.T, log *fakestore.Log) *stillOwner {
+func startFakeClockOwner(t *testing.T, log *fakestore.Log) *fakeClockOwner {
 	t.Helper()
-	o := &stillOwner{clock: clock.NewFake(), over: make(chan work.JobID, 8)}
-	o.Owner = claimedBy(t, log, newFakeWorkers(), o.clock, func(e events.Event, keysAndValues ...any) {
+	o := &fakeClockOwner{clock: clock.NewFake(), ended: make(chan work.JobID, 8)}
+	o.Owner = startOwnerWithClock(t, log, newFakeWorkers(), o.clock, func(e events.Event, keysAndValues ...any) {
 		if e == events.JobEnded {
-			o.over <- keysAndValues[1].(work.JobID)
+			o.ended <- keysAndValues[1].(work.JobID)
 		}
 	})
 	await.True(t, "the first beat is kept and the jobs are read", func() bool {
@@ -49,13 +49,13 @@
 	err     error
 }
 
-func (o *stillOwner) goSubmit(ctx context.Context, id string) <-chan result {
+func (o *fakeClockOwner) submitAsync(ctx context.Context, id string) <-chan result {
 	ch := make(chan result, 1)
 	go func() { ch <- result{true, o.Submit(ctx, job(id))} }()
 	return ch
 }
 
-func (o *stillOwner) goCancel(ctx context.Context, id string) <-chan result {
+func (o *fakeClockOwner) cancelAsync(ctx context.Context, id string) <-chan result {
 	ch := make(chan result, 1)
 	go func() {
 		ok, err := o.Cancel(ctx, work.JobID(id), work.Caller{})
@@ -65,7 +65,7 @@
 }
 
 // until waits for an outcome and lets the owner's time pass meanwhile.
-func (o *stillOwner) until(t *testing.T, what string, ch <-chan result) result {
+func (o *fakeClockOwner) awaitResult(t *testing.T, what string, ch <-chan result) result {
 	t.Helper()
 	var r result
 	await.True(t, what, func() bool {
@@ -85,7 +85,7 @@
 
 // wantCancelled hands a job in once more, as a caller does whose first try had no
 // answer, and checks that it stays cancelled.
-func wantCancelled(t *testing.T, o *stillOwner, id string) {
+func wantCancelled(t *testing.T, o *fakeClockOwner, id string) {
 	t.Helper()
 	var err error
 	await.True(t, "the store is found to serve", func() bool {
@@ -101,22 +101,22 @@
 
 // A job that the owner refused because the store stalled, cancelled meanwhile, came
 // back with the next try of its submission.
-func TestACancelledJobThatWasRefusedInAStallStaysCancelled(t *testing.T) {
+func TestCancelOfJobRefusedInStallIsPersisted(t *testing.T) {
 	log := fakestore.NewLog()
-	o := claimedStill(t, log)
-	entered, keep := make(chan bool), make(chan bool)
+	o := startFakeClockOwner(t, log)
+	entered, release := make(chan bool), make(chan bool)
 	isFirst := true
 	log.SetAppendFault(func(*store.Append) (error, bool) {
 		if isFirst {
 			isFirst = false
 			close(entered)
-			<-keep
+			<-release
 		}
 		return nil, false
 	})
-	other := o.goSubmit(t.Context(), "b")
+	other := o.submitAsync(t.Context(), "b")
 	<-entered
-	submitted := o.goSubmit(t.Context(), "a")
+	submitted := o.submitAsync(t.Context(), "a")
 	await.True(t, "the owner has the job", func() bool {
 		// That a job is not known is only said after the next beat.
 		ctx, cancel := context.WithTimeout(t.Context(), tick)
@@ -124,18 +124,18 @@
 		_, ok, _ := o.State(ctx, "a", work.Caller{})
 		return ok
 	})
-	cancelled := o.goCancel(t.Context(), "a")
-	<-o.over
+	cancelled := o.cancelAsync(t.Context(), "a")
+	<-o.ended
 	// A stalled append makes the owner refuse new jobs after 0.7 s.
 	o.clock.Advance(800 * time.Millisecond)
 	if got := verdictOf((<-submitted).err); got != leverdyke.VerdictNotRun {
 		t.Fatalf("the first try: got: %v, want: %v", got, leverdyke.VerdictNotRun)
 	}
-	close(keep)
-	if b := o.until(t, "the other job is answered", other); b.err != nil {
+	close(release)
+	if b := o.awaitResult(t, "the other job is answered", other); b.err != nil {
 		t.Fatal(b.err)
 	}
-	if c := o.until(t, "the cancelling is answered", cancelled); c.err != nil {
+	if c := o.awaitResult(t, "the cancelling is answered", cancelled); c.err != nil {
 		t.Fatalf("the cancelling: got: %v, want: acknowledged, as the store serves again", c.err)
 	}
 	wantCancelled(t, o, "a")
@@ -143,9 +143,9 @@
 
 // A batch that the store refused was sent again at once, thousands of times a
 // second: each call has a price and counts for the rate at which the store refuses.
-func TestARefusedBatchIsNotSentAgainAtOnce(t *testing.T) {
+func TestRefusedBatchIsNotResentAtOnce(t *testing.T) {
 	log := fakestore.NewLog()
-	o := claimedStill(t, log)
+	o := startFakeClockOwner(t, log)
 	if err := o.Submit(t.Context(), job("a")); err != nil {
 		t.Fatal(err)
 	}
@@ -154,8 +154,8 @@
 		appends.Add(1)
 		return &store.Error{Failure: store.NotApplied}, false
 	})
-	cancelled := o.goCancel(t.Context(), "a")
-	<-o.over
+	cancelled := o.cancelAsync(t.Context(), "a")
+	<-o.ended
 	// The clock stands still: whatever the loop is asked, there is nothing new to send.
 	for range 5000 {
 		_, _, _ = o.State(t.Context(), "a", work.Caller{})
@@ -164,16 +164,16 @@
 		t.Errorf("appends in no time: got: %d, want: 2 at most", got)
 	}
 	log.SetAppendFault(nil)
-	if c := o.until(t, "the cancelling is answered", cancelled); !c.isKnown || c.err != nil {
+	if c := o.awaitResult(t, "the cancelling is answered", cancelled); !c.isKnown || c.err != nil {
 		t.Errorf("the cancelling: got: %v, %v, want: acknowledged", c.isKnown, c.err)
 	}
 }
 
 // A node that refuses all that is asked of it must not call itself ready: one that
 // was cut off from the store got callers' requests for as long as that lasted.
-func TestAnOwnerThatTheStoreDoesNotConfirmIsNotTrusted(t *testing.T) {
+func TestUnconfirmedOwnerMayNotAct(t *testing.T) {
 	log := fakestore.NewLog()
-	o := claimedStill(t, log)
+	o := startFakeClockOwner(t, log)
 	if !o.MayActAsOwner() {
 		t.Error("after a beat: got: not trusted, want: trusted")
 	}
--- a/internal/owner/fakes_test.go
+++ b/internal/owner/fakes_test.go
@@ -23,13 +23,13 @@
 	running map[work.TaskID]uint64
 	ends    []order.End
 	began   time.Time
-	told    chan struct{}
+	ended   chan struct{}
 	// isClosed means that the owner has given up its connections.
 	isClosed atomic.Bool
 }
 
 func newFakeWorkers() *fakeWorkers {
-	return &fakeWorkers{began: time.Now(), running: map[work.TaskID]uint64{}, told: make(chan struct{}, 1)}
+	return &fakeWorkers{began: time.Now(), running: map[work.TaskID]uint64{}, ended: make(chan struct{}, 1)}
 }
 
 func (w *fakeWorkers) at() order.WorkerTime { return order.WorkerTime(time.Since(w.began)) }
@@ -59,7 +59,7 @@
 func (w *fakeWorkers) end(s *order.Start) {
 	w.ends = append(w.ends, order.End{Number: uint64(len(w.ends) + 1), Task: s.Task, Run: s.Run, Kind: order.EndDone})
 	select {
-	case w.told <- struct{}{}:
+	case w.ended <- struct{}{}:
 	default:
 	}
 }
@@ -89,29 +89,29 @@
 			return l, order.HoldListed
 		}
 		select {
-		case <-w.told:
+		case <-w.ended:
 		case <-ctx.Done():
 			return nil, order.HoldSilent
 		}
 	}
 }
 
-type oneWorker struct{}
+type oneWorkerList struct{}
 
-func (oneWorker) Workers(context.Context) ([]order.Worker, error) {
+func (oneWorkerList) Workers(context.Context) ([]order.Worker, error) {
 	return []order.Worker{{ID: "w", Service: "pool"}}, nil
 }
 
-type noLanes struct{}
+type noChannels struct{}
 
-func (noLanes) Names() []string { return nil }
+func (noChannels) Names() []string { return nil }
 
-func (noLanes) Ask(context.Context, string, work.StepID, []order.WorkerID) ([]order.Ticket, time.Duration, error) {
+func (noChannels) Ask(context.Context, string, work.StepID, []order.WorkerID) ([]order.Ticket, time.Duration, error) {
 	return nil, 0, errors.New("not used here")
 }
 
-type noFigures struct{}
+type noMetrics struct{}
 
-func (noFigures) OrderAnswered(string, string, time.Duration) {}
+func (noMetrics) OrderAnswered(string, string, time.Duration) {}
 
-func (noFigures) Appended(string, time.Duration) {}
+func (noMetrics) Appended(string, time.Duration) {}
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -40,29 +40,29 @@
 }
 
 // loadWorkers are workers that run what they are told for its time.
-type loadWorkers struct {
-	n     int
-	mu    sync.Mutex
-	byID  map[order.WorkerID]*loadWorker
-	owner *owner.Owner
-	done  atomic.Int64
-	spans map[work.JobID]time.Duration
-	began time.Time
+type simulatedWorkers struct {
+	n         int
+	mu        sync.Mutex
+	byID      map[order.WorkerID]*simulatedWorker
+	owner     *owner.Owner
+	done      atomic.Int64
+	durations map[work.JobID]time.Duration
+	began     time.Time
 }
 
-type loadWorker struct {
+type simulatedWorker struct {
 	running  map[work.TaskID]*order.Running
 	finished []order.End
-	last     uint64
+	lastEnd  uint64
 	// waiting is a listing that waits for an end.
-	waiting *carrier.Order
+	pendingPoll *carrier.Order
 }
 
-func newLoadWorkers(n int) *loadWorkers {
-	return &loadWorkers{n: n, byID: map[order.WorkerID]*loadWorker{}, spans: map[work.JobID]time.Duration{}, began: time.Now()}
+func newSimulatedWorkers(n int) *simulatedWorkers {
+	return &simulatedWorkers{n: n, byID: map[order.WorkerID]*simulatedWorker{}, durations: map[work.JobID]time.Duration{}, began: time.Now()}
 }
 
-func (l *loadWorkers) Workers(context.Context) ([]order.Worker, error) {
+func (l *simulatedWorkers) Workers(context.Context) ([]order.Worker, error) {
 	out := make([]order.Worker, l.n)
 	for i := range out {
 		out[i] = order.Worker{
@@ -73,7 +73,7 @@
 	return out, nil
 }
 
-func (l *loadWorkers) Usable() []carrier.Node {
+func (l *simulatedWorkers) Usable() []carrier.Node {
 	out := make([]carrier.Node, 15)
 	for i := range out {
 		out[i] = carrier.Node{Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprintf("z%d", i%5), Link: 1, Workers: l.n}
@@ -82,7 +82,7 @@
 }
 
 // Send takes orders as they come over a link.
-func (l *loadWorkers) Send(_ string, batch *carrier.Batch) bool {
+func (l *simulatedWorkers) Send(_ string, batch *carrier.Batch) bool {
 	data, err := codec.MarshalCompact(batch)
 	if err != nil {
 		panic(err)
@@ -91,7 +91,7 @@
 	return true
 }
 
-func (l *loadWorkers) runBatch(data []byte) {
+func (l *simulatedWorkers) runBatch(data []byte) {
 	batch := &carrier.Batch{}
 	if err := codec.Unmarshal(data, batch); err != nil {
 		panic(err)
@@ -101,14 +101,14 @@
 	defer l.mu.Unlock()
 	out := []carrier.Outcome{}
 	for i := range batch.Orders {
-		if o := l.take(&batch.Orders[i]); o != nil {
+		if o := l.handle(&batch.Orders[i]); o != nil {
 			out = append(out, *o)
 		}
 	}
 	l.reply(out)
 }
 
-func (l *loadWorkers) reply(out []carrier.Outcome) {
+func (l *simulatedWorkers) reply(out []carrier.Outcome) {
 	if len(out) == 0 {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // runReply is the owner's side of a link.
-func (l *loadWorkers) runReply(data []byte) {
+func (l *simulatedWorkers) runReply(data []byte) {
 	out := []carrier.Outcome{}
 	if err := codec.Unmarshal(data, &out); err != nil {
 		panic(err)
@@ -128,23 +128,23 @@
 	l.owner.HandleOutcomes(out)
 }
 
-func (l *loadWorkers) at() order.WorkerTime { return order.WorkerTime(time.Since(l.began)) }
+func (l *simulatedWorkers) at() order.WorkerTime { return order.WorkerTime(time.Since(l.began)) }
 
-func (l *loadWorkers) worker(id order.WorkerID) *loadWorker {
+func (l *simulatedWorkers) worker(id order.WorkerID) *simulatedWorker {
 	w := l.byID[id]
 	if w == nil {
-		w = &loadWorker{running: map[work.TaskID]*order.Running{}}
+		w = &simulatedWorker{running: map[work.TaskID]*order.Running{}}
 		l.byID[id] = w
 	}
 	return w
 }
 
-func (l *loadWorkers) take(o *carrier.Order) *carrier.Outcome {
+func (l *simulatedWorkers) handle(o *carrier.Order) *carrier.Outcome {
 	switch {
 	case o.Start != nil:
 		w := l.worker(o.Start.Worker)
 		w.running[o.Start.Task] = &order.Running{Task: o.Start.Task, Run: o.Start.Run}
-		time.AfterFunc(l.spans[o.Start.Task.Job], func() { l.end(w, o.Start.Task) })
+		time.AfterFunc(l.durations[o.Start.Task.Job], func() { l.end(w, o.Start.Task) })
 		return &carrier.Outcome{ID: o.ID, Start: order.StartDone, At: l.at()}
 	case o.Hold != nil:
 		w := l.worker(o.Hold.Worker)
@@ -154,8 +154,8 @@
 		if o.Hold.Wait == 0 || len(w.finished) > 0 {
 			return l.listing(w, o)
 		}
-		w.waiting = o
-		time.AfterFunc(o.Hold.Wait, func() { l.wake(w, o) })
+		w.pendingPoll = o
+		time.AfterFunc(o.Hold.Wait, func() { l.expirePoll(w, o) })
 		return nil
 	case o.Stop != nil:
 		return &carrier.Outcome{ID: o.ID, IsStopKnown: true, At: l.at()}
@@ -163,7 +163,7 @@
 	return nil
 }
 
-func (l *loadWorkers) listing(w *loadWorker, o *carrier.Order) *carrier.Outcome {
+func (l *simulatedWorkers) listing(w *simulatedWorker, o *carrier.Order) *carrier.Outcome {
 	listing := &order.Listing{At: l.at(), Finished: append([]order.End{}, w.finished...)}
 	for _, r := range w.running {
 		r.Percent = min(r.Percent+7, 99)
@@ -172,32 +172,32 @@
 	return &carrier.Outcome{ID: o.ID, Hold: order.HoldListed, Listing: listing}
 }
 
-func (l *loadWorkers) wake(w *loadWorker, o *carrier.Order) {
+func (l *simulatedWorkers) expirePoll(w *simulatedWorker, o *carrier.Order) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w.waiting == o {
-		w.waiting = nil
+	if w.pendingPoll == o {
+		w.pendingPoll = nil
 		l.reply([]carrier.Outcome{*l.listing(w, o)})
 	}
 }
 
-func (l *loadWorkers) end(w *loadWorker, id work.TaskID) {
+func (l *simulatedWorkers) end(w *simulatedWorker, id work.TaskID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w.last++
-	w.finished = append(w.finished, order.End{Number: w.last, Task: id, Run: w.running[id].Run, Kind: order.EndDone})
+	w.lastEnd++
+	w.finished = append(w.finished, order.End{Number: w.lastEnd, Task: id, Run: w.running[id].Run, Kind: order.EndDone})
 	delete(w.running, id)
 	l.done.Add(1)
-	if o := w.waiting; o != nil {
-		w.waiting = nil
+	if o := w.pendingPoll; o != nil {
+		w.pendingPoll = nil
 		l.reply([]carrier.Outcome{*l.listing(w, o)})
 	}
 }
 
 // openLanes permit seven tenths of the workers.
-type openLanes struct{}
+type fakeChannels struct{}
 
-func (openLanes) Names() []string {
+func (fakeChannels) Names() []string {
 	out := make([]string, 147)
 	for i := range out {
 		out[i] = fmt.Sprintf("n%03d", i)
@@ -205,7 +205,7 @@
 	return out
 }
 
-func (openLanes) Ask(_ context.Context, _ string, _ work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error) {
+func (fakeChannels) Ask(_ context.Context, _ string, _ work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error) {
 	time.Sleep(33 * time.Millisecond)
 	out := []order.Ticket{}
 	for i, w := range workers {
@@ -225,7 +225,7 @@
 }
 
 func benchOwner(b *testing.B, n int) {
-	workers := newLoadWorkers(n)
+	workers := newSimulatedWorkers(n)
 	log := fakestore.NewLog()
 	r := owner.Record{Node: "n", Incarnation: "l", Epoch: 1}
 	if _, err := owner.AppendRecord(b.Context(), log, &r, 0); err != nil {
@@ -233,7 +233,7 @@
 	}
 	o := owner.New(owner.Options{
 		Claim: owner.Claim{Record: r, HasAllPlacements: true}, Store: slowLog{log}, Workers: newFakeWorkers(), List: workers,
-		Delegates: workers, DirectWorkers: 1, PermissionChannels: openLanes{}, Clock: clock.Real{}, Metrics: noFigures{},
+		Delegates: workers, DirectWorkers: 1, PermissionChannels: fakeChannels{}, Clock: clock.Real{}, Metrics: noMetrics{},
 		HasStoreOutage: func() bool { return false }, MaxStrength: func() float64 { return 1 }, Log: func(events.Event, ...any) {},
 		StopTime: 200 * time.Millisecond, Heartbeat: 1500 * time.Millisecond,
 	})
@@ -250,9 +250,9 @@
 	time.Sleep(500 * time.Millisecond)
 	stop := make(chan struct{})
 	// A sixth of the room for tasks of 1 s, half of it for tasks of 6 s.
-	room := float64(n) * 16
-	go submitLoad(b, workers, "short", 13, 3500, time.Second, room/6/3.5/13, stop)
-	go submitLoad(b, workers, "long", 26, 4500, 6*time.Second, room/2/4.5/26/6, stop)
+	capacity := float64(n) * 16
+	go submitLoad(b, workers, "short", 13, 3500, time.Second, capacity/6/3.5/13, stop)
+	go submitLoad(b, workers, "long", 26, 4500, 6*time.Second, capacity/2/4.5/26/6, stop)
 	for workers.done.Load() < int64(n) {
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -272,7 +272,7 @@
 }
 
 // submitLoad hands jobs in at a rate until it is stopped.
-func submitLoad(b *testing.B, l *loadWorkers, queue string, tasks int, milli int64, span time.Duration, perSecond float64, stop <-chan struct{}) {
+func submitLoad(b *testing.B, l *simulatedWorkers, queue string, tasks int, milli int64, duration time.Duration, perSecond float64, stop <-chan struct{}) {
 	b.Helper()
 	rng := rand.New(rand.NewPCG(1, uint64(tasks)))
 	payload := strings.Repeat("x", 800)
@@ -286,12 +286,12 @@
 		}
 		id := work.JobID(fmt.Sprintf("%s%012x", queue[:4], i))
 		l.mu.Lock()
-		l.spans[id] = time.Duration((0.5 + rng.Float64()) * float64(span))
+		l.durations[id] = time.Duration((0.5 + rng.Float64()) * float64(duration))
 		l.mu.Unlock()
 		go func() {
 			_ = l.owner.Submit(context.Background(), &work.Spec{
 				ID: id, Queue: queue, Payload: payload, AcceptedAt: time.Now(),
-				Steps: []work.Step{{Count: tasks, Need: leverdyke.Resources{MilliCPU: milli, MemoryMiB: 3600}, Estimate: span, MayMiss: -1}},
+				Steps: []work.Step{{Count: tasks, Need: leverdyke.Resources{MilliCPU: milli, MemoryMiB: 3600}, Estimate: duration, MayMiss: -1}},
 			})
 		}()
 	}
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -49,11 +49,11 @@
 
 // The jobs are read while the earlier owner can still append: what it kept meanwhile
 // must not be missed.
-func TestWhatTheEarlierOwnerKeptMeanwhileIsKnown(t *testing.T) {
-	kept := recordOf(t, "late")
+func TestTakeoverSeesAppendsDuringItsRead(t *testing.T) {
+	record := recordOf(t, "late")
 	log := fakestore.NewLog()
-	next := claimed(t, newTakeoverLog(log, sync.OnceFunc(func() {
-		if _, err := log.Append(t.Context(), &store.Append{Topic: owner.TopicJobs, Records: []store.Record{kept}}); err != nil {
+	next := startOwner(t, newTakeoverLog(log, sync.OnceFunc(func() {
+		if _, err := log.Append(t.Context(), &store.Append{Topic: owner.TopicJobs, Records: []store.Record{record}}); err != nil {
 			t.Error(err)
 		}
 	})), newFakeWorkers())
@@ -66,7 +66,7 @@
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	workers.gate = make(chan struct{})
 	defer close(workers.gate)
-	if err := claimed(t, log, workers).Submit(t.Context(), job(id)); err != nil {
+	if err := startOwner(t, log, workers).Submit(t.Context(), job(id)); err != nil {
 		t.Fatal(err)
 	}
 	newest, err := log.ReadNewest(t.Context(), owner.TopicJobs)
@@ -83,21 +83,21 @@
 // gatedList is asked for the list of workers before the jobs are read, or the store
 // does not go on.
 type gatedList struct {
-	oneWorker
-	asked func()
+	oneWorkerList
+	onRead func()
 }
 
 func (l gatedList) Workers(ctx context.Context) ([]order.Worker, error) {
-	l.asked()
-	return l.oneWorker.Workers(ctx)
+	l.onRead()
+	return l.oneWorkerList.Workers(ctx)
 }
 
 // In a store that takes 0.36 s to answer, one read after the other took 3.7 s from an
 // owner's death to the next one's first start.
-func TestWorkersAreListedWhileTheJobsAreRead(t *testing.T) {
+func TestWorkerListIsReadConcurrentlyWithJobs(t *testing.T) {
 	isListed := make(chan struct{})
 	log := newTakeoverLog(fakestore.NewLog(), func() { <-isListed })
-	o := claimedFrom(t, log, newFakeWorkers(), gatedList{asked: sync.OnceFunc(func() { close(isListed) })})
+	o := startOwnerWithList(t, log, newFakeWorkers(), gatedList{onRead: sync.OnceFunc(func() { close(isListed) })})
 	if err := o.Submit(t.Context(), job("a")); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -21,35 +21,35 @@
 )
 
 // claimed claims the shard and returns an owner that runs.
-func claimed(t *testing.T, log store.Log, workers *fakeWorkers) *owner.Owner {
+func startOwner(t *testing.T, log store.Log, workers *fakeWorkers) *owner.Owner {
 	t.Helper()
-	return claimedWith(t, log, workers, nil)
+	return startOwnerWithLog(t, log, workers, nil)
 }
 
 // claimedWith is claimed with a taker of log lines.
-func claimedWith(t *testing.T, log store.Log, workers *fakeWorkers, logged func(events.Event, ...any)) *owner.Owner {
+func startOwnerWithLog(t *testing.T, log store.Log, workers *fakeWorkers, logLine func(events.Event, ...any)) *owner.Owner {
 	t.Helper()
-	o := claimedBy(t, log, workers, clock.Real{}, logged)
+	o := startOwnerWithClock(t, log, workers, clock.Real{}, logLine)
 	await.True(t, "the jobs are read", o.IsLoaded)
 	return o
 }
 
 // claimedFrom is claimed with another list of workers.
-func claimedFrom(t *testing.T, log store.Log, workers *fakeWorkers, list owner.List) *owner.Owner {
+func startOwnerWithList(t *testing.T, log store.Log, workers *fakeWorkers, list owner.List) *owner.Owner {
 	t.Helper()
-	o := run(t, log, workers, list, clock.Real{}, nil)
+	o := runOwner(t, log, workers, list, clock.Real{}, nil)
 	await.True(t, "the jobs are read", o.IsLoaded)
 	return o
 }
 
 // claimedBy is claimedWith by another clock. The jobs may not be read yet.
-func claimedBy(t *testing.T, log store.Log, workers *fakeWorkers, clk clock.Service, logged func(events.Event, ...any)) *owner.Owner {
+func startOwnerWithClock(t *testing.T, log store.Log, workers *fakeWorkers, clk clock.Service, logLine func(events.Event, ...any)) *owner.Owner {
 	t.Helper()
-	return run(t, log, workers, oneWorker{}, clk, logged)
+	return runOwner(t, log, workers, oneWorkerList{}, clk, logLine)
 }
 
 // run claims the shard and runs an owner until the test ends.
-func run(t *testing.T, log store.Log, workers *fakeWorkers, list owner.List, clk clock.Service, logged func(events.Event, ...any), change ...func(*owner.Options)) *owner.Owner {
+func runOwner(t *testing.T, log store.Log, workers *fakeWorkers, list owner.List, clk clock.Service, logLine func(events.Event, ...any), change ...func(*owner.Options)) *owner.Owner {
 	t.Helper()
 	previous, at, err := owner.ReadRecord(t.Context(), log)
 	if err != nil {
@@ -64,8 +64,8 @@
 	}
 	options := owner.Options{
 		Claim: owner.Claim{Record: r, Offset: at, Previous: previous, HasAllPlacements: true}, Store: log, Workers: workers, List: list,
-		PermissionChannels: noLanes{}, Clock: clk, Metrics: noFigures{}, HasStoreOutage: func() bool { return false }, MaxStrength: func() float64 { return 1 },
-		Log: logged,
+		PermissionChannels: noChannels{}, Clock: clk, Metrics: noMetrics{}, HasStoreOutage: func() bool { return false }, MaxStrength: func() float64 { return 1 },
+		Log: logLine,
 	}
 	for _, f := range change {
 		f(&options)
@@ -100,9 +100,9 @@
 	return ""
 }
 
-func TestAJobIsKeptAndRun(t *testing.T) {
+func TestAcceptedJobIsPersistedAndRun(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
-	o := claimed(t, log, workers)
+	o := startOwner(t, log, workers)
 	if err := o.Submit(t.Context(), job("a")); err != nil {
 		t.Fatal(err)
 	}
@@ -118,9 +118,9 @@
 	}
 }
 
-func TestAJobThatTheStoreRefusesNeverRuns(t *testing.T) {
+func TestJobRefusedByStoreNeverRuns(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
-	o := claimed(t, log, workers)
+	o := startOwner(t, log, workers)
 	log.SetAppendFault(func(*store.Append) (error, bool) { return &store.Error{Failure: store.NotApplied}, false })
 	if got := verdictOf(o.Submit(t.Context(), job("a"))); got != leverdyke.VerdictNotRun {
 		t.Errorf("got: %v, want: %v", got, leverdyke.VerdictNotRun)
@@ -137,9 +137,9 @@
 
 // Reading the jobs at a takeover took twice as long while each job that was over
 // still had its steps in the store.
-func TestOfAJobThatIsOverOnlyTheStateIsKept(t *testing.T) {
+func TestOnlyStateOfEndedJobIsStored(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
-	o := claimed(t, log, workers)
+	o := startOwner(t, log, workers)
 	if err := o.Submit(t.Context(), job("a")); err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 		t.Errorf("records: got: %v, %v, want: p/a only", newest, err)
 	}
 	o.Stop()
-	next := claimed(t, log, newFakeWorkers())
+	next := startOwner(t, log, newFakeWorkers())
 	awaitState(t, next, "a", work.JobSucceeded)
 	if err := next.Submit(t.Context(), job("a")); err != nil {
 		t.Errorf("the same job again: got: %v, want: accepted", err)
@@ -163,13 +163,13 @@
 }
 
 // A lost answer is settled by the same sequence number: the job is kept once.
-func TestALostAnswerIsSettled(t *testing.T) {
+func TestJobIsStoredOnceAfterLostAnswers(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
-	o := claimed(t, log, workers)
-	lost := 0
+	o := startOwner(t, log, workers)
+	appends := 0
 	log.SetAppendFault(func(*store.Append) (error, bool) {
-		if lost++; lost <= 2 {
-			return &store.Error{Failure: store.Unknown}, lost == 1
+		if appends++; appends <= 2 {
+			return &store.Error{Failure: store.Unknown}, appends == 1
 		}
 		return nil, false
 	})
@@ -183,14 +183,14 @@
 	}
 }
 
-func TestANewOwnerEndsTheEarlierOne(t *testing.T) {
+func TestNewOwnerEndsPreviousOwner(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
-	first := claimed(t, log, workers)
+	first := startOwner(t, log, workers)
 	if err := first.Submit(t.Context(), job("a")); err != nil {
 		t.Fatal(err)
 	}
 	awaitState(t, first, "a", work.JobSucceeded)
-	second := claimed(t, log, newFakeWorkers())
+	second := startOwner(t, log, newFakeWorkers())
 	<-first.Done()
 	if got := verdictOf(first.Submit(t.Context(), job("b"))); got != leverdyke.VerdictMayHaveRun && got != leverdyke.VerdictNotRun {
 		t.Errorf("a job at the earlier owner: got: %v, want: a refusal", got)
@@ -203,7 +203,7 @@
 
 func TestHandOverEndsTheOwner(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
-	o := claimed(t, log, workers)
+	o := startOwner(t, log, workers)
 	if err := o.Submit(t.Context(), job("a")); err != nil {
 		t.Fatal(err)
 	}
@@ -215,9 +215,9 @@
 }
 
 // Nobody could claim the shard while the store is out: the owner keeps it.
-func TestHandOverIsLeftOutWhileTheStoreIsOut(t *testing.T) {
+func TestNoHandOverWhileStoreIsDown(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
-	o := claimed(t, log, workers)
+	o := startOwner(t, log, workers)
 	log.SetDown(true)
 	if err := o.Submit(t.Context(), job("a")); err == nil {
 		t.Fatal("got: accepted, want: refused")
@@ -236,7 +236,7 @@
 // hour, all the time moving: a context that ends sooner cuts it.
 type slowLink struct{ store.Log }
 
-func (s slowLink) cut(ctx context.Context, topic string) error {
+func (s slowLink) checkDeadline(ctx context.Context, topic string) error {
 	if end, ok := ctx.Deadline(); ok && topic == owner.TopicJobs && time.Until(end) < time.Hour {
 		return &store.Error{Failure: store.Unknown, Err: context.DeadlineExceeded}
 	}
@@ -244,14 +244,14 @@
 }
 
 func (s slowLink) ReadNewest(ctx context.Context, topic string) (*store.Newest, error) {
-	if err := s.cut(ctx, topic); err != nil {
+	if err := s.checkDeadline(ctx, topic); err != nil {
 		return nil, err
 	}
 	return s.Log.ReadNewest(ctx, topic)
 }
 
 func (s slowLink) Append(ctx context.Context, a *store.Append) (uint64, error) {
-	if err := s.cut(ctx, a.Topic); err != nil {
+	if err := s.checkDeadline(ctx, a.Topic); err != nil {
 		return 0, err
 	}
 	return s.Log.Append(ctx, a)
@@ -259,15 +259,15 @@
 
 // A node with a link of 10 Mbit/s could not read a state of over 1.9 MB within the
 // 1.5 s that it allowed itself, and began anew for ever.
-func TestAWeakNodeTakesOverALargeState(t *testing.T) {
+func TestTakeoverOfManyJobsOverSlowLink(t *testing.T) {
 	log := fakestore.NewLog()
 	workers := newFakeWorkers()
-	first := claimed(t, log, workers)
+	first := startOwner(t, log, workers)
 	if err := first.Submit(t.Context(), job("j1")); err != nil {
 		t.Fatal(err)
 	}
 	awaitState(t, first, "j1", work.JobSucceeded)
-	second := claimed(t, slowLink{log}, workers)
+	second := startOwner(t, slowLink{log}, workers)
 	awaitState(t, second, "j1", work.JobSucceeded)
 	if err := second.Submit(t.Context(), job("j2")); err != nil {
 		t.Errorf("an append over the slow link: got: %v, want: kept", err)
--- a/internal/owner/pass_throttle_test.go
+++ b/internal/owner/pass_throttle_test.go
@@ -10,7 +10,7 @@
 	"github.com/leverdyke/leverdyke/internal/owner"
 )
 
-func TestAnOwnerRestsAfterLongLooks(t *testing.T) {
+func TestOwnerPausesAfterExpensivePasses(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, c := range []struct{ took, want time.Duration }{
 		{0, 0},
--- a/internal/owner/size_test.go
+++ b/internal/owner/size_test.go
@@ -20,10 +20,10 @@
 
 // progressOf returns the progress of a job whose tasks all run, on workers that started at
 // bornAt.
-func progressOf(tasks int, bornAt time.Time) *work.Progress {
+func progressOf(tasks int, startedAt time.Time) *work.Progress {
 	s := work.StepProgress{Run: 1}
 	for i := range tasks {
-		id := order.NewWorkerID(fmt.Sprintf("i-%010x", 7919*i), bornAt)
+		id := order.NewWorkerID(fmt.Sprintf("i-%010x", 7919*i), startedAt)
 		s.Places = append(s.Places, work.Place{Index: i, Worker: string(id), Run: 1})
 	}
 	return &work.Progress{State: work.JobRunning, Rounds: map[int][]work.StepProgress{0: {s}}}
@@ -32,56 +32,56 @@
 // An owner writes each job that has changed, several times a second. With the names of
 // fields in each place this job takes 1,194 bytes. Where workers tell when they started, the
 // start of each is kept with its name.
-func TestAJobsRecordIsSmall(t *testing.T) {
-	expectSmall(t, progressOf(26, time.Time{}), 560)
-	expectSmall(t, progressOf(26, time.UnixMilli(1791916135672)), 800)
+func TestJobRecordIsSmall(t *testing.T) {
+	checkRecordSize(t, progressOf(26, time.Time{}), 560)
+	checkRecordSize(t, progressOf(26, time.UnixMilli(1791916135672)), 800)
 }
 
-func expectSmall(t *testing.T, p *work.Progress, most int) {
+func checkRecordSize(t *testing.T, p *work.Progress, maxBytes int) {
 	t.Helper()
 	parts, err := owner.EncodeBatch(&dispatch.Batch{Progress: map[work.JobID]*work.Progress{"a": p}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	data := parts[0][0].Value
-	if got := len(data); got > most {
-		t.Errorf("bytes of a job of 26 tasks that run: got: %d, want: at most %d", got, most)
+	if got := len(data); got > maxBytes {
+		t.Errorf("bytes of a job of 26 tasks that run: got: %d, want: at most %d", got, maxBytes)
 	}
-	back := &work.Progress{}
-	if err := codec.Unmarshal(data, back); err != nil || !reflect.DeepEqual(back.Rounds, p.Rounds) {
-		t.Errorf("read again: got: %+v, %v, want: %+v", back, err, p)
+	decoded := &work.Progress{}
+	if err := codec.Unmarshal(data, decoded); err != nil || !reflect.DeepEqual(decoded.Rounds, p.Rounds) {
+		t.Errorf("read again: got: %+v, %v, want: %+v", decoded, err, p)
 	}
 }
 
 // Records of an earlier version have the names of the fields of places and failures.
-func TestRecordsOfAnEarlierVersionAreRead(t *testing.T) {
-	type earlierPlace struct {
+func TestRecordsOfEarlierVersionAreRead(t *testing.T) {
+	type previousPlace struct {
 		Index  int
 		Worker string
 		Run    uint64
 	}
-	type earlierStep struct {
+	type previousStep struct {
 		Done     []byte
-		Failures []earlierPlace
-		Places   []earlierPlace
+		Failures []previousPlace
+		Places   []previousPlace
 		Saved    map[int]string
 		Run      uint64
 	}
 	data, err := msgpack.Marshal(&struct {
 		State  work.JobState
-		Rounds map[int][]earlierStep
-	}{work.JobRunning, map[int][]earlierStep{0: {{
-		Done: []byte{1}, Failures: []earlierPlace{{1, "w", 2}}, Places: []earlierPlace{{2, "v", 3}}, Run: 3,
+		Rounds map[int][]previousStep
+	}{work.JobRunning, map[int][]previousStep{0: {{
+		Done: []byte{1}, Failures: []previousPlace{{1, "w", 2}}, Places: []previousPlace{{2, "v", 3}}, Run: 3,
 	}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := &work.Progress{}
-	err = codec.Unmarshal(data, back)
-	if err != nil || back.State != work.JobRunning || len(back.Rounds[0]) != 1 {
-		t.Fatalf("got: %+v, %v, want: one step", back, err)
+	decoded := &work.Progress{}
+	err = codec.Unmarshal(data, decoded)
+	if err != nil || decoded.State != work.JobRunning || len(decoded.Rounds[0]) != 1 {
+		t.Fatalf("got: %+v, %v, want: one step", decoded, err)
 	}
-	s := back.Rounds[0][0]
+	s := decoded.Rounds[0][0]
 	if s.Failures[0] != (work.Failure{Index: 1, Worker: "w", Run: 2}) || s.Places[0] != (work.Place{Index: 2, Worker: "v", Run: 3}) || !s.IsDone(0) {
 		t.Errorf("got: %+v, want: what was written", s)
 	}
--- a/internal/owner/write_behind_test.go
+++ b/internal/owner/write_behind_test.go
@@ -18,13 +18,13 @@
 
 // The next owner must know that this one ran ahead of the store: by a mark in
 // the newest record, or by the age of the newest record without one.
-func TestAnOwnerRunsAheadOnlyWhereTheNextOneKnows(t *testing.T) {
+func TestWriteBehindIsAlwaysDetectableByNextOwner(t *testing.T) {
 	const ms = time.Millisecond
 	begin := clock.NewFake().Now()
 	for name, tc := range map[string]struct {
-		play func(g *owner.WriteBehindGate)
-		at   time.Duration
-		want bool
+		setUp func(g *owner.WriteBehindGate)
+		at    time.Duration
+		want  bool
 	}{
 		"the store is quick": {func(*owner.WriteBehindGate) {}, 5000 * ms, false},
 		"slow, the plain record is young": {func(g *owner.WriteBehindGate) {
@@ -62,7 +62,7 @@
 		}, 2200 * ms, true},
 	} {
 		g := owner.NewWriteBehindGate(begin)
-		tc.play(g)
+		tc.setUp(g)
 		if got := g.MayWriteBehind(begin.Add(tc.at)); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
 		}
@@ -72,13 +72,13 @@
 // While the store was out, ends of jobs were told that it did not have: a worker
 // left with the ends, all nodes lost their memory, and the next owner ran the tasks
 // again. The next step starts ahead of the store, but a job's end waits for it.
-func TestAJobsEndIsToldOnlyOnceItIsKept(t *testing.T) {
-	for name, isBack := range map[string]bool{"the store is back": true, "all memory and the worker are lost": false} {
+func TestJobEndIsReportedOnlyOncePersisted(t *testing.T) {
+	for name, isStoreBack := range map[string]bool{"the store is back": true, "all memory and the worker are lost": false} {
 		t.Run(name, func(t *testing.T) {
 			log, workers := fakestore.NewLog(), newFakeWorkers()
 			release, ended := make(chan struct{}), make(chan struct{})
 			workers.gate = release
-			o := claimedWith(t, log, workers, func(e events.Event, _ ...any) {
+			o := startOwnerWithLog(t, log, workers, func(e events.Event, _ ...any) {
 				if e == events.JobEnded {
 					close(ended)
 				}
@@ -96,7 +96,7 @@
 			if !o.MayHaveUnpersisted() {
 				t.Error("the owner: got: all is kept, want: the next owner must not rely on it")
 			}
-			if !isBack {
+			if !isStoreBack {
 				o.Stop()
 				// A writer that is about to send would otherwise find the store back.
 				await.True(t, "nothing of the owner is left", workers.isClosed.Load)
@@ -104,8 +104,8 @@
 			}
 			log.SetAppendFault(nil)
 			log.SetDown(false)
-			if !isBack {
-				o = claimed(t, log, workers)
+			if !isStoreBack {
+				o = startOwner(t, log, workers)
 			}
 			awaitState(t, o, "a", work.JobSucceeded)
 			await.True(t, "all is kept", func() bool { return !o.MayHaveUnpersisted() })
