--- a/internal/owner/append_timeout.go
+++ b/internal/owner/append_timeout.go
@@ -6,31 +6,31 @@
 import "time"
 
 const (
-	// stallAfter is how long an append may take at least until new jobs are refused: what is
-	// refused waits for nothing, and its caller can come again.
+	// minAppendTimeout is the shortest time that an append may take before new jobs are refused. A
+	// refused job does not wait any longer, and its caller can retry.
 	minAppendTimeout = 700 * time.Millisecond
-	// longestStall is the most. A caller of a job waits for the append that is under way and
-	// for its own, 3 s in all.
+	// maxAppendTimeout is the longest such time. The caller of a job waits for the append in flight
+	// and then for that of its own job, and both must end within the 3 s that a caller waits.
 	maxAppendTimeout = 1300 * time.Millisecond
-	// stallRatio is how many times as long as the last one an append may take.
+	// appendTimeoutRatio is how many times as long as the previous append the next one may take.
 	appendTimeoutRatio = 1.5
 )
 
-// appendTimes judges whether an append takes too long. A store may be slow for seconds and keep
-// all the same: refused as if it were out, no job at all is taken meanwhile. The zero value
-// knows of no append.
+// appendTimeout judges whether an append takes too long. Its limit follows the duration of the last
+// append, because a store can be slow for seconds and still persist everything: if it were treated
+// as down, all new jobs would be refused for that time. The zero value has seen no append.
 type appendTimeout struct {
-	// last is how long the last one took that was kept.
+	// lastDuration is how long the last append took; 0 when there was none or it failed.
 	lastDuration time.Duration
 }
 
-// kept takes how long an append took that the store has kept.
+// succeeded records how long an append took that the store has persisted.
 func (a *appendTimeout) succeeded(took time.Duration) { a.lastDuration = took }
 
-// failed takes that the store did not keep one: the next is not waited for.
+// failed records that the store did not persist an append: the next one gets the shortest timeout.
 func (a *appendTimeout) failed() { a.lastDuration = 0 }
 
-// isTooLong reports whether an append that has taken so long makes callers wait in vain.
+// isExceeded reports whether an append has been in flight for too long for callers to wait for it.
 func (a *appendTimeout) isExceeded(took time.Duration) bool {
 	timeout := time.Duration(appendTimeoutRatio * float64(a.lastDuration))
 	return took > min(max(timeout, minAppendTimeout), maxAppendTimeout)
--- a/internal/owner/append_timeout_test.go
+++ b/internal/owner/append_timeout_test.go
@@ -10,6 +10,8 @@
 	"github.com/leverdyke/leverdyke/internal/owner"
 )
 
+// A store can be slow for seconds and still persist everything. With a fixed timeout the owner
+// would treat it as down and refuse all new jobs for that time.
 func TestAppendTimeoutFollowsSlowStore(t *testing.T) {
 	const ms = time.Millisecond
 	for name, tc := range map[string]struct {
@@ -25,7 +27,7 @@
 		"slow, and failed": {[]time.Duration{800 * ms}, true, 700 * ms},
 	} {
 		if got := owner.AppendTimeout(tc.persisted, tc.hasFailed); got != tc.want {
-			t.Errorf("%s: waited for an append: got: %v, want: %v", name, got, tc.want)
+			t.Errorf("%s: append timeout: got: %v, want: %v", name, got, tc.want)
 		}
 	}
 }
--- a/internal/owner/cancel.go
+++ b/internal/owner/cancel.go
@@ -11,8 +11,9 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// What acknowledges or denies something is answered on the store's word, not from
-// the memory of a node that may have been replaced (decision 0017).
+// Acknowledgements and denials are answered only after the store has confirmed that this node is
+// still the owner. Its memory is not enough, because another node may have replaced it (decision
+// 0017).
 
 type cancelEvent struct {
 	id    work.JobID
@@ -40,9 +41,9 @@
 	o.answerCancel(ev.id)
 }
 
-// answerCancel answers those who wait for the cancelling of a job once it is kept:
-// only the store can tell that this node still is the owner, and only what is kept
-// outlasts it.
+// answerCancel answers the callers that wait for the cancellation of a job once the job's final
+// state is persisted: only the store can confirm that this node is still the owner, and only
+// persisted state outlives it.
 func (o *Owner) answerCancel(id work.JobID) {
 	if len(o.pendingCancels[id]) == 0 || !o.engine.IsSettledCancel(id) {
 		return
@@ -65,7 +66,7 @@
 type stateEvent struct {
 	id work.JobID
 	by work.Caller
-	// askedAt is when the question came to this node.
+	// receivedAt is when this node received the query.
 	receivedAt time.Time
 	reply      chan stateAnswer
 }
@@ -82,7 +83,8 @@
 	}
 }
 
-// stateFor returns what a caller is told of a job: there is none of another customer's.
+// visibleState returns the state of a job as the caller sees it. Jobs of other customers count as
+// unknown.
 func (o *Owner) visibleState(id work.JobID, by work.Caller) (work.JobState, bool) {
 	if !o.engine.MayAccess(id, by) {
 		o.options.Log(events.JobOfAnother, "job", id, "customer", by.Customer, "asked", "state")
@@ -91,9 +93,9 @@
 	return o.engine.State(id)
 }
 
-// answerDenials answers the questions from before confirmedAt. A later owner may have
-// a job that is not known here, so that it is only denied when this node was the owner
-// after the question came, by the store's word.
+// answerUnknownJobs answers queries for jobs that are unknown here. A later owner may have accepted
+// such a job. Its existence is therefore denied only once the store has confirmed that this node
+// was the owner after the query was received.
 func (o *Owner) answerUnknownJobs() {
 	waiting := o.unknownJobQueries[:0]
 	for _, ev := range o.unknownJobQueries {
--- a/internal/owner/cancel_test.go
+++ b/internal/owner/cancel_test.go
@@ -16,7 +16,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// cutLog is a store that a node may be cut off from, while others reach it.
+// partitionedLog is a store that one node can be cut off from while others reach it.
 type partitionedLog struct {
 	store.Log
 	isPartitioned atomic.Bool
@@ -38,8 +38,8 @@
 	return l.Log.ReadNewest(ctx, topic)
 }
 
-// replaced returns an owner that does not know that it was replaced, the store that
-// it is cut off from, and the owner that runs since, which has accepted the job a.
+// replaced returns an owner that does not know that it was replaced, the store that it is cut off
+// from, and the current owner, which has accepted the job a.
 func replaced(t *testing.T) (first *owner.Owner, partitioned *partitionedLog, second *owner.Owner) {
 	t.Helper()
 	log := fakestore.NewLog()
@@ -56,16 +56,16 @@
 	return first, partitioned, second
 }
 
-// The incident of issue 15: the earlier owner, cut off, said of a job that it did
-// not know that there is none. Its caller took that for an acknowledgement, and
-// the job ran on.
+// Issue 15: a replaced owner, cut off from the store, answered that there is no such job because it
+// did not know the job. The caller took that as an acknowledgement of its cancellation, and the job
+// continued to run.
 func TestReplacedOwnerAcknowledgesNoCancel(t *testing.T) {
 	first, partitioned, second := replaced(t)
-	// While it is cut off it cannot know, and says nothing.
+	// While it is cut off, it cannot know whether it is still the owner, and gives no answer.
 	ctx, cancel := context.WithTimeout(t.Context(), 2*tick)
 	defer cancel()
 	if _, err := first.Cancel(ctx, "a", work.Caller{}); err == nil {
-		t.Error("cancelling at the earlier owner, cut off: got: acknowledged, want: an error")
+		t.Error("cancellation at the replaced owner, cut off: got: acknowledged, want: an error")
 	}
 	answered := make(chan error, 1)
 	go func() {
@@ -74,20 +74,20 @@
 	}()
 	partitioned.isPartitioned.Store(false)
 	if err := <-answered; err == nil {
-		t.Error("cancelling at the earlier owner: got: acknowledged, want: an error")
+		t.Error("cancellation at the replaced owner: got: acknowledged, want: an error")
 	}
 	if state, ok, err := second.State(t.Context(), "a", work.Caller{}); state.IsFinal() || !ok || err != nil {
-		t.Errorf("the job at the later owner: got: %v, %v, %v, want: it runs", state, ok, err)
+		t.Errorf("the job at the current owner: got: %v, %v, %v, want: it runs", state, ok, err)
 	}
 }
 
-// As with cancellings: that there is no such job is for the owner to say.
+// As with cancellations, only the current owner may answer that there is no such job.
 func TestReplacedOwnerDeniesNoJob(t *testing.T) {
 	first, partitioned, _ := replaced(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*tick)
 	defer cancel()
 	if _, _, err := first.State(ctx, "a", work.Caller{}); err == nil {
-		t.Error("state at the earlier owner, cut off: got: no such job, want: an error")
+		t.Error("state at the replaced owner, cut off: got: no such job, want: an error")
 	}
 	answered := make(chan error, 1)
 	go func() {
@@ -96,17 +96,17 @@
 	}()
 	partitioned.isPartitioned.Store(false)
 	if err := <-answered; err == nil {
-		t.Error("state at the earlier owner: got: no such job, want: an error")
+		t.Error("state at the replaced owner: got: no such job, want: an error")
 	}
 }
 
-// A cancelling may overtake the submission of its job, which a caller may have sent
-// more than once. What was cancelled must not run, whoever owns the shard then.
+// A cancellation may arrive before the submission of its job, which a caller may send more than
+// once. A cancelled job must not run, whichever node owns the shard then.
 func TestCancelOfUnknownJobIsPersisted(t *testing.T) {
 	log := fakestore.NewLog()
 	o := startOwner(t, log, newFakeWorkers())
 	if ok, err := o.Cancel(t.Context(), "a", work.Caller{}); ok || err != nil {
-		t.Fatalf("cancelling before the submission: got: %v, %v, want: not known", ok, err)
+		t.Fatalf("cancellation before the submission: got: %v, %v, want: not known", ok, err)
 	}
 	if _, ok, err := o.State(t.Context(), "a", work.Caller{}); ok || err != nil {
 		t.Errorf("its state: got: %v, %v, want: not known", ok, err)
@@ -128,7 +128,7 @@
 	}
 }
 
-// refusingLog holds the first append of jobs back until it is told to refuse it.
+// refusingLog blocks the first append of jobs until refuse is closed, and then refuses it.
 type refusingLog struct {
 	store.Log
 	refuse chan struct{}
@@ -143,8 +143,8 @@
 	return l.Log.Append(ctx, a)
 }
 
-// The store refuses a job while its caller cancels it: the retry of the submission
-// must not bring it back.
+// The store refuses a job while its caller cancels it. The retry of the submission must not bring
+// the job back.
 func TestCancelOfRefusedJobIsPersisted(t *testing.T) {
 	log, workers := &refusingLog{Log: fakestore.NewLog(), refuse: make(chan struct{})}, newFakeWorkers()
 	o := startOwner(t, log, workers)
@@ -155,14 +155,14 @@
 		_, err := o.Cancel(t.Context(), "a", work.Caller{})
 		cancelled <- err
 	}()
-	// Until the cancelling is kept a caller is told that the job runs.
+	// Until the cancellation is persisted, the caller sees the job as running.
 	awaitState(t, o, "a", work.JobRunning)
 	close(log.refuse)
 	if err := <-submitted; err == nil {
 		t.Fatal("the submission: got: accepted, want: refused")
 	}
 	if err := <-cancelled; err != nil {
-		t.Fatalf("the cancelling: got: %v, want: acknowledged", err)
+		t.Fatalf("the cancellation: got: %v, want: acknowledged", err)
 	}
 	for _, id := range []string{"a", "b"} {
 		await.True(t, id+" is accepted", func() bool { return o.Submit(t.Context(), job(id)) == nil })
--- a/internal/owner/claim.go
+++ b/internal/owner/claim.go
@@ -11,11 +11,11 @@
 	"github.com/leverdyke/leverdyke/internal/store"
 )
 
-// recordTimeout bounds one call about the record of the owner.
+// recordTimeout bounds one read or append of the owner record.
 const recordTimeout = 1200 * time.Millisecond
 
-// ReadRecord returns the record of the owner and its offset; nil when there is
-// none, with the offset that the first would have.
+// ReadRecord returns the owner record and its offset. When there is none, it returns nil and the
+// offset that the first record will have.
 func ReadRecord(ctx context.Context, log store.Log) (*Record, uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
@@ -32,7 +32,8 @@
 	return nil, newest.End, nil
 }
 
-// AppendRecord appends a record if the topic ends at that offset.
+// AppendRecord appends a record, provided that the topic ends at offset at, and returns the
+// record's offset.
 func AppendRecord(ctx context.Context, log store.Log, r *Record, at uint64) (uint64, error) {
 	data, err := codec.Marshal(r)
 	if err != nil {
--- a/internal/owner/delegates.go
+++ b/internal/owner/delegates.go
@@ -11,25 +11,25 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// Delegates are the nodes that can talk to workers for the owner. Implementations are
-// safe for concurrent use and do not block.
+// Delegates are the nodes that can talk to workers on behalf of the owner. Implementations are safe
+// for concurrent use and do not block.
 type Delegates interface {
-	// Usable returns those that are heard, in the order of their names.
+	// Usable returns the nodes that respond, ordered by name.
 	Usable() []carrier.Node
-	// Send sends orders to a node; false when it is not linked.
+	// Send sends orders to a node. It returns false when there is no link to that node.
 	Send(node string, b *carrier.Batch) bool
 }
 
-// nodesPause is the time between two looks at which nodes can carry and ask, and at what
-// is overdue.
+// nodeCheckPeriod is the time between two checks of which delegates and permission channels are
+// usable and which orders are overdue.
 const nodeCheckPeriod = 100 * time.Millisecond
 
-// linkPatience is how long a new owner waits for followers to link until it asks workers
-// itself that they could carry for. Without it each change of owner opens a connection to each
-// worker.
+// linkTimeout is how long a new owner waits for followers to link before it polls workers itself
+// that delegates could poll. Without this wait, the owner would open a connection to each worker at
+// each change of owner.
 const linkTimeout = 400 * time.Millisecond
 
-// tickNodes takes now and then what is due by the other nodes.
+// checkNodes updates what depends on the other nodes, every nodeCheckPeriod.
 func (o *Owner) checkNodes() {
 	if o.now.Before(o.nextNodeCheck) {
 		return
@@ -41,7 +41,8 @@
 	}
 }
 
-// tickCarriers takes which nodes can carry, and what they have not answered.
+// checkDelegates updates which nodes act as delegates and settles the orders that they failed to
+// answer.
 func (o *Owner) checkDelegates() {
 	before := o.router.Carriers()
 	o.handleFailed(o.router.SetNodes(o.options.Delegates.Usable(), o.now), "the node cannot carry any more")
@@ -54,12 +55,12 @@
 	}
 }
 
-// awaitsCarriers reports whether listings wait for nodes that could ask for them.
+// awaitsDelegates reports whether polls are deferred until enough delegates have linked.
 func (o *Owner) awaitsDelegates() bool {
 	return o.options.Delegates != nil && o.router.LacksCarriers() && o.now.Sub(o.loopStartedAt) < linkTimeout
 }
 
-// askAwaiting asks for the listings that have waited.
+// sendDeferredPolls sends the polls that were deferred.
 func (o *Owner) sendDeferredPolls() {
 	deferredPolls := o.deferredPolls
 	o.deferredPolls = nil
@@ -68,7 +69,8 @@
 	}
 }
 
-// carry leaves an action to a carrier. It reports false when there is none.
+// delegateAction hands an action to a delegate. It reports false when the owner has to execute the
+// action itself.
 func (o *Owner) delegateAction(a order.Action) bool {
 	switch a := a.(type) {
 	case order.Start:
@@ -83,7 +85,7 @@
 	return false
 }
 
-// sendCarried sends what this step has left to carriers.
+// sendDelegated sends the orders that this cycle has handed to delegates.
 func (o *Owner) sendDelegated() {
 	for node, b := range o.router.Batches() {
 		if !o.options.Delegates.Send(node, b) {
@@ -92,8 +94,8 @@
 	}
 }
 
-// takeFailed settles orders of which no outcome comes. Listings are asked for by this
-// node at once: the carrier's silence is not the worker's.
+// handleFailed settles orders whose outcome will not arrive. This node polls the workers concerned
+// at once, because a silent delegate does not mean that its workers are silent.
 func (o *Owner) handleFailed(failed []carrier.Failed, why string) {
 	if len(failed) == 0 {
 		return
@@ -106,14 +108,15 @@
 		case order.Stop:
 			stopEvent{stop: a}.apply(o)
 		case order.Hold:
-			// The worker may have started again since this was decided.
+			// The worker may have restarted since this poll was created. A new incarnation numbers
+			// its ends anew, so none may be confirmed.
 			a.Wait, a.Confirmed = 0, 0
 			go o.runPoll(a)
 		}
 	}
 }
 
-// HandleOutcomes takes what became of orders that were left to carriers.
+// HandleOutcomes takes the outcomes of orders that were handed to delegates.
 func (o *Owner) HandleOutcomes(outcomes []carrier.Outcome) { o.enqueue(outcomesEvent(outcomes)) }
 
 type outcomesEvent []carrier.Outcome
--- a/internal/owner/delegates_test.go
+++ b/internal/owner/delegates_test.go
@@ -18,14 +18,14 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// fakeCarriers is one node that carries for an owner, over a link that can be cut.
+// fakeDelegates is one node that is a delegate of an owner, over a link that can be cut.
 type fakeDelegates struct {
 	mu    sync.Mutex
 	owner *owner.Owner
-	// session is what takes orders; carried counts them.
+	// session receives the orders; delegated counts them.
 	session   *carrier.Session
 	delegated int
-	// isSilent means that orders get lost, isUnlinked that none can be sent.
+	// isSilent means that orders are lost, isUnlinked that none can be sent.
 	isSilent, isUnlinked bool
 }
 
@@ -69,15 +69,15 @@
 	return f.delegated
 }
 
-// twoWorkers is a list of one more than the owner talks to itself: the second is only an
-// entry of a worker that does not answer.
+// twoWorkerList lists one worker more than the owner talks to itself. The second is only an entry
+// in the list: no process answers for it.
 type twoWorkerList struct{}
 
 func (twoWorkerList) Workers(context.Context) ([]order.Worker, error) {
 	return []order.Worker{{ID: "w", Service: "pool"}, {ID: "other", Service: "elsewhere"}}, nil
 }
 
-// carriedOwner returns an owner that leaves its workers to a carrier.
+// startDelegatingOwner returns an owner that leaves its workers to a delegate.
 func startDelegatingOwner(t *testing.T, workers *fakeWorkers) (*owner.Owner, *fakeDelegates) {
 	t.Helper()
 	f := newFakeDelegates(workers)
@@ -91,6 +91,7 @@
 	return o, f
 }
 
+// Orders must reach workers through the delegate, and their outcomes must come back to the owner.
 func TestDelegateRunsJobsForOwner(t *testing.T) {
 	o, f := startDelegatingOwner(t, newFakeWorkers())
 	for i := range 20 {
@@ -101,11 +102,13 @@
 		awaitState(t, o, id, work.JobSucceeded)
 	}
 	if f.count() == 0 {
-		t.Error("orders carried: got: 0, want: some")
+		t.Error("orders handed to the delegate: got: 0, want: some")
 	}
 }
 
-// Whatever becomes of the carrier, jobs are done, each task once.
+// While the delegate fails and recovers, all jobs must end and each task must run once only. An
+// order that the delegate lost could otherwise block its job, or its repetition could run the task
+// twice.
 func TestJobsRunOnceWhenDelegateFails(t *testing.T) {
 	for name, fail := range map[string]func(f *fakeDelegates, on bool){
 		"silent":     func(f *fakeDelegates, on bool) { f.set(on, false) },
@@ -113,7 +116,7 @@
 	} {
 		workers := newFakeWorkers()
 		o, f := startDelegatingOwner(t, workers)
-		await.True(t, "orders are carried", func() bool { return f.count() > 0 })
+		await.True(t, "orders are handed to the delegate", func() bool { return f.count() > 0 })
 		for i := range 6 {
 			fail(f, i%2 == 0)
 			id := fmt.Sprintf("j%d", i)
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -51,12 +51,12 @@
 	o.engine.AddJob(ev.spec)
 }
 
-// errTaken means that the ID of a job names a job of another customer.
+// errIDTaken reports that a job ID belongs to a job of another customer.
 func errIDTaken() error {
 	return &leverdyke.Error{Verdict: leverdyke.VerdictNotRun, Refusal: leverdyke.RefusalTaken, Reason: "the ID names a job of another customer"}
 }
 
-// errImpossible means that a job can never run under the limit of its customer.
+// errImpossible reports that a job can never run under the limit of its customer.
 func errImpossible(why string) error {
 	return &leverdyke.Error{Verdict: leverdyke.VerdictNotRun, Refusal: leverdyke.RefusalImpossible, Reason: why}
 }
@@ -153,7 +153,7 @@
 
 func (ev handOverEvent) apply(o *Owner) {
 	if o.isStoreDown {
-		// Nobody could claim the shard now.
+		// No other node could claim the shard now.
 		ev.done <- false
 		return
 	}
@@ -161,8 +161,9 @@
 	o.handOverDone, o.handOverStartedAt = ev.done, o.now
 }
 
-// finishHandOver ends the owner once no order and no accepted job is on its way.
-// Ends that are not kept yet are told again to the next owner.
+// finishHandOver ends the owner once all start orders are answered and all accepted jobs and
+// cancellations are persisted, or handOverTimeout has passed. Workers report ends that are not
+// persisted again to the next owner.
 func (o *Owner) finishHandOver() {
 	if o.handOverDone == nil {
 		return
--- a/internal/owner/export_test.go
+++ b/internal/owner/export_test.go
@@ -5,55 +5,55 @@
 
 import "time"
 
-// LagMeter lets tests drive a lagMeter.
+// LagMeter gives tests access to a lagMeter.
 type LagMeter struct{ m lagMeter }
 
-// Tick takes a tick.
+// Tick handles a tick.
 func (l *LagMeter) Tick(now time.Time, period time.Duration) { l.m.tick(now, period) }
 
-// Share returns the part of the time that ticks are late.
+// Share returns the share of the time by which ticks are late.
 func (l *LagMeter) Share() float64 { return l.m.share }
 
-// AheadGate lets tests drive an aheadGate.
+// WriteBehindGate gives tests access to a writeBehindGate.
 type WriteBehindGate struct{ g writeBehindGate }
 
-// NewAheadGate begins with a plain record.
+// NewWriteBehindGate starts from a record without the flag.
 func NewWriteBehindGate(sentAt time.Time) *WriteBehindGate {
 	return &WriteBehindGate{newWriteBehindGate(&Record{}, sentAt)}
 }
 
-// Slow takes a sign that the store is slow.
+// NoteSlow records a sign that the store is slow.
 func (a *WriteBehindGate) NoteSlow(now time.Time) {
 	a.g.noteSlow(now)
 	a.g.update(now, false, false)
 }
 
-// Update decides on the mark of the next record.
+// Update decides whether the next record carries the flag.
 func (a *WriteBehindGate) Update(now time.Time, hasUnpersisted, allResponding bool) {
 	a.g.update(now, hasUnpersisted, allResponding)
 }
 
-// Compose returns the mark of a record that is written now.
+// NextFlag returns the flag of a record that is written now.
 func (a *WriteBehindGate) NextFlag(now time.Time) bool { return a.g.nextFlag(0, now) }
 
-// Kept says that a record is in the store.
+// Persisted records that a record is in the store.
 func (a *WriteBehindGate) Persisted(isFlagged bool) { a.g.persisted(isFlagged) }
 
-// MayRunAhead reports whether the owner may run ahead of the store.
+// MayWriteBehind reports whether the owner may run write-behind.
 func (a *WriteBehindGate) MayWriteBehind(now time.Time) bool { return a.g.mayWriteBehind(now) }
 
-// EncodeBatch returns the records of a batch in parts that fit one append each.
+// EncodeBatch returns the records of a batch, split into parts that fit one append each.
 var EncodeBatch = encodeBatch
 
-// RestAfter returns how long an owner rests after a look at all that waits.
+// PauseAfter returns how long an owner pauses after a scheduling pass that took that long.
 func PauseAfter(took time.Duration, now time.Time) time.Duration {
 	r := passThrottle{}
 	r.afterPass(took, now)
 	return max(r.pausedUntil.Sub(now), 0)
 }
 
-// LongestAppend returns for how long an append is waited for after others that were kept, and
-// perhaps one that was not.
+// AppendTimeout returns how long an append is waited for after others that were persisted, and
+// after one that failed if hasFailed is set.
 func AppendTimeout(persisted []time.Duration, hasFailed bool) time.Duration {
 	a := appendTimeout{}
 	for _, took := range persisted {
--- a/internal/owner/fake_clock_test.go
+++ b/internal/owner/fake_clock_test.go
@@ -19,12 +19,12 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// stillOwner is an owner whose clock stands still unless the test moves it: it
-// writes its first beat and no further one.
+// fakeClockOwner is an owner whose clock moves only when the test advances it: it sends its first
+// heartbeat and no further one.
 type fakeClockOwner struct {
 	*owner.Owner
 	clock *clock.Fake
-	// over gets each job that the owner takes as over.
+	// ended receives each job that the owner regards as ended.
 	ended chan work.JobID
 }
 
@@ -36,7 +36,7 @@
 			o.ended <- keysAndValues[1].(work.JobID)
 		}
 	})
-	await.True(t, "the first beat is kept and the jobs are read", func() bool {
+	await.True(t, "the first heartbeat is persisted and the jobs are read", func() bool {
 		heartbeatSeq, _ := o.LastRecord()
 		return heartbeatSeq > 0 && o.IsLoaded()
 	})
@@ -64,7 +64,7 @@
 	return ch
 }
 
-// until waits for an outcome and lets the owner's time pass meanwhile.
+// awaitResult waits for the outcome of a call and advances the owner's clock meanwhile.
 func (o *fakeClockOwner) awaitResult(t *testing.T, what string, ch <-chan result) result {
 	t.Helper()
 	var r result
@@ -83,24 +83,24 @@
 // tick is the period of the owner's loop.
 const tick = 20 * time.Millisecond
 
-// wantCancelled hands a job in once more, as a caller does whose first try had no
-// answer, and checks that it stays cancelled.
+// wantCancelled submits a job again, as a caller does whose first try got no answer, and checks
+// that the job stays cancelled.
 func wantCancelled(t *testing.T, o *fakeClockOwner, id string) {
 	t.Helper()
 	var err error
-	await.True(t, "the store is found to serve", func() bool {
+	await.True(t, "the store serves again", func() bool {
 		o.clock.Advance(tick)
 		err = o.Submit(t.Context(), job(id))
 		return verdictOf(err) != leverdyke.VerdictNotRun
 	})
 	state, _, _ := o.State(t.Context(), work.JobID(id), work.Caller{})
 	if state != work.JobCancelled {
-		t.Errorf("the job, handed in again (%v) after its cancelling was acknowledged: got: %v, want: %v", err, state, work.JobCancelled)
+		t.Errorf("the job, submitted again (%v) after its cancellation was acknowledged: got: %v, want: %v", err, state, work.JobCancelled)
 	}
 }
 
-// A job that the owner refused because the store stalled, cancelled meanwhile, came
-// back with the next try of its submission.
+// An owner refused a job because the store stalled, and the job was cancelled meanwhile. The retry
+// of its submission brought it back.
 func TestCancelOfJobRefusedInStallIsPersisted(t *testing.T) {
 	log := fakestore.NewLog()
 	o := startFakeClockOwner(t, log)
@@ -118,7 +118,7 @@
 	<-entered
 	submitted := o.submitAsync(t.Context(), "a")
 	await.True(t, "the owner has the job", func() bool {
-		// That a job is not known is only said after the next beat.
+		// That a job is unknown is only answered after the next heartbeat.
 		ctx, cancel := context.WithTimeout(t.Context(), tick)
 		defer cancel()
 		_, ok, _ := o.State(ctx, "a", work.Caller{})
@@ -135,14 +135,14 @@
 	if b := o.awaitResult(t, "the other job is answered", other); b.err != nil {
 		t.Fatal(b.err)
 	}
-	if c := o.awaitResult(t, "the cancelling is answered", cancelled); c.err != nil {
-		t.Fatalf("the cancelling: got: %v, want: acknowledged, as the store serves again", c.err)
+	if c := o.awaitResult(t, "the cancellation is answered", cancelled); c.err != nil {
+		t.Fatalf("the cancellation: got: %v, want: acknowledged, as the store serves again", c.err)
 	}
 	wantCancelled(t, o, "a")
 }
 
-// A batch that the store refused was sent again at once, thousands of times a
-// second: each call has a price and counts for the rate at which the store refuses.
+// A batch that the store refused was sent again at once, thousands of times a second. Each call is
+// charged and counts towards the rate limit at which the store refuses.
 func TestRefusedBatchIsNotResentAtOnce(t *testing.T) {
 	log := fakestore.NewLog()
 	o := startFakeClockOwner(t, log)
@@ -156,7 +156,7 @@
 	})
 	cancelled := o.cancelAsync(t.Context(), "a")
 	<-o.ended
-	// The clock stands still: whatever the loop is asked, there is nothing new to send.
+	// The clock does not move: whatever requests the loop gets, nothing new is due to be sent.
 	for range 5000 {
 		_, _, _ = o.State(t.Context(), "a", work.Caller{})
 	}
@@ -164,24 +164,24 @@
 		t.Errorf("appends in no time: got: %d, want: 2 at most", got)
 	}
 	log.SetAppendFault(nil)
-	if c := o.awaitResult(t, "the cancelling is answered", cancelled); !c.isKnown || c.err != nil {
-		t.Errorf("the cancelling: got: %v, %v, want: acknowledged", c.isKnown, c.err)
+	if c := o.awaitResult(t, "the cancellation is answered", cancelled); !c.isKnown || c.err != nil {
+		t.Errorf("the cancellation: got: %v, %v, want: acknowledged", c.isKnown, c.err)
 	}
 }
 
-// A node that refuses all that is asked of it must not call itself ready: one that
-// was cut off from the store got callers' requests for as long as that lasted.
+// A node that refuses all requests must not report itself ready. One that was cut off from the
+// store received callers' requests for as long as that lasted.
 func TestUnconfirmedOwnerMayNotAct(t *testing.T) {
 	log := fakestore.NewLog()
 	o := startFakeClockOwner(t, log)
 	if !o.MayActAsOwner() {
-		t.Error("after a beat: got: not trusted, want: trusted")
+		t.Error("after a heartbeat: got: may not act, want: may act")
 	}
 	log.SetDown(true)
 	o.clock.Advance(owner.ConfirmationTimeout + tick)
-	await.True(t, "it is not trusted", func() bool { return !o.MayActAsOwner() })
+	await.True(t, "it may not act", func() bool { return !o.MayActAsOwner() })
 	log.SetDown(false)
-	await.True(t, "it is trusted again", func() bool {
+	await.True(t, "it may act again", func() bool {
 		o.clock.Advance(tick)
 		return o.MayActAsOwner()
 	})
--- a/internal/owner/fakes_test.go
+++ b/internal/owner/fakes_test.go
@@ -14,17 +14,18 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// fakeWorkers start everything and end it at once, or when the gate is closed.
+// fakeWorkers accept every start. A task ends at once or, if there is a gate, when the gate is
+// closed.
 type fakeWorkers struct {
 	mu     sync.Mutex
 	gate   chan struct{}
 	starts []order.Start
-	// running are those that wait for the gate.
+	// running are the tasks that wait for the gate.
 	running map[work.TaskID]uint64
 	ends    []order.End
 	began   time.Time
 	ended   chan struct{}
-	// isClosed means that the owner has given up its connections.
+	// isClosed means that the owner has closed its connections.
 	isClosed atomic.Bool
 }
 
@@ -47,7 +48,7 @@
 	return order.StartDone, w.at()
 }
 
-// runGate ends a task once the gate is open.
+// runGate ends a task once the gate is closed.
 func (w *fakeWorkers) runGate(s *order.Start) {
 	<-w.gate
 	w.mu.Lock()
--- a/internal/owner/lag.go
+++ b/internal/owner/lag.go
@@ -5,19 +5,19 @@
 
 import "time"
 
-// lagMeter measures how much of the time the loop is kept from running, by how
-// late its ticks come. The zero value works.
+// lagMeter measures for which share of the time the loop is kept from running, by how late its
+// ticks arrive. The zero value is ready to use.
 type lagMeter struct {
-	// lastAt is when the last tick was handled; zero before the first.
+	// lastTickAt is when the last tick was handled; zero before the first.
 	lastTickAt time.Time
-	// share is the part of the time that ticks are late, over about lagWindow.
+	// share is the share of the time by which ticks are late, averaged over about lagWindow.
 	share float64
 }
 
 // lagWindow is the time over which lateness is averaged.
 const lagWindow = 700 * time.Millisecond
 
-// tick takes a tick of a clock with that period.
+// tick handles a tick of a clock with that period.
 func (m *lagMeter) tick(now time.Time, period time.Duration) {
 	last := m.lastTickAt
 	m.lastTickAt = now
--- a/internal/owner/lag_test.go
+++ b/internal/owner/lag_test.go
@@ -11,6 +11,7 @@
 	"github.com/leverdyke/leverdyke/internal/owner"
 )
 
+// The share must count late ticks both when all are a little late and when a few are very late.
 func TestLagMeter(t *testing.T) {
 	const period = 20 * time.Millisecond
 	for name, tc := range map[string]struct {
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -26,20 +26,21 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// BenchmarkOwner is what a task costs an owner of many workers, from its job's
-// handing in to its end, with carriers: the loop, the engine, messages in both directions,
-// the records. The workers are modelled in the same process by timers; what they take is
-// in the figure. Two thirds of all room are in use.
+// BenchmarkOwner measures what a task costs the owner of many workers with delegates, from the
+// submission of its job to its end: the loop, the engine, messages in both directions and the
+// records. The workers are simulated in the same process by timers, whose cost is included. Two
+// thirds of the total capacity are in use.
 //
-// With one processor and 1,100 workers a task takes 180 us; 366 before attempts were looked
-// at more rarely, listings asked for by their number and looks bounded.
+// With one processor and 1,100 workers a task takes 180 us. It took 366 us before attempts were
+// checked less often, the rate of polls was limited by the number of workers, and scheduling passes
+// were throttled.
 func BenchmarkOwner(b *testing.B) {
 	for _, workers := range []int{350, 1100, 5000} {
 		b.Run(fmt.Sprintf("%d workers", workers), func(b *testing.B) { benchOwner(b, workers) })
 	}
 }
 
-// loadWorkers are workers that run what they are told for its time.
+// simulatedWorkers run each task that they start for the task's duration.
 type simulatedWorkers struct {
 	n         int
 	mu        sync.Mutex
@@ -54,7 +55,7 @@
 	running  map[work.TaskID]*order.Running
 	finished []order.End
 	lastEnd  uint64
-	// waiting is a listing that waits for an end.
+	// pendingPoll is a long poll that waits for the end of a task.
 	pendingPoll *carrier.Order
 }
 
@@ -81,7 +82,7 @@
 	return out
 }
 
-// Send takes orders as they come over a link.
+// Send receives orders in the form in which they arrive over a link.
 func (l *simulatedWorkers) Send(_ string, batch *carrier.Batch) bool {
 	data, err := codec.MarshalCompact(batch)
 	if err != nil {
@@ -119,7 +120,7 @@
 	go l.runReply(data)
 }
 
-// runReply is the owner's side of a link.
+// runReply is the owner's end of a link.
 func (l *simulatedWorkers) runReply(data []byte) {
 	out := []carrier.Outcome{}
 	if err := codec.Unmarshal(data, &out); err != nil {
@@ -194,7 +195,7 @@
 	}
 }
 
-// openLanes permit seven tenths of the workers.
+// fakeChannels permit seven tenths of the workers.
 type fakeChannels struct{}
 
 func (fakeChannels) Names() []string {
@@ -249,7 +250,7 @@
 	}
 	time.Sleep(500 * time.Millisecond)
 	stop := make(chan struct{})
-	// A sixth of the room for tasks of 1 s, half of it for tasks of 6 s.
+	// A sixth of the capacity for tasks of 1 s, half of it for tasks of 6 s.
 	capacity := float64(n) * 16
 	go submitLoad(b, workers, "short", 13, 3500, time.Second, capacity/6/3.5/13, stop)
 	go submitLoad(b, workers, "long", 26, 4500, 6*time.Second, capacity/2/4.5/26/6, stop)
@@ -271,7 +272,7 @@
 	<-done
 }
 
-// submitLoad hands jobs in at a rate until it is stopped.
+// submitLoad submits jobs at a constant rate until stop is closed.
 func submitLoad(b *testing.B, l *simulatedWorkers, queue string, tasks int, milli int64, duration time.Duration, perSecond float64, stop <-chan struct{}) {
 	b.Helper()
 	rng := rand.New(rand.NewPCG(1, uint64(tasks)))
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -16,14 +16,14 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// takeoverLog is a store at which the reading of the jobs and the rejection of the
-// earlier owner come in a set order.
+// takeoverLog is a store that fixes the order of two steps of a takeover: the jobs are read first,
+// and the previous owner is fenced after that.
 type takeoverLog struct {
 	store.Log
-	// isRead is closed when the jobs are read first.
+	// isRead is closed once the jobs have been read for the first time.
 	isRead chan struct{}
 	once   sync.Once
-	// beforeFence is called after that and before the earlier owner is rejected.
+	// beforeFence is called after that and before the previous owner is fenced.
 	beforeFence func()
 }
 
@@ -47,8 +47,8 @@
 	return l.Log.Append(ctx, a)
 }
 
-// The jobs are read while the earlier owner can still append: what it kept meanwhile
-// must not be missed.
+// The jobs are read while the previous owner can still append. What it appends in that time must
+// not be missed.
 func TestTakeoverSeesAppendsDuringItsRead(t *testing.T) {
 	record := recordOf(t, "late")
 	log := fakestore.NewLog()
@@ -60,7 +60,7 @@
 	awaitState(t, next, "late", work.JobSucceeded)
 }
 
-// recordOf returns the record of a job as an owner keeps it.
+// recordOf returns the record of a job as an owner stores it.
 func recordOf(t *testing.T, id string) store.Record {
 	t.Helper()
 	log, workers := fakestore.NewLog(), newFakeWorkers()
@@ -80,8 +80,8 @@
 	return newest.Records[i]
 }
 
-// gatedList is asked for the list of workers before the jobs are read, or the store
-// does not go on.
+// gatedList calls onRead at each read of the worker list. The test's store does not continue before
+// the first one.
 type gatedList struct {
 	oneWorkerList
 	onRead func()
@@ -92,8 +92,8 @@
 	return l.oneWorkerList.Workers(ctx)
 }
 
-// In a store that takes 0.36 s to answer, one read after the other took 3.7 s from an
-// owner's death to the next one's first start.
+// On a store that takes 0.36 s to answer, a takeover that read the jobs and the worker list one
+// after the other took 3.7 s from the death of an owner to the first start by the next one.
 func TestWorkerListIsReadConcurrentlyWithJobs(t *testing.T) {
 	isListed := make(chan struct{})
 	log := newTakeoverLog(fakestore.NewLog(), func() { <-isListed })
--- a/internal/owner/options.go
+++ b/internal/owner/options.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package owner runs the engine that decides for a shard: it carries out its
-// actions, keeps what must last in the platform's store, and stops as soon as
-// this node may no longer be the owner.
+// Package owner runs the scheduling engine of a shard: it executes the engine's actions, persists
+// its state in the platform's store, and stops as soon as this node may no longer be the owner.
 package owner
 
 import (
@@ -18,135 +17,138 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Workers gives orders to workers, as carriers do. Implementations are safe for concurrent
-// use.
+// Workers sends orders to workers, as delegates do. Implementations are safe for concurrent use.
 type Workers interface {
 	carrier.Workers
-	// Close ends the connections that are kept for later orders. It is called when
-	// the ownership ends: a worker takes connections of a few nodes only.
+	// Close closes the connections that are kept open for later orders. It is called when the
+	// ownership ends, because a worker accepts connections from a few nodes only.
 	Close()
 }
 
-// List is the platform's list of workers. It is called by one goroutine.
+// List is the platform's list of workers. It is used by one goroutine.
 type List interface {
-	// Workers returns the whole list.
+	// Workers returns the complete list.
 	Workers(ctx context.Context) ([]order.Worker, error)
 }
 
-// PermissionChannels are the ways to the service that permits workers.
+// PermissionChannels are the nodes through which the permission service can be queried, each with
+// one query at a time.
 type PermissionChannels interface {
-	// Names returns the lanes that can be used now.
+	// Names returns the channels that are usable now.
 	Names() []string
+	// Ask queries through a channel which of the workers may run a step. It returns their permits
+	// and for how long these are valid.
 	Ask(ctx context.Context, channel string, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error)
 }
 
-// Metrics takes the figures of an owner. Implementations are safe for concurrent
-// use.
+// Metrics receives the measurements of an owner. Implementations are safe for concurrent use.
 type Metrics interface {
+	// OrderAnswered records the outcome of an order to a worker and how long its answer took.
 	OrderAnswered(kind, outcome string, took time.Duration)
+	// Appended records the outcome of an append to the store and how long it took.
 	Appended(outcome string, took time.Duration)
 }
 
-// Claim is what this node has won.
+// Claim describes an ownership that this node has claimed successfully.
 type Claim struct {
-	// Record is what stands in the store.
+	// Record is the record of the claim in the store.
 	Record Record
-	// Offset is where it stands; its epoch is one above.
+	// Offset is the offset of that record; the record's epoch is one higher.
 	Offset uint64
-	// Previous is the record that it replaced; nil when there was none.
+	// Previous is the record that the claim replaced; nil when there was none.
 	Previous *Record
-	// HasAllPlacements means that the earlier owner is known to have kept the place of each
-	// task before it ordered the start.
+	// HasAllPlacements means that the previous owner is known to have persisted the placement of
+	// each task before it ordered the start.
 	HasAllPlacements bool
-	// HasPreviousEnded means that the earlier owner is known to have stopped: it renews no
-	// lease any more.
+	// HasPreviousEnded means that the previous owner is known to have stopped, so that it renews no
+	// more leases.
 	HasPreviousEnded bool
 }
 
-// Options configures an Owner. All but Log, Carriers and OwnWorkers are required.
+// Options configures an Owner. All fields but Log, Delegates and DirectWorkers are required.
 type Options struct {
 	Claim              Claim
 	Store              store.Log
 	Workers            Workers
 	List               List
 	PermissionChannels PermissionChannels
-	// Delegates are the nodes that can talk to workers for this one; nil means none.
+	// Delegates are the nodes that can talk to workers on behalf of this one; nil means none.
 	Delegates Delegates
-	// DirectWorkers is how many workers this node talks to itself where others can carry; 0
+	// DirectWorkers is how many workers this node talks to itself while delegates are available; 0
 	// means all.
 	DirectWorkers int
 	Clock         clock.Service
 	Log           func(e events.Event, keysAndValues ...any)
-	// Metrics takes figures.
+	// Metrics receives measurements.
 	Metrics Metrics
-	// MaxStrength returns the strength of the strongest node known.
+	// MaxStrength returns the strength of the strongest known node.
 	MaxStrength func() float64
-	// HasStoreOutage reports whether most nodes are linked to this one and none reaches
-	// the store. Then no other node can become owner, and this one goes on.
+	// HasStoreOutage reports whether most nodes are linked to this one and none reaches the store.
+	// No other node can become the owner then, so this one continues.
 	HasStoreOutage func() bool
 	NodeZone       string
-	// StopTime is the longest that a worker takes to stop a task.
+	// StopTime is the longest time that a worker takes to stop a task.
 	StopTime time.Duration
-	// Heartbeat is the time between two heartbeats of a worker; 0 when not known.
+	// Heartbeat is the time between two heartbeats of a worker; 0 when it is unknown.
 	Heartbeat time.Duration
 }
 
-// Durations.
+// Timeouts, periods and limits.
 const (
-	// HeartbeatPeriod is the time between two records in the store that this node is
-	// the owner. Others claim when one is overdue, so that it bounds how long the
-	// shard is without an owner; at an answer in 4 ms the calls cost little.
+	// HeartbeatPeriod is the time between two records in the store that name this node as the
+	// owner. Other nodes claim the shard when one is overdue, so the period bounds how long the
+	// shard is without an owner. At 4 ms per answer the calls cost little.
 	HeartbeatPeriod = 300 * time.Millisecond
-	// ConfirmationTimeout is how long after the last such record this node acts as owner.
-	// It covers two beats at a slow store (0.4 s an answer) that are lost, and
-	// what the outage of the store counts after its end.
+	// ConfirmationTimeout is how long this node acts as the owner after the last such record that
+	// the store confirmed. It covers the loss of two heartbeats at a slow store (0.4 s per answer),
+	// and the time for which an outage of the store still counts after its end.
 	ConfirmationTimeout = 3 * time.Second
-	// leaseRest is the longest that a lease runs from its last renewal: 6 s, 4% and
-	// the worker's own slack. leaseBound is the longest that a lease given by an
-	// earlier owner may still run: it may renew leases while it trusts itself.
+	// maxLease is the longest time that a worker's lease runs from its last renewal: 6 s, 4% and
+	// the worker's own slack. maxInheritedLease is the longest time that a lease granted by a
+	// previous owner may still run: that owner may renew leases until its ConfirmationTimeout ends.
 	maxLease          = 6240*time.Millisecond + 300*time.Millisecond
 	maxInheritedLease = ConfirmationTimeout + maxLease
-	// listPeriod is the time between two looks at the list of workers, well under
-	// the time within which a leaving worker must get nothing new (2 s).
+	// workerListPeriod is the time between two reads of the worker list, well below the time within
+	// which a leaving worker must stop receiving new tasks (2 s).
 	workerListPeriod = 400 * time.Millisecond
-	// listGrace is how long after the list could not be read it may lack workers
-	// that live: they are back within about two seconds.
+	// workerListGrace is how long after a failed read the list may lack live workers: they are
+	// listed again within about two seconds.
 	workerListGrace = 2300 * time.Millisecond
-	// tickPeriod is the granularity of what is due by time alone.
+	// tickPeriod is the granularity of everything that is due by time alone.
 	tickPeriod = 20 * time.Millisecond
-	// writeTimeout bounds one try to append or to read, as long as nothing moves: a
-	// slow store takes 0.4 s.
+	// storeTimeout bounds one append or read while no bytes are transferred: a slow store takes 0.4
+	// s to answer.
 	storeTimeout = 1500 * time.Millisecond
-	// writeRetry is the pause before an append is tried again.
+	// storeRetryDelay is the pause before a failed call of the store is repeated.
 	storeRetryDelay = 100 * time.Millisecond
-	// handOverBound is how long a hand-over waits for orders and appends: longer
-	// than any order takes.
+	// handOverTimeout is how long a hand-over waits for orders and appends: longer than any order
+	// takes.
 	handOverTimeout = 500 * time.Millisecond
-	// totalsPeriod is the time between two lines with the engine's totals.
+	// totalsPeriod is the time between two log lines with the engine's totals.
 	totalsPeriod = 10 * time.Second
-	// customersPeriod is the time between two looks at what customers use of their limits, and
-	// maxCustomersTold how many are told.
+	// customerUsePeriod is the time between two samples of what customers use of their limits, and
+	// maxCustomersReported how many customers a sample contains.
 	customerUsePeriod    = time.Second
 	maxCustomersReported = 50
-	// retryAfter is when a refused caller should come back, in seconds; outRetry
-	// while the store is out, which lasts for seconds: callers come back a few
-	// times only.
+	// retryAfterSeconds is when a refused caller should retry. storeDownRetrySeconds applies while
+	// the store is down: an outage lasts for seconds, and the longer delay keeps the number of
+	// retries low.
 	retryAfterSeconds     = 1
 	storeDownRetrySeconds = 3
-	// eventsBound is how many events may wait for the loop.
+	// inboxSize is how many events may wait for the loop.
 	inboxSize = 8192
-	// batchBytes is about how much one append carries; the store takes 2 MB.
+	// maxAppendBytes is about how much one append carries; the store accepts 2 MB.
 	maxAppendBytes = 1 << 20
 )
 
-// The topics in the store.
+// The topics, keys and writers in the store.
 const (
-	// TopicOwner has one record: who owns the shard.
+	// TopicOwner has one record, which names the owner of the shard.
 	TopicOwner = "owner"
 	// TopicJobs has the jobs and their progress.
 	TopicJobs = "jobs"
 	// KeyOwner is the key of the record in TopicOwner.
 	KeyOwner = "0"
-	// writerName is the identity under which the owner appends.
+	// writerName is the name under which every owner appends jobs.
 	writerName = "shard-0"
 )
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -13,7 +13,7 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-// carryOut starts what the engine wants done; the outcome comes as an event.
+// execute starts an action of the engine; the outcome arrives as an event.
 func (o *Owner) execute(a order.Action) {
 	if _, ok := a.(order.Start); ok {
 		o.pendingStarts++
@@ -39,8 +39,8 @@
 	}
 }
 
-// boundStore bounds a try at the store by its progress: a large read or append may
-// take as long as it moves.
+// withStoreTimeout bounds one call of the store by its progress: a large read or append may take as
+// long as bytes keep moving.
 func (o *Owner) withStoreTimeout() (context.Context, context.CancelFunc) {
 	return progress.With(o.ctx, storeTimeout)
 }
@@ -58,7 +58,7 @@
 	o.enqueue(startEvent{s, outcome, at})
 }
 
-// noteStart notes the answer to an order to start.
+// reportStart passes the answer to a start order to the metrics and the log.
 func (o *Owner) reportStart(s *order.Start, outcome order.StartOutcome, took time.Duration) {
 	o.options.Metrics.OrderAnswered("start", string(outcome), took)
 	if outcome == order.StartFenced {
@@ -104,7 +104,7 @@
 	o.enqueue(permissionEvent{a, permits, validFor, err})
 }
 
-// runList follows the platform's list of workers.
+// runWorkerList polls the platform's list of workers.
 func (o *Owner) runWorkerList() {
 	defer o.wg.Done()
 	isListDown := false
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -21,76 +21,81 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Owner decides for the shard until it is stopped or no longer the owner. Its
-// methods but Run are safe for concurrent use.
+// Owner schedules the jobs of the shard until it is stopped or no longer the owner. Its methods but
+// Run are safe for concurrent use.
 type Owner struct {
 	options Options
 	engine  *dispatch.Engine
-	// router belongs to the loop.
+	// router is used by the loop only.
 	router *carrier.Router
 	inbox  *ring.Ring[event]
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
-	// writes takes what is to be kept; at most one is on its way.
+	// writes passes batches to runWrites; at most one is in flight.
 	writes chan *write
-	// loaded is closed when the jobs are read from the store.
+	// loaded is closed once the jobs have been read from the store.
 	loaded chan struct{}
 
-	// isUnlogged is what IsUnlogged returns.
+	// mayHaveUnpersisted is the result of MayHaveUnpersisted.
 	mayHaveUnpersisted atomic.Bool
-	// isTrustedNow is what IsTrusted returns.
+	// mayAct is the result of MayActAsOwner.
 	mayAct atomic.Bool
-	// listed is how many workers the list had last.
+	// listedWorkers is how many workers the list had when it was last read.
 	listedWorkers atomic.Int64
-	// customers is what CustomerUse returns; nil before the first look.
+	// customerUse is the result of CustomerUse; nil before the first sample.
 	customerUse atomic.Pointer[[]quota.CustomerUse]
-	// lagShare is the bits of what Lag returns.
+	// lagBits has the bits of the result of Lag.
 	lagBits atomic.Uint64
 
 	mu sync.Mutex
-	// policy is that of a configuration that the engine does not have yet; nil when it has it.
+	// policy is a configured policy that the engine does not have yet; nil when there is none.
 	policy        *order.Policy
 	policyVersion uint64
-	// beat is the number of this owner's newest record in the store, keptAt when it
-	// was kept.
+	// heartbeatSeq is the number of this owner's newest record in the store, persistedAt when it
+	// was persisted.
 	heartbeatSeq uint64
 	persistedAt  time.Time
 	writeBehind  writeBehindGate
 
-	// What follows belongs to the loop.
+	// The fields below are used by the loop only.
 	now           time.Time
 	inFlight      *write
 	inFlightSince time.Time
-	// writeAfter is when the next batch may go out, after one that the store refused.
+	// nextWriteAt is when the next batch may be sent after one that the store refused.
 	nextWriteAt   time.Time
 	isStoreDown   bool
 	appendTimeout appendTimeout
-	confirmedAt   time.Time
-	recordOffset  uint64
-	lag           lagMeter
-	throttle      passThrottle
-	// restEnds fires when the owner may look again; nil while nothing waits for that.
-	pauseEnds      <-chan time.Time
+	// confirmedAt is when the newest heartbeat was sent that the store has confirmed.
+	confirmedAt time.Time
+	// recordOffset is the offset of this owner's newest record. Only runHeartbeats uses it.
+	recordOffset uint64
+	lag          lagMeter
+	throttle     passThrottle
+	// pauseEnds fires when the next scheduling pass may run; nil while none is waiting.
+	pauseEnds <-chan time.Time
+	// pendingSubmits and pendingCancels have the callers that wait for an answer, by job.
 	pendingSubmits map[work.JobID][]chan error
 	pendingCancels map[work.JobID][]chan error
-	// denials are questions for jobs that are not known here, until the store confirms
-	// that this node still is the owner.
-	unknownJobQueries  []stateEvent
+	// unknownJobQueries are queries for jobs that are unknown here. They wait until the store
+	// confirms that this node is still the owner.
+	unknownJobQueries []stateEvent
+	// pendingStarts is how many start orders are unanswered.
 	pendingStarts      int
 	totalsLoggedAt     time.Time
 	customersSampledAt time.Time
-	handOverDone       chan bool
-	handOverStartedAt  time.Time
-	isWriteBehind      bool
-	// nextNodes is when to look again at the other nodes.
+	// handOverDone gets the outcome of a hand-over; nil while there is none.
+	handOverDone      chan bool
+	handOverStartedAt time.Time
+	isWriteBehind     bool
+	// nextNodeCheck is when the other nodes are checked again.
 	nextNodeCheck time.Time
-	// beganAt is when the loop began; awaiting are listings that wait for carriers.
+	// loopStartedAt is when the loop started; deferredPolls are polls that wait for delegates.
 	loopStartedAt time.Time
 	deferredPolls []order.Hold
 }
 
-// event is something that happened, for the loop.
+// event is something that the loop handles.
 type event interface{ apply(o *Owner) }
 
 // New returns an owner that does not run yet.
@@ -113,19 +118,19 @@
 	}
 }
 
-// Epoch returns the number of this ownership.
+// Epoch returns the epoch of this ownership.
 func (o *Owner) Epoch() uint64 { return o.options.Claim.Record.Epoch }
 
-// Done is closed when the owner no longer decides.
+// Done returns a channel that is closed when the owner no longer schedules.
 func (o *Owner) Done() <-chan struct{} { return o.ctx.Done() }
 
-// Loaded is closed when the jobs are known.
+// Loaded returns a channel that is closed once the jobs have been read.
 func (o *Owner) Loaded() <-chan struct{} { return o.loaded }
 
-// Lag returns which part of the time this owner is kept from running, lately.
+// Lag returns the share of the recent time for which this owner was kept from running.
 func (o *Owner) Lag() float64 { return math.Float64frombits(o.lagBits.Load()) }
 
-// IsLoaded reports whether the jobs are known.
+// IsLoaded reports whether the jobs have been read.
 func (o *Owner) IsLoaded() bool {
 	select {
 	case <-o.loaded:
@@ -138,7 +143,7 @@
 // Stop ends the owner at once.
 func (o *Owner) Stop() { o.cancel() }
 
-// Run decides until ctx or Stop ends it, or another node is the owner.
+// Run schedules until ctx or Stop ends it, or another node is the owner.
 func (o *Owner) Run(ctx context.Context) error {
 	defer o.options.Workers.Close()
 	defer o.wg.Wait()
@@ -147,8 +152,9 @@
 	o.tick()
 	o.confirmedAt = o.now
 	o.mayAct.Store(true)
-	// Reading the jobs may take longer than others wait for a record. The list of
-	// workers is read meanwhile: in a slow store that takes as long as the jobs.
+	// Reading the jobs may take longer than other nodes wait for a heartbeat, so heartbeats start
+	// first. The worker list is read concurrently: on a slow store that takes as long as reading
+	// the jobs.
 	o.wg.Add(2)
 	go o.runHeartbeats()
 	go o.runWorkerList()
@@ -168,7 +174,7 @@
 	o.engine.Advance(o.now)
 }
 
-// loop takes events, decides and hands out what is to be done.
+// loop handles events, runs scheduling passes and executes the resulting actions.
 func (o *Owner) loop() {
 	ticks, stop := o.options.Clock.Subscribe(tickPeriod)
 	defer stop()
@@ -180,7 +186,7 @@
 			return
 		case ev := <-o.inbox.Out():
 			if o.ctx.Err() != nil {
-				// Another node may be the owner: nothing more is answered.
+				// Another node may be the owner: no more requests are answered.
 				return
 			}
 			o.tick()
@@ -191,7 +197,7 @@
 			o.tick()
 		case <-ticks:
 			o.tick()
-			// What has come already is not overdue.
+			// Outcomes that have already arrived are not overdue, so they are handled first.
 			o.drainInbox()
 			o.lag.tick(o.now, tickPeriod)
 			o.lagBits.Store(math.Float64bits(o.lag.share))
@@ -205,7 +211,7 @@
 	}
 }
 
-// inboxShare is how many events are taken before the next decision.
+// maxEventsPerCycle is how many queued events are handled before the next scheduling pass.
 const maxEventsPerCycle = 256
 
 func (o *Owner) drainInbox() {
@@ -219,8 +225,8 @@
 	}
 }
 
-// logTotals writes the engine's totals now and then, for a look back without
-// figures.
+// logTotals periodically samples what customers use of their limits, and logs the engine's totals,
+// so that a later analysis does not need the metrics.
 func (o *Owner) logTotals() {
 	if o.now.Sub(o.customersSampledAt) >= customerUsePeriod {
 		fullest := o.engine.FullestCustomers(maxCustomersReported)
@@ -239,7 +245,7 @@
 	}
 }
 
-// CustomerUse returns the customers that use most of their limits, some time ago.
+// CustomerUse returns the customers that use most of their limits, as last sampled.
 func (o *Owner) CustomerUse() []quota.CustomerUse {
 	if use := o.customerUse.Load(); use != nil {
 		return *use
@@ -247,7 +253,7 @@
 	return nil
 }
 
-// runAhead finds out whether the store is slow or out, and whether tasks are
+// updateWriteBehind finds out whether the store is slow or down, and decides whether tasks are
 // started without waiting for it.
 func (o *Owner) updateWriteBehind() {
 	isSlow := o.isStoreDown || o.inFlight != nil && o.now.Sub(o.inFlightSince) > slowAppendTime || o.now.Sub(o.confirmedAt) > heartbeatOverdue
@@ -267,11 +273,11 @@
 	o.engine.SetUnlogged(isWriteBehind)
 }
 
-// MayHaveUnpersisted reports whether tasks may run in places that are not in the store.
+// MayHaveUnpersisted reports whether tasks may run on placements that are not in the store.
 func (o *Owner) MayHaveUnpersisted() bool { return o.mayHaveUnpersisted.Load() }
 
-// LastUnflagged returns the number of this owner's last record without a mark, and how
-// long ago it was sent.
+// LastUnflagged returns the number of this owner's last record without the write-behind flag, and
+// how long ago it was sent.
 func (o *Owner) LastUnflagged() (uint64, time.Duration) {
 	now := o.options.Clock.Now()
 	o.mu.Lock()
@@ -279,7 +285,8 @@
 	return o.writeBehind.unflaggedSeq, now.Sub(o.writeBehind.unflaggedAt)
 }
 
-// step decides on what has happened.
+// runCycle does what follows from the handled events: it runs a scheduling pass, executes the
+// engine's actions and writes the next batch.
 func (o *Owner) runCycle() {
 	o.applyPolicy()
 	mayActAsOwner := o.mayActAsOwner()
@@ -294,7 +301,7 @@
 	o.finishHandOver()
 }
 
-// decide looks at all that waits, unless the owner rests.
+// schedule runs a scheduling pass, unless the owner pauses after an expensive one.
 func (o *Owner) schedule() {
 	if !o.throttle.mayRun(o.now) {
 		if o.pauseEnds == nil && o.engine.MustDecide() {
@@ -307,20 +314,20 @@
 	o.throttle.afterPass(o.options.Clock.Now().Sub(began), o.now)
 }
 
-// MayActAsOwner reports whether this node may act as the owner: no other one can be it
-// yet. Without that it refuses all that is asked of it.
+// MayActAsOwner reports whether this node may act as the owner, as the last cycle of the loop
+// found. While it returns false, the owner refuses all requests.
 func (o *Owner) MayActAsOwner() bool { return o.mayAct.Load() }
 
-// isTrusted reports whether no other node can be the owner yet, or whether it
-// would have to reach a store that no node reaches.
+// mayActAsOwner reports whether the store has confirmed the ownership within ConfirmationTimeout,
+// or no other node can claim it because no node reaches the store.
 func (o *Owner) mayActAsOwner() bool {
 	return o.now.Sub(o.confirmedAt) < ConfirmationTimeout || o.options.HasStoreOutage()
 }
 
 func (o *Owner) enqueue(ev event) bool { return o.inbox.Put(ev, o.ctx.Done()) }
 
-// ChangeError is a failure of a request that the next owner can answer: this one
-// has ended or is about to. What was asked of it may be asked again.
+// ChangeError is a failure of a request that the next owner can answer: this one has ended or is
+// about to. The request may be sent again.
 type ChangeError struct{ Failure *leverdyke.Error }
 
 // Error returns the text of the error.
@@ -329,19 +336,19 @@
 // Unwrap returns the failure with its verdict.
 func (e *ChangeError) Unwrap() error { return e.Failure }
 
-// errGone means that this node is not the owner any more; what was asked may
-// have been done.
+// errOwnerChanged reports that this node is no longer the owner; the request may have been
+// executed.
 func errOwnerChanged() error {
 	return &ChangeError{leverdyke.MayHaveRun("the owner of the jobs changes", nil)}
 }
 
-// errLeaving means that this node is about to hand over.
+// errHandingOver reports that this node is about to hand over.
 func errHandingOver() error {
 	return &ChangeError{leverdyke.NotRun("the owner of the jobs hands over", retryAfterSeconds)}
 }
 
-// refuseWaiting answers those who wait when the loop ends. Their jobs may have
-// been kept.
+// failPendingCalls answers the callers that wait when the loop ends. Their jobs may have been
+// persisted.
 func (o *Owner) failPendingCalls() {
 	for _, waiting := range []map[work.JobID][]chan error{o.pendingSubmits, o.pendingCancels} {
 		for id, list := range waiting {
@@ -357,7 +364,7 @@
 	o.unknownJobQueries = nil
 }
 
-// ask puts an event and waits for its answer.
+// call queues an event for the loop and waits for its answer.
 func call[T any](ctx context.Context, o *Owner, ev event, ch chan T) (T, error) {
 	var none T
 	if !o.inbox.TryPut(ev) {
@@ -378,7 +385,7 @@
 	}
 }
 
-// Submit hands in a job. It returns nil once the job is kept.
+// Submit submits a job. It returns nil once the job is persisted.
 func (o *Owner) Submit(ctx context.Context, spec *work.Spec) error {
 	ch := make(chan error, 1)
 	err, callErr := call(ctx, o, submitEvent{spec, ch}, ch)
@@ -388,7 +395,7 @@
 	return err
 }
 
-// Cancel cancels a job. It returns false when there is no such job of the caller's.
+// Cancel cancels a job. It returns false when the caller has no such job.
 func (o *Owner) Cancel(ctx context.Context, id work.JobID, by work.Caller) (bool, error) {
 	ch := make(chan error, 1)
 	err, callErr := call(ctx, o, cancelEvent{id, by, ch}, ch)
@@ -403,7 +410,7 @@
 
 var errNoJob = fmt.Errorf("owner: no such job")
 
-// State returns what a caller is told of a job; false when there is none of the caller's.
+// State returns the state of a job as the caller sees it; false when the caller has no such job.
 func (o *Owner) State(ctx context.Context, id work.JobID, by work.Caller) (work.JobState, bool, error) {
 	ch := make(chan stateAnswer, 1)
 	a, err := call(ctx, o, stateEvent{id, by, o.options.Clock.Now(), ch}, ch)
@@ -413,7 +420,7 @@
 	return a.state, a.isKnown, err
 }
 
-// Pending returns how many jobs of a queue have not begun.
+// Pending returns how many jobs of a queue have not started.
 func (o *Owner) Pending(ctx context.Context, queue string) (int, error) {
 	ch := make(chan pendingAnswer, 1)
 	a, err := call(ctx, o, pendingEvent{queue, ch}, ch)
@@ -423,7 +430,7 @@
 	return a.count, err
 }
 
-// SetPolicy puts a configuration in force, unless a later one is.
+// SetPolicy puts a configured policy in force, unless a later version is.
 func (o *Owner) SetPolicy(version uint64, p order.Policy) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -432,7 +439,7 @@
 	}
 }
 
-// takePolicy passes a new configuration to the engine.
+// applyPolicy passes a new policy to the engine.
 func (o *Owner) applyPolicy() {
 	o.mu.Lock()
 	p := o.policy
@@ -444,10 +451,9 @@
 	}
 }
 
-// HandOver stops starting work, waits until what is on its way is known and
-// kept, and then ends the owner, so that another can begin without a gap. It
-// reports false, and the owner goes on, when the store is out: then no other node
-// can become the owner.
+// HandOver stops starting tasks, waits until the outcomes of unanswered orders are known and
+// persisted, and then ends the owner, so that another node can take over without a gap. It returns
+// false, and the owner continues, when the store is down: no other node can become the owner then.
 func (o *Owner) HandOver(ctx context.Context) bool {
 	done := make(chan bool, 1)
 	if !o.enqueue(handOverEvent{done}) {
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -20,13 +20,13 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// claimed claims the shard and returns an owner that runs.
+// startOwner claims the shard and returns a running owner that has read the jobs.
 func startOwner(t *testing.T, log store.Log, workers *fakeWorkers) *owner.Owner {
 	t.Helper()
 	return startOwnerWithLog(t, log, workers, nil)
 }
 
-// claimedWith is claimed with a taker of log lines.
+// startOwnerWithLog is startOwner with a function that receives the log lines.
 func startOwnerWithLog(t *testing.T, log store.Log, workers *fakeWorkers, logLine func(events.Event, ...any)) *owner.Owner {
 	t.Helper()
 	o := startOwnerWithClock(t, log, workers, clock.Real{}, logLine)
@@ -34,7 +34,7 @@
 	return o
 }
 
-// claimedFrom is claimed with another list of workers.
+// startOwnerWithList is startOwner with another worker list.
 func startOwnerWithList(t *testing.T, log store.Log, workers *fakeWorkers, list owner.List) *owner.Owner {
 	t.Helper()
 	o := runOwner(t, log, workers, list, clock.Real{}, nil)
@@ -42,13 +42,13 @@
 	return o
 }
 
-// claimedBy is claimedWith by another clock. The jobs may not be read yet.
+// startOwnerWithClock is startOwnerWithLog with another clock. The jobs may not have been read yet.
 func startOwnerWithClock(t *testing.T, log store.Log, workers *fakeWorkers, clk clock.Service, logLine func(events.Event, ...any)) *owner.Owner {
 	t.Helper()
 	return runOwner(t, log, workers, oneWorkerList{}, clk, logLine)
 }
 
-// run claims the shard and runs an owner until the test ends.
+// runOwner claims the shard and runs an owner until the test ends.
 func runOwner(t *testing.T, log store.Log, workers *fakeWorkers, list owner.List, clk clock.Service, logLine func(events.Event, ...any), change ...func(*owner.Options)) *owner.Owner {
 	t.Helper()
 	previous, at, err := owner.ReadRecord(t.Context(), log)
@@ -118,6 +118,8 @@
 	}
 }
 
+// The caller of a job that the store refuses gets the answer that the job has not run, so it must
+// not run later.
 func TestJobRefusedByStoreNeverRuns(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := startOwner(t, log, workers)
@@ -127,7 +129,7 @@
 	}
 	log.SetAppendFault(nil)
 	if err := o.Submit(t.Context(), job("b")); err != nil {
-		await.True(t, "the store is found to serve", func() bool { return o.Submit(t.Context(), job("b")) == nil })
+		await.True(t, "the store serves again", func() bool { return o.Submit(t.Context(), job("b")) == nil })
 	}
 	awaitState(t, o, "b", work.JobSucceeded)
 	if _, ok, _ := o.State(t.Context(), "a", work.Caller{}); ok {
@@ -135,8 +137,8 @@
 	}
 }
 
-// Reading the jobs at a takeover took twice as long while each job that was over
-// still had its steps in the store.
+// Reading the jobs at a takeover took twice as long while the store still had the steps of each
+// ended job.
 func TestOnlyStateOfEndedJobIsStored(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := startOwner(t, log, workers)
@@ -155,14 +157,15 @@
 		t.Errorf("the same job again: got: %v, want: accepted", err)
 	}
 	if ok, err := next.Cancel(t.Context(), "a", work.Caller{}); !ok || err != nil {
-		t.Errorf("cancelling it: got: %v, %v, want: known", ok, err)
+		t.Errorf("cancellation: got: %v, %v, want: known", ok, err)
 	}
 	if state, _, _ := next.State(t.Context(), "a", work.Caller{}); state != work.JobSucceeded {
 		t.Errorf("its state then: got: %v, want: %v", state, work.JobSucceeded)
 	}
 }
 
-// A lost answer is settled by the same sequence number: the job is kept once.
+// When the answer to an append is lost, the append is repeated with the same sequence number.
+// Otherwise the job would be stored twice.
 func TestJobIsStoredOnceAfterLostAnswers(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := startOwner(t, log, workers)
@@ -183,6 +186,8 @@
 	}
 }
 
+// A previous owner that the store has fenced must end and accept no more jobs. Otherwise it could
+// accept jobs that the new owner does not know.
 func TestNewOwnerEndsPreviousOwner(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	first := startOwner(t, log, workers)
@@ -193,7 +198,7 @@
 	second := startOwner(t, log, newFakeWorkers())
 	<-first.Done()
 	if got := verdictOf(first.Submit(t.Context(), job("b"))); got != leverdyke.VerdictMayHaveRun && got != leverdyke.VerdictNotRun {
-		t.Errorf("a job at the earlier owner: got: %v, want: a refusal", got)
+		t.Errorf("a job at the previous owner: got: %v, want: a refusal", got)
 	}
 	awaitState(t, second, "a", work.JobSucceeded)
 	if second.Epoch() <= first.Epoch() {
@@ -214,7 +219,7 @@
 	await.True(t, "its connections to workers are closed", workers.isClosed.Load)
 }
 
-// Nobody could claim the shard while the store is out: the owner keeps it.
+// No other node could claim the shard while the store is down, so the owner keeps it.
 func TestNoHandOverWhileStoreIsDown(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := startOwner(t, log, workers)
@@ -232,8 +237,8 @@
 	}
 }
 
-// slowLink is a store behind a link over which each request for the jobs takes an
-// hour, all the time moving: a context that ends sooner cuts it.
+// slowLink is a store behind a link over which each request for the jobs takes an hour while bytes
+// keep moving. A context with an earlier deadline ends the request.
 type slowLink struct{ store.Log }
 
 func (s slowLink) checkDeadline(ctx context.Context, topic string) error {
@@ -257,8 +262,8 @@
 	return s.Log.Append(ctx, a)
 }
 
-// A node with a link of 10 Mbit/s could not read a state of over 1.9 MB within the
-// 1.5 s that it allowed itself, and began anew for ever.
+// A node with a link of 10 Mbit/s could not read jobs of more than 1.9 MB within its fixed timeout
+// of 1.5 s, and repeated the read for ever.
 func TestTakeoverOfManyJobsOverSlowLink(t *testing.T) {
 	log := fakestore.NewLog()
 	workers := newFakeWorkers()
@@ -270,6 +275,6 @@
 	second := startOwner(t, slowLink{log}, workers)
 	awaitState(t, second, "j1", work.JobSucceeded)
 	if err := second.Submit(t.Context(), job("j2")); err != nil {
-		t.Errorf("an append over the slow link: got: %v, want: kept", err)
+		t.Errorf("an append over the slow link: got: %v, want: persisted", err)
 	}
 }
--- a/internal/owner/pass_throttle_test.go
+++ b/internal/owner/pass_throttle_test.go
@@ -10,6 +10,8 @@
 	"github.com/leverdyke/leverdyke/internal/owner"
 )
 
+// Without pauses, expensive scheduling passes would take all of the owner's time, and answers would
+// count as missing because they are handled too late.
 func TestOwnerPausesAfterExpensivePasses(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for _, c := range []struct{ took, want time.Duration }{
@@ -21,7 +23,7 @@
 		{time.Second, 100 * time.Millisecond},
 	} {
 		if got := owner.PauseAfter(c.took, now); got != c.want {
-			t.Errorf("rest after a look of %v: got: %v, want: %v", c.took, got, c.want)
+			t.Errorf("pause after a pass of %v: got: %v, want: %v", c.took, got, c.want)
 		}
 	}
 }
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -18,14 +18,14 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// write is a batch on its way to the store.
+// write is a batch that is being written to the store.
 type write struct {
 	batch *dispatch.Batch
 	parts [][]store.Record
 }
 
-// load rejects the earlier owner at the store, then reads the jobs. It returns
-// the sequence number of the next append.
+// load fences the previous owner in the store, then reads the jobs. It returns the sequence number
+// of the next append.
 func (o *Owner) load() (uint64, error) {
 	began := o.now
 	newest, err := o.fenceAndRead()
@@ -52,9 +52,9 @@
 	return 1, nil
 }
 
-// readFenced reads the jobs as they are once no earlier owner can append any more. The
-// jobs are read while the store is told so, as both take long at a slow store. What was read
-// counts if the topic has not grown between; else it is read again.
+// fenceAndRead returns the jobs as they are once no previous owner can append any more. The jobs
+// are read concurrently with the fencing append, because both take long on a slow store. If the
+// topic has grown in between, the jobs are read again.
 func (o *Owner) fenceAndRead() (*store.Newest, error) {
 	read := make(chan readResult, 1)
 	o.wg.Add(1)
@@ -73,13 +73,13 @@
 	return o.readJobs()
 }
 
-// readAnswer is what came of reading the jobs.
+// readResult is the outcome of reading the jobs.
 type readResult struct {
 	newest *store.Newest
 	err    error
 }
 
-// runRead reads the jobs once.
+// runRead reads the jobs and sends the result.
 func (o *Owner) runRead(answer chan<- readResult) {
 	defer o.wg.Done()
 	newest, err := o.readJobs()
@@ -99,7 +99,7 @@
 	return &store.Writer{Name: writerName, Epoch: o.Epoch(), Sequence: sequence}
 }
 
-// retry repeats do until it succeeds, this node is not the owner any more, or
+// retry repeats do until it succeeds, the store reports that a later owner has fenced this one, or
 // the owner is stopped.
 func (o *Owner) retry(what string, do func(ctx context.Context) error) error {
 	for {
@@ -119,7 +119,8 @@
 	}
 }
 
-// write hands the next batch to the writer, if it is free.
+// write passes the next batch to runWrites. While a batch is in flight it passes none, and refuses
+// new jobs once the append takes too long.
 func (o *Owner) write() {
 	if o.inFlight != nil {
 		if o.appendTimeout.isExceeded(o.now.Sub(o.inFlightSince)) {
@@ -140,14 +141,14 @@
 	}
 	parts, err := encodeBatch(batch)
 	if err != nil {
-		// The types are the program's own: one that cannot be encoded is a bug.
-		panic(fmt.Sprintf("owner: batch: %v", err))
+		// All encoded types are this program's own, so one that cannot be encoded is a bug.
+		panic(fmt.Sprintf("owner: cannot encode batch: %v", err))
 	}
 	o.inFlight, o.inFlightSince = &write{batch, parts}, o.now
 	o.writes <- o.inFlight
 }
 
-// refuseNew refuses the jobs that are not yet on their way to the store.
+// refuseNewJobs refuses the jobs that are not part of the batch in flight.
 func (o *Owner) refuseNewJobs(why string) {
 	for _, id := range o.engine.RefuseNew() {
 		o.answer(o.pendingSubmits, id, leverdyke.NotRun(why, storeDownRetrySeconds))
@@ -161,7 +162,7 @@
 	delete(waiting, id)
 }
 
-// runWrites appends batch after batch, each until its fate is known.
+// runWrites appends one batch after the other, repeating each append until its outcome is known.
 func (o *Owner) runWrites(sequence uint64) {
 	defer o.wg.Done()
 	for {
@@ -183,9 +184,9 @@
 	}
 }
 
-// append appends records until it is known that they are kept, and returns the
-// next sequence number. Where mayRefuse is set it reports false when the store
-// says that nothing was done.
+// append appends records, repeating the call until they are known to be persisted, and returns the
+// next sequence number. It reports false when the owner has ended or, with mayRefuse, when the
+// store reports that nothing was appended.
 func (o *Owner) append(records []store.Record, sequence uint64, mayRefuse bool) (uint64, bool) {
 	a := &appendCall{owner: o, records: records, sequence: sequence, mayRefuse: mayRefuse}
 	for tries := 0; ; tries++ {
@@ -204,15 +205,15 @@
 	}
 }
 
-// appending is the append of some records, repeated until its fate is known.
+// appendCall is the append of some records, repeated until its outcome is known.
 type appendCall struct {
 	owner   *Owner
 	records []store.Record
-	// sequence is the number of the append; the store may want another.
+	// sequence is the sequence number of the append; the store may expect another one.
 	sequence uint64
-	// mayRefuse lets it end when the store says that nothing was done.
+	// mayRefuse lets the append end when the store reports that nothing was appended.
 	mayRefuse bool
-	// isSent is set once the fate of a try is open: it may have been done.
+	// mayBeApplied is set once the outcome of a try is unknown: the store may have applied it.
 	mayBeApplied bool
 }
 
@@ -227,7 +228,7 @@
 	return err
 }
 
-// nextTry is when an append that failed is tried again.
+// retryDecision says when a failed append is tried again.
 type retryDecision string
 
 const (
@@ -236,7 +237,7 @@
 	retryNever retryDecision = "never"
 )
 
-// judge tells by the error of a try how to go on.
+// decideRetry decides how to continue after a try that failed with err.
 func (a *appendCall) decideRetry(err error) retryDecision {
 	o := a.owner
 	switch store.FailureOf(err) {
@@ -259,8 +260,8 @@
 	return retryLater
 }
 
-// takeSequence takes the number that the store wants, and reports whether it is
-// another one. After a try that may have been done it never goes back.
+// adoptSequence takes over the sequence number that the store expects, and reports whether it is
+// another one. After a try that may have been applied, the number is never lowered.
 func (a *appendCall) adoptSequence(err error) bool {
 	e := &store.Error{}
 	if !errors.As(err, &e) || e.ExpectedSequence == a.sequence || a.mayBeApplied && e.ExpectedSequence < a.sequence {
@@ -270,7 +271,7 @@
 	return true
 }
 
-// pause waits, and reports false when the owner ended meanwhile.
+// sleep waits for d. It reports false when the owner ended meanwhile.
 func (o *Owner) sleep(d time.Duration) bool {
 	select {
 	case <-o.ctx.Done():
@@ -312,7 +313,8 @@
 	}
 }
 
-// noteKept answers for what the store has kept.
+// batchPersisted answers the callers whose jobs or cancellations the store has persisted with the
+// batch.
 func (o *Owner) batchPersisted(b *dispatch.Batch) {
 	o.engine.Committed(b)
 	for _, spec := range b.Specs {
@@ -322,14 +324,14 @@
 	for id := range b.Progress {
 		o.answerCancel(id)
 		if o.engine.IsKept(id) {
-			// It was withdrawn before it was handed in.
+			// The job was cancelled before its submission arrived.
 			o.answer(o.pendingSubmits, id, nil)
 		}
 	}
 }
 
-// noteRefused refuses the jobs of a batch that the store refused, and those that
-// would be in the next. All else of the batch is sent again.
+// batchRefused refuses the new jobs of a batch that the store refused, and those collected for the
+// next batch. Everything else of the batch is sent again.
 func (o *Owner) batchRefused(b *dispatch.Batch) {
 	const why = "the store does not take new jobs"
 	o.nextWriteAt = o.now.Add(storeRetryDelay)
@@ -339,14 +341,14 @@
 	}
 	for id := range b.Progress {
 		if !o.engine.IsKept(id) {
-			// It was withdrawn before it was handed in, and never runs.
+			// The job was cancelled before its submission arrived, and never runs.
 			o.answer(o.pendingSubmits, id, leverdyke.NotRun(why, storeDownRetrySeconds))
 		}
 	}
 	o.refuseNewJobs(why)
 }
 
-// runBeats writes down every so often that this node is the owner.
+// runHeartbeats appends a record that names this node as the owner every HeartbeatPeriod.
 func (o *Owner) runHeartbeats() {
 	defer o.wg.Done()
 	for o.ctx.Err() == nil {
@@ -355,7 +357,7 @@
 	}
 }
 
-// sendBeat appends one record. Only this goroutine uses offset and beat.
+// sendHeartbeat appends one record. Only this goroutine uses recordOffset and sets heartbeatSeq.
 func (o *Owner) sendHeartbeat() {
 	sentAt := o.options.Clock.Now()
 	r := o.options.Claim.Record
@@ -381,7 +383,7 @@
 	}
 }
 
-// noteRecord notes the newest record of this owner in the store.
+// heartbeatPersisted takes over the newest record of this owner in the store.
 func (o *Owner) heartbeatPersisted(r *Record, offset uint64, sentAt time.Time) {
 	o.recordOffset = offset
 	o.mu.Lock()
@@ -391,16 +393,16 @@
 	o.enqueue(heartbeatEvent{sentAt})
 }
 
-// LastRecord returns the number of this owner's newest record in the store, and
-// when it was kept.
+// LastRecord returns the number of this owner's newest record in the store, and when it was
+// persisted.
 func (o *Owner) LastRecord() (uint64, time.Time) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.heartbeatSeq, o.persistedAt
 }
 
-// checkRecord finds out whose record made the topic move on: an own one whose
-// answer was lost, or that of another owner.
+// checkOwnerRecord finds out whose record changed the end of the topic: one of this owner whose
+// answer was lost, or one of another owner.
 func (o *Owner) checkOwnerRecord(sentAt time.Time) {
 	r, offset, err := ReadRecord(o.ctx, o.options.Store)
 	switch {
@@ -414,7 +416,7 @@
 	}
 }
 
-// beatEvent says that at sentAt this node was the owner, by the store's word.
+// heartbeatEvent reports that the store has confirmed that this node was the owner at sentAt.
 type heartbeatEvent struct {
 	sentAt time.Time
 }
--- a/internal/owner/record.go
+++ b/internal/owner/record.go
@@ -15,46 +15,47 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Record says who owns the shard.
+// Record names the owner of the shard.
 type Record struct {
 	Node string         `msgpack:"n"`
 	Addr netip.AddrPort `msgpack:"a"`
-	// Incarnation tells the processes of one node apart.
+	// Incarnation distinguishes the processes of one node.
 	Incarnation string `msgpack:"l"`
-	// Epoch is the number of the ownership; it rises with each change.
+	// Epoch is the number of the ownership; it rises with each change of owner.
 	Epoch uint64 `msgpack:"e"`
 	// HeartbeatSeq counts the records of one ownership.
 	HeartbeatSeq uint64 `msgpack:"b"`
-	// SentAt is when it was sent, by the owner's time of day, which may differ from
-	// that of other nodes.
+	// SentAt is when the record was sent, by the owner's time of day, which may differ from that of
+	// other nodes.
 	SentAt time.Time `msgpack:"t"`
 	// MaxStrength is the strength of the strongest node that the owner knows.
 	MaxStrength float64 `msgpack:"s"`
-	// MayHaveUnpersisted means that tasks may run in places that are not kept.
+	// MayHaveUnpersisted is the write-behind flag: tasks may run on placements that are not in the
+	// store.
 	MayHaveUnpersisted bool `msgpack:"u"`
 	// ListedWorkers is how many workers the owner's list had; 0 when it had none yet.
 	ListedWorkers int `msgpack:"w"`
 }
 
-// Age returns how old the record is at that time of day.
+// Age returns the age of the record at that time of day.
 func (r *Record) Age(timeOfDay time.Time) time.Duration { return timeOfDay.Round(0).Sub(r.SentAt) }
 
-// ParseRecord reads a Record.
+// ParseRecord decodes a Record.
 func ParseRecord(data []byte) (*Record, error) {
 	r := &Record{}
 	if err := codec.Unmarshal(data, r); err != nil {
-		return nil, fmt.Errorf("owner: record of the owner: %w", err)
+		return nil, fmt.Errorf("owner: cannot decode owner record: %w", err)
 	}
 	return r, nil
 }
 
-// keys of TopicJobs.
+// Prefixes of the keys in TopicJobs.
 const (
 	specPrefix     = "j/"
 	progressPrefix = "p/"
 )
 
-// encodeBatch returns the records of a batch in parts that fit one append each.
+// encodeBatch returns the records of a batch, split into parts that fit one append each.
 func encodeBatch(b *dispatch.Batch) ([][]store.Record, error) {
 	parts := [][]store.Record{{}}
 	size := 0
@@ -66,7 +67,7 @@
 		last := len(parts) - 1
 		parts[last] = append(parts[last], store.Record{Key: key, Value: value})
 	}
-	// First, as a job that is forgotten may be handed in again in the same batch.
+	// Removals come first, because a removed job may be submitted again in the same batch.
 	for _, id := range b.Forgotten {
 		add(specPrefix+string(id), nil)
 		add(progressPrefix+string(id), nil)
@@ -85,23 +86,24 @@
 		}
 		add(progressPrefix+string(id), data)
 		if p.State.IsFinal() {
-			// Of a job that is over only the state is asked for.
+			// Callers can only ask for the state of an ended job, so its spec is removed.
 			add(specPrefix+string(id), nil)
 		}
 	}
 	return parts, nil
 }
 
-// kept is a job as the store has it.
+// storedJob is a job as it is in the store.
 type storedJob struct {
-	// spec has only the ID and the customer when the job is over.
+	// spec has only the ID and the customer when the job has ended.
 	spec     *work.Spec
 	progress *work.Progress
 	offset   uint64
 }
 
-// parseJobs returns the jobs in the order in which they were kept. A record that
-// cannot be read is told to bad and left out.
+// parseJobs returns the jobs in the order of their records: those with a spec, then ended jobs of
+// which only the progress is stored. A record that cannot be decoded is passed to onBadRecord and
+// left out.
 func parseJobs(records []store.Record, onBadRecord func(key string, err error)) []*storedJob {
 	byID := map[string]*storedJob{}
 	jobs := []*storedJob{}
--- a/internal/owner/record_test.go
+++ b/internal/owner/record_test.go
@@ -11,8 +11,8 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// A job that was forgotten and handed in again in one batch was accepted, and then
-// removed by the end of the same batch.
+// A job that was removed and submitted again in one batch was accepted, and then removed by a later
+// record of the same batch.
 func TestResubmittedJobSurvivesRemovalInSameBatch(t *testing.T) {
 	parts, err := owner.EncodeBatch(&dispatch.Batch{Forgotten: []work.JobID{"a"}, Specs: []*work.Spec{job("a")}})
 	if err != nil {
--- a/internal/owner/size_test.go
+++ b/internal/owner/size_test.go
@@ -19,7 +19,7 @@
 )
 
 // progressOf returns the progress of a job whose tasks all run, on workers that started at
-// bornAt.
+// startedAt.
 func progressOf(tasks int, startedAt time.Time) *work.Progress {
 	s := work.StepProgress{Run: 1}
 	for i := range tasks {
@@ -29,9 +29,9 @@
 	return &work.Progress{State: work.JobRunning, Rounds: map[int][]work.StepProgress{0: {s}}}
 }
 
-// An owner writes each job that has changed, several times a second. With the names of
-// fields in each place this job takes 1,194 bytes. Where workers tell when they started, the
-// start of each is kept with its name.
+// An owner writes each changed job several times a second. With field names in each placement the
+// record of this job takes 1,194 bytes. Where workers report when they started, that time is stored
+// with the worker's name.
 func TestJobRecordIsSmall(t *testing.T) {
 	checkRecordSize(t, progressOf(26, time.Time{}), 560)
 	checkRecordSize(t, progressOf(26, time.UnixMilli(1791916135672)), 800)
@@ -49,11 +49,12 @@
 	}
 	decoded := &work.Progress{}
 	if err := codec.Unmarshal(data, decoded); err != nil || !reflect.DeepEqual(decoded.Rounds, p.Rounds) {
-		t.Errorf("read again: got: %+v, %v, want: %+v", decoded, err, p)
+		t.Errorf("decoded: got: %+v, %v, want: %+v", decoded, err, p)
 	}
 }
 
-// Records of an earlier version have the names of the fields of places and failures.
+// Records of an earlier version contain the field names of placements and failures. A new version
+// that could not read them would lose the jobs.
 func TestRecordsOfEarlierVersionAreRead(t *testing.T) {
 	type previousPlace struct {
 		Index  int
--- a/internal/owner/write_behind_test.go
+++ b/internal/owner/write_behind_test.go
@@ -16,8 +16,9 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// The next owner must know that this one ran ahead of the store: by a mark in
-// the newest record, or by the age of the newest record without one.
+// The next owner must be able to detect that this one ran write-behind: by the flag in the newest
+// record, or by the age of the newest record without the flag. Otherwise it would rely on
+// placements in the store that are incomplete.
 func TestWriteBehindIsAlwaysDetectableByNextOwner(t *testing.T) {
 	const ms = time.Millisecond
 	begin := clock.NewFake().Now()
@@ -27,33 +28,33 @@
 		want  bool
 	}{
 		"the store is quick": {func(*owner.WriteBehindGate) {}, 5000 * ms, false},
-		"slow, the plain record is young": {func(g *owner.WriteBehindGate) {
+		"slow, the unflagged record is young": {func(g *owner.WriteBehindGate) {
 			g.NoteSlow(begin.Add(1100 * ms))
 		}, 1100 * ms, false},
-		"slow, the plain record is old": {func(g *owner.WriteBehindGate) {
+		"slow, the unflagged record is old": {func(g *owner.WriteBehindGate) {
 			g.NoteSlow(begin.Add(1100 * ms))
 		}, 1300 * ms, true},
-		"slow, the mark is written": {func(g *owner.WriteBehindGate) {
+		"slow, the flag is written": {func(g *owner.WriteBehindGate) {
 			g.NoteSlow(begin.Add(100 * ms))
 			g.NextFlag(begin.Add(150 * ms))
 		}, 200 * ms, false},
-		"slow, the mark is kept": {func(g *owner.WriteBehindGate) {
+		"slow, the flag is persisted": {func(g *owner.WriteBehindGate) {
 			g.NoteSlow(begin.Add(100 * ms))
 			g.Persisted(g.NextFlag(begin.Add(150 * ms)))
 		}, 200 * ms, true},
-		"the mark is kept before, as all workers answer": {func(g *owner.WriteBehindGate) {
+		"the flag is persisted before, as all workers respond": {func(g *owner.WriteBehindGate) {
 			g.Update(begin, false, true)
 			g.Persisted(g.NextFlag(begin.Add(50 * ms)))
 			g.NoteSlow(begin.Add(100 * ms))
 		}, 100 * ms, true},
-		"a plain record follows the mark": {func(g *owner.WriteBehindGate) {
+		"an unflagged record follows the flagged one": {func(g *owner.WriteBehindGate) {
 			g.NoteSlow(begin.Add(100 * ms))
 			g.Persisted(g.NextFlag(begin.Add(150 * ms)))
 			g.Update(begin.Add(2000*ms), false, false)
 			g.NextFlag(begin.Add(2000 * ms))
 			g.NoteSlow(begin.Add(2100 * ms))
 		}, 2200 * ms, false},
-		"places are unkept after the store is back": {func(g *owner.WriteBehindGate) {
+		"placements are not persisted after the store is back": {func(g *owner.WriteBehindGate) {
 			g.NoteSlow(begin.Add(100 * ms))
 			g.Persisted(g.NextFlag(begin.Add(150 * ms)))
 			g.Update(begin.Add(2000*ms), true, false)
@@ -69,9 +70,9 @@
 	}
 }
 
-// While the store was out, ends of jobs were told that it did not have: a worker
-// left with the ends, all nodes lost their memory, and the next owner ran the tasks
-// again. The next step starts ahead of the store, but a job's end waits for it.
+// While the store was down, ends of jobs were reported that were not persisted. A worker left with
+// the ends, all nodes lost their memory, and the next owner ran the tasks again. The next step may
+// start by write-behind, but the end of a job is reported only once it is persisted.
 func TestJobEndIsReportedOnlyOncePersisted(t *testing.T) {
 	for name, isStoreBack := range map[string]bool{"the store is back": true, "all memory and the worker are lost": false} {
 		t.Run(name, func(t *testing.T) {
@@ -91,15 +92,15 @@
 			close(release)
 			<-ended
 			if got, _, err := o.State(t.Context(), "a", work.Caller{}); err != nil || got != work.JobRunning {
-				t.Errorf("the state while its end is not kept: got: %v, %v, want: %v", got, err, work.JobRunning)
+				t.Errorf("the state while its end is not persisted: got: %v, %v, want: %v", got, err, work.JobRunning)
 			}
 			if !o.MayHaveUnpersisted() {
-				t.Error("the owner: got: all is kept, want: the next owner must not rely on it")
+				t.Error("the owner: got: everything is persisted, want: the next owner must not rely on the stored placements")
 			}
 			if !isStoreBack {
 				o.Stop()
-				// A writer that is about to send would otherwise find the store back.
-				await.True(t, "nothing of the owner is left", workers.isClosed.Load)
+				// Otherwise a writer that is about to send could find the store up again.
+				await.True(t, "the owner has ended", workers.isClosed.Load)
 				workers = newFakeWorkers()
 			}
 			log.SetAppendFault(nil)
@@ -108,9 +109,9 @@
 				o = startOwner(t, log, workers)
 			}
 			awaitState(t, o, "a", work.JobSucceeded)
-			await.True(t, "all is kept", func() bool { return !o.MayHaveUnpersisted() })
+			await.True(t, "everything is persisted", func() bool { return !o.MayHaveUnpersisted() })
 			if got := len(workers.starts); got != 2 {
-				t.Errorf("starts at the worker that is left: got: %d, want: 2", got)
+				t.Errorf("starts at the remaining worker: got: %d, want: 2", got)
 			}
 		})
 	}
