--- a/internal/owner/cancel_test.go
+++ b/internal/owner/cancel_test.go
@@ -38,60 +38,60 @@
 	return l.Log.ReadNewest(ctx, topic)
 }
 
-// replaced returns an owner that does not know that it was replaced, the store that it is cut off
-// from, and the current owner, which has accepted the job a.
-func replaced(t *testing.T) (first *owner.Owner, partitioned *partitionedLog, second *owner.Owner) {
+// startReplacedOwner returns an owner that does not know that it was replaced, the store that it is
+// cut off from, and the current owner, which has accepted the job a.
+func startReplacedOwner(t *testing.T) (replacedOwner *owner.Owner, partitioned *partitionedLog, currentOwner *owner.Owner) {
 	t.Helper()
 	log := fakestore.NewLog()
 	partitioned = &partitionedLog{Log: log}
-	first = startOwner(t, partitioned, newFakeWorkers())
+	replacedOwner = startOwner(t, partitioned, newFakeWorkers())
 	partitioned.isPartitioned.Store(true)
 	workers := newFakeWorkers()
 	workers.gate = make(chan struct{})
 	t.Cleanup(func() { close(workers.gate) })
-	second = startOwner(t, log, workers)
-	if err := second.Submit(t.Context(), job("a")); err != nil {
+	currentOwner = startOwner(t, log, workers)
+	if err := currentOwner.Submit(t.Context(), newJob("a")); err != nil {
 		t.Fatal(err)
 	}
-	return first, partitioned, second
+	return replacedOwner, partitioned, currentOwner
 }
 
 // Issue 15: a replaced owner, cut off from the store, answered that there is no such job because it
 // did not know the job. The caller took that as an acknowledgement of its cancellation, and the job
 // continued to run.
 func TestReplacedOwnerAcknowledgesNoCancel(t *testing.T) {
-	first, partitioned, second := replaced(t)
+	replacedOwner, partitioned, currentOwner := startReplacedOwner(t)
 	// While it is cut off, it cannot know whether it is still the owner, and gives no answer.
 	ctx, cancel := context.WithTimeout(t.Context(), 2*tick)
 	defer cancel()
-	if _, err := first.Cancel(ctx, "a", work.Caller{}); err == nil {
+	if _, err := replacedOwner.Cancel(ctx, "a", work.Caller{}); err == nil {
 		t.Error("cancellation at the replaced owner, cut off: got: acknowledged, want: an error")
 	}
 	answered := make(chan error, 1)
 	go func() {
-		_, err := first.Cancel(t.Context(), "a", work.Caller{})
+		_, err := replacedOwner.Cancel(t.Context(), "a", work.Caller{})
 		answered <- err
 	}()
 	partitioned.isPartitioned.Store(false)
 	if err := <-answered; err == nil {
 		t.Error("cancellation at the replaced owner: got: acknowledged, want: an error")
 	}
-	if state, ok, err := second.State(t.Context(), "a", work.Caller{}); state.IsFinal() || !ok || err != nil {
+	if state, ok, err := currentOwner.State(t.Context(), "a", work.Caller{}); state.IsFinal() || !ok || err != nil {
 		t.Errorf("the job at the current owner: got: %v, %v, %v, want: it runs", state, ok, err)
 	}
 }
 
 // As with cancellations, only the current owner may answer that there is no such job.
 func TestReplacedOwnerDeniesNoJob(t *testing.T) {
-	first, partitioned, _ := replaced(t)
+	replacedOwner, partitioned, _ := startReplacedOwner(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 2*tick)
 	defer cancel()
-	if _, _, err := first.State(ctx, "a", work.Caller{}); err == nil {
+	if _, _, err := replacedOwner.State(ctx, "a", work.Caller{}); err == nil {
 		t.Error("state at the replaced owner, cut off: got: no such job, want: an error")
 	}
 	answered := make(chan error, 1)
 	go func() {
-		_, _, err := first.State(t.Context(), "a", work.Caller{})
+		_, _, err := replacedOwner.State(t.Context(), "a", work.Caller{})
 		answered <- err
 	}()
 	partitioned.isPartitioned.Store(false)
@@ -115,7 +115,7 @@
 	workers := newFakeWorkers()
 	next := startOwner(t, log, workers)
 	for _, id := range []string{"a", "b"} {
-		if err := next.Submit(t.Context(), job(id)); err != nil {
+		if err := next.Submit(t.Context(), newJob(id)); err != nil {
 			t.Fatalf("submission of %s: got: %v, want: accepted", id, err)
 		}
 	}
@@ -131,12 +131,12 @@
 // refusingLog blocks the first append of jobs until refuse is closed, and then refuses it.
 type refusingLog struct {
 	store.Log
-	refuse chan struct{}
-	once   atomic.Bool
+	refuse     chan struct{}
+	hasRefused atomic.Bool
 }
 
 func (l *refusingLog) Append(ctx context.Context, a *store.Append) (uint64, error) {
-	if a.Topic == owner.TopicJobs && len(a.Records) > 0 && l.once.CompareAndSwap(false, true) {
+	if a.Topic == owner.TopicJobs && len(a.Records) > 0 && l.hasRefused.CompareAndSwap(false, true) {
 		<-l.refuse
 		return 0, &store.Error{Failure: store.NotApplied}
 	}
@@ -149,7 +149,7 @@
 	log, workers := &refusingLog{Log: fakestore.NewLog(), refuse: make(chan struct{})}, newFakeWorkers()
 	o := startOwner(t, log, workers)
 	submitted, cancelled := make(chan error, 1), make(chan error, 1)
-	go func() { submitted <- o.Submit(t.Context(), job("a")) }()
+	go func() { submitted <- o.Submit(t.Context(), newJob("a")) }()
 	awaitState(t, o, "a", work.JobQueued)
 	go func() {
 		_, err := o.Cancel(t.Context(), "a", work.Caller{})
@@ -165,7 +165,7 @@
 		t.Fatalf("the cancellation: got: %v, want: acknowledged", err)
 	}
 	for _, id := range []string{"a", "b"} {
-		await.True(t, id+" is accepted", func() bool { return o.Submit(t.Context(), job(id)) == nil })
+		await.True(t, id+" is accepted", func() bool { return o.Submit(t.Context(), newJob(id)) == nil })
 	}
 	awaitState(t, o, "b", work.JobSucceeded)
 	if state, ok, err := o.State(t.Context(), "a", work.Caller{}); state != work.JobCancelled || !ok || err != nil {
--- a/internal/owner/delegates.go
+++ b/internal/owner/delegates.go
@@ -64,8 +64,8 @@
 func (o *Owner) sendDeferredPolls() {
 	deferredPolls := o.deferredPolls
 	o.deferredPolls = nil
-	for _, h := range deferredPolls {
-		o.execute(h)
+	for _, poll := range deferredPolls {
+		o.execute(poll)
 	}
 }
 
--- a/internal/owner/delegates_test.go
+++ b/internal/owner/delegates_test.go
@@ -57,13 +57,13 @@
 	return true
 }
 
-func (f *fakeDelegates) set(isSilent, isUnlinked bool) {
+func (f *fakeDelegates) setFault(isSilent, isUnlinked bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isSilent, f.isUnlinked = isSilent, isUnlinked
 }
 
-func (f *fakeDelegates) count() int {
+func (f *fakeDelegates) delegatedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.delegated
@@ -96,12 +96,12 @@
 	o, f := startDelegatingOwner(t, newFakeWorkers())
 	for i := range 20 {
 		id := fmt.Sprintf("j%d", i)
-		if err := o.Submit(t.Context(), job(id)); err != nil {
+		if err := o.Submit(t.Context(), newJob(id)); err != nil {
 			t.Fatal(err)
 		}
 		awaitState(t, o, id, work.JobSucceeded)
 	}
-	if f.count() == 0 {
+	if f.delegatedCount() == 0 {
 		t.Error("orders handed to the delegate: got: 0, want: some")
 	}
 }
@@ -110,17 +110,17 @@
 // order that the delegate lost could otherwise block its job, or its repetition could run the task
 // twice.
 func TestJobsRunOnceWhenDelegateFails(t *testing.T) {
-	for name, fail := range map[string]func(f *fakeDelegates, on bool){
-		"silent":     func(f *fakeDelegates, on bool) { f.set(on, false) },
-		"not linked": func(f *fakeDelegates, on bool) { f.set(false, on) },
+	for name, fail := range map[string]func(f *fakeDelegates, isFailing bool){
+		"silent":     func(f *fakeDelegates, isFailing bool) { f.setFault(isFailing, false) },
+		"not linked": func(f *fakeDelegates, isFailing bool) { f.setFault(false, isFailing) },
 	} {
 		workers := newFakeWorkers()
 		o, f := startDelegatingOwner(t, workers)
-		await.True(t, "orders are handed to the delegate", func() bool { return f.count() > 0 })
+		await.True(t, "orders are handed to the delegate", func() bool { return f.delegatedCount() > 0 })
 		for i := range 6 {
 			fail(f, i%2 == 0)
 			id := fmt.Sprintf("j%d", i)
-			if err := o.Submit(t.Context(), job(id)); err != nil {
+			if err := o.Submit(t.Context(), newJob(id)); err != nil {
 				t.Fatal(err)
 			}
 			awaitState(t, o, id, work.JobSucceeded)
--- a/internal/owner/fake_clock_test.go
+++ b/internal/owner/fake_clock_test.go
@@ -51,7 +51,7 @@
 
 func (o *fakeClockOwner) submitAsync(ctx context.Context, id string) <-chan result {
 	ch := make(chan result, 1)
-	go func() { ch <- result{true, o.Submit(ctx, job(id))} }()
+	go func() { ch <- result{true, o.Submit(ctx, newJob(id))} }()
 	return ch
 }
 
@@ -90,7 +90,7 @@
 	var err error
 	await.True(t, "the store serves again", func() bool {
 		o.clock.Advance(tick)
-		err = o.Submit(t.Context(), job(id))
+		err = o.Submit(t.Context(), newJob(id))
 		return verdictOf(err) != leverdyke.VerdictNotRun
 	})
 	state, _, _ := o.State(t.Context(), work.JobID(id), work.Caller{})
@@ -146,7 +146,7 @@
 func TestRefusedBatchIsNotResentAtOnce(t *testing.T) {
 	log := fakestore.NewLog()
 	o := startFakeClockOwner(t, log)
-	if err := o.Submit(t.Context(), job("a")); err != nil {
+	if err := o.Submit(t.Context(), newJob("a")); err != nil {
 		t.Fatal(err)
 	}
 	appends := atomic.Int64{}
--- a/internal/owner/fakes_test.go
+++ b/internal/owner/fakes_test.go
@@ -21,19 +21,19 @@
 	gate   chan struct{}
 	starts []order.Start
 	// running are the tasks that wait for the gate.
-	running map[work.TaskID]uint64
-	ends    []order.End
-	began   time.Time
-	ended   chan struct{}
+	running   map[work.TaskID]uint64
+	ends      []order.End
+	startedAt time.Time
+	ended     chan struct{}
 	// isClosed means that the owner has closed its connections.
 	isClosed atomic.Bool
 }
 
 func newFakeWorkers() *fakeWorkers {
-	return &fakeWorkers{began: time.Now(), running: map[work.TaskID]uint64{}, ended: make(chan struct{}, 1)}
+	return &fakeWorkers{startedAt: time.Now(), running: map[work.TaskID]uint64{}, ended: make(chan struct{}, 1)}
 }
 
-func (w *fakeWorkers) at() order.WorkerTime { return order.WorkerTime(time.Since(w.began)) }
+func (w *fakeWorkers) at() order.WorkerTime { return order.WorkerTime(time.Since(w.startedAt)) }
 
 func (w *fakeWorkers) Start(_ context.Context, _ uint64, s *order.Start) (order.StartOutcome, order.WorkerTime) {
 	w.mu.Lock()
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -48,7 +48,7 @@
 	owner     *owner.Owner
 	done      atomic.Int64
 	durations map[work.JobID]time.Duration
-	began     time.Time
+	startedAt time.Time
 }
 
 type simulatedWorker struct {
@@ -60,7 +60,7 @@
 }
 
 func newSimulatedWorkers(n int) *simulatedWorkers {
-	return &simulatedWorkers{n: n, byID: map[order.WorkerID]*simulatedWorker{}, durations: map[work.JobID]time.Duration{}, began: time.Now()}
+	return &simulatedWorkers{n: n, byID: map[order.WorkerID]*simulatedWorker{}, durations: map[work.JobID]time.Duration{}, startedAt: time.Now()}
 }
 
 func (l *simulatedWorkers) Workers(context.Context) ([]order.Worker, error) {
@@ -129,7 +129,7 @@
 	l.owner.HandleOutcomes(out)
 }
 
-func (l *simulatedWorkers) at() order.WorkerTime { return order.WorkerTime(time.Since(l.began)) }
+func (l *simulatedWorkers) at() order.WorkerTime { return order.WorkerTime(time.Since(l.startedAt)) }
 
 func (l *simulatedWorkers) worker(id order.WorkerID) *simulatedWorker {
 	w := l.byID[id]
@@ -258,11 +258,11 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	b.ResetTimer()
-	began, cpu, doneBefore := time.Now(), cpuTime(), workers.done.Load()
+	startedAt, cpu, doneBefore := time.Now(), cpuTime(), workers.done.Load()
 	for workers.done.Load()-doneBefore < int64(b.N) {
 		time.Sleep(10 * time.Millisecond)
 	}
-	took, used, tasks := time.Since(began), cpuTime()-cpu, workers.done.Load()-doneBefore
+	took, used, tasks := time.Since(startedAt), cpuTime()-cpu, workers.done.Load()-doneBefore
 	b.StopTimer()
 	b.ReportMetric(float64(used.Microseconds())/float64(tasks), "cpu-us/task")
 	b.ReportMetric(float64(tasks)/took.Seconds(), "tasks/s")
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -66,7 +66,7 @@
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	workers.gate = make(chan struct{})
 	defer close(workers.gate)
-	if err := startOwner(t, log, workers).Submit(t.Context(), job(id)); err != nil {
+	if err := startOwner(t, log, workers).Submit(t.Context(), newJob(id)); err != nil {
 		t.Fatal(err)
 	}
 	newest, err := log.ReadNewest(t.Context(), owner.TopicJobs)
@@ -98,7 +98,7 @@
 	isListed := make(chan struct{})
 	log := newTakeoverLog(fakestore.NewLog(), func() { <-isListed })
 	o := startOwnerWithList(t, log, newFakeWorkers(), gatedList{onRead: sync.OnceFunc(func() { close(isListed) })})
-	if err := o.Submit(t.Context(), job("a")); err != nil {
+	if err := o.Submit(t.Context(), newJob("a")); err != nil {
 		t.Fatal(err)
 	}
 	awaitState(t, o, "a", work.JobSucceeded)
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -18,8 +18,8 @@
 	if _, ok := a.(order.Start); ok {
 		o.pendingStarts++
 	}
-	if h, ok := a.(order.Hold); ok && o.awaitsDelegates() {
-		o.deferredPolls = append(o.deferredPolls, h)
+	if poll, ok := a.(order.Hold); ok && o.awaitsDelegates() {
+		o.deferredPolls = append(o.deferredPolls, poll)
 		return
 	}
 	if o.delegateAction(a) {
@@ -52,9 +52,9 @@
 func (o *Owner) runStart(s order.Start) {
 	ctx, cancel := o.withTimeout(carrier.StartTimeout)
 	defer cancel()
-	began := o.options.Clock.Now()
+	startedAt := o.options.Clock.Now()
 	outcome, at := o.options.Workers.Start(ctx, o.Epoch(), &s)
-	o.reportStart(&s, outcome, o.options.Clock.Now().Sub(began))
+	o.reportStart(&s, outcome, o.options.Clock.Now().Sub(startedAt))
 	o.enqueue(startEvent{s, outcome, at})
 }
 
@@ -69,9 +69,9 @@
 func (o *Owner) runStop(s order.Stop) {
 	ctx, cancel := o.withTimeout(carrier.StopTimeout)
 	defer cancel()
-	began := o.options.Clock.Now()
+	startedAt := o.options.Clock.Now()
 	at, ok := o.options.Workers.Stop(ctx, o.Epoch(), &s)
-	o.options.Metrics.OrderAnswered("stop", stopOutcome(ok), o.options.Clock.Now().Sub(began))
+	o.options.Metrics.OrderAnswered("stop", stopOutcome(ok), o.options.Clock.Now().Sub(startedAt))
 	o.enqueue(stopEvent{s, at, ok})
 }
 
@@ -82,11 +82,11 @@
 	return "unknown"
 }
 
-func (o *Owner) runPoll(h order.Hold) {
-	ctx, cancel := o.withTimeout(h.Wait + h.Patience)
+func (o *Owner) runPoll(poll order.Hold) {
+	ctx, cancel := o.withTimeout(poll.Wait + poll.Patience)
 	defer cancel()
-	listing, outcome := o.options.Workers.Hold(ctx, o.Epoch(), &h)
-	o.enqueue(pollEvent{h, listing, outcome})
+	listing, outcome := o.options.Workers.Hold(ctx, o.Epoch(), &poll)
+	o.enqueue(pollEvent{poll, listing, outcome})
 }
 
 func (o *Owner) runPace(p order.Pace) {
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -309,9 +309,9 @@
 		}
 		return
 	}
-	began := o.options.Clock.Now()
+	startedAt := o.options.Clock.Now()
 	o.engine.Decide()
-	o.throttle.afterPass(o.options.Clock.Now().Sub(began), o.now)
+	o.throttle.afterPass(o.options.Clock.Now().Sub(startedAt), o.now)
 }
 
 // MayActAsOwner reports whether this node may act as the owner, as the last cycle of the loop
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -81,7 +81,7 @@
 	return o
 }
 
-func job(id string) *work.Spec {
+func newJob(id string) *work.Spec {
 	return &work.Spec{ID: work.JobID(id), Queue: "q", Steps: []work.Step{{Count: 2, MayMiss: -1}}}
 }
 
@@ -103,11 +103,11 @@
 func TestAcceptedJobIsPersistedAndRun(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := startOwner(t, log, workers)
-	if err := o.Submit(t.Context(), job("a")); err != nil {
+	if err := o.Submit(t.Context(), newJob("a")); err != nil {
 		t.Fatal(err)
 	}
 	awaitState(t, o, "a", work.JobSucceeded)
-	if err := o.Submit(t.Context(), job("a")); err != nil {
+	if err := o.Submit(t.Context(), newJob("a")); err != nil {
 		t.Errorf("the same job again: got: %v, want: accepted", err)
 	}
 	if _, ok, err := o.State(t.Context(), "b", work.Caller{}); ok || err != nil {
@@ -124,12 +124,12 @@
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := startOwner(t, log, workers)
 	log.SetAppendFault(func(*store.Append) (error, bool) { return &store.Error{Failure: store.NotApplied}, false })
-	if got := verdictOf(o.Submit(t.Context(), job("a"))); got != leverdyke.VerdictNotRun {
+	if got := verdictOf(o.Submit(t.Context(), newJob("a"))); got != leverdyke.VerdictNotRun {
 		t.Errorf("got: %v, want: %v", got, leverdyke.VerdictNotRun)
 	}
 	log.SetAppendFault(nil)
-	if err := o.Submit(t.Context(), job("b")); err != nil {
-		await.True(t, "the store serves again", func() bool { return o.Submit(t.Context(), job("b")) == nil })
+	if err := o.Submit(t.Context(), newJob("b")); err != nil {
+		await.True(t, "the store serves again", func() bool { return o.Submit(t.Context(), newJob("b")) == nil })
 	}
 	awaitState(t, o, "b", work.JobSucceeded)
 	if _, ok, _ := o.State(t.Context(), "a", work.Caller{}); ok {
@@ -142,7 +142,7 @@
 func TestOnlyStateOfEndedJobIsStored(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := startOwner(t, log, workers)
-	if err := o.Submit(t.Context(), job("a")); err != nil {
+	if err := o.Submit(t.Context(), newJob("a")); err != nil {
 		t.Fatal(err)
 	}
 	awaitState(t, o, "a", work.JobSucceeded)
@@ -153,7 +153,7 @@
 	o.Stop()
 	next := startOwner(t, log, newFakeWorkers())
 	awaitState(t, next, "a", work.JobSucceeded)
-	if err := next.Submit(t.Context(), job("a")); err != nil {
+	if err := next.Submit(t.Context(), newJob("a")); err != nil {
 		t.Errorf("the same job again: got: %v, want: accepted", err)
 	}
 	if ok, err := next.Cancel(t.Context(), "a", work.Caller{}); !ok || err != nil {
@@ -176,7 +176,7 @@
 		}
 		return nil, false
 	})
-	if err := o.Submit(t.Context(), job("a")); err != nil {
+	if err := o.Submit(t.Context(), newJob("a")); err != nil {
 		t.Fatal(err)
 	}
 	awaitState(t, o, "a", work.JobSucceeded)
@@ -191,13 +191,13 @@
 func TestNewOwnerEndsPreviousOwner(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	first := startOwner(t, log, workers)
-	if err := first.Submit(t.Context(), job("a")); err != nil {
+	if err := first.Submit(t.Context(), newJob("a")); err != nil {
 		t.Fatal(err)
 	}
 	awaitState(t, first, "a", work.JobSucceeded)
 	second := startOwner(t, log, newFakeWorkers())
 	<-first.Done()
-	if got := verdictOf(first.Submit(t.Context(), job("b"))); got != leverdyke.VerdictMayHaveRun && got != leverdyke.VerdictNotRun {
+	if got := verdictOf(first.Submit(t.Context(), newJob("b"))); got != leverdyke.VerdictMayHaveRun && got != leverdyke.VerdictNotRun {
 		t.Errorf("a job at the previous owner: got: %v, want: a refusal", got)
 	}
 	awaitState(t, second, "a", work.JobSucceeded)
@@ -209,7 +209,7 @@
 func TestHandOverEndsTheOwner(t *testing.T) {
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := startOwner(t, log, workers)
-	if err := o.Submit(t.Context(), job("a")); err != nil {
+	if err := o.Submit(t.Context(), newJob("a")); err != nil {
 		t.Fatal(err)
 	}
 	if !o.HandOver(t.Context()) {
@@ -224,7 +224,7 @@
 	log, workers := fakestore.NewLog(), newFakeWorkers()
 	o := startOwner(t, log, workers)
 	log.SetDown(true)
-	if err := o.Submit(t.Context(), job("a")); err == nil {
+	if err := o.Submit(t.Context(), newJob("a")); err == nil {
 		t.Fatal("got: accepted, want: refused")
 	}
 	if o.HandOver(t.Context()) {
@@ -268,13 +268,13 @@
 	log := fakestore.NewLog()
 	workers := newFakeWorkers()
 	first := startOwner(t, log, workers)
-	if err := first.Submit(t.Context(), job("j1")); err != nil {
+	if err := first.Submit(t.Context(), newJob("j1")); err != nil {
 		t.Fatal(err)
 	}
 	awaitState(t, first, "j1", work.JobSucceeded)
 	second := startOwner(t, slowLink{log}, workers)
 	awaitState(t, second, "j1", work.JobSucceeded)
-	if err := second.Submit(t.Context(), job("j2")); err != nil {
+	if err := second.Submit(t.Context(), newJob("j2")); err != nil {
 		t.Errorf("an append over the slow link: got: %v, want: persisted", err)
 	}
 }
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -27,7 +27,7 @@
 // load fences the previous owner in the store, then reads the jobs. It returns the sequence number
 // of the next append.
 func (o *Owner) load() (uint64, error) {
-	began := o.now
+	startedAt := o.now
 	newest, err := o.fenceAndRead()
 	if err != nil {
 		return 0, err
@@ -48,7 +48,7 @@
 		}
 		o.engine.Inherit(o.now.Add(leaseLeft), o.options.Claim.HasAllPlacements, previous.ListedWorkers)
 	}
-	o.options.Log(events.JobsLoaded, "epoch", o.Epoch(), "jobs", len(jobs), "records", len(newest.Records), "end", newest.End, "took", o.now.Sub(began))
+	o.options.Log(events.JobsLoaded, "epoch", o.Epoch(), "jobs", len(jobs), "records", len(newest.Records), "end", newest.End, "took", o.now.Sub(startedAt))
 	return 1, nil
 }
 
@@ -222,9 +222,9 @@
 	o := a.owner
 	ctx, cancel := o.withStoreTimeout()
 	defer cancel()
-	began := o.options.Clock.Now()
+	startedAt := o.options.Clock.Now()
 	_, err := o.options.Store.Append(ctx, &store.Append{Topic: TopicJobs, Records: a.records, Writer: o.writer(a.sequence)})
-	o.options.Metrics.Appended(appendOutcome(err), o.options.Clock.Now().Sub(began))
+	o.options.Metrics.Appended(appendOutcome(err), o.options.Clock.Now().Sub(startedAt))
 	return err
 }
 
--- a/internal/owner/record_test.go
+++ b/internal/owner/record_test.go
@@ -14,7 +14,7 @@
 // A job that was removed and submitted again in one batch was accepted, and then removed by a later
 // record of the same batch.
 func TestResubmittedJobSurvivesRemovalInSameBatch(t *testing.T) {
-	parts, err := owner.EncodeBatch(&dispatch.Batch{Forgotten: []work.JobID{"a"}, Specs: []*work.Spec{job("a")}})
+	parts, err := owner.EncodeBatch(&dispatch.Batch{Forgotten: []work.JobID{"a"}, Specs: []*work.Spec{newJob("a")}})
 	if err != nil {
 		t.Fatal(err)
 	}
