--- a/internal/dispatch/customer.go
+++ b/internal/dispatch/customer.go
@@ -46,15 +46,15 @@
 	for _, w := range e.workers.All() {
 		room = room.Add(w.Capacity)
 	}
-	uses := make([]fairshare.Use, 0, len(e.customers))
+	uses := make([]fairshare.Usage, 0, len(e.customers))
 	for i := range e.customers {
 		c := &e.customers[i]
 		used := e.quota.Usage(c.Name).Used
 		if c.Weight > 0 && (isWaiting[c.Name] || used != (leverdyke.Resources{})) {
-			uses = append(uses, fairshare.Use{Name: c.Name, Weight: c.Weight, Part: share(used, room)})
+			uses = append(uses, fairshare.Usage{Name: c.Name, Weight: c.Weight, Fraction: share(used, room)})
 		}
 	}
-	for _, name := range fairshare.Over(uses) {
+	for _, name := range fairshare.OverShare(uses) {
 		e.overShare[name] = true
 	}
 }
--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -14,28 +14,28 @@
 
 // overRatio is how many times its share a customer may have in use until it counts as over it:
 // what it has in use comes and goes with single jobs.
-const overRatio = 1.5
+const overShareRatio = 1.5
 
-// Use is what a customer that has work running or waiting has in use.
-type Use struct {
+// Usage is what a customer that has work running or waiting has in use.
+type Usage struct {
 	Name work.CustomerName
 	// Weight makes its share, beside the weights of the others; over 0.
 	Weight float64
-	// Part is what part of all room it has in use, by the dimension of which that is most.
-	Part float64
+	// Fraction is what part of all room it has in use, by the dimension of which that is most.
+	Fraction float64
 }
 
-// Over returns the customers that have more in use than their shares. One whose share is below
+// OverShare returns the customers that have more in use than their shares. One whose share is below
 // the mean may have as much as the mean, or a single wide job would hold back all its others.
-func Over(uses []Use) []work.CustomerName {
+func OverShare(usages []Usage) []work.CustomerName {
 	sum := 0.0
-	for i := range uses {
-		sum += uses[i].Weight
+	for i := range usages {
+		sum += usages[i].Weight
 	}
 	over := []work.CustomerName{}
-	for i := range uses {
-		u := &uses[i]
-		if u.Part > max(overRatio*u.Weight/sum, 1/float64(len(uses))) {
+	for i := range usages {
+		u := &usages[i]
+		if u.Fraction > max(overShareRatio*u.Weight/sum, 1/float64(len(usages))) {
 			over = append(over, u.Name)
 		}
 	}
