--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -215,7 +215,7 @@
 	}
 	out := map[string]float64{}
 	for _, u := range o.CustomerUse() {
-		out[string(u.Name)] = u.Part
+		out[string(u.Name)] = u.Fraction
 	}
 	return out
 }
--- a/internal/dispatch/customer.go
+++ b/internal/dispatch/customer.go
@@ -29,7 +29,7 @@
 func (e *Engine) CheckJob(spec *work.Spec) string { return e.quota.CheckJob(spec) }
 
 // FullestCustomers returns the n customers that use most of their limits.
-func (e *Engine) FullestCustomers(n int) []quota.CustomerUse { return e.quota.Fullest(n) }
+func (e *Engine) FullestCustomers(n int) []quota.CustomerUtilization { return e.quota.MostUtilized(n) }
 
 // noteShares finds out now and then which customers have more in use than their share.
 func (e *Engine) noteShares() {
@@ -72,11 +72,11 @@
 
 // noteDoubts tells the quota what may be running besides the attempts that are known.
 func (e *Engine) noteDoubts() {
-	e.quota.ClearDoubts()
+	e.quota.ClearUncertain()
 	for _, w := range e.workers.All() {
 		for task := range w.foreign {
 			if j := e.jobs[task.Job]; j != nil {
-				e.quota.DoubtUnknown(j.spec.Customer)
+				e.quota.MarkUnknownUsage(j.spec.Customer)
 			}
 		}
 	}
@@ -85,7 +85,7 @@
 	}
 	for _, j := range e.live {
 		if e.isBlocked(j) {
-			e.quota.Doubt(j.spec.Customer, j.unplaced())
+			e.quota.AddUncertain(j.spec.Customer, j.unplaced())
 		}
 	}
 }
@@ -112,7 +112,7 @@
 // quotaRoom returns how many tasks of the step may start under the limit of its customer: all
 // of a gang or none.
 func (e *Engine) quotaRoom(s *step) int {
-	n := e.quota.Room(s.customer(), s.spec.Need, len(s.tasks))
+	n := e.quota.Admissible(s.customer(), s.spec.Need, len(s.tasks))
 	if s.spec.IsGang && n < len(s.tasks) {
 		return 0
 	}
@@ -133,7 +133,7 @@
 		}
 		s.waitsFor = waits.Limit
 		if !held[name] {
-			held[name] = e.quota.MayFitLater(name, s.least())
+			held[name] = e.quota.FitsEventually(name, s.least())
 			e.logHeld(s)
 		}
 	}
@@ -148,5 +148,5 @@
 	}
 	e.heldLogAt = e.now.Add(heldLogPause)
 	u := e.quota.Usage(s.customer())
-	e.options.Log(events.StepHeldByLimit, "step", s.id, "customer", s.customer(), "used", u.Used, "limit", u.Limit, "needs", s.least(), "waited", e.now.Sub(s.openAt), "unsure", u.IsUnsure)
+	e.options.Log(events.StepHeldByLimit, "step", s.id, "customer", s.customer(), "used", u.Used, "limit", u.Limit, "needs", s.least(), "waited", e.now.Sub(s.openAt), "unsure", u.IsUncertain)
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -450,7 +450,7 @@
 	q := e.queues[a.step.job.spec.Queue]
 	text, hasTicket := a.step.permit.Holds(a.worker.ID, e.now)
 	isHeldBack := e.isPaused && !e.isGangUnderWay(a)
-	isOverLimit := e.quota.IsOver(a.step.customer()) && !e.isGangUnderWay(a)
+	isOverLimit := e.quota.IsOverLimit(a.step.customer()) && !e.isGangUnderWay(a)
 	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Advice != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
 		e.dropPlanned(a, "a member was not ordered")
 		return
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -103,7 +103,7 @@
 		for _, i := range s.spec.After {
 			s.chainEnd, s.leftEnd = max(s.chainEnd, r.steps[i].chainEnd), max(s.leftEnd, r.steps[i].leftEnd)
 		}
-		takes := time.Duration(e.quota.Waves(s.customer(), s.spec.Need, len(s.tasks))) * e.expected(s)
+		takes := time.Duration(e.quota.Batches(s.customer(), s.spec.Need, len(s.tasks))) * e.expected(s)
 		if q.Advice != nil {
 			takes += q.Advice.Base + askedWorkers*q.Advice.Each
 		}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -44,7 +44,7 @@
 	// listed is how many workers the list had last.
 	listed atomic.Int64
 	// customers is what CustomerUse returns; nil before the first look.
-	customers atomic.Pointer[[]quota.CustomerUse]
+	customers atomic.Pointer[[]quota.CustomerUtilization]
 	// lagShare is the bits of what Lag returns.
 	lagShare atomic.Uint64
 
@@ -240,7 +240,7 @@
 }
 
 // CustomerUse returns the customers that use most of their limits, some time ago.
-func (o *Owner) CustomerUse() []quota.CustomerUse {
+func (o *Owner) CustomerUse() []quota.CustomerUtilization {
 	if use := o.customers.Load(); use != nil {
 		return *use
 	}
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -47,9 +47,9 @@
 					l.Charge(a.customer, a.need, false)
 					l.Release(a.customer, a.need, false)
 				}
-				l.ClearDoubts()
+				l.ClearUncertain()
 				for c := range policy {
-					l.Room(policy[c].Name, each, 20)
+					l.Admissible(policy[c].Name, each, 20)
 				}
 			}
 		})
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -22,7 +22,7 @@
 type Ledger struct {
 	accounts map[work.CustomerName]*account
 	// unsure are the accounts in which something is in doubt.
-	unsure []*account
+	uncertain []*account
 }
 
 // account is what is known of one customer.
@@ -30,10 +30,10 @@
 	// limit is 0 in the dimensions that have none.
 	limit leverdyke.Resources
 	// used is the sum of what is charged, lasting the part of it that ends only with its job.
-	used, lasting leverdyke.Resources
+	used, longRunning leverdyke.Resources
 	// doubtful may be running besides. isUnknown means that tasks of an unknown size may.
-	doubtful  leverdyke.Resources
-	isUnknown bool
+	uncertain       leverdyke.Resources
+	hasUnknownUsage bool
 }
 
 // SetLimits puts the limits of a configuration in force. A customer that is no longer in it
@@ -58,62 +58,62 @@
 
 // Charge notes that something may run from now on. isLasting means that it ends only with its
 // job.
-func (l *Ledger) Charge(name work.CustomerName, r leverdyke.Resources, isLasting bool) {
-	l.add(name, r, isLasting)
+func (l *Ledger) Charge(name work.CustomerName, r leverdyke.Resources, isLongRunning bool) {
+	l.add(name, r, isLongRunning)
 }
 
 // Release notes that nothing is left of what was charged.
-func (l *Ledger) Release(name work.CustomerName, r leverdyke.Resources, isLasting bool) {
-	l.add(name, r.Times(-1), isLasting)
+func (l *Ledger) Release(name work.CustomerName, r leverdyke.Resources, isLongRunning bool) {
+	l.add(name, r.Times(-1), isLongRunning)
 }
 
-func (l *Ledger) add(name work.CustomerName, r leverdyke.Resources, isLasting bool) {
+func (l *Ledger) add(name work.CustomerName, r leverdyke.Resources, isLongRunning bool) {
 	if name == "" {
 		return
 	}
 	a := l.account(name)
 	a.used = a.used.Add(r)
-	if isLasting {
-		a.lasting = a.lasting.Add(r)
+	if isLongRunning {
+		a.longRunning = a.longRunning.Add(r)
 	}
 }
 
-// Doubt notes that tasks of that size in all may be running besides what is charged, until
+// AddUncertain notes that tasks of that size in all may be running besides what is charged, until
 // ClearDoubts.
-func (l *Ledger) Doubt(name work.CustomerName, r leverdyke.Resources) {
+func (l *Ledger) AddUncertain(name work.CustomerName, r leverdyke.Resources) {
 	if name == "" {
 		return
 	}
 	a := l.account(name)
-	a.doubtful = a.doubtful.Add(r)
-	l.unsure = append(l.unsure, a)
+	a.uncertain = a.uncertain.Add(r)
+	l.uncertain = append(l.uncertain, a)
 }
 
-// DoubtUnknown notes that tasks of an unknown size may be running, until ClearDoubts.
-func (l *Ledger) DoubtUnknown(name work.CustomerName) {
+// MarkUnknownUsage notes that tasks of an unknown size may be running, until ClearDoubts.
+func (l *Ledger) MarkUnknownUsage(name work.CustomerName) {
 	if name == "" {
 		return
 	}
 	a := l.account(name)
-	a.isUnknown = true
-	l.unsure = append(l.unsure, a)
+	a.hasUnknownUsage = true
+	l.uncertain = append(l.uncertain, a)
 }
 
-// ClearDoubts forgets what was in doubt.
-func (l *Ledger) ClearDoubts() {
-	for _, a := range l.unsure {
-		a.doubtful, a.isUnknown = leverdyke.Resources{}, false
+// ClearUncertain forgets what was in doubt.
+func (l *Ledger) ClearUncertain() {
+	for _, a := range l.uncertain {
+		a.uncertain, a.hasUnknownUsage = leverdyke.Resources{}, false
 	}
-	l.unsure = l.unsure[:0]
+	l.uncertain = l.uncertain[:0]
 }
 
-// Room returns how many of n tasks that take each as much may start.
-func (l *Ledger) Room(name work.CustomerName, each leverdyke.Resources, n int) int {
+// Admissible returns how many of n tasks that take each as much may start.
+func (l *Ledger) Admissible(name work.CustomerName, each leverdyke.Resources, n int) int {
 	a := l.accounts[name]
 	if a == nil || !a.isLimited() {
 		return n
 	}
-	if a.isUnknown {
+	if a.hasUnknownUsage {
 		return 0
 	}
 	for _, d := range a.dimensions(each) {
@@ -126,26 +126,26 @@
 	return n
 }
 
-// Waves returns in how many waves n tasks that take each as much run when nothing else of their
+// Batches returns in how many waves n tasks that take each as much run when nothing else of their
 // customer does; at least 1.
-func (l *Ledger) Waves(name work.CustomerName, each leverdyke.Resources, n int) int {
+func (l *Ledger) Batches(name work.CustomerName, each leverdyke.Resources, n int) int {
 	a := l.accounts[name]
 	if a == nil {
 		return 1
 	}
-	waves := 1
+	batches := 1
 	for _, d := range a.dimensions(each) {
 		if d.limit > 0 && d.need > 0 {
 			atOnce := max(d.limit/d.need, 1)
-			waves = max(waves, int((int64(n)+atOnce-1)/atOnce))
+			batches = max(batches, int((int64(n)+atOnce-1)/atOnce))
 		}
 	}
-	return waves
+	return batches
 }
 
-// IsOver reports whether a customer has more than it may, as where its limit has fallen or
+// IsOverLimit reports whether a customer has more than it may, as where its limit has fallen or
 // tasks were found that an earlier owner had started.
-func (l *Ledger) IsOver(name work.CustomerName) bool {
+func (l *Ledger) IsOverLimit(name work.CustomerName) bool {
 	a := l.accounts[name]
 	if a == nil {
 		return false
@@ -158,18 +158,18 @@
 	return false
 }
 
-// MayFitLater reports whether tasks that take so much in all can start once the others of
+// FitsEventually reports whether tasks that take so much in all can start once the others of
 // their customer have ended, but for those that last.
-func (l *Ledger) MayFitLater(name work.CustomerName, all leverdyke.Resources) bool {
+func (l *Ledger) FitsEventually(name work.CustomerName, total leverdyke.Resources) bool {
 	a := l.accounts[name]
-	return a == nil || lacks(all.Add(a.lasting), a.limit) == ""
+	return a == nil || exceeded(total.Add(a.longRunning), a.limit) == ""
 }
 
 // Usage is what is known of a customer, for the log and for metrics.
 type Usage struct {
 	Used, Limit leverdyke.Resources
-	// IsUnsure means that more may be running than Used.
-	IsUnsure bool
+	// IsUncertain means that more may be running than Used.
+	IsUncertain bool
 }
 
 // Usage returns what is known of a customer.
@@ -178,32 +178,34 @@
 	if a == nil {
 		return Usage{}
 	}
-	return Usage{a.used, a.limit, a.isUnknown || a.doubtful != leverdyke.Resources{}}
+	return Usage{a.used, a.limit, a.hasUnknownUsage || a.uncertain != leverdyke.Resources{}}
 }
 
-// CustomerUse is what part of its limit a customer has in use, by the dimension of which it uses
+// CustomerUtilization is what part of its limit a customer has in use, by the dimension of which it uses
 // most.
-type CustomerUse struct {
-	Name work.CustomerName
-	Part float64
+type CustomerUtilization struct {
+	Name     work.CustomerName
+	Fraction float64
 }
 
-// Fullest returns the n customers with a limit that use most of it, the fullest first.
-func (l *Ledger) Fullest(n int) []CustomerUse {
-	out := []CustomerUse{}
+// MostUtilized returns the n customers with a limit that use most of it, the fullest first.
+func (l *Ledger) MostUtilized(n int) []CustomerUtilization {
+	out := []CustomerUtilization{}
 	for name, a := range l.accounts {
 		if !a.isLimited() {
 			continue
 		}
-		use := CustomerUse{Name: name}
+		utilization := CustomerUtilization{Name: name}
 		for _, d := range a.dimensions(leverdyke.Resources{}) {
 			if d.limit > 0 {
-				use.Part = max(use.Part, float64(d.used)/float64(d.limit))
+				utilization.Fraction = max(utilization.Fraction, float64(d.used)/float64(d.limit))
 			}
 		}
-		out = append(out, use)
+		out = append(out, utilization)
 	}
-	slices.SortFunc(out, func(a, b CustomerUse) int { return cmp.Or(cmp.Compare(b.Part, a.Part), cmp.Compare(a.Name, b.Name)) })
+	slices.SortFunc(out, func(a, b CustomerUtilization) int {
+		return cmp.Or(cmp.Compare(b.Fraction, a.Fraction), cmp.Compare(a.Name, b.Name))
+	})
 	return out[:min(n, len(out))]
 }
 
@@ -220,7 +222,7 @@
 		if step.IsGang {
 			need, what = need.Times(int64(step.Count)), "its tasks, which only run together, take"
 		}
-		if d := lacks(need, a.limit); d != "" {
+		if d := exceeded(need, a.limit); d != "" {
 			return fmt.Sprintf("steps[%d]: %s more %s than customer %s may have running: %s of %s", i, what, d, s.Customer, need, a.limit)
 		}
 	}
@@ -235,7 +237,7 @@
 type dimension struct{ limit, used, need int64 }
 
 func (a *account) dimensions(need leverdyke.Resources) [3]dimension {
-	used := a.used.Add(a.doubtful)
+	used := a.used.Add(a.uncertain)
 	return [3]dimension{
 		{a.limit.MilliCPU, used.MilliCPU, need.MilliCPU},
 		{a.limit.MemoryMiB, used.MemoryMiB, need.MemoryMiB},
@@ -244,7 +246,7 @@
 }
 
 // lacks names the first dimension in which need is over a limit, or returns "".
-func lacks(need, limit leverdyke.Resources) string {
+func exceeded(need, limit leverdyke.Resources) string {
 	for _, d := range [...]struct {
 		need, limit int64
 		name        string
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -28,7 +28,7 @@
 	return l
 }
 
-func TestRoom(t *testing.T) {
+func TestAdmissible(t *testing.T) {
 	for name, tc := range map[string]struct {
 		customer work.CustomerName
 		prepare  func(l *quota.Ledger)
@@ -38,14 +38,14 @@
 		"some":                 {"a", func(l *quota.Ledger) { l.Charge("a", each.Times(3), false) }, 1},
 		"some have ended":      {"a", func(l *quota.Ledger) { l.Charge("a", each.Times(3), false); l.Release("a", each, false) }, 2},
 		"more than it may":     {"a", func(l *quota.Ledger) { l.Charge("a", each.Times(9), false) }, 0},
-		"some may run":         {"a", func(l *quota.Ledger) { l.Doubt("a", each); l.Doubt("a", each) }, 2},
-		"no doubt any more":    {"a", func(l *quota.Ledger) { l.Doubt("a", each); l.DoubtUnknown("a"); l.ClearDoubts() }, 4},
-		"of an unknown size":   {"a", func(l *quota.Ledger) { l.DoubtUnknown("a") }, 0},
-		"of another customer":  {"a", func(l *quota.Ledger) { l.DoubtUnknown("free"); l.Charge("memory", each, false) }, 4},
+		"some may run":         {"a", func(l *quota.Ledger) { l.AddUncertain("a", each); l.AddUncertain("a", each) }, 2},
+		"no doubt any more":    {"a", func(l *quota.Ledger) { l.AddUncertain("a", each); l.MarkUnknownUsage("a"); l.ClearUncertain() }, 4},
+		"of an unknown size":   {"a", func(l *quota.Ledger) { l.MarkUnknownUsage("a") }, 0},
+		"of another customer":  {"a", func(l *quota.Ledger) { l.MarkUnknownUsage("free"); l.Charge("memory", each, false) }, 4},
 		"another dimension":    {"memory", func(*quota.Ledger) {}, 2},
-		"no limit":             {"free", func(l *quota.Ledger) { l.Charge("free", each.Times(99), false); l.DoubtUnknown("free") }, 10},
+		"no limit":             {"free", func(l *quota.Ledger) { l.Charge("free", each.Times(99), false); l.MarkUnknownUsage("free") }, 10},
 		"unknown":              {"none", func(*quota.Ledger) {}, 10},
-		"nobody":               {"", func(l *quota.Ledger) { l.Charge("", each, false); l.DoubtUnknown(""); l.Doubt("", each) }, 10},
+		"nobody":               {"", func(l *quota.Ledger) { l.Charge("", each, false); l.MarkUnknownUsage(""); l.AddUncertain("", each) }, 10},
 		"lower":                {"a", func(l *quota.Ledger) { l.SetLimits([]order.Customer{{Name: "a", Limit: each}}) }, 1},
 		"no longer configured": {"a", func(l *quota.Ledger) { l.SetLimits(nil) }, 4},
 		"charged before its limit": {"late", func(l *quota.Ledger) {
@@ -55,66 +55,66 @@
 	} {
 		l := newLedger()
 		tc.prepare(l)
-		if got := l.Room(tc.customer, each, 10); got != tc.want {
+		if got := l.Admissible(tc.customer, each, 10); got != tc.want {
 			t.Errorf("%s: got: %d, want: %d", name, got, tc.want)
 		}
 	}
 }
 
-func TestIsOver(t *testing.T) {
+func TestIsOverLimit(t *testing.T) {
 	l := newLedger()
 	l.Charge("a", each.Times(4), false)
-	if l.IsOver("a") || l.IsOver("") || l.IsOver("none") {
+	if l.IsOverLimit("a") || l.IsOverLimit("") || l.IsOverLimit("none") {
 		t.Error("all of the limit in use: got: over, want: not")
 	}
 	l.SetLimits([]order.Customer{{Name: "a", Limit: each.Times(3)}})
-	if !l.IsOver("a") {
+	if !l.IsOverLimit("a") {
 		t.Error("the limit has fallen: got: not over, want: over")
 	}
 }
 
-func TestMayFitLater(t *testing.T) {
+func TestFitsEventually(t *testing.T) {
 	l := newLedger()
 	l.Charge("a", each.Times(2), false)
 	l.Charge("a", each, true)
-	if !l.MayFitLater("a", each.Times(3)) {
+	if !l.FitsEventually("a", each.Times(3)) {
 		t.Error("beside what lasts: got: never, want: later")
 	}
-	if l.MayFitLater("a", each.Times(4)) {
+	if l.FitsEventually("a", each.Times(4)) {
 		t.Error("more than what lasts leaves: got: later, want: never")
 	}
 	l.Release("a", each, true)
-	if !l.MayFitLater("a", each.Times(4)) || !l.MayFitLater("free", each.Times(400)) {
+	if !l.FitsEventually("a", each.Times(4)) || !l.FitsEventually("free", each.Times(400)) {
 		t.Error("once nothing lasts, or without a limit: got: never, want: later")
 	}
 }
 
-func TestWaves(t *testing.T) {
+func TestBatches(t *testing.T) {
 	l := newLedger()
 	l.Charge("a", each.Times(3), false)
 	for name, tc := range map[string]struct {
 		customer work.CustomerName
 		n, want  int
 	}{"all at once": {"a", 4, 1}, "one more": {"a", 5, 2}, "many": {"a", 13, 4}, "no limit": {"free", 99, 1}, "unknown": {"none", 99, 1}, "nothing": {"a", 0, 1}} {
-		if got := l.Waves(tc.customer, each, tc.n); got != tc.want {
+		if got := l.Batches(tc.customer, each, tc.n); got != tc.want {
 			t.Errorf("%s: got: %d, want: %d", name, got, tc.want)
 		}
 	}
-	if got := l.Waves("a", each.Times(5), 3); got != 3 {
+	if got := l.Batches("a", each.Times(5), 3); got != 3 {
 		t.Errorf("tasks that are larger than the limit: got: %d, want: 3", got)
 	}
 }
 
-func TestFullest(t *testing.T) {
+func TestMostUtilized(t *testing.T) {
 	l := newLedger()
 	l.Charge("a", each, false)
 	l.Charge("memory", each, false)
 	l.Charge("free", each.Times(99), false)
-	want := []quota.CustomerUse{{Name: "memory", Part: 0.4}, {Name: "a", Part: 0.25}}
-	if got := l.Fullest(5); !slices.Equal(got, want) {
+	want := []quota.CustomerUtilization{{Name: "memory", Fraction: 0.4}, {Name: "a", Fraction: 0.25}}
+	if got := l.MostUtilized(5); !slices.Equal(got, want) {
 		t.Errorf("got: %+v, want: %+v", got, want)
 	}
-	if got := l.Fullest(1); !slices.Equal(got, want[:1]) {
+	if got := l.MostUtilized(1); !slices.Equal(got, want[:1]) {
 		t.Errorf("bounded: got: %+v, want: %+v", got, want[:1])
 	}
 }
@@ -125,8 +125,8 @@
 	if got, want := l.Usage("a"), (quota.Usage{Used: each, Limit: limits[0].Limit}); got != want {
 		t.Errorf("got: %+v, want: %+v", got, want)
 	}
-	l.Doubt("a", each)
-	if !l.Usage("a").IsUnsure || l.Usage("none") != (quota.Usage{}) {
+	l.AddUncertain("a", each)
+	if !l.Usage("a").IsUncertain || l.Usage("none") != (quota.Usage{}) {
 		t.Error("in doubt: got: sure, want: unsure")
 	}
 }
