--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -60,7 +60,7 @@
 		return !s.isQueued
 	})
 	e.noteShares()
-	e.isLateTurn = urgency.HasTurn(time.Duration(e.now.UnixNano()))
+	e.isLateTurn = urgency.IsLateFirst(time.Duration(e.now.UnixNano()))
 	slices.SortStableFunc(e.queue, e.compareTurns)
 	if e.inherited == nil {
 		return e.queue
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -38,8 +38,8 @@
 	if a.priority != b.priority {
 		return cmp.Compare(a.priority, b.priority)
 	}
-	if e.isLateTurn && a.rank.IsYielding() != b.rank.IsYielding() {
-		return first(a.rank.IsYielding())
+	if e.isLateTurn && a.rank.IsLate() != b.rank.IsLate() {
+		return first(a.rank.IsLate())
 	}
 	if c := a.rank.Compare(b.rank); c != 0 {
 		return c
@@ -63,7 +63,7 @@
 	q := e.queues[s.job.spec.Queue]
 	whole, left := e.chain(s.round, &q)
 	w := urgency.Work{
-		Age: e.now.Sub(s.openedFor()), Left: left, IsPressing: s.spec.IsLasting || e.isStarved(s, q.Service), MustNotYield: s.spec.IsGang,
+		Age: e.now.Sub(s.openedFor()), Remaining: left, IsImmediate: s.spec.IsLasting || e.isStarved(s, q.Service), MustNotYield: s.spec.IsGang,
 	}
 	if q.Stretch > 0 && e.has(MechanismUrgency) {
 		w.Objective = q.Latency + time.Duration(q.Stretch*float64(whole))
--- a/internal/urgency/urgency.go
+++ b/internal/urgency/urgency.go
@@ -14,7 +14,7 @@
 )
 
 // lateFactor is how many times its objective a job may take until its caller has no use for it.
-const lateFactor = 3
+const overdueFactor = 3
 
 // Work is what is known of something that waits.
 type Work struct {
@@ -22,10 +22,10 @@
 	Age time.Duration
 	// Objective is how long after it came it should be done; 0 when there is none.
 	Objective time.Duration
-	// Left is how long it still takes once it begins.
-	Left time.Duration
-	// IsPressing means that it goes before all that may wait, whatever its time.
-	IsPressing bool
+	// Remaining is how long it still takes once it begins.
+	Remaining time.Duration
+	// IsImmediate means that it goes before all that may wait, whatever its time.
+	IsImmediate bool
 	// MustNotYield means that it does not make way when it is late.
 	MustNotYield bool
 }
@@ -35,9 +35,9 @@
 
 const (
 	// classPressing is work that may not wait.
-	classPressing class = iota
+	classImmediate class = iota
 	// classInTime is work that can be done within its objective, or has none.
-	classInTime
+	classOnTime
 	// classLate is work that is late, and of use all the same.
 	classLate
 	// classOverdue is all other work.
@@ -55,16 +55,16 @@
 // Rank returns the place of work.
 func (w *Work) Rank() Rank {
 	dueIn := w.Objective - w.Age
-	lateDueIn := lateFactor*w.Objective - w.Age
+	overdueIn := overdueFactor*w.Objective - w.Age
 	switch {
-	case w.IsPressing:
-		return Rank{class: classPressing, age: w.Age}
+	case w.IsImmediate:
+		return Rank{class: classImmediate, age: w.Age}
 	case w.Objective <= 0:
-		return Rank{class: classInTime, age: w.Age}
-	case dueIn >= w.Left || w.MustNotYield:
-		return Rank{classInTime, dueIn, w.Age}
-	case lateDueIn >= w.Left:
-		return Rank{classLate, lateDueIn, w.Age}
+		return Rank{class: classOnTime, age: w.Age}
+	case dueIn >= w.Remaining || w.MustNotYield:
+		return Rank{classOnTime, dueIn, w.Age}
+	case overdueIn >= w.Remaining:
+		return Rank{classLate, overdueIn, w.Age}
 	}
 	return Rank{class: classOverdue, age: w.Age}
 }
@@ -74,15 +74,15 @@
 	return cmp.Or(cmp.Compare(r.class, o.class), cmp.Compare(r.dueIn, o.dueIn), cmp.Compare(o.age, r.age))
 }
 
-// IsYielding reports whether the work makes way for other work.
-func (r Rank) IsYielding() bool { return r.class >= classLate }
+// IsLate reports whether the work makes way for other work.
+func (r Rank) IsLate() bool { return r.class >= classLate }
 
 const (
 	// turnPeriod is the time in which late work has a turn of its own, turnTime how much of it:
 	// else it would never end where too much comes for good.
-	turnPeriod = time.Second
-	turnTime   = 100 * time.Millisecond
+	latePeriod    = time.Second
+	lateFirstTime = 100 * time.Millisecond
 )
 
-// HasTurn reports whether late work goes first now, by the time since any fixed moment.
-func HasTurn(since time.Duration) bool { return since%turnPeriod < turnTime }
+// IsLateFirst reports whether late work goes first now, by the time since any fixed moment.
+func IsLateFirst(since time.Duration) bool { return since%latePeriod < lateFirstTime }
--- a/internal/urgency/urgency_test.go
+++ b/internal/urgency/urgency_test.go
@@ -14,16 +14,16 @@
 func TestOrder(t *testing.T) {
 	const s = time.Second
 	named := map[string]urgency.Work{
-		"pressing":        {Age: s, IsPressing: true},
-		"must not yield":  {Age: 50 * s, Objective: 5 * s, Left: s, MustNotYield: true},
-		"due soon":        {Age: 3 * s, Objective: 5 * s, Left: 2 * s},
-		"due later":       {Age: s, Objective: 5 * s, Left: 3 * s},
-		"older":           {Age: 4 * s, Objective: 20 * s, Left: s},
-		"younger":         {Age: 2 * s, Objective: 20 * s, Left: s},
-		"late":            {Age: 14 * s, Objective: 6 * s, Left: 2 * s},
-		"late, due later": {Age: 4 * s, Objective: 5 * s, Left: 2 * s},
-		"overdue":         {Age: 60 * s, Objective: 5 * s, Left: s},
-		"overdue, later":  {Age: 15 * s, Objective: 5 * s, Left: s},
+		"pressing":        {Age: s, IsImmediate: true},
+		"must not yield":  {Age: 50 * s, Objective: 5 * s, Remaining: s, MustNotYield: true},
+		"due soon":        {Age: 3 * s, Objective: 5 * s, Remaining: 2 * s},
+		"due later":       {Age: s, Objective: 5 * s, Remaining: 3 * s},
+		"older":           {Age: 4 * s, Objective: 20 * s, Remaining: s},
+		"younger":         {Age: 2 * s, Objective: 20 * s, Remaining: s},
+		"late":            {Age: 14 * s, Objective: 6 * s, Remaining: 2 * s},
+		"late, due later": {Age: 4 * s, Objective: 5 * s, Remaining: 2 * s},
+		"overdue":         {Age: 60 * s, Objective: 5 * s, Remaining: s},
+		"overdue, later":  {Age: 15 * s, Objective: 5 * s, Remaining: s},
 	}
 	want := []string{"pressing", "must not yield", "due soon", "due later", "older", "younger", "late", "late, due later", "overdue", "overdue, later"}
 	got := slices.Clone(want)
@@ -36,28 +36,28 @@
 		t.Errorf("got: %v, want: %v", got, want)
 	}
 	for name, w := range named {
-		if got, want := w.Rank().IsYielding(), name[:4] == "late" || name[:4] == "over"; got != want {
+		if got, want := w.Rank().IsLate(), name[:4] == "late" || name[:4] == "over"; got != want {
 			t.Errorf("%s makes way: got: %v, want: %v", name, got, want)
 		}
 	}
 }
 
 // Without objectives it is the order of arrival.
-func TestWorkWithoutAnObjectiveGoesByItsAge(t *testing.T) {
-	old, young := urgency.Work{Age: 2 * time.Second, Left: time.Hour}, urgency.Work{Age: time.Second}
+func TestWorkWithoutAnObjectiveIsOrderedByAge(t *testing.T) {
+	old, young := urgency.Work{Age: 2 * time.Second, Remaining: time.Hour}, urgency.Work{Age: time.Second}
 	if got := old.Rank().Compare(young.Rank()); got >= 0 {
 		t.Errorf("got: %d, want: the older one first", got)
 	}
 }
 
-func TestLateWorkHasATurn(t *testing.T) {
-	turns := 0
+func TestLateWorkDoesNotStarve(t *testing.T) {
+	first := 0
 	for i := range 1000 {
-		if urgency.HasTurn(time.Duration(i) * 10 * time.Millisecond) {
-			turns++
+		if urgency.IsLateFirst(time.Duration(i) * 10 * time.Millisecond) {
+			first++
 		}
 	}
-	if turns != 100 {
-		t.Errorf("in 10 s, each 10 ms: got: %d, want: 100", turns)
+	if first != 100 {
+		t.Errorf("in 10 s, each 10 ms: got: %d, want: 100", first)
 	}
 }
