--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -30,10 +30,10 @@
 		before := s.waiting + s.copiesWanted
 		e.placeStep(s)
 		after := s.waiting + s.copiesWanted
-		e.rotation.Looked(after < before)
+		e.rotation.Tried(after < before)
 		isWaiting = isWaiting || after > 0
 	}
-	if isWaiting || e.rotation.HasLeft() {
+	if isWaiting || e.rotation.HasSkipped() {
 		// What they wait for may come without an event: a pause ends, a lane that did
 		// not answer is asked again.
 		e.recheckAt = e.now.Add(recheckPause)
--- a/internal/rotation/rotation.go
+++ b/internal/rotation/rotation.go
@@ -13,7 +13,7 @@
 	// maxFruitless is how many steps of which nothing can be placed one look passes, the
 	// most urgent first, and then as many of the others in turn. Where more wait, more is
 	// asked of the workers than they can do, and most wait for the same room.
-	maxFruitless = 64
+	maxUnplaced = 64
 )
 
 // Rotation chooses the steps of one look: the most urgent ones until maxFruitless were looked at
@@ -21,48 +21,48 @@
 // placed do not count. The zero value begins with the first.
 type Rotation struct {
 	// fruitless counts the steps of this look of which nothing was placed.
-	fruitless int
+	unplaced int
 	// from is how many steps behind the most urgent ones the next look passes over.
-	from int
+	offset int
 	// left is how many steps of this look were not looked at.
-	left int
+	skipped int
 }
 
 // Next returns the indexes of n steps, in the order of their turn, at which this look is
 // taken. Looked is called after each.
 func (r *Rotation) Next(n int) iter.Seq2[int, int] {
 	return func(yield func(int, int) bool) {
-		r.fruitless, r.left = 0, 0
+		r.unplaced, r.skipped = 0, 0
 		i := 0
-		for ; i < n && r.fruitless < maxFruitless; i++ {
+		for ; i < n && r.unplaced < maxUnplaced; i++ {
 			if !yield(i, i) {
 				return
 			}
 		}
 		others := n - i
 		if others <= 0 {
-			r.from = 0
+			r.offset = 0
 			return
 		}
-		r.fruitless = 0
-		seen := 0
-		for ; seen < others && r.fruitless < maxFruitless; seen++ {
-			k := i + (r.from+seen)%others
+		r.unplaced = 0
+		tried := 0
+		for ; tried < others && r.unplaced < maxUnplaced; tried++ {
+			k := i + (r.offset+tried)%others
 			if !yield(k, k) {
 				return
 			}
 		}
-		r.from = (r.from + seen) % others
-		r.left = others - seen
+		r.offset = (r.offset + tried) % others
+		r.skipped = others - tried
 	}
 }
 
-// Looked takes whether anything was placed.
-func (r *Rotation) Looked(isPlaced bool) {
+// Tried takes whether anything was placed.
+func (r *Rotation) Tried(isPlaced bool) {
 	if !isPlaced {
-		r.fruitless++
+		r.unplaced++
 	}
 }
 
-// HasLeft reports whether the last look left out any step.
-func (r *Rotation) HasLeft() bool { return r.left > 0 }
+// HasSkipped reports whether the last look left out any step.
+func (r *Rotation) HasSkipped() bool { return r.skipped > 0 }
--- a/internal/rotation/rotation_test.go
+++ b/internal/rotation/rotation_test.go
@@ -10,46 +10,46 @@
 )
 
 // look looks at n steps, of which nothing can be placed, and returns at which.
-func look(r *rotation.Rotation, n int) []int {
-	seen := []int{}
+func pass(r *rotation.Rotation, n int) []int {
+	tried := []int{}
 	for _, i := range r.Next(n) {
-		seen = append(seen, i)
-		r.Looked(false)
+		tried = append(tried, i)
+		r.Tried(false)
 	}
-	return seen
+	return tried
 }
 
-func TestAllStepsHaveTheirTurn(t *testing.T) {
+func TestNoStepStarves(t *testing.T) {
 	const n = 300
 	r := rotation.Rotation{}
-	looks := make([]int, n)
+	tries := make([]int, n)
 	for range 4 {
-		seen := look(&r, n)
-		if len(seen) != 128 || seen[0] != 0 || !r.HasLeft() {
-			t.Fatalf("one look: got: %d steps from %d, left: %v, want: 128 from the first, some left", len(seen), seen[0], r.HasLeft())
+		tried := pass(&r, n)
+		if len(tried) != 128 || tried[0] != 0 || !r.HasSkipped() {
+			t.Fatalf("one look: got: %d steps from %d, left: %v, want: 128 from the first, some left", len(tried), tried[0], r.HasSkipped())
 		}
-		for _, i := range seen {
-			looks[i]++
+		for _, i := range tried {
+			tries[i]++
 		}
 	}
-	for i, got := range looks {
+	for i, got := range tries {
 		if i < 64 && got != 4 || got == 0 {
 			t.Errorf("step %d: got: %d looks of 4, want: all at the most urgent ones, some at each", i, got)
 		}
 	}
 }
 
-func TestStepsOfWhichSomethingIsPlacedDoNotCount(t *testing.T) {
+func TestPlacedStepsDoNotCount(t *testing.T) {
 	r := rotation.Rotation{}
-	seen := 0
+	tried := 0
 	for range r.Next(300) {
-		seen++
-		r.Looked(true)
+		tried++
+		r.Tried(true)
 	}
-	if seen != 300 || r.HasLeft() {
-		t.Errorf("got: %d steps, left: %v, want: all 300", seen, r.HasLeft())
+	if tried != 300 || r.HasSkipped() {
+		t.Errorf("got: %d steps, left: %v, want: all 300", tried, r.HasSkipped())
 	}
-	if got := len(look(&r, 100)); got != 100 || r.HasLeft() {
+	if got := len(pass(&r, 100)); got != 100 || r.HasSkipped() {
 		t.Errorf("few steps: got: %d, want: all 100", got)
 	}
 }
