--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -169,7 +169,7 @@
 	nextWalk, walkedAt time.Time
 	counts             Counts
 	// waits is how long tasks have waited, by queue and reason.
-	waits waits.Sums
+	waits waits.Totals
 	// tickedAt is when Tick was called last, stalledUntil until when answers are late
 	// because this node was kept from running.
 	tickedAt, stalledUntil time.Time
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -321,7 +321,7 @@
 			continue
 		}
 		s.isOpen = true
-		s.openAt, s.waitsFor = e.now, waits.Turn
+		s.openAt, s.waitsFor = e.now, waits.Priority
 		e.enqueue(s)
 		e.isDirty = true
 	}
--- a/internal/dispatch/waits.go
+++ b/internal/dispatch/waits.go
@@ -26,15 +26,15 @@
 func (e *Engine) whyWaiting(s *step, q *order.Queue) waits.Reason {
 	switch {
 	case s.hasHeld():
-		return waits.Doubt
+		return waits.Uncertainty
 	case e.quotaRoom(s) == 0:
 		return waits.Limit
 	case q.Advice == nil || len(e.permitted(s, q)) > 0:
-		return waits.Room
+		return waits.Capacity
 	case s.permit.IsAsking():
 		return waits.Permission
 	case e.lanes.Free(q.Advice) == "":
-		return waits.Lane
+		return waits.Channel
 	}
-	return waits.Room
+	return waits.Capacity
 }
--- a/internal/dispatch/waits_test.go
+++ b/internal/dispatch/waits_test.go
@@ -18,14 +18,14 @@
 		prepare func(w *world)
 		want    waits.Reason
 	}{
-		"room":  {func(w *world) { w.submit("busy", step(8, time.Minute)) }, waits.Room},
+		"room":  {func(w *world) { w.submit("busy", step(8, time.Minute)) }, waits.Capacity},
 		"limit": {func(w *world) { w.limit(limitOf("a", 0)); w.limit(order.Customer{Name: "a", Limit: step(1, 0).Need}) }, waits.Limit},
 		"permission": {func(w *world) {
 			w.queues = []order.Queue{asking}
 			w.engine.SetQueues(w.queues)
 			w.engine.SetLanes([]string{"n1", "n2", "n3"})
 		}, waits.Permission},
-		"lane": {func(w *world) { w.queues = []order.Queue{asking}; w.engine.SetQueues(w.queues) }, waits.Lane},
+		"lane": {func(w *world) { w.queues = []order.Queue{asking}; w.engine.SetQueues(w.queues) }, waits.Channel},
 	} {
 		w := newWorld(1)
 		w.addWorkers(2, room)
--- a/internal/waits/waits.go
+++ b/internal/waits/waits.go
@@ -15,18 +15,18 @@
 
 // The reasons.
 const (
-	// Turn means that others are looked at first.
-	Turn Reason = "turn"
-	// Doubt means that they may run by an earlier owner's order.
-	Doubt Reason = "doubt"
+	// Priority means that others are looked at first.
+	Priority Reason = "turn"
+	// Uncertainty means that they may run by an earlier owner's order.
+	Uncertainty Reason = "doubt"
 	// Limit means that their customer has all running that it may.
 	Limit Reason = "limit"
 	// Permission means that it is being asked which workers may run them, Lane that no way to
 	// ask is free.
 	Permission Reason = "permission"
-	Lane       Reason = "lane"
-	// Room means that the workers which may run them are full.
-	Room Reason = "room"
+	Channel    Reason = "lane"
+	// Capacity means that the workers which may run them are full.
+	Capacity Reason = "room"
 )
 
 // Wait is how long tasks of a queue have waited for one reason, in all.
@@ -37,8 +37,8 @@
 	Time time.Duration
 }
 
-// Sums adds up waits. The zero value has none.
-type Sums struct{ times map[key]time.Duration }
+// Totals adds up waits. The zero value has none.
+type Totals struct{ times map[key]time.Duration }
 
 type key struct {
 	queue  string
@@ -46,20 +46,20 @@
 }
 
 // Add notes that so many tasks of a queue have waited for so long.
-func (s *Sums) Add(queue string, reason Reason, tasks int, d time.Duration) {
-	if s.times == nil {
-		s.times = map[key]time.Duration{}
+func (t *Totals) Add(queue string, reason Reason, tasks int, d time.Duration) {
+	if t.times == nil {
+		t.times = map[key]time.Duration{}
 	}
-	s.times[key{queue, reason}] += time.Duration(tasks) * d
+	t.times[key{queue, reason}] += time.Duration(tasks) * d
 }
 
 // Take returns the sums since the last call, by queue, the longest first.
-func (s *Sums) Take() []Wait {
-	out := make([]Wait, 0, len(s.times))
-	for k, d := range s.times {
+func (t *Totals) Take() []Wait {
+	out := make([]Wait, 0, len(t.times))
+	for k, d := range t.times {
 		out = append(out, Wait{k.queue, k.reason, d})
 	}
-	clear(s.times)
+	clear(t.times)
 	slices.SortFunc(out, func(a, b Wait) int {
 		return cmp.Or(cmp.Compare(a.Queue, b.Queue), cmp.Compare(b.Time, a.Time), cmp.Compare(a.Reason, b.Reason))
 	})
--- a/internal/waits/waits_test.go
+++ b/internal/waits/waits_test.go
@@ -11,13 +11,13 @@
 	"github.com/leverdyke/leverdyke/internal/waits"
 )
 
-func TestSums(t *testing.T) {
-	s := waits.Sums{}
-	s.Add("b", waits.Room, 2, time.Second)
-	s.Add("a", waits.Lane, 3, time.Second)
+func TestTotals(t *testing.T) {
+	s := waits.Totals{}
+	s.Add("b", waits.Capacity, 2, time.Second)
+	s.Add("a", waits.Channel, 3, time.Second)
 	s.Add("b", waits.Limit, 1, 5*time.Second)
-	s.Add("b", waits.Room, 1, time.Second)
-	want := []waits.Wait{{"a", waits.Lane, 3 * time.Second}, {"b", waits.Limit, 5 * time.Second}, {"b", waits.Room, 3 * time.Second}}
+	s.Add("b", waits.Capacity, 1, time.Second)
+	want := []waits.Wait{{"a", waits.Channel, 3 * time.Second}, {"b", waits.Limit, 5 * time.Second}, {"b", waits.Capacity, 3 * time.Second}}
 	if got := s.Take(); !slices.Equal(got, want) {
 		t.Errorf("got: %v, want: %v", got, want)
 	}
