--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -117,7 +117,7 @@
 	e.reservations++
 	e.counts.Plans++
 	need := s.spec.Charge()
-	places := reserve.Places(&reserve.Request{Count: count, Need: need, IsGang: s.spec.IsGang, StopTime: e.options.StopTime}, models)
+	places := reserve.Plan(&reserve.Request{Count: count, Need: need, IsGang: s.spec.IsGang, StopTime: e.options.StopTime}, models)
 	for i := range places {
 		p := &places[i]
 		w := workers[p.Worker].worker
@@ -128,7 +128,7 @@
 		if readyAt := e.now.Add(p.ReadyIn); w.reservedAt.Before(readyAt) {
 			w.reservedAt = readyAt
 		}
-		for _, k := range p.Stops {
+		for _, k := range p.Preempted {
 			e.preempt(workers[p.Worker].occupants[k], s)
 		}
 	}
@@ -192,9 +192,9 @@
 
 func (e *Engine) modelOf(g *reservable, s *step, q *order.Queue) reserve.Worker {
 	w := g.worker
-	m := reserve.Worker{Free: w.Capacity.Sub(w.used).Sub(e.reservedBefore(w, s)), Most: len(s.tasks)}
+	m := reserve.Worker{Free: w.Capacity.Sub(w.used).Sub(e.reservedBefore(w, s)), MaxTasks: len(s.tasks)}
 	if s.spec.MaxPerWorker > 0 {
-		m.Most = min(m.Most, s.spec.MaxPerWorker-w.countOf(s))
+		m.MaxTasks = min(m.MaxTasks, s.spec.MaxPerWorker-w.countOf(s))
 	}
 	for _, a := range w.attempts.All() {
 		if a.step == nil || a.step.spec.IsLasting {
@@ -206,7 +206,7 @@
 	member := share(s.spec.Charge(), w.Capacity)
 	for _, a := range g.occupants {
 		m.Occupants = append(m.Occupants, reserve.Occupant{
-			Room: a.charge, EndsIn: e.endsIn(a), MayStop: e.mayPreempt(a, q), Lost: time.Duration(float64(e.lostBy(a)) * share(a.charge, w.Capacity) / member),
+			Resources: a.charge, EndsIn: e.endsIn(a), IsPreemptible: e.mayPreempt(a, q), PreemptionCost: time.Duration(float64(e.lostBy(a)) * share(a.charge, w.Capacity) / member),
 		})
 	}
 	return m
--- a/internal/reserve/reserve.go
+++ b/internal/reserve/reserve.go
@@ -20,22 +20,22 @@
 
 // Occupant is what takes a part of a worker's room.
 type Occupant struct {
-	// Room is what is free once it has ended.
-	Room leverdyke.Resources
+	// Resources is what is free once it has ended.
+	Resources leverdyke.Resources
 	// EndsIn is when it will likely have ended; never negative.
 	EndsIn time.Duration
-	// MayStop says that it may be stopped to make room; Lost is the work that is lost
+	// IsPreemptible says that it may be stopped to make room; Lost is the work that is lost
 	// then, as the time for which the room of one task that waits could do as much.
-	MayStop bool
-	Lost    time.Duration
+	IsPreemptible  bool
+	PreemptionCost time.Duration
 }
 
 // Worker is one that may run the tasks.
 type Worker struct {
 	Free      leverdyke.Resources
 	Occupants []Occupant
-	// Most bounds the tasks on it.
-	Most int
+	// MaxTasks bounds the tasks on it.
+	MaxTasks int
 }
 
 // Request is what waits: Count tasks that take Need each.
@@ -48,99 +48,99 @@
 	StopTime time.Duration
 }
 
-// Place is room for one task.
-type Place struct {
+// Placement is room for one task.
+type Placement struct {
 	// Worker is the index of the worker.
 	Worker int
 	// ReadyIn is when the room is complete.
 	ReadyIn time.Duration
-	// Stops are the indexes of the occupants of the worker that are to be stopped.
-	Stops []int
-	lost  time.Duration
+	// Preempted are the indexes of the occupants of the worker that are to be stopped.
+	Preempted []int
+	cost      time.Duration
 }
 
-// Places returns where the tasks start soonest: a place for each, or for as many as
+// Plan returns where the tasks start soonest: a place for each, or for as many as
 // there can be at once. A gang gets all or none.
-func Places(r *Request, workers []Worker) []Place {
-	places := []Place{}
+func Plan(r *Request, workers []Worker) []Placement {
+	placements := []Placement{}
 	for i := range workers {
-		places = append(places, placesOn(r, i, &workers[i])...)
+		placements = append(placements, planWorker(r, i, &workers[i])...)
 	}
-	if r.IsGang && len(places) < r.Count {
+	if r.IsGang && len(placements) < r.Count {
 		return nil
 	}
 	// The places on one worker build on each other: they come in their order.
-	slices.SortStableFunc(places, func(a, b Place) int {
-		return cmp.Or(cmp.Compare(a.ReadyIn, b.ReadyIn), cmp.Compare(a.lost, b.lost))
+	slices.SortStableFunc(placements, func(a, b Placement) int {
+		return cmp.Or(cmp.Compare(a.ReadyIn, b.ReadyIn), cmp.Compare(a.cost, b.cost))
 	})
-	return places[:min(len(places), r.Count)]
+	return placements[:min(len(placements), r.Count)]
 }
 
 // placesOn returns the places on one worker. Tasks are stopped there only if those
 // that wait start sooner by more than the work that is lost: then the room does more.
-func placesOn(r *Request, index int, w *Worker) []Place {
+func planWorker(r *Request, index int, w *Worker) []Placement {
 	waiting := fill(r, index, w, false)
-	if stopping := fill(r, index, w, true); cost(stopping) < cost(waiting) {
-		return stopping
+	if preempting := fill(r, index, w, true); totalCost(preempting) < totalCost(waiting) {
+		return preempting
 	}
 	return waiting
 }
 
-func cost(places []Place) time.Duration {
+func totalCost(placements []Placement) time.Duration {
 	sum := time.Duration(0)
-	for i := range places {
-		sum += places[i].ReadyIn + places[i].lost
+	for i := range placements {
+		sum += placements[i].ReadyIn + placements[i].cost
 	}
 	return sum
 }
 
 // fill returns when the worker has room for one task, for two, and so on.
-func fill(r *Request, index int, w *Worker, mayStop bool) []Place {
-	leaving := inOrder(r, w, mayStop)
+func fill(r *Request, index int, w *Worker, mayPreempt bool) []Placement {
+	releases := releasesOf(r, w, mayPreempt)
 	free := w.Free
-	places := []Place{}
-	p := Place{Worker: index}
-	for range min(w.Most, r.Count) {
+	placements := []Placement{}
+	p := Placement{Worker: index}
+	for range min(w.MaxTasks, r.Count) {
 		for !r.Need.FitsIn(free) {
-			if len(leaving) == 0 {
-				return places
+			if len(releases) == 0 {
+				return placements
 			}
-			l := leaving[0]
-			leaving = leaving[1:]
-			free = free.Add(w.Occupants[l.index].Room)
-			p.ReadyIn = max(p.ReadyIn, l.in)
-			if l.isStopped {
-				p.Stops = append(p.Stops, l.index)
-				p.lost += w.Occupants[l.index].Lost
+			next := releases[0]
+			releases = releases[1:]
+			free = free.Add(w.Occupants[next.index].Resources)
+			p.ReadyIn = max(p.ReadyIn, next.in)
+			if next.isPreempted {
+				p.Preempted = append(p.Preempted, next.index)
+				p.cost += w.Occupants[next.index].PreemptionCost
 			}
 		}
 		free = free.Sub(r.Need)
-		places = append(places, p)
-		p = Place{Worker: index, ReadyIn: p.ReadyIn}
+		placements = append(placements, p)
+		p = Placement{Worker: index, ReadyIn: p.ReadyIn}
 	}
-	return places
+	return placements
 }
 
 // leaving is an occupant with the time at which it is gone.
-type leaving struct {
-	index     int
-	in        time.Duration
-	isStopped bool
+type release struct {
+	index       int
+	in          time.Duration
+	isPreempted bool
 }
 
 // inOrder returns the occupants in the order in which they go. What is stopped goes
 // at once, the cheapest first.
-func inOrder(r *Request, w *Worker, mayStop bool) []leaving {
-	out := make([]leaving, 0, len(w.Occupants))
+func releasesOf(r *Request, w *Worker, mayPreempt bool) []release {
+	out := make([]release, 0, len(w.Occupants))
 	for i, o := range w.Occupants {
-		l := leaving{index: i, in: o.EndsIn}
-		if mayStop && o.MayStop && o.EndsIn > r.StopTime {
-			l.in, l.isStopped = r.StopTime, true
+		next := release{index: i, in: o.EndsIn}
+		if mayPreempt && o.IsPreemptible && o.EndsIn > r.StopTime {
+			next.in, next.isPreempted = r.StopTime, true
 		}
-		out = append(out, l)
+		out = append(out, next)
 	}
-	slices.SortStableFunc(out, func(a, b leaving) int {
-		return cmp.Or(cmp.Compare(a.in, b.in), cmp.Compare(w.Occupants[a.index].Lost, w.Occupants[b.index].Lost))
+	slices.SortStableFunc(out, func(a, b release) int {
+		return cmp.Or(cmp.Compare(a.in, b.in), cmp.Compare(w.Occupants[a.index].PreemptionCost, w.Occupants[b.index].PreemptionCost))
 	})
 	return out
 }
--- a/internal/reserve/reserve_test.go
+++ b/internal/reserve/reserve_test.go
@@ -17,14 +17,14 @@
 func accelerators(n int64) leverdyke.Resources { return leverdyke.Resources{Accelerators: n} }
 
 func occupant(n int64, endsIn time.Duration) reserve.Occupant {
-	return reserve.Occupant{Room: accelerators(n), EndsIn: endsIn}
+	return reserve.Occupant{Resources: accelerators(n), EndsIn: endsIn}
 }
 
-func yielding(n int64, endsIn, lost time.Duration) reserve.Occupant {
-	return reserve.Occupant{Room: accelerators(n), EndsIn: endsIn, MayStop: true, Lost: lost}
+func preemptible(n int64, endsIn, cost time.Duration) reserve.Occupant {
+	return reserve.Occupant{Resources: accelerators(n), EndsIn: endsIn, IsPreemptible: true, PreemptionCost: cost}
 }
 
-func TestPlaces(t *testing.T) {
+func TestPlan(t *testing.T) {
 	whole := reserve.Request{Count: 1, Need: accelerators(8), StopTime: 400 * time.Millisecond}
 	two := whole
 	two.Count = 2
@@ -33,69 +33,69 @@
 	for name, c := range map[string]struct {
 		request reserve.Request
 		workers []reserve.Worker
-		want    []reserve.Place
+		want    []reserve.Placement
 	}{
 		"an empty worker goes before one that will be": {
 			whole,
 			[]reserve.Worker{
-				{Free: accelerators(4), Most: 1, Occupants: []reserve.Occupant{occupant(4, second)}},
-				{Free: accelerators(8), Most: 1},
+				{Free: accelerators(4), MaxTasks: 1, Occupants: []reserve.Occupant{occupant(4, second)}},
+				{Free: accelerators(8), MaxTasks: 1},
 			},
-			[]reserve.Place{{Worker: 1}},
+			[]reserve.Placement{{Worker: 1}},
 		},
 		"the worker that is empty first": {
 			whole,
 			[]reserve.Worker{
-				{Free: accelerators(6), Most: 1, Occupants: []reserve.Occupant{occupant(1, second), occupant(1, 3*second)}},
-				{Most: 1, Occupants: []reserve.Occupant{occupant(8, 2*second)}},
+				{Free: accelerators(6), MaxTasks: 1, Occupants: []reserve.Occupant{occupant(1, second), occupant(1, 3*second)}},
+				{MaxTasks: 1, Occupants: []reserve.Occupant{occupant(8, 2*second)}},
 			},
-			[]reserve.Place{{Worker: 1, ReadyIn: 2 * second}},
+			[]reserve.Placement{{Worker: 1, ReadyIn: 2 * second}},
 		},
 		"a task makes way where that wins more than it costs": {
 			whole,
-			[]reserve.Worker{{Free: accelerators(7), Most: 1, Occupants: []reserve.Occupant{yielding(1, 5*second, second)}}},
-			[]reserve.Place{{ReadyIn: 400 * time.Millisecond, Stops: []int{0}}},
+			[]reserve.Worker{{Free: accelerators(7), MaxTasks: 1, Occupants: []reserve.Occupant{preemptible(1, 5*second, second)}}},
+			[]reserve.Placement{{ReadyIn: 400 * time.Millisecond, Preempted: []int{0}}},
 		},
 		"a task that is nearly done does not": {
 			whole,
-			[]reserve.Worker{{Free: accelerators(7), Most: 1, Occupants: []reserve.Occupant{yielding(1, second, second)}}},
-			[]reserve.Place{{ReadyIn: second}},
+			[]reserve.Worker{{Free: accelerators(7), MaxTasks: 1, Occupants: []reserve.Occupant{preemptible(1, second, second)}}},
+			[]reserve.Placement{{ReadyIn: second}},
 		},
 		"nothing is stopped beside a task that has to be waited for": {
 			whole,
-			[]reserve.Worker{{Free: accelerators(6), Most: 1, Occupants: []reserve.Occupant{
-				occupant(1, 5*second), yielding(1, 5*second, second),
+			[]reserve.Worker{{Free: accelerators(6), MaxTasks: 1, Occupants: []reserve.Occupant{
+				occupant(1, 5*second), preemptible(1, 5*second, second),
 			}}},
-			[]reserve.Place{{ReadyIn: 5 * second}},
+			[]reserve.Placement{{ReadyIn: 5 * second}},
 		},
 		"tasks get what places there are": {
 			two,
-			[]reserve.Worker{{Free: accelerators(8), Most: 1}},
-			[]reserve.Place{{}},
+			[]reserve.Worker{{Free: accelerators(8), MaxTasks: 1}},
+			[]reserve.Placement{{}},
 		},
 		"a gang gets all or none": {
 			gang,
-			[]reserve.Worker{{Free: accelerators(8), Most: 1}},
+			[]reserve.Worker{{Free: accelerators(8), MaxTasks: 1}},
 			nil,
 		},
 		"two on one worker": {
 			reserve.Request{Count: 2, Need: accelerators(4)},
-			[]reserve.Worker{{Free: accelerators(4), Most: 2, Occupants: []reserve.Occupant{occupant(4, second)}}},
-			[]reserve.Place{{}, {ReadyIn: second}},
+			[]reserve.Worker{{Free: accelerators(4), MaxTasks: 2, Occupants: []reserve.Occupant{occupant(4, second)}}},
+			[]reserve.Placement{{}, {ReadyIn: second}},
 		},
 		"no more on a worker than may be": {
 			reserve.Request{Count: 2, Need: accelerators(4)},
-			[]reserve.Worker{{Free: accelerators(8), Most: 1}},
-			[]reserve.Place{{}},
+			[]reserve.Worker{{Free: accelerators(8), MaxTasks: 1}},
+			[]reserve.Placement{{}},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got := reserve.Places(&c.request, c.workers)
+			got := reserve.Plan(&c.request, c.workers)
 			if len(got) != len(c.want) {
 				t.Fatalf("got: %+v, want: %+v", got, c.want)
 			}
 			for i := range got {
-				same := got[i].Worker == c.want[i].Worker && got[i].ReadyIn == c.want[i].ReadyIn && reflect.DeepEqual(got[i].Stops, c.want[i].Stops)
+				same := got[i].Worker == c.want[i].Worker && got[i].ReadyIn == c.want[i].ReadyIn && reflect.DeepEqual(got[i].Preempted, c.want[i].Preempted)
 				if !same {
 					t.Errorf("place %d: got: %+v, want: %+v", i, got[i], c.want[i])
 				}
