--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -174,13 +174,13 @@
 	// because this node was kept from running.
 	tickedAt, stalledUntil time.Time
 	// answers tells how long workers take to answer an order to start.
-	answers estimate.Answers
+	answers estimate.ResponseTime
 	// window bounds the orders to start that are not answered.
 	window estimate.Window
 	// lossyUntil is until when answers of workers may be lost.
 	lossyUntil time.Time
 	// estimates has, by queue, how good the callers' estimates are.
-	estimates map[string]*estimate.Durations
+	estimates map[string]*estimate.RunTimes
 }
 
 // Counts are totals since the engine was made.
@@ -197,7 +197,7 @@
 	}
 	return &Engine{
 		options: options, jobs: map[work.JobID]*job{}, index: newWorkerIndex(),
-		queues: map[string]order.Queue{}, over: map[order.WorkerID]bool{}, largest: map[string]leverdyke.Resources{}, estimates: map[string]*estimate.Durations{},
+		queues: map[string]order.Queue{}, over: map[order.WorkerID]bool{}, largest: map[string]leverdyke.Resources{}, estimates: map[string]*estimate.RunTimes{},
 		overShare: map[work.CustomerName]bool{}, inUse: map[string]float64{},
 	}
 }
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -66,7 +66,7 @@
 
 // holdPatience returns how much longer than it waits a listing may take.
 func (e *Engine) holdPatience() time.Duration {
-	return max(holdPatiences*e.answers.Patience(), shortestHoldPatience)
+	return max(holdPatiences*e.answers.Timeout(), shortestHoldPatience)
 }
 
 func (e *Engine) holdWait(w *worker) time.Duration {
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -35,8 +35,8 @@
 		return
 	}
 	if a.phase == phaseOrdered && outcome != order.StartUnknown {
-		e.answers.Learn(e.now.Sub(a.orderedAt))
-		e.window.Answered(e.now.Sub(a.orderedAt), e.now)
+		e.answers.Observe(e.now.Sub(a.orderedAt))
+		e.window.Observe(e.now.Sub(a.orderedAt), e.now)
 	}
 	switch outcome {
 	case order.StartDone:
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -457,7 +457,7 @@
 	}
 	a.phase, a.orderedAt, a.worker.orderedAt = phaseOrdered, e.now, e.now
 	e.noteTrial(a)
-	e.durations(a.step).Begin(e.now)
+	e.durations(a.step).Ordered(e.now)
 	e.noteUnkept(a)
 	a.hasSaved = a.step.savedFor(a.id.Index) != ""
 	e.counts.Starts++
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -55,7 +55,7 @@
 
 // isTrustedTime reports whether expected is good enough to judge a single task.
 func (e *Engine) isTrustedTime(s *step) bool {
-	return s.doneRuns >= max(trustedRuns, len(s.tasks)/2) || s.spec.Estimate > 0 && e.estimates[s.job.spec.Queue].IsTrusted()
+	return s.doneRuns >= max(trustedRuns, len(s.tasks)/2) || s.spec.Estimate > 0 && e.estimates[s.job.spec.Queue].IsReliable()
 }
 
 // learn takes the time that a task took from its order to its end.
@@ -71,14 +71,14 @@
 	if s.spec.Estimate <= 0 || a.worker.speed.IsSlow(e.now) {
 		return
 	}
-	e.durations(s).Learn(e.now, took, s.spec.Estimate)
+	e.durations(s).Observe(e.now, took, s.spec.Estimate)
 }
 
 // durations returns what is learned of the run times of a step's queue.
-func (e *Engine) durations(s *step) *estimate.Durations {
+func (e *Engine) durations(s *step) *estimate.RunTimes {
 	queue := s.job.spec.Queue
 	if e.estimates[queue] == nil {
-		e.estimates[queue] = &estimate.Durations{}
+		e.estimates[queue] = &estimate.RunTimes{}
 	}
 	return e.estimates[queue]
 }
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -329,7 +329,7 @@
 		}
 		return
 	}
-	if a.phase == phaseOrdered && e.now.Sub(a.orderedAt) > e.answers.Patience() && !e.now.Before(e.stalledUntil) {
+	if a.phase == phaseOrdered && e.now.Sub(a.orderedAt) > e.answers.Timeout() && !e.now.Before(e.stalledUntil) {
 		e.doubt(a)
 	}
 	if a.phase == phaseDoubtful && !a.isStopping && e.now.Sub(a.doubtAt) > doubtPatience {
@@ -354,7 +354,7 @@
 func (e *Engine) doubt(a *attempt) {
 	a.phase = phaseDoubtful
 	a.doubtAt = e.now
-	e.window.Answered(e.now.Sub(a.orderedAt), e.now)
+	e.window.Observe(e.now.Sub(a.orderedAt), e.now)
 	e.counts.Doubtful++
 	e.options.Log(events.OrderDoubtful, "task", a.id, "run", a.run, "worker", a.worker.ID, "age", e.now.Sub(a.orderedAt))
 	e.wantCopy(a)
--- a/internal/estimate/response_time.go
+++ b/internal/estimate/response_time.go
@@ -6,10 +6,10 @@
 
 import "time"
 
-// Answers estimates how long workers take to answer an order to start, with
+// ResponseTime estimates how long workers take to answer an order to start, with
 // the delays of this node in it, as TCP estimates a round trip (RFC 6298).
 // The zero value works.
-type Answers struct {
+type ResponseTime struct {
 	mean, deviation time.Duration
 }
 
@@ -17,29 +17,29 @@
 	// meanWeight and deviationWeight are the weights of a new answer: 1/8 and 1/4.
 	meanWeight, deviationWeight = 0.125, 0.25
 	// deviations is how many mean deviations later than usual an answer may come.
-	deviations = 4
+	timeoutDeviations = 4
 	// shortestPatience is the least time that an order may stay without an answer;
 	// longestPatience the most, and that before the first answers. A worker answers
 	// within milliseconds; an owner that is slowed five times takes some tens.
-	shortestPatience = 60 * time.Millisecond
-	longestPatience  = 200 * time.Millisecond
+	minTimeout = 60 * time.Millisecond
+	maxTimeout = 200 * time.Millisecond
 )
 
-// Learn takes the time of an answer.
-func (a *Answers) Learn(took time.Duration) {
-	if a.mean == 0 {
-		a.mean, a.deviation = took, took/2
+// Observe takes the time of an answer.
+func (r *ResponseTime) Observe(took time.Duration) {
+	if r.mean == 0 {
+		r.mean, r.deviation = took, took/2
 		return
 	}
-	distance := took - a.mean
-	a.mean += time.Duration(meanWeight * float64(distance))
-	a.deviation += time.Duration(deviationWeight * float64(distance.Abs()-a.deviation))
+	distance := took - r.mean
+	r.mean += time.Duration(meanWeight * float64(distance))
+	r.deviation += time.Duration(deviationWeight * float64(distance.Abs()-r.deviation))
 }
 
-// Patience returns how long an order to start may stay without an answer.
-func (a *Answers) Patience() time.Duration {
-	if a.mean == 0 {
-		return longestPatience
+// Timeout returns how long an order to start may stay without an answer.
+func (r *ResponseTime) Timeout() time.Duration {
+	if r.mean == 0 {
+		return maxTimeout
 	}
-	return min(max(a.mean+deviations*a.deviation, shortestPatience), longestPatience)
+	return min(max(r.mean+timeoutDeviations*r.deviation, minTimeout), maxTimeout)
 }
--- a/internal/estimate/response_time_test.go
+++ b/internal/estimate/response_time_test.go
@@ -10,10 +10,10 @@
 	"github.com/leverdyke/leverdyke/internal/estimate"
 )
 
-func TestPatienceFollowsTheAnswers(t *testing.T) {
+func TestTimeoutFollowsResponseTimes(t *testing.T) {
 	const ms = time.Millisecond
 	for name, tc := range map[string]struct {
-		answers  []time.Duration
+		observed []time.Duration
 		min, max time.Duration
 	}{
 		"none yet":         {nil, 200 * ms, 200 * ms},
@@ -21,11 +21,11 @@
 		"slow but regular": {[]time.Duration{90 * ms, 100 * ms, 110 * ms}, 110 * ms, 160 * ms},
 		"very slow":        {[]time.Duration{300 * ms}, 200 * ms, 200 * ms},
 	} {
-		a := &estimate.Answers{}
-		for i := range 100 * min(len(tc.answers), 1) {
-			a.Learn(tc.answers[i%len(tc.answers)])
+		a := &estimate.ResponseTime{}
+		for i := range 100 * min(len(tc.observed), 1) {
+			a.Observe(tc.observed[i%len(tc.observed)])
 		}
-		if got := a.Patience(); got < tc.min || got > tc.max {
+		if got := a.Timeout(); got < tc.min || got > tc.max {
 			t.Errorf("%s: got: %v, want: %v to %v", name, got, tc.min, tc.max)
 		}
 	}
--- a/internal/estimate/run_times.go
+++ b/internal/estimate/run_times.go
@@ -10,59 +10,59 @@
 
 const (
 	// trustedRuns is how many tasks make the errors of a caller's estimates known.
-	trustedRuns = 20
+	minReliableSamples = 20
 	// trustedError is the mean error of estimates, as a logarithm, up to which one
 	// tells that a task is slow: at 0.4, one in a hundred is off by a factor of 2.5.
-	trustedError = 0.4
+	maxReliableError = 0.4
 	// biasWeight is the weight of a new task in what estimates are corrected by.
-	biasWeight = 0.05
+	minSampleWeight = 0.05
 	// settled is how many times as long as a task's estimate tasks must have been
 	// ordered for until its time counts: the first to be done are the shortest, and
 	// make all others look slow.
-	settled = 3
+	warmUpRatio = 3
 )
 
-// Durations learns how good callers' estimates of run times are. The zero value
-// works; a nil *Durations knows nothing.
-type Durations struct {
+// RunTimes learns how good callers' estimates of run times are. The zero value
+// works; a nil *RunTimes knows nothing.
+type RunTimes struct {
 	// began is when the first task was ordered.
-	began time.Time
-	runs  int
+	firstOrderAt time.Time
+	samples      int
 	// bias is the mean logarithm of how much longer tasks take than estimated,
 	// error the mean distance from it.
 	bias, error float64
 }
 
 // Correct returns an estimate, corrected by what earlier tasks took.
-func (d *Durations) Correct(estimate time.Duration) time.Duration {
-	if d == nil {
+func (r *RunTimes) Correct(estimate time.Duration) time.Duration {
+	if r == nil {
 		return estimate
 	}
-	return time.Duration(math.Exp(d.bias) * float64(estimate))
+	return time.Duration(math.Exp(r.bias) * float64(estimate))
 }
 
-// IsTrusted reports whether a corrected estimate tells that a single task is slow.
-func (d *Durations) IsTrusted() bool {
-	return d != nil && d.runs >= trustedRuns && d.error < trustedError
+// IsReliable reports whether a corrected estimate tells that a single task is slow.
+func (r *RunTimes) IsReliable() bool {
+	return r != nil && r.samples >= minReliableSamples && r.error < maxReliableError
 }
 
-// Begin takes that a task was ordered.
-func (d *Durations) Begin(now time.Time) {
-	if d.began.IsZero() {
-		d.began = now
+// Ordered takes that a task was ordered.
+func (r *RunTimes) Ordered(now time.Time) {
+	if r.firstOrderAt.IsZero() {
+		r.firstOrderAt = now
 	}
 }
 
-// Learn takes how long a task took that is done now, for which there was an
+// Observe takes how long a task took that is done now, for which there was an
 // estimate, which must be positive.
-func (d *Durations) Learn(now time.Time, took, estimate time.Duration) {
-	if now.Sub(d.began) < settled*estimate {
+func (r *RunTimes) Observe(now time.Time, took, estimate time.Duration) {
+	if now.Sub(r.firstOrderAt) < warmUpRatio*estimate {
 		return
 	}
-	d.runs++
-	weight := max(biasWeight, 1/float64(d.runs))
+	r.samples++
+	weight := max(minSampleWeight, 1/float64(r.samples))
 	ratio := float64(max(took, time.Millisecond)) / float64(estimate)
-	distance := math.Log(ratio) - d.bias
-	d.bias += weight * distance
-	d.error += weight * (math.Abs(distance) - d.error)
+	distance := math.Log(ratio) - r.bias
+	r.bias += weight * distance
+	r.error += weight * (math.Abs(distance) - r.error)
 }
--- a/internal/estimate/run_times_test.go
+++ b/internal/estimate/run_times_test.go
@@ -11,48 +11,48 @@
 	"github.com/leverdyke/leverdyke/internal/estimate"
 )
 
-func TestDurations(t *testing.T) {
-	const guess = time.Second
+func TestRunTimes(t *testing.T) {
+	const declared = time.Second
 	for name, tc := range map[string]struct {
-		took      []time.Duration
-		min, max  time.Duration
-		isTrusted bool
+		took       []time.Duration
+		min, max   time.Duration
+		isReliable bool
 	}{
-		"nothing known":     {nil, guess, guess, false},
-		"exact":             {[]time.Duration{guess}, guess, guess, true},
-		"always twice":      {[]time.Duration{2 * guess}, 1900 * time.Millisecond, 2100 * time.Millisecond, true},
-		"a fifth or thrice": {[]time.Duration{guess / 5, 3 * guess}, 500 * time.Millisecond, 1200 * time.Millisecond, false},
+		"nothing known":     {nil, declared, declared, false},
+		"exact":             {[]time.Duration{declared}, declared, declared, true},
+		"always twice":      {[]time.Duration{2 * declared}, 1900 * time.Millisecond, 2100 * time.Millisecond, true},
+		"a fifth or thrice": {[]time.Duration{declared / 5, 3 * declared}, 500 * time.Millisecond, 1200 * time.Millisecond, false},
 	} {
-		d := &estimate.Durations{}
+		d := &estimate.RunTimes{}
 		begin := clock.NewFake().Now()
 		late := begin.Add(time.Minute)
-		d.Begin(begin)
+		d.Ordered(begin)
 		for i := range 60 * min(len(tc.took), 1) {
-			d.Learn(late, tc.took[i%len(tc.took)], guess)
+			d.Observe(late, tc.took[i%len(tc.took)], declared)
 		}
-		if got := d.Correct(guess); got < tc.min || got > tc.max {
+		if got := d.Correct(declared); got < tc.min || got > tc.max {
 			t.Errorf("%s: corrected: got: %v, want: %v to %v", name, got, tc.min, tc.max)
 		}
-		if got := d.IsTrusted(); got != tc.isTrusted {
-			t.Errorf("%s: trusted: got: %v, want: %v", name, got, tc.isTrusted)
+		if got := d.IsReliable(); got != tc.isReliable {
+			t.Errorf("%s: trusted: got: %v, want: %v", name, got, tc.isReliable)
 		}
 	}
-	if got := (*estimate.Durations)(nil).Correct(guess); got != guess {
-		t.Errorf("of an unknown queue: got: %v, want: %v", got, guess)
+	if got := (*estimate.RunTimes)(nil).Correct(declared); got != declared {
+		t.Errorf("of an unknown queue: got: %v, want: %v", got, declared)
 	}
 }
 
 // Two seconds after a takeover only the shortest of tasks of 5 s were done: all
 // others counted as slow, 40 workers in 1.5 s, and their tasks were moved.
-func TestTheFirstTasksToBeDoneTellNothing(t *testing.T) {
-	const guess = 4 * time.Second
+func TestFirstTasksToEndDoNotLowerTheEstimate(t *testing.T) {
+	const declared = 4 * time.Second
 	begin := clock.NewFake().Now()
-	d := &estimate.Durations{}
-	d.Begin(begin)
+	d := &estimate.RunTimes{}
+	d.Ordered(begin)
 	for range 60 {
-		d.Learn(begin.Add(time.Second), time.Second, guess)
+		d.Observe(begin.Add(time.Second), time.Second, declared)
 	}
-	if d.IsTrusted() || d.Correct(guess) != guess {
-		t.Errorf("got: %v, trusted: %v, want: %v, not trusted", d.Correct(guess), d.IsTrusted(), guess)
+	if d.IsReliable() || d.Correct(declared) != declared {
+		t.Errorf("got: %v, trusted: %v, want: %v, not trusted", d.Correct(declared), d.IsReliable(), declared)
 	}
 }
--- a/internal/estimate/window.go
+++ b/internal/estimate/window.go
@@ -9,18 +9,18 @@
 	// mostUnanswered is how many orders to start may be without an answer at the most: so
 	// many that workers are never waited for. leastUnanswered keeps an owner going whose link
 	// or processor is much too small.
-	mostUnanswered  = 96
-	leastUnanswered = 16
+	maxUnacknowledged = 96
+	minUnacknowledged = 16
 	// slowAnswer is the time of an answer from which orders wait for each other, on this
 	// node or its link: a worker answers within milliseconds. quickAnswer is the time up to
 	// which more may be on their way.
-	slowAnswer  = 130 * time.Millisecond
-	quickAnswer = 90 * time.Millisecond
+	slowResponse = 130 * time.Millisecond
+	fastResponse = 90 * time.Millisecond
 	// windowPause is the time between two changes: as long as it takes to see the last one.
-	windowPause = 100 * time.Millisecond
+	windowInterval = 100 * time.Millisecond
 	// windowCut is what is left of the window at a cut, windowStep what it grows by.
-	windowCut  = 0.8
-	windowStep = 4
+	windowDecrease = 0.8
+	windowIncrease = 4
 	// windowWeight is the weight of a new answer in the mean.
 	windowWeight = 0.05
 )
@@ -31,25 +31,25 @@
 // silent does not show in the mean. The zero value works.
 type Window struct {
 	mean      time.Duration
-	cut       int
+	reduction int
 	changedAt time.Time
 }
 
 // Limit returns how many orders may be without an answer.
-func (w *Window) Limit() int { return mostUnanswered - w.cut }
+func (w *Window) Limit() int { return maxUnacknowledged - w.reduction }
 
-// Answered takes the time that an answer took; one that did not come counts with the time
+// Observe takes the time that an answer took; one that did not come counts with the time
 // for which it was waited.
-func (w *Window) Answered(took time.Duration, now time.Time) {
+func (w *Window) Observe(took time.Duration, now time.Time) {
 	w.mean += time.Duration(windowWeight * float64(took-w.mean))
-	if now.Sub(w.changedAt) < windowPause {
+	if now.Sub(w.changedAt) < windowInterval {
 		return
 	}
 	switch limit := w.Limit(); {
-	case w.mean > slowAnswer:
-		limit = max(int(windowCut*float64(limit)), leastUnanswered)
-		w.cut, w.changedAt = mostUnanswered-limit, now
-	case w.mean < quickAnswer && w.cut > 0:
-		w.cut, w.changedAt = max(w.cut-windowStep, 0), now
+	case w.mean > slowResponse:
+		limit = max(int(windowDecrease*float64(limit)), minUnacknowledged)
+		w.reduction, w.changedAt = maxUnacknowledged-limit, now
+	case w.mean < fastResponse && w.reduction > 0:
+		w.reduction, w.changedAt = max(w.reduction-windowIncrease, 0), now
 	}
 }
--- a/internal/estimate/window_test.go
+++ b/internal/estimate/window_test.go
@@ -29,7 +29,7 @@
 // Three times as many orders as a link carries: with a fixed number of 96 on their way
 // each takes 0.6 s, longer than an order may stay without an answer (0.2 s); with the
 // window nine tenths take less than that, and the link stays busy.
-func TestTheWindowKeepsOrdersInTimeOnALinkThatIsTooSmall(t *testing.T) {
+func TestWindowKeepsOrdersWithinTheTimeoutOnASlowLink(t *testing.T) {
 	w, l := &estimate.Window{}, &link{perSecond: 160}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	begin := now
@@ -37,21 +37,21 @@
 		at   time.Time
 		took time.Duration
 	}
-	onTheirWay, late, done := []answer{}, 0, 0
+	unacknowledged, late, done := []answer{}, 0, 0
 	for now.Sub(begin) < 20*time.Second {
 		now = now.Add(time.Millisecond)
-		for len(onTheirWay) > 0 && !onTheirWay[0].at.After(now) {
-			a := onTheirWay[0]
-			onTheirWay = onTheirWay[1:]
-			w.Answered(a.took, now)
+		for len(unacknowledged) > 0 && !unacknowledged[0].at.After(now) {
+			a := unacknowledged[0]
+			unacknowledged = unacknowledged[1:]
+			w.Observe(a.took, now)
 			done++
 			if a.took > 200*time.Millisecond {
 				late++
 			}
 		}
-		for len(onTheirWay) < w.Limit() {
+		for len(unacknowledged) < w.Limit() {
 			took := l.send(now)
-			onTheirWay = append(onTheirWay, answer{now.Add(took), took})
+			unacknowledged = append(unacknowledged, answer{now.Add(took), took})
 		}
 	}
 	if float64(late) > 0.1*float64(done) {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestTheWindowIsOpenWhereAnswersAreQuick(t *testing.T) {
+func TestWindowIsLargeWhileAnswersAreFast(t *testing.T) {
 	w := &estimate.Window{}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for i := range 1000 {
@@ -72,21 +72,21 @@
 			// A worker that is silent.
 			took = 200 * time.Millisecond
 		}
-		w.Answered(took, now)
+		w.Observe(took, now)
 	}
 	if got := w.Limit(); got != 96 {
 		t.Errorf("got: %d, want: 96", got)
 	}
 	for range 100 {
 		now = now.Add(50 * time.Millisecond)
-		w.Answered(300*time.Millisecond, now)
+		w.Observe(300*time.Millisecond, now)
 	}
 	if got := w.Limit(); got != 16 {
 		t.Errorf("when all is slow: got: %d, want: 16", got)
 	}
 	for range 200 {
 		now = now.Add(50 * time.Millisecond)
-		w.Answered(4*time.Millisecond, now)
+		w.Observe(4*time.Millisecond, now)
 	}
 	if got := w.Limit(); got != 96 {
 		t.Errorf("when all is quick again: got: %d, want: 96", got)
