--- a/internal/ordered/map.go
+++ b/internal/ordered/map.go
@@ -14,15 +14,15 @@
 	// index has where the entry of each key is.
 	index map[K]int
 	// gone counts the entries that are deleted.
-	gone int
+	deleted int
 	// walks counts those who go through it: entries keep their places meanwhile.
-	walks int
+	iterations int
 }
 
 type entry[K comparable, V any] struct {
-	key    K
-	value  V
-	isGone bool
+	key       K
+	value     V
+	isDeleted bool
 }
 
 // Get returns the value of a key; the zero value where there is none.
@@ -61,36 +61,36 @@
 		return
 	}
 	delete(m.index, key)
-	m.entries[i] = entry[K, V]{isGone: true}
-	m.gone++
+	m.entries[i] = entry[K, V]{isDeleted: true}
+	m.deleted++
 	m.compact()
 }
 
 // Clear deletes all keys.
 func (m *Map[K, V]) Clear() {
 	for i := range m.entries {
-		m.entries[i] = entry[K, V]{isGone: true}
+		m.entries[i] = entry[K, V]{isDeleted: true}
 	}
 	clear(m.index)
-	m.gone = len(m.entries)
+	m.deleted = len(m.entries)
 	m.compact()
 }
 
 // compact takes out the entries that are deleted, once there are as many as others.
 func (m *Map[K, V]) compact() {
-	if m.walks > 0 || 2*m.gone < len(m.entries) {
+	if m.iterations > 0 || 2*m.deleted < len(m.entries) {
 		return
 	}
 	kept := m.entries[:0]
 	for _, e := range m.entries {
-		if e.isGone {
+		if e.isDeleted {
 			continue
 		}
 		m.index[e.key] = len(kept)
 		kept = append(kept, e)
 	}
 	clear(m.entries[len(kept):])
-	m.entries, m.gone = kept, 0
+	m.entries, m.deleted = kept, 0
 }
 
 // Len returns how many keys there are.
@@ -99,13 +99,13 @@
 // All goes through keys and values, in the order in which the keys came.
 func (m *Map[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
-		m.walks++
+		m.iterations++
 		for i := 0; i < len(m.entries); i++ {
-			if e := &m.entries[i]; !e.isGone && !yield(e.key, e.value) {
+			if e := &m.entries[i]; !e.isDeleted && !yield(e.key, e.value) {
 				break
 			}
 		}
-		m.walks--
+		m.iterations--
 		m.compact()
 	}
 }
@@ -114,14 +114,14 @@
 // and ends with these.
 func (m *Map[K, V]) AllFrom(skipped int) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
-		m.walks++
+		m.iterations++
 		n := len(m.entries)
 		for i := range n {
-			if e := &m.entries[(i+skipped)%n]; !e.isGone && !yield(e.key, e.value) {
+			if e := &m.entries[(i+skipped)%n]; !e.isDeleted && !yield(e.key, e.value) {
 				break
 			}
 		}
-		m.walks--
+		m.iterations--
 		m.compact()
 	}
 }
--- a/internal/ordered/map_test.go
+++ b/internal/ordered/map_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-func TestKeysAreInTheOrderInWhichTheyCame(t *testing.T) {
+func TestKeysAreInInsertionOrder(t *testing.T) {
 	m := &ordered.Map[string, int]{}
 	for i, k := range []string{"c", "a", "b", "a"} {
 		m.Set(k, i)
@@ -44,26 +44,26 @@
 }
 
 // What is deleted during a walk is not seen, what is added is.
-func TestItMayChangeDuringAWalk(t *testing.T) {
+func TestMapMayChangeDuringIteration(t *testing.T) {
 	m := &ordered.Map[string, int]{}
 	for _, k := range []string{"a", "b", "c", "d"} {
 		m.Set(k, 0)
 	}
-	seen := []string{}
+	visited := []string{}
 	for k := range m.All() {
-		seen = append(seen, k)
+		visited = append(visited, k)
 		m.Delete("a")
 		m.Delete("b")
 		if k == "c" {
 			m.Set("e", 0)
 		}
 	}
-	if want := []string{"a", "c", "d", "e"}; !slices.Equal(seen, want) {
-		t.Errorf("got: %v, want: %v", seen, want)
+	if want := []string{"a", "c", "d", "e"}; !slices.Equal(visited, want) {
+		t.Errorf("got: %v, want: %v", visited, want)
 	}
 }
 
-func TestARoundBeginsBehindThoseThatAreSkipped(t *testing.T) {
+func TestAllFromStartsAfterSkippedKeys(t *testing.T) {
 	m := &ordered.Map[string, int]{}
 	for range m.AllFrom(3) {
 		t.Error("got: a key of an empty map, want: none")
@@ -83,7 +83,7 @@
 }
 
 // It holds what a built-in map holds after any changes.
-func TestItHoldsWhatAMapHolds(t *testing.T) {
+func TestMapHasTheContentsOfABuiltInMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	m, want := &ordered.Map[int, int]{}, map[int]int{}
 	for i := range 10_000 {
