--- a/internal/rack/asks.go
+++ b/internal/rack/asks.go
@@ -160,7 +160,7 @@
 	candidates := make([]placement.Candidate, len(r.order))
 	for i, id := range r.order {
 		v := r.vms[id]
-		if !r.isUsable(now, v) || r.health.IsSetAside(now, v.id) || r.isKeptFrom(now, v, item) {
+		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) || r.isKeptFrom(now, v, item) {
 			candidates[i].IsShut = true
 			continue
 		}
--- a/internal/rack/grants.go
+++ b/internal/rack/grants.go
@@ -60,7 +60,7 @@
 	most := int64(0)
 	for _, id := range r.order {
 		v := r.vms[id]
-		if !r.isUsable(now, v) || r.health.IsSetAside(now, v.id) {
+		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
 			continue
 		}
 		h := replicaOn(v, service)
--- a/internal/rack/keep.go
+++ b/internal/rack/keep.go
@@ -51,7 +51,7 @@
 	most := -1.0
 	for _, id := range r.order {
 		v := r.vms[id]
-		if !r.isUsable(now, v) || r.health.IsSetAside(now, v.id) || !need.FitsIn(v.capacity) {
+		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) || !need.FitsIn(v.capacity) {
 			continue
 		}
 		if part := partOf(need, r.free(v)); part > most {
--- a/internal/rack/pushes.go
+++ b/internal/rack/pushes.go
@@ -60,7 +60,7 @@
 func (r *Rack) cheapestReplica(now time.Time, m *node.GrantAsk) (best *vm, replica *held, pushes []placement.Push) {
 	for _, id := range r.order {
 		v := r.vms[id]
-		if !r.isUsable(now, v) || r.health.IsSetAside(now, v.id) {
+		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
 			continue
 		}
 		h := replicaOn(v, m.Service)
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -75,7 +75,7 @@
 	pushedGrants []*pushedGrant
 	holds        map[holdID]*hold
 	earmark      *earmark
-	health       *health.Judge
+	health       *health.Detector
 	learned      *sizes.Learned
 	// kept is the VM that is kept for a starved task; nil for none.
 	kept      *keep
@@ -229,7 +229,7 @@
 		ID: id, Epoch: epoch, options: options, began: now,
 		vms: map[worker.ID]*vm{}, held: map[worker.Key]*held{}, byTask: map[leverdyke.TaskID]worker.Key{},
 		homes: map[state.ShardID]uint64{}, synced: map[state.ShardID]bool{},
-		settled: map[state.ShardID]*settled{}, holds: map[holdID]*hold{}, health: health.NewJudge(), learned: sizes.NewLearned(),
+		settled: map[state.ShardID]*settled{}, holds: map[holdID]*hold{}, health: health.NewDetector(), learned: sizes.NewLearned(),
 	}
 }
 
--- a/internal/rack/reports.go
+++ b/internal/rack/reports.go
@@ -152,12 +152,12 @@
 // fault. A lost one counts as stopped: its state says so.
 func (r *Rack) judge(now time.Time, h *held) {
 	f := r.health.Ended(now, h.vm.id, h.task.Key, h.task.State, len(r.vms))
-	h.isBlamed = f.IsBlamed
-	if f.IsBack {
+	h.isBlamed = f.IsWorkerAtFault
+	if f.IsReadmitted {
 		r.event(EventWorkerBack, h.vm.id, worker.Key{}, "")
 	}
-	if f.AsideFor > 0 {
-		r.event(EventWorkerSetAside, h.vm.id, worker.Key{}, f.AsideFor.String())
+	if f.EjectedFor > 0 {
+		r.event(EventWorkerSetAside, h.vm.id, worker.Key{}, f.EjectedFor.String())
 	}
 }
 
@@ -263,7 +263,7 @@
 // upkeep looks at every attempt, which takes too long to be done at each tick.
 func (r *Rack) upkeep(now time.Time) {
 	r.lapseWorkers(now)
-	for _, id := range r.health.Proven(now) {
+	for _, id := range r.health.ReadmitProbed(now) {
 		r.event(EventWorkerBack, id, worker.Key{}, "")
 		r.isChanged = true
 	}
--- a/internal/rack/room.go
+++ b/internal/rack/room.go
@@ -20,7 +20,7 @@
 	for _, id := range r.order {
 		v := r.vms[id]
 		room.Zone = v.zone
-		if !r.isUsable(now, v) || r.health.IsSetAside(now, v.id) {
+		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
 			continue
 		}
 		free := r.free(v).Max(leverdyke.Resources{})
@@ -140,7 +140,7 @@
 		return "leaving"
 	case !v.isKnown:
 		return "unknown"
-	case r.health.IsSetAside(now, v.id):
+	case r.health.IsEjected(now, v.id):
 		return "set-aside"
 	case !r.isUsable(now, v):
 		return "unreachable"
--- a/internal/rack/urgent.go
+++ b/internal/rack/urgent.go
@@ -57,7 +57,7 @@
 	need := r.expected(&item.Task)
 	for _, id := range r.order {
 		v := r.vms[id]
-		if !r.isUsable(now, v) || r.health.IsSetAside(now, v.id) {
+		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
 			continue
 		}
 		pushes := placement.Preempt(need, r.free(v), item.Task.Class, r.victims(now, v))
