--- a/internal/cell/node_test.go
+++ b/internal/cell/node_test.go
@@ -182,7 +182,7 @@
 const patience = time.Hour
 
 func job(id string) *work.Spec {
-	return &work.Spec{ID: work.JobID(id), Queue: "q", Steps: []work.Step{{Count: 1, MayMiss: -1}}}
+	return &work.Spec{ID: work.JobID(id), Queue: "q", Steps: []work.Step{{Count: 1, MaxUnavailable: -1}}}
 }
 
 // submit hands a job in until it is accepted.
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -74,7 +74,7 @@
 
 // Note adds a crash to those under a task, once, and returns those that count.
 func Note(crashes []work.Crash, c work.Crash, isLasting bool) []work.Crash {
-	if isLasting && HasOutlasted(c.Ran) {
+	if isLasting && HasOutlasted(c.RunTime) {
 		return nil
 	}
 	isKnown := func(o work.Crash) bool { return o.Worker == c.Worker && o.Run == c.Run }
@@ -96,7 +96,7 @@
 	if HasOutlasted(ran) {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(crashes), func(c work.Crash) bool { return ran >= max(outlivedRatio*c.Ran, outlivedLeast) })
+	return slices.DeleteFunc(slices.Clone(crashes), func(c work.Crash) bool { return ran >= max(outlivedRatio*c.RunTime, outlivedLeast) })
 }
 
 // IsSuspect reports whether a task may be one that crashes workers. One crash that tells
@@ -134,7 +134,7 @@
 func hasRival(s *Suspect, suspects []Suspect) bool {
 	return slices.ContainsFunc(suspects, func(o Suspect) bool {
 		last := &o.Crashes[len(o.Crashes)-1]
-		return o.Unit != s.Unit && last.Ran < FreshTime && proofsOf(o.Crashes) >= proofsOf(s.Crashes)
+		return o.Unit != s.Unit && last.RunTime < FreshTime && proofsOf(o.Crashes) >= proofsOf(s.Crashes)
 	})
 }
 
@@ -157,10 +157,10 @@
 		return true
 	case c.IsExplained:
 		return false
-	case c.Others > maxOthers:
-		return c.Ran < FreshTime
+	case c.OthersSilent > maxOthers:
+		return c.RunTime < FreshTime
 	}
-	return c.Ran < SoonTime
+	return c.RunTime < SoonTime
 }
 
 // proofsOf counts the machines on which a worker crashed alone under the task, right after
@@ -178,11 +178,11 @@
 }
 
 // isProof reports whether the worker crashed alone, right after the task's start.
-func isProof(c *work.Crash) bool { return isAlone(c) && c.Ran < FreshTime }
+func isProof(c *work.Crash) bool { return isAlone(c) && c.RunTime < FreshTime }
 
 // isAlone reports whether the worker is known to have crashed, and no other with it.
 func isAlone(c *work.Crash) bool {
-	return c.IsKnown && c.Others == 0 && !c.IsExplained && !c.IsInherited
+	return c.IsConfirmed && c.OthersSilent == 0 && !c.IsExplained && !c.IsInherited
 }
 
 // areAlike reports whether many workers crashed alone under the task, as long after its
@@ -191,7 +191,7 @@
 	rans := []time.Duration{}
 	for i := range crashes {
 		if isAlone(&crashes[i]) {
-			rans = append(rans, crashes[i].Ran)
+			rans = append(rans, crashes[i].RunTime)
 		}
 	}
 	slices.Sort(rans)
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -17,12 +17,12 @@
 
 // known is a crash of a worker on machine n, that long after the start of the task.
 func known(n int, ran time.Duration) work.Crash {
-	return work.Crash{Worker: fmt.Sprintf("w%d", n), Machine: fmt.Sprintf("m%d", n), Run: uint64(n), Ran: ran, IsKnown: true}
+	return work.Crash{Worker: fmt.Sprintf("w%d", n), Machine: fmt.Sprintf("m%d", n), Run: uint64(n), RunTime: ran, IsConfirmed: true}
 }
 
 // with is a crash of as many other workers besides.
 func with(others int, c work.Crash) work.Crash {
-	c.Others = others
+	c.OthersSilent = others
 	return c
 }
 
@@ -40,7 +40,7 @@
 
 func possible(n int, ran time.Duration) work.Crash {
 	c := known(n, ran)
-	c.IsKnown = false
+	c.IsConfirmed = false
 	return c
 }
 
--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -170,7 +170,7 @@
 func mayFree(w *worker, s *step) bool {
 	staying, ofStep := leverdyke.Resources{}, 0
 	for _, a := range w.attempts.All() {
-		if a.step == nil || !a.step.spec.IsLasting || a.isStopping {
+		if a.step == nil || !a.step.spec.IsLongRunning || a.isStopping {
 			continue
 		}
 		staying = staying.Add(a.charge)
--- a/internal/dispatch/away.go
+++ b/internal/dispatch/away.go
@@ -36,7 +36,7 @@
 	for _, j := range e.live {
 		for _, r := range j.rounds {
 			for _, s := range r.steps {
-				if told < maxAwayLogged && s.spec.IsLasting && e.logAwayOf(s) {
+				if told < maxAwayLogged && s.spec.IsLongRunning && e.logAwayOf(s) {
 					told++
 				}
 			}
--- a/internal/dispatch/away_test.go
+++ b/internal/dispatch/away_test.go
@@ -21,7 +21,7 @@
 	w.takeOver()
 	w.addWorkers(1, room)
 	lasting := step(1, time.Hour)
-	lasting.IsLasting = true
+	lasting.IsLongRunning = true
 	w.submit("a", lasting)
 	w.run(6 * time.Second)
 	if told > 0 {
--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -181,21 +181,21 @@
 		}
 		for _, a := range []*attempt{t.attempt, t.copy} {
 			if a != nil {
-				p.Places = append(p.Places, work.Place{Index: i, Worker: string(a.worker.ID), Run: a.run})
+				p.Placements = append(p.Placements, work.Placement{Index: i, Worker: string(a.worker.ID), Run: a.run})
 			}
 		}
 		for _, id := range t.heldBy {
-			p.Places = append(p.Places, work.Place{Index: i, Worker: string(id), Run: t.run})
+			p.Placements = append(p.Placements, work.Placement{Index: i, Worker: string(id), Run: t.run})
 		}
-		if !s.spec.IsLasting {
+		if !s.spec.IsLongRunning {
 			p.Failures = append(p.Failures, t.failures...)
 		}
 		p.Crashes = append(p.Crashes, t.crashes...)
 		if t.saved != "" {
-			if p.Saved == nil {
-				p.Saved = map[int]string{}
+			if p.Checkpoints == nil {
+				p.Checkpoints = map[int]string{}
 			}
-			p.Saved[i] = t.saved
+			p.Checkpoints[i] = t.saved
 		}
 	}
 	return p
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -87,7 +87,7 @@
 	c.settle()
 	c.lasts["base"] = true
 	need := leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 500}
-	c.engine.AddJob(&work.Spec{ID: "base", Queue: "q", Steps: []work.Step{{Count: 9 * workers, Need: need, IsLasting: true, MayMiss: -1}}})
+	c.engine.AddJob(&work.Spec{ID: "base", Queue: "q", Steps: []work.Step{{Count: 9 * workers, Need: need, IsLongRunning: true, MaxUnavailable: -1}}})
 	c.settle()
 	if got := c.engine.Counts().Starts; got != 9*workers {
 		b.Fatalf("running at first: got: %d, want: %d", got, 9*workers)
@@ -98,7 +98,7 @@
 	for i := 0; tasks < b.N; i++ {
 		c.clock.Advance(time.Millisecond)
 		id := work.JobID(fmt.Sprintf("j%d", i))
-		c.engine.AddJob(&work.Spec{ID: id, Queue: "q", Steps: []work.Step{{Count: 8, Need: need, Estimate: time.Second, MayMiss: -1}}})
+		c.engine.AddJob(&work.Spec{ID: id, Queue: "q", Steps: []work.Step{{Count: 8, Need: need, Estimate: time.Second, MaxUnavailable: -1}}})
 		c.settle()
 		if s, _ := c.engine.State(id); s != work.JobSucceeded {
 			b.Fatalf("job %s: got: %s, want: succeeded", id, s)
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -22,7 +22,7 @@
 // not allowed.
 func (e *Engine) wantCopy(a *attempt) bool {
 	s := a.step
-	if s == nil || !e.has(MechanismCopies) || !s.spec.MayDuplicate || s.spec.IsGang || s.spec.IsLasting {
+	if s == nil || !e.has(MechanismCopies) || !s.spec.AllowsSpeculation || s.spec.IsGang || s.spec.IsLongRunning {
 		return false
 	}
 	t := &s.tasks[a.id.Index]
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -76,7 +76,7 @@
 // clearOutlived forgets the crashes under a task that lasts which its run has outlived: it has no good
 // end that would do so.
 func (e *Engine) clearOutlived(a *attempt) {
-	if a.step == nil || !a.step.spec.IsLasting || a.phase != phaseRunning {
+	if a.step == nil || !a.step.spec.IsLongRunning || a.phase != phaseRunning {
 		return
 	}
 	t := &a.step.tasks[a.id.Index]
@@ -162,7 +162,7 @@
 		}
 		isExplained := suspect != nil && suspect.orderedAt.Sub(a.orderedAt) > sameTime
 		e.noteCrash(a.step, work.Crash{
-			Index: id.Index, Worker: string(w.ID), Machine: w.Machine, Run: a.run, Ran: a.ran(), IsKnown: isKnown, IsExplained: isExplained, Others: others,
+			Index: id.Index, Worker: string(w.ID), Machine: w.Machine, Run: a.run, RunTime: a.ran(), IsConfirmed: isKnown, IsExplained: isExplained, OthersSilent: others,
 		})
 		tasks = append(tasks, id)
 	}
@@ -196,7 +196,7 @@
 	if t.state == taskDone || s.job.state.IsFinal() {
 		return
 	}
-	t.crashes, t.crashedAt = crash.Note(t.crashes, c, s.spec.IsLasting), e.now
+	t.crashes, t.crashedAt = crash.Note(t.crashes, c, s.spec.IsLongRunning), e.now
 	e.touch(s.job)
 }
 
@@ -213,7 +213,7 @@
 	}
 	for _, task := range tasks {
 		if s, t := e.find(task); t != nil {
-			e.noteCrash(s, work.Crash{Index: task.Index, Worker: string(id), Machine: machine, Run: t.run, IsKnown: isKnown, IsInherited: true})
+			e.noteCrash(s, work.Crash{Index: task.Index, Worker: string(id), Machine: machine, Run: t.run, IsConfirmed: isKnown, IsInherited: true})
 		}
 	}
 	if !isKnown {
@@ -225,7 +225,7 @@
 // restoreCrash takes a crash that an earlier owner has noted.
 func (e *Engine) restoreCrash(s *step, c work.Crash) {
 	s.tasks[c.Index].crashes = append(s.tasks[c.Index].crashes, c)
-	if c.IsKnown {
+	if c.IsConfirmed {
 		return
 	}
 	id := order.WorkerID(c.Worker)
@@ -252,7 +252,7 @@
 	}
 	for _, i := range crash.Guilty(suspects) {
 		crashes := suspects[i].Crashes
-		e.options.Log(events.TaskCrashes, "task", suspects[i].Unit, "worker", id, "crashes", len(crashes), "ran", crashes[len(crashes)-1].Ran, "others", crashes[len(crashes)-1].Others, "beside", len(suspects)-1)
+		e.options.Log(events.TaskCrashes, "task", suspects[i].Unit, "worker", id, "crashes", len(crashes), "ran", crashes[len(crashes)-1].RunTime, "others", crashes[len(crashes)-1].OthersSilent, "beside", len(suspects)-1)
 		e.endJob(steps[i].job, work.JobFailed, "workers crash under a task")
 	}
 }
@@ -286,7 +286,7 @@
 		return
 	}
 	c := t.crashes[i]
-	c.IsKnown = true
+	c.IsConfirmed = true
 	t.crashes = append(slices.Delete(t.crashes, i, i+1), c)
 }
 
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -144,7 +144,7 @@
 			w.submit(fmt.Sprintf("good%d", i), step(4, 3*time.Second))
 		}
 		lasting := step(6, time.Hour)
-		lasting.IsLasting = true
+		lasting.IsLongRunning = true
 		w.submit("lasting", lasting)
 		w.submit("bad1", step(1, time.Second))
 		w.submit("bad2", step(1, time.Second))
@@ -186,7 +186,7 @@
 	w.addWorkers(3, room)
 	w.run(time.Second)
 	lasting := step(1, time.Hour)
-	lasting.IsLasting = true
+	lasting.IsLongRunning = true
 	w.submit("a", lasting)
 	w.run(200 * time.Millisecond)
 	for range 6 {
@@ -225,7 +225,7 @@
 	w.addWorkers(3, room)
 	w.run(time.Second)
 	lasting := step(1, time.Hour)
-	lasting.IsLasting = true
+	lasting.IsLongRunning = true
 	w.submit("a", lasting)
 	w.run(200 * time.Millisecond)
 	for i := range 6 {
@@ -264,7 +264,7 @@
 				w.crashing(func(work.TaskID) bool { return false })
 				w.crashes.isDark = c.isDark
 				lasting := step(12, time.Hour)
-				lasting.IsLasting = true
+				lasting.IsLongRunning = true
 				w.submit("lasting", lasting)
 				for next, i := time.Duration(0), 0; w.since() < 25*time.Second; i++ {
 					w.submit(fmt.Sprintf("j%d", i), step(1+w.rng.IntN(8), 800*time.Millisecond))
--- a/internal/dispatch/crash_world_test.go
+++ b/internal/dispatch/crash_world_test.go
@@ -124,7 +124,7 @@
 	}
 	for _, m := range w.each() {
 		for other, r := range m.runs() {
-			if other.Of() == id.Of() {
+			if other.StepID() == id.StepID() {
 				m.end(other, r, order.EndBroken)
 			}
 		}
--- a/internal/dispatch/customer.go
+++ b/internal/dispatch/customer.go
@@ -63,11 +63,11 @@
 
 // chargeCustomer notes that a task of the step may be running.
 func (e *Engine) chargeCustomer(s *step) {
-	e.quota.Charge(s.customer(), s.spec.Need, s.spec.IsLasting)
+	e.quota.Charge(s.customer(), s.spec.Need, s.spec.IsLongRunning)
 }
 
 func (e *Engine) releaseCustomer(s *step) {
-	e.quota.Release(s.customer(), s.spec.Need, s.spec.IsLasting)
+	e.quota.Release(s.customer(), s.spec.Need, s.spec.IsLongRunning)
 }
 
 // noteDoubts tells the quota what may be running besides the attempts that are known.
--- a/internal/dispatch/customer_test.go
+++ b/internal/dispatch/customer_test.go
@@ -117,7 +117,7 @@
 	for limit, want := range map[int64]int{1: 1, 2: 2} {
 		w := newLimitedWorld(limitOf("a", limit))
 		s := step(1, time.Minute)
-		s.MayDuplicate = true
+		s.AllowsSpeculation = true
 		w.submitFor("a", "q", "j", s)
 		w.run(500 * time.Millisecond)
 		w.workerOf(work.TaskID{Job: "j"}).isCut = true
@@ -190,7 +190,7 @@
 func TestAGangThatCannotFitHoldsBackNothing(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 6))
 	lasting := step(3, time.Hour)
-	lasting.IsLasting = true
+	lasting.IsLongRunning = true
 	w.submitFor("a", "q", "lasting", lasting)
 	w.run(500 * time.Millisecond)
 	gang := step(5, time.Second)
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -18,7 +18,7 @@
 var room = leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 8000}
 
 func step(count int, d time.Duration) work.Step {
-	return work.Step{Count: count, Need: leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 500}, Estimate: d, MayMiss: -1}
+	return work.Step{Count: count, Need: leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 500}, Estimate: d, MaxUnavailable: -1}
 }
 
 func state(w *world, id work.JobID) work.JobState {
@@ -286,7 +286,7 @@
 	w.addWorkers(3, room)
 	w.run(time.Second)
 	lasting := step(4, time.Hour)
-	lasting.IsLasting = true
+	lasting.IsLongRunning = true
 	w.submit("a", lasting)
 	w.run(time.Second)
 	leaving := w.workerOf(work.TaskID{Job: "a"})
--- a/internal/dispatch/evacuate.go
+++ b/internal/dispatch/evacuate.go
@@ -12,7 +12,7 @@
 		return
 	}
 	for _, a := range w.attempts.All() {
-		if a.step == nil || a.phase != phaseRunning || a.isStopping || !a.step.spec.IsLasting || a.step.spec.IsGang {
+		if a.step == nil || a.phase != phaseRunning || a.isStopping || !a.step.spec.IsLongRunning || a.step.spec.IsGang {
 			continue
 		}
 		if a.step.waiting == 0 && !a.step.isMoving() {
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -82,7 +82,7 @@
 	for _, a := range w.attempts.All() {
 		if a.step != nil {
 			hasServing = hasServing || a.step.spec.TailTarget > 0
-			hasFiller = hasFiller || a.step.spec.IsFiller
+			hasFiller = hasFiller || a.step.spec.IsBestEffort
 		}
 	}
 	if hasServing && hasFiller {
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -142,7 +142,7 @@
 	if !e.mayTryNow(w, t) {
 		return false
 	}
-	if len(t.failures) == 0 || s.spec.IsLasting {
+	if len(t.failures) == 0 || s.spec.IsLongRunning {
 		return true
 	}
 	if e.needsSound(s, t) && !w.health.IsSound(e.now) {
@@ -161,7 +161,7 @@
 // isLastAttempt reports whether the job fails if the task fails once more.
 func (e *Engine) isLastAttempt(s *step, t *task) bool {
 	limit := e.queues[s.job.spec.Queue].MaxAttempts
-	return limit > 0 && !s.spec.IsLasting && limit-s.failuresOf(t) <= 1
+	return limit > 0 && !s.spec.IsLongRunning && limit-s.failuresOf(t) <= 1
 }
 
 // AddJob takes a job that is to be kept. It reports whether the job is new; a
@@ -248,12 +248,12 @@
 			e.restoreCrash(s, c)
 		}
 	}
-	for i, text := range p.Saved {
+	for i, text := range p.Checkpoints {
 		if i >= 0 && i < len(s.tasks) {
 			s.tasks[i].saved = text
 		}
 	}
-	for _, place := range p.Places {
+	for _, place := range p.Placements {
 		if place.Index >= 0 && place.Index < len(s.tasks) {
 			s.tasks[place.Index].run = max(s.tasks[place.Index].run, place.Run)
 			e.holdTask(work.TaskID{Job: s.id.Job, Round: s.id.Round, Step: s.id.Step, Index: place.Index}, order.WorkerID(place.Worker))
--- a/internal/dispatch/lab_test.go
+++ b/internal/dispatch/lab_test.go
@@ -37,12 +37,12 @@
 
 func wholeStep(count int, d time.Duration) work.Step {
 	need := leverdyke.Resources{MilliCPU: 31_000, MemoryMiB: 45_000, Accelerators: 8}
-	return work.Step{Count: count, Need: need, Estimate: d, KeepsProgress: true, MayMiss: -1}
+	return work.Step{Count: count, Need: need, Estimate: d, IsResumable: true, MaxUnavailable: -1}
 }
 
 func partStep(count int, d time.Duration) work.Step {
 	need := leverdyke.Resources{MilliCPU: 5600, MemoryMiB: 11_000, Accelerators: 1}
-	return work.Step{Count: count, Need: need, Estimate: d, KeepsProgress: true, MayMiss: -1}
+	return work.Step{Count: count, Need: need, Estimate: d, IsResumable: true, MaxUnavailable: -1}
 }
 
 // newLab returns a world with such workers and ways to ask which are permitted.
@@ -153,7 +153,7 @@
 func TestUrgentTasksTakeRoomThatIsKept(t *testing.T) {
 	w := newLab(1)
 	staying := partStep(3, time.Minute)
-	staying.KeepsProgress = false
+	staying.IsResumable = false
 	w.submitTo("part", "p", staying)
 	w.run(time.Second)
 	w.submitTo("whole", "w", wholeStep(1, time.Minute))
--- a/internal/dispatch/lasting_test.go
+++ b/internal/dispatch/lasting_test.go
@@ -15,7 +15,7 @@
 // lastingStep is a step of tasks that last.
 func lastingStep(count int) work.Step {
 	s := step(count, time.Hour)
-	s.IsLasting = true
+	s.IsLongRunning = true
 	return s
 }
 
@@ -43,7 +43,7 @@
 func TestATaskIsAskedForWhereThereIsRoomNotWhereItsStepRuns(t *testing.T) {
 	o := newOffice(1, 100)
 	o.idle(time.Second)
-	s := work.Step{Count: 15, Need: longStepNeed, Estimate: time.Hour, IsLasting: true, MaxPerWorker: 1, MayMiss: -1}
+	s := work.Step{Count: 15, Need: longStepNeed, Estimate: time.Hour, IsLongRunning: true, MaxPerWorker: 1, MaxUnavailable: -1}
 	asked := map[order.WorkerID]bool{}
 	o.onAdvise = func(a order.Advise) {
 		for _, id := range a.Workers {
--- a/internal/dispatch/lasting_world_test.go
+++ b/internal/dispatch/lasting_world_test.go
@@ -50,7 +50,7 @@
 	}
 	for _, job := range l.w.order {
 		for s := range l.w.specs[job].Steps {
-			if l.w.specs[job].Steps[s].IsLasting && l.w.told[job] == "" {
+			if l.w.specs[job].Steps[s].IsLongRunning && l.w.told[job] == "" {
 				l.lookAt(work.StepID{Job: job, Step: s}, running)
 			}
 		}
@@ -116,7 +116,7 @@
 	}
 	most := spec.MaxPerWorker
 	for id := range m.running {
-		if id.Of() == s {
+		if id.StepID() == s {
 			most--
 		}
 	}
@@ -139,7 +139,7 @@
 	o := newOffice(seed, testSize)
 	o.idle(time.Second)
 	for i := range 2 {
-		s := work.Step{Count: max(int(o.spread(12, 0.8, 18)), 1), Need: longStepNeed, Estimate: time.Hour, IsLasting: true, MayMiss: -1}
+		s := work.Step{Count: max(int(o.spread(12, 0.8, 18)), 1), Need: longStepNeed, Estimate: time.Hour, IsLongRunning: true, MaxUnavailable: -1}
 		if o.rng.Float64() < 0.6 {
 			s.MaxPerWorker = 1
 		}
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -210,7 +210,7 @@
 		e.keepPlace(a)
 	}
 	t.run = max(t.run, r.Run)
-	if s.spec.MayDuplicate && t.state == taskPlaced && t.copy == nil && !s.job.state.IsFinal() {
+	if s.spec.AllowsSpeculation && t.state == taskPlaced && t.copy == nil && !s.job.state.IsFinal() {
 		s.dropCopyWish(t)
 		t.copy = a
 		return a
@@ -283,7 +283,7 @@
 func (e *Engine) endedDone(w *worker, s *step, end *order.End, a *attempt) {
 	e.counts.Done++
 	w.health.Succeeded(e.now)
-	if s.spec.IsLasting {
+	if s.spec.IsLongRunning {
 		return
 	}
 	if !s.spec.IsGang {
@@ -324,7 +324,7 @@
 	s.tasks[i].avoid, s.tasks[i].failedAt = w.ID, e.now
 	e.touch(s.job)
 	e.options.Log(events.AttemptEnded, "task", end.Task, "run", end.Run, "worker", w.ID, "how", end.Kind, "failures", s.failureCount(i))
-	if s.spec.IsLasting {
+	if s.spec.IsLongRunning {
 		s.tasks[i].failures = nil
 		return
 	}
--- a/internal/dispatch/office_test.go
+++ b/internal/dispatch/office_test.go
@@ -93,7 +93,7 @@
 	out := []work.Step{}
 	each := leverdyke.Resources{MilliCPU: int64(o.spread(cpu, 0.45, cpuMost)), MemoryMiB: int64(o.spread(mem, 0.5, 18_000))}
 	for i := range n {
-		s := work.Step{Count: count(), Need: each, Estimate: takes(), MayMiss: -1}
+		s := work.Step{Count: count(), Need: each, Estimate: takes(), MaxUnavailable: -1}
 		if i > 0 {
 			s.After = []int{i - 1}
 		}
@@ -114,7 +114,7 @@
 		steps = o.steps(2, func() int { return max(int(o.spread(21, 0.6, 100)), 1) }, 9000, 9100, 15_000,
 			func() time.Duration { return time.Duration(o.spread(3800, 0.5, 9600) * float64(time.Millisecond)) })
 		for i := range steps {
-			steps[i].KeepsProgress = o.rng.Float64() < 0.8
+			steps[i].IsResumable = o.rng.Float64() < 0.8
 		}
 	}
 	id := work.JobID(fmt.Sprintf("%s%05d", queue, o.next))
@@ -227,7 +227,7 @@
 func playBurst(o *office) {
 	o.idle(time.Second)
 	share := float64(o.size) / officeWorkers
-	o.submitTo("lasting", "lasting", work.Step{Count: int(220 * share), Need: longStepNeed, Estimate: time.Hour, IsLasting: true, MayMiss: -1})
+	o.submitTo("lasting", "lasting", work.Step{Count: int(220 * share), Need: longStepNeed, Estimate: time.Hour, IsLongRunning: true, MaxUnavailable: -1})
 	o.idle(4 * time.Second)
 	o.play(8*time.Second, shortRate, longRate, nobody)
 	o.play(4*time.Second, shortRate, longRate*burst, nobody)
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -34,7 +34,7 @@
 		if a.step == nil || a.phase != phaseRunning {
 			continue
 		}
-		hasFillers = hasFillers || a.step.spec.IsFiller
+		hasFillers = hasFillers || a.step.spec.IsBestEffort
 		if target := a.step.spec.TailTarget; target > 0 && a.percent >= 100 {
 			worst = max(worst, float64(a.figure)/float64(target.Milliseconds()))
 		}
@@ -43,7 +43,7 @@
 		return
 	}
 	for _, a := range w.attempts.All() {
-		if a.step != nil && a.step.spec.IsFiller && a.phase == phaseRunning && !a.isStopping {
+		if a.step != nil && a.step.spec.IsBestEffort && a.phase == phaseRunning && !a.isStopping {
 			e.setPace(a, worst)
 		}
 	}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -144,7 +144,7 @@
 	for i := range s.tasks {
 		e.turns = append(e.turns, i)
 	}
-	if s.spec.IsLasting {
+	if s.spec.IsLongRunning {
 		slices.SortStableFunc(e.turns, func(i, k int) int { return s.tasks[i].ranAt.Compare(s.tasks[k].ranAt) })
 	}
 	return e.turns
@@ -279,7 +279,7 @@
 // any task of the step.
 func (e *Engine) score(w *worker, s *step, t *task) float64 {
 	score := w.fullness()
-	if s.spec.IsLasting || s.spec.IsFiller || t != nil && isSuspect(t) {
+	if s.spec.IsLongRunning || s.spec.IsBestEffort || t != nil && isSuspect(t) {
 		score = -score
 	}
 	switch {
@@ -301,7 +301,7 @@
 		score += weightZone
 	}
 	score -= e.stake(s, t) * w.health.Risk(e.now)
-	if s.spec.IsFiller || s.spec.TailTarget > 0 {
+	if s.spec.IsBestEffort || s.spec.TailTarget > 0 {
 		score -= weightShared * w.conflicts(s)
 	}
 	return score
@@ -311,7 +311,7 @@
 // not failed yet.
 func (e *Engine) stake(s *step, t *task) float64 {
 	limit := e.queues[s.job.spec.Queue].MaxAttempts
-	if s.spec.IsLasting || limit <= 0 {
+	if s.spec.IsLongRunning || limit <= 0 {
 		return weightSpare
 	}
 	left := limit
@@ -347,7 +347,7 @@
 		if a.step == nil {
 			continue
 		}
-		if s.spec.IsFiller && a.step.spec.TailTarget > 0 || s.spec.TailTarget > 0 && a.step.spec.IsFiller {
+		if s.spec.IsBestEffort && a.step.spec.TailTarget > 0 || s.spec.TailTarget > 0 && a.step.spec.IsBestEffort {
 			return 1
 		}
 	}
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -61,7 +61,7 @@
 // learn takes the time that a task took from its order to its end.
 func (e *Engine) learn(a *attempt) {
 	s := a.step
-	if s == nil || s.spec.IsLasting || s.spec.IsFiller || a.hasSaved || a.isAdopted {
+	if s == nil || s.spec.IsLongRunning || s.spec.IsBestEffort || a.hasSaved || a.isAdopted {
 		return
 	}
 	took := e.now.Sub(a.orderedAt)
@@ -87,7 +87,7 @@
 // end.
 func (e *Engine) checkTrial(a *attempt) {
 	health := &a.worker.health
-	isAtWork := a.phase == phaseRunning && !a.isStopping && a.step != nil && a.step.spec.IsLasting && a.percent >= 100
+	isAtWork := a.phase == phaseRunning && !a.isStopping && a.step != nil && a.step.spec.IsLongRunning && a.percent >= 100
 	if isAtWork && health.IsTrial(a.orderedAt) && a.worker.session.ListedAt().Sub(a.percentAt) >= provenLasting {
 		health.Passed()
 	}
@@ -96,14 +96,14 @@
 // checkProgress gives a task another chance elsewhere when its attempt stands
 // still, or goes on so slowly that another one would be done sooner.
 func (e *Engine) checkProgress(a *attempt) {
-	if a.phase != phaseRunning || a.isStopping || a.isReplaced || a.step == nil || a.step.spec.IsLasting && a.percent >= 100 {
+	if a.phase != phaseRunning || a.isStopping || a.isReplaced || a.step == nil || a.step.spec.IsLongRunning && a.percent >= 100 {
 		return
 	}
 	// Progress is only known from listings: a silent worker is no stuck task.
 	still := a.worker.session.ListedAt().Sub(a.percentAt)
 	if still >= e.stuckLimit(a) && a.pace == fullPace {
 		e.options.Log(events.AttemptStuck, "task", a.id, "run", a.run, "worker", a.worker.ID, "percent", a.percent, "for", still, "expected", e.expected(a.step))
-		if !a.step.spec.IsFiller {
+		if !a.step.spec.IsBestEffort {
 			a.worker.health.SetAside(e.now)
 		}
 		e.replace(a, "stands still")
@@ -117,9 +117,9 @@
 func (e *Engine) stuckLimit(a *attempt) time.Duration {
 	s := a.step
 	switch {
-	case s.spec.IsLasting:
+	case s.spec.IsLongRunning:
 		return stuckLasting
-	case s.spec.IsFiller:
+	case s.spec.IsBestEffort:
 		return stuckFiller
 	case a.percent >= nearlyDone:
 		return stuckEnd
@@ -131,7 +131,7 @@
 // isWorthReplacing reports whether another attempt would be done much sooner.
 func (e *Engine) isWorthReplacing(a *attempt) bool {
 	s := a.step
-	if s.spec.IsLasting || s.spec.IsFiller || s.spec.IsGang || a.hasCopy() {
+	if s.spec.IsLongRunning || s.spec.IsBestEffort || s.spec.IsGang || a.hasCopy() {
 		return false
 	}
 	expected, projected := e.expected(s), a.projected()
@@ -140,7 +140,7 @@
 	}
 	left := projected - e.now.Sub(a.orderedAt)
 	again := expected + e.options.StopTime
-	if s.spec.KeepsProgress {
+	if s.spec.IsResumable {
 		again = e.options.StopTime + time.Duration(float64(expected)*float64(100-a.percent)/100)
 	}
 	return float64(left) > worthRatio*float64(again)
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -78,7 +78,7 @@
 		return free
 	}
 	expected := e.expected(s)
-	if expected > 0 && !s.spec.IsLasting && !s.spec.IsFiller && e.now.Add(expected).Before(w.reservedAt) {
+	if expected > 0 && !s.spec.IsLongRunning && !s.spec.IsBestEffort && e.now.Add(expected).Before(w.reservedAt) {
 		return free
 	}
 	return free.Sub(e.reservedBefore(w, s))
@@ -137,7 +137,7 @@
 // wantsReservation reports whether the step's tasks need more than a small part of a
 // worker, so that room that becomes free in parts goes to others.
 func (e *Engine) wantsReservation(s *step, q *order.Queue) bool {
-	if s.spec.IsLasting || s.spec.IsFiller || !e.has(MechanismReservations) {
+	if s.spec.IsLongRunning || s.spec.IsBestEffort || !e.has(MechanismReservations) {
 		return false
 	}
 	return s.spec.IsGang || share(s.spec.Charge(), e.largestOf(q.Service)) >= largeShare
@@ -197,7 +197,7 @@
 		m.MaxTasks = min(m.MaxTasks, s.spec.MaxPerWorker-w.countOf(s))
 	}
 	for _, a := range w.attempts.All() {
-		if a.step == nil || a.step.spec.IsLasting {
+		if a.step == nil || a.step.spec.IsLongRunning {
 			continue
 		}
 		g.occupants = append(g.occupants, a)
@@ -252,7 +252,7 @@
 // that goes on from where it was saved, of a queue that is less urgent.
 func (e *Engine) mayPreempt(a *attempt, q *order.Queue) bool {
 	s := a.step
-	if !e.has(MechanismPreemption) || a.phase != phaseRunning || a.isStopping || !s.spec.KeepsProgress || s.spec.IsGang || a.hasCopy() {
+	if !e.has(MechanismPreemption) || a.phase != phaseRunning || a.isStopping || !s.spec.IsResumable || s.spec.IsGang || a.hasCopy() {
 		return false
 	}
 	own := e.queues[s.job.spec.Queue]
--- a/internal/dispatch/resize_test.go
+++ b/internal/dispatch/resize_test.go
@@ -77,7 +77,7 @@
 	w.resize(w.workers["w00"], leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 8000})
 	w.run(2 * time.Second)
 	filler := step(1, 100*time.Millisecond)
-	filler.IsFiller = true
+	filler.IsBestEffort = true
 	w.submit("b", filler)
 	w.run(2 * time.Second)
 	expectState(t, w, "b", work.JobQueued)
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -35,7 +35,7 @@
 			w.addWorkers(3, room)
 			w.run(time.Second)
 			lasting := step(3, time.Hour)
-			lasting.IsLasting = true
+			lasting.IsLongRunning = true
 			w.submit("lasting", lasting)
 			for i := range 4 {
 				w.submit(fmt.Sprintf("before%d", i), step(6, 300*time.Millisecond))
@@ -272,7 +272,7 @@
 	w.addWorkers(3, room)
 	w.run(time.Second)
 	lasting := step(3, time.Hour)
-	lasting.IsLasting = true
+	lasting.IsLongRunning = true
 	w.submit("lasting", lasting)
 	w.run(2 * time.Second)
 	w.restart(w.workers["w00"], 600*time.Millisecond, 0)
@@ -365,7 +365,7 @@
 	w.addWorkers(6, room)
 	w.run(time.Second)
 	lasting := step(4, time.Hour)
-	lasting.IsLasting = true
+	lasting.IsLongRunning = true
 	w.submit("lasting", lasting)
 	w.run(time.Second)
 	for i := range 40 {
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -98,7 +98,7 @@
 
 func (c *retryCell) submit(id work.JobID, lasts bool) {
 	s := step(1, time.Second)
-	s.IsLasting = lasts
+	s.IsLongRunning = lasts
 	c.engine.AddJob(&work.Spec{ID: id, Queue: "q", Steps: []work.Step{s}})
 	c.settle()
 }
--- a/internal/dispatch/speed.go
+++ b/internal/dispatch/speed.go
@@ -44,7 +44,7 @@
 	var first *step
 	isSeveral := false
 	for _, a := range w.attempts.All() {
-		if a.step == nil || a.phase != phaseRunning || a.isStopping || a.step.spec.IsLasting || a.step.spec.IsFiller {
+		if a.step == nil || a.phase != phaseRunning || a.isStopping || a.step.spec.IsLongRunning || a.step.spec.IsBestEffort {
 			continue
 		}
 		expected, projected := e.expected(a.step), a.projected()
--- a/internal/dispatch/unclear_test.go
+++ b/internal/dispatch/unclear_test.go
@@ -27,7 +27,7 @@
 	w.addWorkers(2, room)
 	w.run(time.Second)
 	lasting := step(3, time.Hour)
-	lasting.IsLasting = true
+	lasting.IsLongRunning = true
 	w.submit("a", lasting)
 	w.run(time.Second)
 	if w.starts != 3 {
@@ -56,7 +56,7 @@
 	w.addWorkers(1, room)
 	w.run(time.Second)
 	lasting := step(2, time.Hour)
-	lasting.IsLasting = true
+	lasting.IsLongRunning = true
 	w.submit("a", lasting)
 	w.run(time.Second)
 	m := w.workers["w00"]
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -63,7 +63,7 @@
 	q := e.queues[s.job.spec.Queue]
 	whole, left := e.chain(s.round, &q)
 	w := urgency.Work{
-		Age: e.now.Sub(s.openedFor()), Remaining: left, IsImmediate: s.spec.IsLasting || e.isStarved(s, q.Service), MustNotYield: s.spec.IsGang,
+		Age: e.now.Sub(s.openedFor()), Remaining: left, IsImmediate: s.spec.IsLongRunning || e.isStarved(s, q.Service), MustNotYield: s.spec.IsGang,
 	}
 	if q.Stretch > 0 && e.has(MechanismUrgency) {
 		w.Objective = q.Latency + time.Duration(q.Stretch*float64(whole))
--- a/internal/dispatch/usable.go
+++ b/internal/dispatch/usable.go
@@ -22,7 +22,7 @@
 // mayTryEarly reports whether tasks of the step may be tried on workers that are set aside before
 // their pause is over: nothing else has taken them.
 func (e *Engine) mayTryEarly(s *step, pool string) bool {
-	if !s.spec.IsLasting {
+	if !s.spec.IsLongRunning {
 		return e.isStarved(s, pool)
 	}
 	isAway := func(t task) bool { return t.state == taskWaiting && e.awayFor(s, &t) >= otherPatience }
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -349,7 +349,7 @@
 		return
 	}
 	spec := w.specs[s.Task.Job].Steps[s.Task.Step]
-	r := &modelRun{orderedAt: w.since(), need: spec.Need, lasts: spec.IsLasting, fails: w.rng.Float64() < w.failShare}
+	r := &modelRun{orderedAt: w.since(), need: spec.Need, lasts: spec.IsLongRunning, fails: w.rng.Float64() < w.failShare}
 	engine := w.engine
 	w.orderLater(delay, func() {
 		if m.isDead && engine == w.engine && !lost && !m.isCut {
--- a/internal/owner/ahead_test.go
+++ b/internal/owner/ahead_test.go
@@ -83,7 +83,7 @@
 					close(ended)
 				}
 			})
-			if err := o.Submit(t.Context(), &work.Spec{ID: "a", Queue: "q", Steps: []work.Step{{Count: 1, MayMiss: -1}, {Count: 1, MayMiss: -1, After: []int{0}}}}); err != nil {
+			if err := o.Submit(t.Context(), &work.Spec{ID: "a", Queue: "q", Steps: []work.Step{{Count: 1, MaxUnavailable: -1}, {Count: 1, MaxUnavailable: -1, After: []int{0}}}}); err != nil {
 				t.Fatal(err)
 			}
 			log.SetFail(func(*store.Append) (error, bool) { return &store.Error{Failure: store.NotDone}, false })
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -291,7 +291,7 @@
 		go func() {
 			_ = l.owner.Submit(context.Background(), &work.Spec{
 				ID: id, Queue: queue, Payload: payload, AcceptedAt: time.Now(),
-				Steps: []work.Step{{Count: tasks, Need: leverdyke.Resources{MilliCPU: milli, MemoryMiB: 3600}, Estimate: span, MayMiss: -1}},
+				Steps: []work.Step{{Count: tasks, Need: leverdyke.Resources{MilliCPU: milli, MemoryMiB: 3600}, Estimate: span, MaxUnavailable: -1}},
 			})
 		}()
 	}
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -82,7 +82,7 @@
 }
 
 func job(id string) *work.Spec {
-	return &work.Spec{ID: work.JobID(id), Queue: "q", Steps: []work.Step{{Count: 2, MayMiss: -1}}}
+	return &work.Spec{ID: work.JobID(id), Queue: "q", Steps: []work.Step{{Count: 2, MaxUnavailable: -1}}}
 }
 
 func awaitState(t *testing.T, o *owner.Owner, id string, want work.JobState) {
--- a/internal/owner/size_test.go
+++ b/internal/owner/size_test.go
@@ -24,7 +24,7 @@
 	s := work.StepProgress{Run: 1}
 	for i := range tasks {
 		id := order.NewWorkerID(fmt.Sprintf("i-%010x", 7919*i), bornAt)
-		s.Places = append(s.Places, work.Place{Index: i, Worker: string(id), Run: 1})
+		s.Placements = append(s.Placements, work.Placement{Index: i, Worker: string(id), Run: 1})
 	}
 	return &work.Progress{State: work.JobRunning, Rounds: map[int][]work.StepProgress{0: {s}}}
 }
@@ -82,7 +82,7 @@
 		t.Fatalf("got: %+v, %v, want: one step", back, err)
 	}
 	s := back.Rounds[0][0]
-	if s.Failures[0] != (work.Failure{Index: 1, Worker: "w", Run: 2}) || s.Places[0] != (work.Place{Index: 2, Worker: "v", Run: 3}) || !s.IsDone(0) {
+	if s.Failures[0] != (work.Failure{Index: 1, Worker: "w", Run: 2}) || s.Placements[0] != (work.Placement{Index: 2, Worker: "v", Run: 3}) || !s.IsDone(0) {
 		t.Errorf("got: %+v, want: what was written", s)
 	}
 }
--- a/internal/work/customer.go
+++ b/internal/work/customer.go
@@ -22,8 +22,8 @@
 	return s.Customer == "" || s.Customer == c.Customer || isPublic
 }
 
-// Caller returns who has handed in the job.
-func (s *Spec) Caller() Caller {
+// Submitter returns who has handed in the job.
+func (s *Spec) Submitter() Caller {
 	if s.Customer == "" {
 		return Caller{PublicQueue: s.Queue}
 	}
--- a/internal/work/customer_test.go
+++ b/internal/work/customer_test.go
@@ -9,7 +9,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-func TestWhoMayAccessAJob(t *testing.T) {
+func TestMayAccess(t *testing.T) {
 	own := &work.Spec{Queue: "q", Customer: "a"}
 	for name, tc := range map[string]struct {
 		caller work.Caller
@@ -25,7 +25,7 @@
 		"a job without a customer":             {work.Caller{Customer: "b"}, &work.Spec{Queue: "q"}, true},
 		"over, so that its queue is unknown":   {work.Caller{PublicQueue: "q"}, &work.Spec{Customer: "a"}, false},
 		"no queue is like no public queue":     {work.Caller{}, &work.Spec{Customer: "a"}, false},
-		"the one who handed it in":             {own.Caller(), own, true},
+		"the one who handed it in":             {own.Submitter(), own, true},
 	} {
 		if got := tc.caller.MayAccess(tc.job); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
--- a/internal/work/progress.go
+++ b/internal/work/progress.go
@@ -45,8 +45,8 @@
 	Run    uint64
 }
 
-// Place is a worker on which an attempt of a task may run.
-type Place struct {
+// Placement is a worker on which an attempt of a task may run.
+type Placement struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Index  int
@@ -63,19 +63,19 @@
 	// Machine is what the worker was a life of; empty when that is not known.
 	Machine string
 	Run     uint64
-	// Ran is how long the worker is known to have had the attempt.
-	Ran time.Duration
-	// IsKnown means that the worker is known to have crashed. Otherwise it may only have
+	// RunTime is how long the worker is known to have had the attempt.
+	RunTime time.Duration
+	// IsConfirmed means that the worker is known to have crashed. Otherwise it may only have
 	// been cut off until its leases were over.
-	IsKnown bool
+	IsConfirmed bool
 	// IsInherited means that an earlier owner had started the attempt: Ran and Others are
 	// not known.
 	IsInherited bool
 	// IsExplained means that a task under which a worker had crashed before was started there
 	// later.
 	IsExplained bool
-	// Others is how many other workers fell silent in the same moment.
-	Others int
+	// OthersSilent is how many other workers fell silent in the same moment.
+	OthersSilent int
 }
 
 // StepProgress is what is known of a step.
@@ -86,10 +86,10 @@
 	Failures []Failure
 	// Crashes are the workers that crashed under tasks.
 	Crashes []Crash `msgpack:",omitempty"`
-	// Places is where tasks may run.
-	Places []Place
-	// Saved is where tasks can go on from, by their index.
-	Saved map[int]string
+	// Placements is where tasks may run.
+	Placements []Placement `msgpack:"Places"`
+	// Checkpoints is where tasks can go on from, by their index.
+	Checkpoints map[int]string `msgpack:"Saved"`
 	// Run is the highest run of any task that is known.
 	Run uint64
 }
--- a/internal/work/spec.go
+++ b/internal/work/spec.go
@@ -33,8 +33,8 @@
 	Step  int
 }
 
-// Of returns the step that the task belongs to.
-func (t TaskID) Of() StepID { return StepID{t.Job, t.Round, t.Step} }
+// StepID returns the step that the task belongs to.
+func (t TaskID) StepID() StepID { return StepID{t.Job, t.Round, t.Step} }
 
 // Compare orders tasks by job, round, step and index.
 func (t TaskID) Compare(o TaskID) int {
@@ -59,8 +59,8 @@
 	Estimate time.Duration
 	// After are steps of lower number that must be done before.
 	After []int
-	// KeepsProgress means that a stopped task can go on from where it was saved.
-	KeepsProgress bool
+	// IsResumable means that a stopped task can go on from where it was saved.
+	IsResumable bool `msgpack:"KeepsProgress"`
 	// IsGang means that the tasks only work together and end together.
 	IsGang bool
 	// IsSameRack asks for all tasks in one rack; elsewhere they are slower.
@@ -71,26 +71,26 @@
 	DataRack string
 	// MaxPerWorker bounds the tasks of the step on one worker; 0 means no bound.
 	MaxPerWorker int
-	// MayDuplicate allows copies of a task to run side by side.
-	MayDuplicate bool
-	// IsLasting means that the tasks run until the job is cancelled.
-	IsLasting bool
-	// MayMiss is how many lasting tasks may be away at once by our own doing;
+	// AllowsSpeculation allows copies of a task to run side by side.
+	AllowsSpeculation bool `msgpack:"MayDuplicate"`
+	// IsLongRunning means that the tasks run until the job is cancelled.
+	IsLongRunning bool `msgpack:"IsLasting"`
+	// MaxUnavailable is how many lasting tasks may be away at once by our own doing;
 	// negative means that no bound was given.
-	MayMiss int
+	MaxUnavailable int `msgpack:"MayMiss"`
 	// Image names what the tasks run.
 	Image string
 	// TailTarget is the tail latency that the users of a lasting task may see; 0
 	// means none.
 	TailTarget time.Duration
-	// IsFiller means that the processors it asks for are not set aside for it.
-	IsFiller bool
+	// IsBestEffort means that the processors it asks for are not set aside for it.
+	IsBestEffort bool `msgpack:"IsFiller"`
 }
 
 // Charge returns what a task of the step takes of a worker's room.
 func (s *Step) Charge() leverdyke.Resources {
 	need := s.Need
-	if s.IsFiller {
+	if s.IsBestEffort {
 		need.MilliCPU = 0
 	}
 	return need
