--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// BenchmarkLimits is what limits cost one look at all that waits: counted anew from all attempts,
-// and kept in a ledger that is charged and released for each of six attempts that begin or end
-// between two looks.
+// BenchmarkLimits measures what the limits cost per scheduling pass in two ways: adding up the
+// usage of all attempts anew, and a ledger that is charged and released as six attempts start or end
+// between two passes.
 func BenchmarkLimits(b *testing.B) {
 	type attempt struct {
 		customer work.CustomerName
@@ -30,7 +30,7 @@
 		for i := range attempts {
 			attempts[i] = &attempt{policy[i%size.customers].Name, each}
 		}
-		b.Run(fmt.Sprintf("counted anew, %d workers, %d customers", size.workers, size.customers), func(b *testing.B) {
+		b.Run(fmt.Sprintf("recount, %d workers, %d customers", size.workers, size.customers), func(b *testing.B) {
 			for range b.N {
 				used := map[work.CustomerName]leverdyke.Resources{}
 				for _, a := range attempts {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quota keeps customers within their limits: it counts what may be running for each
-// of them over all workers, and tells what may start beside it. It is pure.
+// Package quota enforces the resource limits of customers. It counts the resources that may be in
+// use for each customer over all workers, and answers how many more tasks may start within the
+// limit. It does no I/O and reads no clock.
 package quota
 
 import (
@@ -15,29 +16,33 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Ledger has an account for each customer. The zero value has none, and limits nobody.
+// Ledger has an account for each customer. The zero value has no accounts and limits nobody.
 //
-// What is charged may be running: from the order to start on until it is known that nothing of
-// it is left. It is not safe for concurrent use.
+// The caller charges a task's resources when it orders the task to start, and releases them when
+// it is known that nothing of the task runs any more: an order without an answer may have been
+// carried out, so its resources stay charged. A Ledger is not safe for concurrent use.
 type Ledger struct {
 	accounts map[work.CustomerName]*account
-	// unsure are the accounts in which something is in doubt.
+	// uncertain are the accounts to which AddUncertain or MarkUnknownUsage has added something
+	// since the last ClearUncertain.
 	uncertain []*account
 }
 
-// account is what is known of one customer.
+// account is the limit of one customer and the resources that may be in use for it.
 type account struct {
-	// limit is 0 in the dimensions that have none.
+	// limit is 0 in the dimensions that have no limit.
 	limit leverdyke.Resources
-	// used is the sum of what is charged, lasting the part of it that ends only with its job.
+	// used is the sum of what is charged. longRunning is the part of it that belongs to
+	// long-running tasks, which end only when their job is cancelled.
 	used, longRunning leverdyke.Resources
-	// doubtful may be running besides. isUnknown means that tasks of an unknown size may.
+	// uncertain may be in use in addition to used. hasUnknownUsage means that tasks whose size
+	// is not known may be running as well.
 	uncertain       leverdyke.Resources
 	hasUnknownUsage bool
 }
 
-// SetLimits puts the limits of a configuration in force. A customer that is no longer in it
-// keeps its last limit for the jobs that it has.
+// SetLimits puts the limits of a configuration in force. A customer that is no longer in the
+// configuration keeps its last limit for the jobs that it still has.
 func (l *Ledger) SetLimits(customers []order.Customer) {
 	for i := range customers {
 		l.account(customers[i].Name).limit = customers[i].Limit
@@ -56,13 +61,14 @@
 	return a
 }
 
-// Charge notes that something may run from now on. isLasting means that it ends only with its
-// job.
+// Charge adds the resources of a task that may run from now on. isLongRunning means that the task
+// ends only when its job is cancelled.
 func (l *Ledger) Charge(name work.CustomerName, r leverdyke.Resources, isLongRunning bool) {
 	l.add(name, r, isLongRunning)
 }
 
-// Release notes that nothing is left of what was charged.
+// Release subtracts the resources of a task of which nothing runs any more. The arguments must
+// be those of its Charge.
 func (l *Ledger) Release(name work.CustomerName, r leverdyke.Resources, isLongRunning bool) {
 	l.add(name, r.Times(-1), isLongRunning)
 }
@@ -78,8 +84,8 @@
 	}
 }
 
-// AddUncertain notes that tasks of that size in all may be running besides what is charged, until
-// ClearDoubts.
+// AddUncertain adds the resources of tasks that may be running in addition to those charged. They
+// count until ClearUncertain.
 func (l *Ledger) AddUncertain(name work.CustomerName, r leverdyke.Resources) {
 	if name == "" {
 		return
@@ -89,7 +95,8 @@
 	l.uncertain = append(l.uncertain, a)
 }
 
-// MarkUnknownUsage notes that tasks of an unknown size may be running, until ClearDoubts.
+// MarkUnknownUsage records that tasks whose size is not known may be running. Until ClearUncertain
+// no further task of a customer with a limit may start.
 func (l *Ledger) MarkUnknownUsage(name work.CustomerName) {
 	if name == "" {
 		return
@@ -99,7 +106,7 @@
 	l.uncertain = append(l.uncertain, a)
 }
 
-// ClearUncertain forgets what was in doubt.
+// ClearUncertain undoes all calls of AddUncertain and MarkUnknownUsage.
 func (l *Ledger) ClearUncertain() {
 	for _, a := range l.uncertain {
 		a.uncertain, a.hasUnknownUsage = leverdyke.Resources{}, false
@@ -107,7 +114,7 @@
 	l.uncertain = l.uncertain[:0]
 }
 
-// Admissible returns how many of n tasks that take each as much may start.
+// Admissible returns how many of n tasks may start within the limit; each is what one of them needs.
 func (l *Ledger) Admissible(name work.CustomerName, each leverdyke.Resources, n int) int {
 	a := l.accounts[name]
 	if a == nil || !a.isLimited() {
@@ -126,8 +133,9 @@
 	return n
 }
 
-// Batches returns in how many waves n tasks that take each as much run when nothing else of their
-// customer does; at least 1.
+// Batches returns in how many batches, one after the other, n tasks have to run under the limit if
+// nothing else of the customer runs; at least 1. A task that exceeds the limit counts as a batch
+// of its own. each is what one task needs.
 func (l *Ledger) Batches(name work.CustomerName, each leverdyke.Resources, n int) int {
 	a := l.accounts[name]
 	if a == nil {
@@ -143,8 +151,8 @@
 	return batches
 }
 
-// IsOverLimit reports whether a customer has more than it may, as where its limit has fallen or
-// tasks were found that an earlier owner had started.
+// IsOverLimit reports whether a customer may have more in use than its limit. That happens when
+// the limit was lowered, or when tasks were found that a previous owner had started.
 func (l *Ledger) IsOverLimit(name work.CustomerName) bool {
 	a := l.accounts[name]
 	if a == nil {
@@ -158,21 +166,21 @@
 	return false
 }
 
-// FitsEventually reports whether tasks that take so much in all can start once the others of
-// their customer have ended, but for those that last.
+// FitsEventually reports whether tasks that need total together can start once all other tasks of
+// their customer have ended, except the long-running ones, which do not end by themselves.
 func (l *Ledger) FitsEventually(name work.CustomerName, total leverdyke.Resources) bool {
 	a := l.accounts[name]
 	return a == nil || exceeded(total.Add(a.longRunning), a.limit) == ""
 }
 
-// Usage is what is known of a customer, for the log and for metrics.
+// Usage is what a customer uses and may use, for the log and for metrics.
 type Usage struct {
 	Used, Limit leverdyke.Resources
-	// IsUncertain means that more may be running than Used.
+	// IsUncertain means that more may be in use than Used.
 	IsUncertain bool
 }
 
-// Usage returns what is known of a customer.
+// Usage returns the usage of a customer; the zero value for one that is not known.
 func (l *Ledger) Usage(name work.CustomerName) Usage {
 	a := l.accounts[name]
 	if a == nil {
@@ -181,14 +189,15 @@
 	return Usage{a.used, a.limit, a.hasUnknownUsage || a.uncertain != leverdyke.Resources{}}
 }
 
-// CustomerUtilization is what part of its limit a customer has in use, by the dimension of which it uses
-// most.
+// CustomerUtilization is the fraction of its limit that a customer has in use, in the dimension in
+// which that fraction is largest.
 type CustomerUtilization struct {
 	Name     work.CustomerName
 	Fraction float64
 }
 
-// MostUtilized returns the n customers with a limit that use most of it, the fullest first.
+// MostUtilized returns the n customers with a limit that use the largest fraction of it, in
+// descending order.
 func (l *Ledger) MostUtilized(n int) []CustomerUtilization {
 	out := []CustomerUtilization{}
 	for name, a := range l.accounts {
@@ -209,8 +218,9 @@
 	return out[:min(n, len(out))]
 }
 
-// CheckJob returns why a job can never run under the limit of its customer, or "": a task that
-// takes more than the limit alone, or a gang whose members do together.
+// CheckJob returns why a job can never run under the limit of its customer, or "" if it can. A job
+// can never run if one of its tasks needs more than the limit, or if it has a gang whose tasks
+// together do.
 func (l *Ledger) CheckJob(s *work.Spec) string {
 	a := l.accounts[s.Customer]
 	if a == nil || s.Customer == "" {
@@ -233,7 +243,8 @@
 	return a.limit.MilliCPU > 0 || a.limit.MemoryMiB > 0 || a.limit.Accelerators > 0
 }
 
-// dimension is one of the limit, of what may be running, and of what a task takes.
+// dimension is one resource dimension of an account: its limit, what may be in use, including what
+// is uncertain, and what a task needs.
 type dimension struct{ limit, used, need int64 }
 
 func (a *account) dimensions(need leverdyke.Resources) [3]dimension {
@@ -245,7 +256,7 @@
 	}
 }
 
-// lacks names the first dimension in which need is over a limit, or returns "".
+// exceeded names the first dimension in which need exceeds the limit, or returns "".
 func exceeded(need, limit leverdyke.Resources) string {
 	for _, d := range [...]struct {
 		need, limit int64
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -37,9 +37,9 @@
 		"nothing runs":         {"a", func(*quota.Ledger) {}, 4},
 		"some":                 {"a", func(l *quota.Ledger) { l.Charge("a", each.Times(3), false) }, 1},
 		"some have ended":      {"a", func(l *quota.Ledger) { l.Charge("a", each.Times(3), false); l.Release("a", each, false) }, 2},
-		"more than it may":     {"a", func(l *quota.Ledger) { l.Charge("a", each.Times(9), false) }, 0},
-		"some may run":         {"a", func(l *quota.Ledger) { l.AddUncertain("a", each); l.AddUncertain("a", each) }, 2},
-		"no doubt any more":    {"a", func(l *quota.Ledger) { l.AddUncertain("a", each); l.MarkUnknownUsage("a"); l.ClearUncertain() }, 4},
+		"over the limit":       {"a", func(l *quota.Ledger) { l.Charge("a", each.Times(9), false) }, 0},
+		"some may be running":  {"a", func(l *quota.Ledger) { l.AddUncertain("a", each); l.AddUncertain("a", each) }, 2},
+		"no longer uncertain":  {"a", func(l *quota.Ledger) { l.AddUncertain("a", each); l.MarkUnknownUsage("a"); l.ClearUncertain() }, 4},
 		"of an unknown size":   {"a", func(l *quota.Ledger) { l.MarkUnknownUsage("a") }, 0},
 		"of another customer":  {"a", func(l *quota.Ledger) { l.MarkUnknownUsage("free"); l.Charge("memory", each, false) }, 4},
 		"another dimension":    {"memory", func(*quota.Ledger) {}, 2},
@@ -69,23 +69,25 @@
 	}
 	l.SetLimits([]order.Customer{{Name: "a", Limit: each.Times(3)}})
 	if !l.IsOverLimit("a") {
-		t.Error("the limit has fallen: got: not over, want: over")
+		t.Error("lowered limit: got: not over, want: over")
 	}
 }
 
+// Long-running tasks do not end by themselves: a job that only fits without them must not hold back
+// the other steps of its customer while it waits.
 func TestFitsEventually(t *testing.T) {
 	l := newLedger()
 	l.Charge("a", each.Times(2), false)
 	l.Charge("a", each, true)
 	if !l.FitsEventually("a", each.Times(3)) {
-		t.Error("beside what lasts: got: never, want: later")
+		t.Error("fits beside long-running tasks: got: never, want: later")
 	}
 	if l.FitsEventually("a", each.Times(4)) {
-		t.Error("more than what lasts leaves: got: later, want: never")
+		t.Error("more than long-running tasks leave: got: later, want: never")
 	}
 	l.Release("a", each, true)
 	if !l.FitsEventually("a", each.Times(4)) || !l.FitsEventually("free", each.Times(400)) {
-		t.Error("once nothing lasts, or without a limit: got: never, want: later")
+		t.Error("no long-running task, or no limit: got: never, want: later")
 	}
 }
 
@@ -115,7 +117,7 @@
 		t.Errorf("got: %+v, want: %+v", got, want)
 	}
 	if got := l.MostUtilized(1); !slices.Equal(got, want[:1]) {
-		t.Errorf("bounded: got: %+v, want: %+v", got, want[:1])
+		t.Errorf("only one: got: %+v, want: %+v", got, want[:1])
 	}
 }
 
@@ -127,6 +129,6 @@
 	}
 	l.AddUncertain("a", each)
 	if !l.Usage("a").IsUncertain || l.Usage("none") != (quota.Usage{}) {
-		t.Error("in doubt: got: sure, want: unsure")
+		t.Error("uncertain usage: got: certain, or the usage of an unknown customer, want: uncertain")
 	}
 }
