--- a/internal/fairshare/fairshare.go
+++ b/internal/fairshare/fairshare.go
@@ -1,32 +1,35 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fairshare tells which customers have more of all room in use than their share. It is
-// pure.
+// Package fairshare finds the customers that use more of the cluster's capacity than their share.
+// It does no I/O and reads no clock.
 //
-// It answers the load in which one customer sends many times its usual: while others wait, it
-// gets no more than its share, and what they leave it has.
+// It handles a load in which one customer submits many times its usual amount. While work of other
+// customers waits, that customer gets no more than its share; it may use the capacity that the
+// others leave free.
 package fairshare
 
 import (
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// overRatio is how many times its share a customer may have in use until it counts as over it:
-// what it has in use comes and goes with single jobs.
+// overShareRatio is how many times its share a customer may use before it counts as over its
+// share: usage fluctuates as single jobs start and end.
 const overShareRatio = 1.5
 
-// Usage is what a customer that has work running or waiting has in use.
+// Usage is the usage of a customer that has work running or waiting.
 type Usage struct {
 	Name work.CustomerName
-	// Weight makes its share, beside the weights of the others; over 0.
+	// Weight is above 0. The share of a customer is its weight divided by the sum of all weights.
 	Weight float64
-	// Fraction is what part of all room it has in use, by the dimension of which that is most.
+	// Fraction is the fraction of the total capacity that the customer uses, in the dimension in
+	// which that fraction is largest.
 	Fraction float64
 }
 
-// OverShare returns the customers that have more in use than their shares. One whose share is below
-// the mean may have as much as the mean, or a single wide job would hold back all its others.
+// OverShare returns the customers that use more than their share. A customer whose share is below
+// the mean may use as much as the mean; otherwise a single job with many tasks would hold back all
+// its other jobs.
 func OverShare(usages []Usage) []work.CustomerName {
 	sum := 0.0
 	for i := range usages {
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -16,13 +16,13 @@
 		usages []fairshare.Usage
 		want   []work.CustomerName
 	}{
-		"nobody is there":        {nil, nil},
-		"one alone has all":      {[]fairshare.Usage{{"a", 2, 0.97}}, nil},
-		"each its share":         {[]fairshare.Usage{{"a", 2, 0.5}, {"b", 1, 0.25}, {"c", 1, 0.25}}, nil},
-		"one takes the others'":  {[]fairshare.Usage{{"a", 2, 0.8}, {"b", 1, 0.1}, {"c", 1, 0.1}}, []work.CustomerName{"a"}},
-		"somewhat over":          {[]fairshare.Usage{{"a", 2, 0.7}, {"b", 1, 0.2}, {"c", 1, 0.1}}, nil},
-		"a small one, wide jobs": {[]fairshare.Usage{{"a", 30, 0.4}, {"b", 30, 0.3}, {"c", 1, 0.3}}, nil},
-		"a small one, hot":       {[]fairshare.Usage{{"a", 30, 0.3}, {"b", 30, 0.3}, {"c", 1, 0.4}}, []work.CustomerName{"c"}},
+		"no customers":               {nil, nil},
+		"a single customer":          {[]fairshare.Usage{{"a", 2, 0.97}}, nil},
+		"each its share":             {[]fairshare.Usage{{"a", 2, 0.5}, {"b", 1, 0.25}, {"c", 1, 0.25}}, nil},
+		"one far over its share":     {[]fairshare.Usage{{"a", 2, 0.8}, {"b", 1, 0.1}, {"c", 1, 0.1}}, []work.CustomerName{"a"}},
+		"slightly over":              {[]fairshare.Usage{{"a", 2, 0.7}, {"b", 1, 0.2}, {"c", 1, 0.1}}, nil},
+		"low weight, below the mean": {[]fairshare.Usage{{"a", 30, 0.4}, {"b", 30, 0.3}, {"c", 1, 0.3}}, nil},
+		"low weight, above the mean": {[]fairshare.Usage{{"a", 30, 0.3}, {"b", 30, 0.3}, {"c", 1, 0.4}}, []work.CustomerName{"c"}},
 	} {
 		if got := fairshare.OverShare(tc.usages); !slices.Equal(got, tc.want) {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
