--- a/internal/urgency/urgency.go
+++ b/internal/urgency/urgency.go
@@ -1,11 +1,12 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package urgency orders work of one priority that waits. It is pure.
+// Package urgency orders waiting work of equal priority. It does no I/O and reads no clock; the
+// caller passes times.
 //
-// It answers the load in which more comes for a while than can be done in time. In the order
-// of arrival all of it is late then. Here the earliest deadline goes first, and what cannot be
-// done by its deadline any more makes way for what can.
+// It handles a load that for a while exceeds what can be done in time. In order of arrival, all
+// work would then be late. Here the work with the earliest deadline goes first, and work that can
+// no longer meet its deadline yields to work that still can.
 package urgency
 
 import (
@@ -13,46 +14,48 @@
 	"time"
 )
 
-// lateFactor is how many times its objective a job may take until its caller has no use for it.
+// overdueFactor is how many times its objective a job may take in all before its result is of no
+// use to its caller.
 const overdueFactor = 3
 
-// Work is what is known of something that waits.
+// Work describes a piece of work that waits.
 type Work struct {
-	// Age is how long ago it came.
+	// Age is the time since it was submitted.
 	Age time.Duration
-	// Objective is how long after it came it should be done; 0 when there is none.
+	// Objective is the time from submission by which it should be done; 0 means that it has none.
 	Objective time.Duration
-	// Remaining is how long it still takes once it begins.
+	// Remaining is how long it still takes once it starts.
 	Remaining time.Duration
-	// IsImmediate means that it goes before all that may wait, whatever its time.
+	// IsImmediate means that it goes before all other work, whatever its age and objective.
 	IsImmediate bool
-	// MustNotYield means that it does not make way when it is late.
+	// MustNotYield means that it counts as on time, and does not yield to other work, even when
+	// it is late.
 	MustNotYield bool
 }
 
-// class is what becomes of work that begins now. A lower one goes first.
+// class says whether work that starts now would end in time. A lower class goes first.
 type class int
 
 const (
-	// classPressing is work that may not wait.
+	// classImmediate is work that must not wait.
 	classImmediate class = iota
-	// classInTime is work that can be done within its objective, or has none.
+	// classOnTime is work that can be done within its objective, or has no objective.
 	classOnTime
-	// classLate is work that is late, and of use all the same.
+	// classLate is work that misses its objective but still ends within overdueFactor times it.
 	classLate
-	// classOverdue is all other work.
+	// classOverdue is work that ends too late to be of use.
 	classOverdue
 )
 
-// Rank is the place of work in the order. The zero value is the first.
+// Rank is the position of work in the order. The zero value goes first.
 type Rank struct {
 	class class
-	// dueIn is the time until its deadline; 0 where there is none.
+	// dueIn is the time until the deadline of its class; 0 means that there is none.
 	dueIn time.Duration
 	age   time.Duration
 }
 
-// Rank returns the place of work.
+// Rank returns the position of the work in the order.
 func (w *Work) Rank() Rank {
 	dueIn := w.Objective - w.Age
 	overdueIn := overdueFactor*w.Objective - w.Age
@@ -74,15 +77,16 @@
 	return cmp.Or(cmp.Compare(r.class, o.class), cmp.Compare(r.dueIn, o.dueIn), cmp.Compare(o.age, r.age))
 }
 
-// IsLate reports whether the work makes way for other work.
+// IsLate reports whether the work can no longer meet its objective and so yields to other work.
 func (r Rank) IsLate() bool { return r.class >= classLate }
 
 const (
-	// turnPeriod is the time in which late work has a turn of its own, turnTime how much of it:
-	// else it would never end where too much comes for good.
+	// In each latePeriod, late work goes first for lateFirstTime. Without this share, late work
+	// would never run while the overload lasts.
 	latePeriod    = time.Second
 	lateFirstTime = 100 * time.Millisecond
 )
 
-// IsLateFirst reports whether late work goes first now, by the time since any fixed moment.
+// IsLateFirst reports whether late work goes before other work now. since is the time since any
+// fixed moment, which must be the same for all calls.
 func IsLateFirst(since time.Duration) bool { return since%latePeriod < lateFirstTime }
--- a/internal/urgency/urgency_test.go
+++ b/internal/urgency/urgency_test.go
@@ -37,12 +37,12 @@
 	}
 	for name, w := range named {
 		if got, want := w.Rank().IsLate(), name[:4] == "late" || name[:4] == "over"; got != want {
-			t.Errorf("%s makes way: got: %v, want: %v", name, got, want)
+			t.Errorf("%s is late: got: %v, want: %v", name, got, want)
 		}
 	}
 }
 
-// Without objectives it is the order of arrival.
+// Work without objectives is done in the order of its arrival.
 func TestWorkWithoutAnObjectiveIsOrderedByAge(t *testing.T) {
 	old, young := urgency.Work{Age: 2 * time.Second, Remaining: time.Hour}, urgency.Work{Age: time.Second}
 	if got := old.Rank().Compare(young.Rank()); got >= 0 {
@@ -50,6 +50,8 @@
 	}
 }
 
+// Late work must not starve where the load exceeds what can be done for good: it goes first in 100 ms
+// of each second.
 func TestLateWorkDoesNotStarve(t *testing.T) {
 	first := 0
 	for i := range 1000 {
@@ -58,6 +60,6 @@
 		}
 	}
 	if first != 100 {
-		t.Errorf("in 10 s, each 10 ms: got: %d, want: 100", first)
+		t.Errorf("late work first, of 1000 times in 10 s: got: %d, want: 100", first)
 	}
 }
