--- a/internal/rotation/rotation.go
+++ b/internal/rotation/rotation.go
@@ -1,35 +1,40 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rotation chooses at which of many steps that wait one look is taken. It is pure.
+// Package rotation chooses which of many waiting steps a scheduling pass tries to place. It does
+// no I/O and reads no clock.
 //
-// It answers the load in which hundreds of steps wait for the same room: a look at all of them
-// would take the owner's time, and a look at the first ones only would starve the rest.
+// It handles a load in which hundreds of steps wait for the same capacity. A pass over all of them
+// would take too much of the owner's time, and a pass over only the first ones would starve the
+// others.
 package rotation
 
 import "iter"
 
 const (
-	// maxFruitless is how many steps of which nothing can be placed one look passes, the
-	// most urgent first, and then as many of the others in turn. Where more wait, more is
-	// asked of the workers than they can do, and most wait for the same room.
+	// maxUnplaced is how many of the most urgent steps a pass tries without placing any task of
+	// them, and then how many of the others. Where more steps than that wait, the workers
+	// are overloaded and most steps wait for the same capacity, so that trying more of them
+	// would rarely place any.
 	maxUnplaced = 64
 )
 
-// Rotation chooses the steps of one look: the most urgent ones until maxFruitless were looked at
-// in vain, and as many others, which are other ones each time. Steps of which something was
-// placed do not count. The zero value begins with the first.
+// Rotation chooses the steps of each scheduling pass. A pass tries the most urgent steps until
+// maxUnplaced of them could not be placed, and then as many of the others, continuing where the
+// pass before it ended. Steps of which a task was placed do not count. The zero value is ready
+// to use.
 type Rotation struct {
-	// fruitless counts the steps of this look of which nothing was placed.
+	// unplaced counts the steps of this pass of which no task was placed; it is counted anew for
+	// the steps after the most urgent ones.
 	unplaced int
-	// from is how many steps behind the most urgent ones the next look passes over.
+	// offset is how many of the steps after the most urgent ones the next pass skips at first.
 	offset int
-	// left is how many steps of this look were not looked at.
+	// skipped is how many steps the last pass did not try.
 	skipped int
 }
 
-// Next returns the indexes of n steps, in the order of their turn, at which this look is
-// taken. Looked is called after each.
+// Next returns the indexes of the steps that this pass tries, in their order, out of n steps that
+// are sorted by urgency. The caller must call Tried after each of them.
 func (r *Rotation) Next(n int) iter.Seq2[int, int] {
 	return func(yield func(int, int) bool) {
 		r.unplaced, r.skipped = 0, 0
@@ -57,12 +62,13 @@
 	}
 }
 
-// Tried takes whether anything was placed.
+// Tried records the result of trying the step that Next returned last: whether any of its tasks
+// was placed.
 func (r *Rotation) Tried(isPlaced bool) {
 	if !isPlaced {
 		r.unplaced++
 	}
 }
 
-// HasSkipped reports whether the last look left out any step.
+// HasSkipped reports whether the last pass left out any step.
 func (r *Rotation) HasSkipped() bool { return r.skipped > 0 }
