--- a/internal/waits/waits.go
+++ b/internal/waits/waits.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package waits sums up what tasks that could begin wait for, so that operators see what binds.
+// Package waits adds up how long tasks that are ready to start have waited, by queue and by reason,
+// so that operators see what limits the throughput of a queue.
 package waits
 
 import (
@@ -10,26 +11,27 @@
 	"time"
 )
 
-// Reason is what tasks wait for.
+// Reason is what a task waits for.
 type Reason string
 
 // The reasons.
 const (
-	// Priority means that others are looked at first.
+	// Priority means that the scheduler tries other steps first.
 	Priority Reason = "turn"
-	// Uncertainty means that they may run by an earlier owner's order.
+	// Uncertainty means that the task may already run, started by a previous owner of the shard.
 	Uncertainty Reason = "doubt"
-	// Limit means that their customer has all running that it may.
+	// Limit means that its customer already uses as much as its limit allows.
 	Limit Reason = "limit"
-	// Permission means that it is being asked which workers may run them, Lane that no way to
-	// ask is free.
+	// Permission means that the permission service has been asked which workers may run the task,
+	// and has not answered yet. Channel means that the question could not be sent, as no
+	// channel to the permission service is free.
 	Permission Reason = "permission"
 	Channel    Reason = "lane"
-	// Capacity means that the workers which may run them are full.
+	// Capacity means that the workers that may run the task have no free capacity for it.
 	Capacity Reason = "room"
 )
 
-// Wait is how long tasks of a queue have waited for one reason, in all.
+// Wait is how long tasks of a queue have waited for one reason.
 type Wait struct {
 	Queue  string
 	Reason Reason
@@ -37,7 +39,7 @@
 	Time time.Duration
 }
 
-// Totals adds up waits. The zero value has none.
+// Totals adds up waiting times. The zero value is empty and ready to use.
 type Totals struct{ times map[key]time.Duration }
 
 type key struct {
@@ -45,7 +47,7 @@
 	reason Reason
 }
 
-// Add notes that so many tasks of a queue have waited for so long.
+// Add records that the given number of tasks of a queue have each waited for d.
 func (t *Totals) Add(queue string, reason Reason, tasks int, d time.Duration) {
 	if t.times == nil {
 		t.times = map[key]time.Duration{}
@@ -53,7 +55,8 @@
 	t.times[key{queue, reason}] += time.Duration(tasks) * d
 }
 
-// Take returns the sums since the last call, by queue, the longest first.
+// Take returns the totals since the last call and resets them. They are sorted by queue, and
+// within a queue the longest wait comes first.
 func (t *Totals) Take() []Wait {
 	out := make([]Wait, 0, len(t.times))
 	for k, d := range t.times {
--- a/internal/waits/waits_test.go
+++ b/internal/waits/waits_test.go
@@ -22,6 +22,6 @@
 		t.Errorf("got: %v, want: %v", got, want)
 	}
 	if got := s.Take(); len(got) > 0 {
-		t.Errorf("again: got: %v, want: none", got)
+		t.Errorf("after they were taken: got: %v, want: none", got)
 	}
 }
