--- a/internal/reserve/reserve.go
+++ b/internal/reserve/reserve.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package reserve decides which workers are kept for tasks that wait for much room,
-// and which tasks make way for them. It is pure: what the workers run comes in, a
-// plan goes out.
+// Package reserve plans reservations: on which workers capacity is reserved for waiting tasks that
+// need much of it, and which running tasks are preempted for them. It does no I/O and reads no
+// clock; the caller passes what the workers run, and applies the plan.
 //
-// It answers the load in which tasks that take most of a worker, or gangs of them,
-// share workers with small ones: room becomes free in small parts, goes to the small
-// tasks, and the large ones wait until a worker is empty by chance.
+// It handles a load in which tasks that need most of a worker, or gangs of them, share workers with
+// small tasks. Capacity is then freed in small parts, each of which a small task takes at once,
+// and a large task waits until a worker happens to be empty.
 package reserve
 
 import (
@@ -18,49 +18,51 @@
 	"github.com/leverdyke/leverdyke"
 )
 
-// Occupant is what takes a part of a worker's room.
+// Occupant is a task that uses a part of a worker's capacity.
 type Occupant struct {
-	// Resources is what is free once it has ended.
+	// Resources are freed when it ends.
 	Resources leverdyke.Resources
-	// EndsIn is when it will likely have ended; never negative.
+	// EndsIn is the expected time until it has ended; never negative.
 	EndsIn time.Duration
-	// IsPreemptible says that it may be stopped to make room; Lost is the work that is lost
-	// then, as the time for which the room of one task that waits could do as much.
+	// IsPreemptible means that it may be stopped to free its resources. PreemptionCost is the
+	// work that is lost then, as the time that one waiting task would need for that
+	// much work on the resources reserved for it.
 	IsPreemptible  bool
 	PreemptionCost time.Duration
 }
 
-// Worker is one that may run the tasks.
+// Worker is a worker that may run the waiting tasks.
 type Worker struct {
 	Free      leverdyke.Resources
 	Occupants []Occupant
-	// MaxTasks bounds the tasks on it.
+	// MaxTasks bounds the waiting tasks that are planned on it.
 	MaxTasks int
 }
 
-// Request is what waits: Count tasks that take Need each.
+// Request is a set of waiting tasks: Count tasks that need Need each.
 type Request struct {
 	Count int
 	Need  leverdyke.Resources
-	// IsGang says that the tasks only start together.
+	// IsGang means that the tasks only start together.
 	IsGang bool
 	// StopTime is how long a worker takes to stop a task.
 	StopTime time.Duration
 }
 
-// Placement is room for one task.
+// Placement is capacity on a worker for one task.
 type Placement struct {
 	// Worker is the index of the worker.
 	Worker int
-	// ReadyIn is when the room is complete.
+	// ReadyIn is the time until the capacity is free.
 	ReadyIn time.Duration
 	// Preempted are the indexes of the occupants of the worker that are to be stopped.
 	Preempted []int
-	cost      time.Duration
+	// cost is the sum of the preemption costs of the occupants in Preempted.
+	cost time.Duration
 }
 
-// Plan returns where the tasks start soonest: a place for each, or for as many as
-// there can be at once. A gang gets all or none.
+// Plan returns the placements that are free soonest: one for each task, or as many as there
+// can be at once. A gang gets a placement for each of its tasks or none at all.
 func Plan(r *Request, workers []Worker) []Placement {
 	placements := []Placement{}
 	for i := range workers {
@@ -69,15 +71,17 @@
 	if r.IsGang && len(placements) < r.Count {
 		return nil
 	}
-	// The places on one worker build on each other: they come in their order.
+	// Each placement on a worker assumes the ones before it there. ReadyIn never decreases from
+	// one to the next, and the sort is stable.
 	slices.SortStableFunc(placements, func(a, b Placement) int {
 		return cmp.Or(cmp.Compare(a.ReadyIn, b.ReadyIn), cmp.Compare(a.cost, b.cost))
 	})
 	return placements[:min(len(placements), r.Count)]
 }
 
-// placesOn returns the places on one worker. Tasks are stopped there only if those
-// that wait start sooner by more than the work that is lost: then the room does more.
+// planWorker returns the placements on one worker. Tasks are preempted there only if the time
+// that the waiting tasks gain exceeds the work that is lost, so that preemption increases the
+// work done in all.
 func planWorker(r *Request, index int, w *Worker) []Placement {
 	waiting := fill(r, index, w, false)
 	if preempting := fill(r, index, w, true); totalCost(preempting) < totalCost(waiting) {
@@ -86,6 +90,7 @@
 	return waiting
 }
 
+// totalCost returns the waiting time and the lost work of the placements together.
 func totalCost(placements []Placement) time.Duration {
 	sum := time.Duration(0)
 	for i := range placements {
@@ -94,7 +99,8 @@
 	return sum
 }
 
-// fill returns when the worker has room for one task, for two, and so on.
+// fill returns the placements for as many of the tasks as can be on the worker at once, in the
+// order in which its occupants free the capacity for them.
 func fill(r *Request, index int, w *Worker, mayPreempt bool) []Placement {
 	releases := releasesOf(r, w, mayPreempt)
 	free := w.Free
@@ -121,15 +127,16 @@
 	return placements
 }
 
-// leaving is an occupant with the time at which it is gone.
+// release is the time at which an occupant frees its resources, because it ends or is preempted.
 type release struct {
+	// index is that of the occupant.
 	index       int
 	in          time.Duration
 	isPreempted bool
 }
 
-// inOrder returns the occupants in the order in which they go. What is stopped goes
-// at once, the cheapest first.
+// releasesOf returns the releases of a worker in the order of their times. Preempted occupants
+// free their resources after the stop time; of those, the ones with the lowest cost come first.
 func releasesOf(r *Request, w *Worker, mayPreempt bool) []release {
 	out := make([]release, 0, len(w.Occupants))
 	for i, o := range w.Occupants {
--- a/internal/reserve/reserve_test.go
+++ b/internal/reserve/reserve_test.go
@@ -35,7 +35,7 @@
 		workers []reserve.Worker
 		want    []reserve.Placement
 	}{
-		"an empty worker goes before one that will be": {
+		"an empty worker goes before one that is still in use": {
 			whole,
 			[]reserve.Worker{
 				{Free: accelerators(4), MaxTasks: 1, Occupants: []reserve.Occupant{occupant(4, second)}},
@@ -51,24 +51,24 @@
 			},
 			[]reserve.Placement{{Worker: 1, ReadyIn: 2 * second}},
 		},
-		"a task makes way where that wins more than it costs": {
+		"a task is preempted if that gains more time than it costs": {
 			whole,
 			[]reserve.Worker{{Free: accelerators(7), MaxTasks: 1, Occupants: []reserve.Occupant{preemptible(1, 5*second, second)}}},
 			[]reserve.Placement{{ReadyIn: 400 * time.Millisecond, Preempted: []int{0}}},
 		},
-		"a task that is nearly done does not": {
+		"a task that ends soon is not preempted": {
 			whole,
 			[]reserve.Worker{{Free: accelerators(7), MaxTasks: 1, Occupants: []reserve.Occupant{preemptible(1, second, second)}}},
 			[]reserve.Placement{{ReadyIn: second}},
 		},
-		"nothing is stopped beside a task that has to be waited for": {
+		"no task is preempted beside one that has to end first anyway": {
 			whole,
 			[]reserve.Worker{{Free: accelerators(6), MaxTasks: 1, Occupants: []reserve.Occupant{
 				occupant(1, 5*second), preemptible(1, 5*second, second),
 			}}},
 			[]reserve.Placement{{ReadyIn: 5 * second}},
 		},
-		"tasks get what places there are": {
+		"fewer placements than tasks": {
 			two,
 			[]reserve.Worker{{Free: accelerators(8), MaxTasks: 1}},
 			[]reserve.Placement{{}},
@@ -78,12 +78,12 @@
 			[]reserve.Worker{{Free: accelerators(8), MaxTasks: 1}},
 			nil,
 		},
-		"two on one worker": {
+		"two tasks on one worker": {
 			reserve.Request{Count: 2, Need: accelerators(4)},
 			[]reserve.Worker{{Free: accelerators(4), MaxTasks: 2, Occupants: []reserve.Occupant{occupant(4, second)}}},
 			[]reserve.Placement{{}, {ReadyIn: second}},
 		},
-		"no more on a worker than may be": {
+		"at most MaxTasks on a worker": {
 			reserve.Request{Count: 2, Need: accelerators(4)},
 			[]reserve.Worker{{Free: accelerators(8), MaxTasks: 1}},
 			[]reserve.Placement{{}},
@@ -97,7 +97,7 @@
 			for i := range got {
 				same := got[i].Worker == c.want[i].Worker && got[i].ReadyIn == c.want[i].ReadyIn && reflect.DeepEqual(got[i].Preempted, c.want[i].Preempted)
 				if !same {
-					t.Errorf("place %d: got: %+v, want: %+v", i, got[i], c.want[i])
+					t.Errorf("placement %d: got: %+v, want: %+v", i, got[i], c.want[i])
 				}
 			}
 		})
