--- a/internal/estimate/response_time.go
+++ b/internal/estimate/response_time.go
@@ -1,31 +1,32 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package estimate learns how long things take.
+// Package estimate learns from observations how long workers take to answer, and how long tasks
+// run compared with their callers' estimates.
 package estimate
 
 import "time"
 
-// ResponseTime estimates how long workers take to answer an order to start, with
-// the delays of this node in it, as TCP estimates a round trip (RFC 6298).
-// The zero value works.
+// ResponseTime estimates how long workers take to answer an order to start, including the delays
+// of this node, as TCP estimates a round trip time (RFC 6298). The zero value is ready to use.
 type ResponseTime struct {
 	mean, deviation time.Duration
 }
 
 const (
-	// meanWeight and deviationWeight are the weights of a new answer: 1/8 and 1/4.
+	// meanWeight and deviationWeight are the weights of a new answer in the moving averages: 1/8
+	// and 1/4, as in RFC 6298.
 	meanWeight, deviationWeight = 0.125, 0.25
-	// deviations is how many mean deviations later than usual an answer may come.
+	// timeoutDeviations is how many mean deviations above the mean the timeout is.
 	timeoutDeviations = 4
-	// shortestPatience is the least time that an order may stay without an answer;
-	// longestPatience the most, and that before the first answers. A worker answers
-	// within milliseconds; an owner that is slowed five times takes some tens.
+	// minTimeout and maxTimeout bound the timeout of an order; maxTimeout also applies before the
+	// first answer. A worker answers within milliseconds; an owner that runs five times
+	// slower than usual takes some tens of milliseconds.
 	minTimeout = 60 * time.Millisecond
 	maxTimeout = 200 * time.Millisecond
 )
 
-// Observe takes the time of an answer.
+// Observe adds the response time of an answer.
 func (r *ResponseTime) Observe(took time.Duration) {
 	if r.mean == 0 {
 		r.mean, r.deviation = took, took/2
@@ -36,7 +37,7 @@
 	r.deviation += time.Duration(deviationWeight * float64(distance.Abs()-r.deviation))
 }
 
-// Timeout returns how long an order to start may stay without an answer.
+// Timeout returns how long to wait for the answer to an order to start.
 func (r *ResponseTime) Timeout() time.Duration {
 	if r.mean == 0 {
 		return maxTimeout
--- a/internal/estimate/response_time_test.go
+++ b/internal/estimate/response_time_test.go
@@ -17,7 +17,7 @@
 		min, max time.Duration
 	}{
 		"none yet":         {nil, 200 * ms, 200 * ms},
-		"always quick":     {[]time.Duration{4 * ms}, 60 * ms, 60 * ms},
+		"always fast":      {[]time.Duration{4 * ms}, 60 * ms, 60 * ms},
 		"slow but regular": {[]time.Duration{90 * ms, 100 * ms, 110 * ms}, 110 * ms, 160 * ms},
 		"very slow":        {[]time.Duration{300 * ms}, 200 * ms, 200 * ms},
 	} {
--- a/internal/estimate/run_times.go
+++ b/internal/estimate/run_times.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// trustedRuns is how many tasks make the errors of a caller's estimates known.
+	// minReliableSamples is how many tasks have to be observed before the error of the
+	// estimates counts as known.
 	minReliableSamples = 20
-	// trustedError is the mean error of estimates, as a logarithm, up to which one
-	// tells that a task is slow: at 0.4, one in a hundred is off by a factor of 2.5.
+	// maxReliableError is the mean error of estimates, as a logarithm, below which an estimate is
+	// good enough to tell that a single task is slow: at 0.4, one estimate in a hundred is
+	// off by a factor of 2.5.
 	maxReliableError = 0.4
-	// biasWeight is the weight of a new task in what estimates are corrected by.
+	// minSampleWeight is the least weight of a new task in the moving averages of bias and error.
 	minSampleWeight = 0.05
-	// settled is how many times as long as a task's estimate tasks must have been
-	// ordered for until its time counts: the first to be done are the shortest, and
-	// make all others look slow.
+	// warmUpRatio is how many times a task's estimate must have passed since the first order
+	// before the task's run time counts. The first tasks to end are the shortest ones; if
+	// they counted, all others would look slow.
 	warmUpRatio = 3
 )
 
-// RunTimes learns how good callers' estimates of run times are. The zero value
-// works; a nil *RunTimes knows nothing.
+// RunTimes learns how accurate callers' estimates of run times are. The zero value is ready to use.
+// A nil *RunTimes returns estimates uncorrected and unreliable.
 type RunTimes struct {
-	// began is when the first task was ordered.
+	// firstOrderAt is when the first task was ordered to start.
 	firstOrderAt time.Time
 	samples      int
-	// bias is the mean logarithm of how much longer tasks take than estimated,
-	// error the mean distance from it.
+	// bias is the mean logarithm of the ratio of run time to estimate; error is the mean absolute
+	// deviation from bias.
 	bias, error float64
 }
 
-// Correct returns an estimate, corrected by what earlier tasks took.
+// Correct returns an estimate, corrected by the mean ratio of run times to estimates.
 func (r *RunTimes) Correct(estimate time.Duration) time.Duration {
 	if r == nil {
 		return estimate
@@ -41,20 +43,20 @@
 	return time.Duration(math.Exp(r.bias) * float64(estimate))
 }
 
-// IsReliable reports whether a corrected estimate tells that a single task is slow.
+// IsReliable reports whether corrected estimates are accurate enough to tell that a single task is
+// slow.
 func (r *RunTimes) IsReliable() bool {
 	return r != nil && r.samples >= minReliableSamples && r.error < maxReliableError
 }
 
-// Ordered takes that a task was ordered.
+// Ordered records that a task was ordered to start. Only the first call has an effect.
 func (r *RunTimes) Ordered(now time.Time) {
 	if r.firstOrderAt.IsZero() {
 		r.firstOrderAt = now
 	}
 }
 
-// Observe takes how long a task took that is done now, for which there was an
-// estimate, which must be positive.
+// Observe adds the run time of a task that is done now. Its estimate must be positive.
 func (r *RunTimes) Observe(now time.Time, took, estimate time.Duration) {
 	if now.Sub(r.firstOrderAt) < warmUpRatio*estimate {
 		return
--- a/internal/estimate/run_times_test.go
+++ b/internal/estimate/run_times_test.go
@@ -18,10 +18,10 @@
 		min, max   time.Duration
 		isReliable bool
 	}{
-		"nothing known":     {nil, declared, declared, false},
-		"exact":             {[]time.Duration{declared}, declared, declared, true},
-		"always twice":      {[]time.Duration{2 * declared}, 1900 * time.Millisecond, 2100 * time.Millisecond, true},
-		"a fifth or thrice": {[]time.Duration{declared / 5, 3 * declared}, 500 * time.Millisecond, 1200 * time.Millisecond, false},
+		"no samples":                {nil, declared, declared, false},
+		"exact":                     {[]time.Duration{declared}, declared, declared, true},
+		"always twice the estimate": {[]time.Duration{2 * declared}, 1900 * time.Millisecond, 2100 * time.Millisecond, true},
+		"a fifth or thrice":         {[]time.Duration{declared / 5, 3 * declared}, 500 * time.Millisecond, 1200 * time.Millisecond, false},
 	} {
 		d := &estimate.RunTimes{}
 		begin := clock.NewFake().Now()
@@ -38,12 +38,13 @@
 		}
 	}
 	if got := (*estimate.RunTimes)(nil).Correct(declared); got != declared {
-		t.Errorf("of an unknown queue: got: %v, want: %v", got, declared)
+		t.Errorf("nil: got: %v, want: %v", got, declared)
 	}
 }
 
-// Two seconds after a takeover only the shortest of tasks of 5 s were done: all
-// others counted as slow, 40 workers in 1.5 s, and their tasks were moved.
+// The first tasks to end are the shortest ones, so that an estimate learned from them is too low. Two
+// seconds after a takeover, with tasks of 5 s, all other tasks counted as slow: 40 workers in 1.5 s,
+// and their tasks were moved to other workers.
 func TestFirstTasksToEndDoNotLowerTheEstimate(t *testing.T) {
 	const declared = 4 * time.Second
 	begin := clock.NewFake().Now()
@@ -53,6 +54,6 @@
 		d.Observe(begin.Add(time.Second), time.Second, declared)
 	}
 	if d.IsReliable() || d.Correct(declared) != declared {
-		t.Errorf("got: %v, trusted: %v, want: %v, not trusted", d.Correct(declared), d.IsReliable(), declared)
+		t.Errorf("got: %v, reliable: %v, want: %v, not reliable", d.Correct(declared), d.IsReliable(), declared)
 	}
 }
--- a/internal/estimate/window.go
+++ b/internal/estimate/window.go
@@ -6,40 +6,44 @@
 import "time"
 
 const (
-	// mostUnanswered is how many orders to start may be without an answer at the most: so
-	// many that workers are never waited for. leastUnanswered keeps an owner going whose link
-	// or processor is much too small.
+	// maxUnacknowledged and minUnacknowledged bound the window. The maximum is large enough that
+	// the owner never has to wait for workers to answer before it sends the next order. The
+	// minimum keeps an owner working whose link or processor is far too slow.
 	maxUnacknowledged = 96
 	minUnacknowledged = 16
-	// slowAnswer is the time of an answer from which orders wait for each other, on this
-	// node or its link: a worker answers within milliseconds. quickAnswer is the time up to
-	// which more may be on their way.
+	// The window shrinks while the mean response time is above slowResponse and grows while it is
+	// below fastResponse. A worker answers within milliseconds, so a response time above
+	// slowResponse means that orders queue on this node or on its link.
 	slowResponse = 130 * time.Millisecond
 	fastResponse = 90 * time.Millisecond
-	// windowPause is the time between two changes: as long as it takes to see the last one.
+	// windowInterval is the least time between two changes of the window: it takes that long until
+	// response times show the effect of a change.
 	windowInterval = 100 * time.Millisecond
-	// windowCut is what is left of the window at a cut, windowStep what it grows by.
+	// The window is multiplied by windowDecrease when it shrinks, and windowIncrease is added to
+	// it when it grows.
 	windowDecrease = 0.8
 	windowIncrease = 4
-	// windowWeight is the weight of a new answer in the mean.
+	// windowWeight is the weight of a new answer in the mean response time.
 	windowWeight = 0.05
 )
 
-// Window bounds how many orders to start may be without an answer, by how long answers
-// take: an owner whose link or processor is too small gives fewer orders in place of late
-// ones, which would count as unanswered and make more work. One worker that is slow or
-// silent does not show in the mean. The zero value works.
+// Window bounds the number of unacknowledged orders to start by the mean response time, as a
+// congestion window does (additive increase, multiplicative decrease). An owner whose link or
+// processor is too slow then sends fewer orders. Otherwise its orders would be answered late,
+// count as unacknowledged, and cause further work. A single worker that is slow or silent
+// hardly changes the mean. The zero value is ready to use.
 type Window struct {
-	mean      time.Duration
+	mean time.Duration
+	// reduction is how far the window is below maxUnacknowledged.
 	reduction int
 	changedAt time.Time
 }
 
-// Limit returns how many orders may be without an answer.
+// Limit returns how many orders may be unacknowledged at once.
 func (w *Window) Limit() int { return maxUnacknowledged - w.reduction }
 
-// Observe takes the time that an answer took; one that did not come counts with the time
-// for which it was waited.
+// Observe adds the response time of an order. For an order that was not answered, it is the time
+// for which the owner waited.
 func (w *Window) Observe(took time.Duration, now time.Time) {
 	w.mean += time.Duration(windowWeight * float64(took-w.mean))
 	if now.Sub(w.changedAt) < windowInterval {
--- a/internal/estimate/window_test.go
+++ b/internal/estimate/window_test.go
@@ -10,14 +10,14 @@
 	"github.com/leverdyke/leverdyke/internal/estimate"
 )
 
-// link is one over which so many orders a second pass, in turn.
+// link is a link that carries a limited number of orders per second, one after the other.
 type link struct {
 	perSecond float64
-	// busyUntil is when the last order has passed.
+	// busyUntil is when the link has carried all orders that were sent.
 	busyUntil time.Time
 }
 
-// send returns how long an order takes that is sent now.
+// send sends an order now and returns its response time.
 func (l *link) send(now time.Time) time.Duration {
 	if l.busyUntil.Before(now) {
 		l.busyUntil = now
@@ -26,9 +26,9 @@
 	return l.busyUntil.Sub(now) + 3*time.Millisecond
 }
 
-// Three times as many orders as a link carries: with a fixed number of 96 on their way
-// each takes 0.6 s, longer than an order may stay without an answer (0.2 s); with the
-// window nine tenths take less than that, and the link stays busy.
+// The owner has three times as many orders as its link carries. With a fixed limit of 96 unacknowledged
+// orders, each takes 0.6 s, which is longer than the timeout of an order (0.2 s). With the window,
+// nine tenths take less than the timeout, and the link stays busy.
 func TestWindowKeepsOrdersWithinTheTimeoutOnASlowLink(t *testing.T) {
 	w, l := &estimate.Window{}, &link{perSecond: 160}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -55,13 +55,15 @@
 		}
 	}
 	if float64(late) > 0.1*float64(done) {
-		t.Errorf("orders that took more than 0.2 s: got: %d of %d, want: at most a tenth", late, done)
+		t.Errorf("orders that took longer than 0.2 s: got: %d of %d, want: at most a tenth", late, done)
 	}
 	if done < 3000 {
 		t.Errorf("orders in 20 s: got: %d, want: nearly the 3200 that the link carries", done)
 	}
 }
 
+// A single silent worker must not shrink the window. When all answers are slow it shrinks to its
+// minimum, and it grows again when they are fast.
 func TestWindowIsLargeWhileAnswersAreFast(t *testing.T) {
 	w := &estimate.Window{}
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -69,7 +71,7 @@
 		now = now.Add(time.Millisecond)
 		took := 4 * time.Millisecond
 		if i%12 == 0 {
-			// A worker that is silent.
+			// This worker does not answer.
 			took = 200 * time.Millisecond
 		}
 		w.Observe(took, now)
@@ -82,13 +84,13 @@
 		w.Observe(300*time.Millisecond, now)
 	}
 	if got := w.Limit(); got != 16 {
-		t.Errorf("when all is slow: got: %d, want: 16", got)
+		t.Errorf("all answers slow: got: %d, want: 16", got)
 	}
 	for range 200 {
 		now = now.Add(50 * time.Millisecond)
 		w.Observe(4*time.Millisecond, now)
 	}
 	if got := w.Limit(); got != 96 {
-		t.Errorf("when all is quick again: got: %d, want: 96", got)
+		t.Errorf("all answers fast again: got: %d, want: 96", got)
 	}
 }
