--- a/internal/ordered/map.go
+++ b/internal/ordered/map.go
@@ -1,21 +1,22 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package ordered has a map that is gone through in the order in which its keys came, so that
-// decisions that walk over it are the same each time, and walks are quick.
+// Package ordered has a map that iterates over its keys in insertion order, so that decisions that
+// depend on the order of iteration are the same each time, and iteration is fast.
 package ordered
 
 import "iter"
 
-// Map is a map in the order in which its keys came. The zero value is empty. It may be changed
-// while it is gone through: what is deleted is not seen any more, and what is added may be.
+// Map is a map that iterates in insertion order. The zero value is empty and ready to use. It may
+// be changed during an iteration: a key that is deleted is no longer visited, and a key that is
+// added may be visited.
 type Map[K comparable, V any] struct {
 	entries []entry[K, V]
-	// index has where the entry of each key is.
+	// index has the position in entries of each key.
 	index map[K]int
-	// gone counts the entries that are deleted.
+	// deleted counts the entries that are deleted.
 	deleted int
-	// walks counts those who go through it: entries keep their places meanwhile.
+	// iterations counts the iterations in progress: entries are not moved during them.
 	iterations int
 }
 
@@ -25,13 +26,13 @@
 	isDeleted bool
 }
 
-// Get returns the value of a key; the zero value where there is none.
+// Get returns the value of a key, or the zero value if the map does not have the key.
 func (m *Map[K, V]) Get(key K) V {
 	v, _ := m.Find(key)
 	return v
 }
 
-// Find returns the value of a key, and whether there is one.
+// Find returns the value of a key, and whether the map has the key.
 func (m *Map[K, V]) Find(key K) (V, bool) {
 	i, ok := m.index[key]
 	if !ok {
@@ -41,7 +42,7 @@
 	return m.entries[i].value, true
 }
 
-// Set sets the value of a key. One that is there keeps its place.
+// Set sets the value of a key. A key that the map already has keeps its position.
 func (m *Map[K, V]) Set(key K, value V) {
 	if i, ok := m.index[key]; ok {
 		m.entries[i].value = value
@@ -54,7 +55,7 @@
 	m.entries = append(m.entries, entry[K, V]{key: key, value: value})
 }
 
-// Delete deletes a key, if it is there.
+// Delete deletes a key. It does nothing if the map does not have the key.
 func (m *Map[K, V]) Delete(key K) {
 	i, ok := m.index[key]
 	if !ok {
@@ -76,7 +77,8 @@
 	m.compact()
 }
 
-// compact takes out the entries that are deleted, once there are as many as others.
+// compact removes the deleted entries once at least half of all entries are deleted, unless an
+// iteration is in progress.
 func (m *Map[K, V]) compact() {
 	if m.iterations > 0 || 2*m.deleted < len(m.entries) {
 		return
@@ -93,10 +95,10 @@
 	m.entries, m.deleted = kept, 0
 }
 
-// Len returns how many keys there are.
+// Len returns the number of keys.
 func (m *Map[K, V]) Len() int { return len(m.index) }
 
-// All goes through keys and values, in the order in which the keys came.
+// All iterates over keys and values in insertion order.
 func (m *Map[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		m.iterations++
@@ -110,8 +112,9 @@
 	}
 }
 
-// AllFrom goes through keys and values as All does, but begins behind about the first skipped ones
-// and ends with these.
+// AllFrom iterates over all keys and values like All, but starts after the first skipped entries
+// and visits these last. Deleted entries that are not yet removed count too, so that the starting
+// point is approximate.
 func (m *Map[K, V]) AllFrom(skipped int) iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		m.iterations++
--- a/internal/ordered/map_test.go
+++ b/internal/ordered/map_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// What is deleted during a walk is not seen, what is added is.
+// A key that is deleted during an iteration is not visited, and one that is added is.
 func TestMapMayChangeDuringIteration(t *testing.T) {
 	m := &ordered.Map[string, int]{}
 	for _, k := range []string{"a", "b", "c", "d"} {
@@ -82,7 +82,7 @@
 	}
 }
 
-// It holds what a built-in map holds after any changes.
+// After any sequence of changes it has the same contents as a built-in map.
 func TestMapHasTheContentsOfABuiltInMap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	m, want := &ordered.Map[int, int]{}, map[int]int{}
