--- a/internal/health/detector.go
+++ b/internal/health/detector.go
@@ -1,9 +1,11 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package health judges from the ends of attempts whether workers or jobs are
-// at fault: workers that fail what succeeds elsewhere are set aside, and tried
-// again with one task ever more rarely. It is pure: it has no clock and no I/O.
+// Package health decides from the ends of attempts whether a worker or a job is at fault. A worker
+// that fails tasks of jobs that do not fail elsewhere is ejected, as in outlier ejection, and is
+// readmitted when a single task, its probe, succeeds there. The time to the next probe doubles
+// with each probe that fails. It does no I/O and reads no clock; the caller passes the current
+// time.
 package health
 
 import (
@@ -14,54 +16,60 @@
 )
 
 const (
-	// setAsideAfter failures in a row, of jobs that do not fail elsewhere, set
-	// a worker aside.
+	// ejectAfterFailures is how many failures in a row, of jobs that do not fail elsewhere, eject a
+	// worker.
 	ejectAfterFailures = 3
 	minEjection        = 20 * time.Second
 	maxEjection        = 10 * time.Minute
-	// maxAsideDivisor bounds the workers set aside to this part of all.
+	// maxEjectedDivisor bounds the ejected workers: at most 1/maxEjectedDivisor of all.
 	maxEjectedDivisor = 2
-	// badJobWorkers is on how many workers a job must fail to be at fault.
+	// faultyJobWorkers is on how many workers a job must have failed to be at fault itself.
 	faultyJobWorkers = 2
-	maxFailedJobs    = 512
-	// provenAfter is how long a probe runs until it has gone well: services never end.
+	// maxFailedJobs bounds the jobs whose failures are remembered; all are forgotten at once when
+	// there would be more.
+	maxFailedJobs = 512
+	// probeTime is how long a probe must run to count as succeeded without having ended: the task
+	// of a service never ends.
 	probeTime = 10 * time.Second
 )
 
-// Detector remembers what failed where, for the workers of one rack. It belongs to
-// one goroutine.
+// Detector detects faulty workers of one rack from the ends of attempts. It is not safe for
+// concurrent use.
 type Detector struct {
-	// workers has those that have failed something since their last success.
+	// workers has those that have failed a task since their last success.
 	workers map[worker.ID]*record
-	// badJobs has the workers on which each job has failed.
+	// failedJobs has the workers on which each job has failed.
 	failedJobs map[string]map[worker.ID]bool
 }
 
-// record is what a worker's failures say of it.
+// record is what is known of a worker that has failed a task.
 type record struct {
+	// failures counts the failures in a row for which the worker may be at fault.
 	failures int
-	// asideUntil is when it is probed; zero while it is in use.
+	// ejectedUntil is when the worker is next probed; zero while it is not ejected.
 	ejectedUntil time.Time
-	// asideFor doubles with each failed probe.
+	// ejectedFor is the length of the last ejection; it doubles with each failed probe.
 	ejectedFor time.Duration
-	// probe is the task that was let in to see, at probedAt; zero for none.
+	// probe is the task that was placed on the worker as a probe, at probedAt; zero means that
+	// there is none.
 	probe    worker.Key
 	probedAt time.Time
 }
 
-// NewDetector returns a judge that has seen nothing.
+// NewDetector returns a Detector for workers that have not failed anything.
 func NewDetector() *Detector {
 	return &Detector{workers: map[worker.ID]*record{}, failedJobs: map[string]map[worker.ID]bool{}}
 }
 
-// IsEjected reports whether the worker gets nothing new.
+// IsEjected reports whether no task may be placed on the worker now: its ejection has not ended, or
+// it already has a probe.
 func (d *Detector) IsEjected(now time.Time, id worker.ID) bool {
 	w := d.workers[id]
 	return w != nil && !w.ejectedUntil.IsZero() && (now.Before(w.ejectedUntil) || w.probe != worker.Key{})
 }
 
-// Placed notes that a task was put on a worker, and reports whether it is the
-// one that tries a worker again.
+// Placed records that a task was placed on a worker, and reports whether it is the probe of an
+// ejected worker.
 func (d *Detector) Placed(now time.Time, id worker.ID, k worker.Key) bool {
 	w := d.workers[id]
 	if w == nil || w.ejectedUntil.IsZero() || now.Before(w.ejectedUntil) {
@@ -71,7 +79,7 @@
 	return true
 }
 
-// ReadmitProbed takes the workers on which a probe has run for long as back in use, and returns them in
+// ReadmitProbed readmits the workers on which a probe has run for probeTime, and returns them in
 // the order of their IDs.
 func (d *Detector) ReadmitProbed(now time.Time) []worker.ID {
 	readmitted := []worker.ID{}
@@ -85,19 +93,19 @@
 	return readmitted
 }
 
-// Finding is what the end of an attempt says.
+// Finding is what the end of an attempt says about its worker.
 type Finding struct {
 	// IsWorkerAtFault means that the worker is at fault, not the job.
 	IsWorkerAtFault bool
-	// IsReadmitted means that a worker that was set aside is in use again.
+	// IsReadmitted means that a worker that was ejected is in use again.
 	IsReadmitted bool
-	// EjectedFor is for how long the worker is set aside; 0 means that it is not.
+	// EjectedFor is for how long the worker is ejected; 0 means that it is not.
 	EjectedFor time.Duration
 }
 
-// Ended takes the end of an attempt on a worker, out of so many in all. An
-// attempt that was lost or stopped says nothing of its worker, but lets the
-// next one try it.
+// Ended records the end of an attempt on a worker; workers is the number of all workers. An
+// attempt that was lost or stopped says nothing about its worker. If it was the probe, the next
+// task that is placed there is the probe instead.
 func (d *Detector) Ended(now time.Time, id worker.ID, k worker.Key, s worker.TaskState, workers int) Finding {
 	switch s {
 	case worker.StateDone:
@@ -111,7 +119,7 @@
 	return Finding{}
 }
 
-// Forget drops what is known of a worker that is gone.
+// Forget drops what is known of a worker that is no longer in the rack.
 func (d *Detector) Forget(id worker.ID) { delete(d.workers, id) }
 
 func (d *Detector) succeeded(id worker.ID) Finding {
@@ -138,7 +146,8 @@
 	return f
 }
 
-// countFailure returns on how many workers the job has failed by now.
+// countFailure records a failure of the job on a worker, and returns on how many workers the job
+// has failed by now.
 func (d *Detector) countFailure(id worker.ID, job string) int {
 	on := d.failedJobs[job]
 	if on == nil {
@@ -152,6 +161,8 @@
 	return len(on)
 }
 
+// eject ejects a worker, unless too many workers are ejected already, and returns for how long; 0
+// means that it was not ejected.
 func (d *Detector) eject(now time.Time, id worker.ID, w *record, workers int) time.Duration {
 	ejected := 1
 	for other := range d.workers {
--- a/internal/health/detector_test.go
+++ b/internal/health/detector_test.go
@@ -20,7 +20,7 @@
 
 func key(job string) worker.Key { return worker.Key{Task: leverdyke.TaskID{Job: job}, Attempt: 1} }
 
-// fail lets a worker fail so many tasks, each of another job.
+// fail makes a worker fail the given number of tasks, each of another job, and returns the last finding.
 func fail(j *health.Detector, now time.Time, id worker.ID, times int) health.Finding {
 	f := health.Finding{}
 	for i := range times {
@@ -40,66 +40,69 @@
 	}
 	f := fail(j, begin, "w", 1)
 	if !f.IsWorkerAtFault || f.EjectedFor != 20*time.Second || !j.IsEjected(begin, "w") {
-		t.Errorf("three: got: %+v, want: blamed and set aside for 20 s", f)
+		t.Errorf("three: got: %+v, want: at fault and ejected for 20 s", f)
 	}
 	if j.IsEjected(begin.Add(20*time.Second), "w") {
-		t.Error("after its time: got: set aside, want: open for one task")
+		t.Error("after its ejection: got: still ejected, want: one task allowed")
 	}
 }
 
+// After its ejection a worker gets one task, and no other until that has ended.
 func TestOneProbeAtATime(t *testing.T) {
 	for name, c := range map[string]struct {
 		end       worker.TaskState
 		isEjected bool
 		want      health.Finding
 	}{
-		"it succeeds":    {worker.StateDone, false, health.Finding{IsReadmitted: true}},
-		"it fails":       {worker.StateFailed, true, health.Finding{IsWorkerAtFault: true, EjectedFor: 40 * time.Second}},
-		"it is stopped":  {worker.StateStopped, false, health.Finding{}},
-		"it is moved on": {worker.StateCheckpointed, false, health.Finding{}},
+		"it succeeds":        {worker.StateDone, false, health.Finding{IsReadmitted: true}},
+		"it fails":           {worker.StateFailed, true, health.Finding{IsWorkerAtFault: true, EjectedFor: 40 * time.Second}},
+		"it is stopped":      {worker.StateStopped, false, health.Finding{}},
+		"it is checkpointed": {worker.StateCheckpointed, false, health.Finding{}},
 	} {
 		j := health.NewDetector()
 		fail(j, begin, "w", 3)
 		later := begin.Add(time.Minute)
 		if !j.Placed(later, "w", key("probe")) || !j.IsEjected(later, "w") {
-			t.Fatalf("%s: got: open for more, want: one task at a time", name)
+			t.Fatalf("%s: got: more tasks allowed, want: one task at a time", name)
 		}
 		j.Ended(later, "w", key("other"), worker.StateStopped, workers)
 		if !j.IsEjected(later, "w") {
-			t.Errorf("%s: got: open after another task's end, want: only after its own", name)
+			t.Errorf("%s: got: allowed after the end of another task, want: only after that of the probe", name)
 		}
 		if got := j.Ended(later, "w", key("probe"), c.end, workers); got != c.want {
 			t.Errorf("%s: got: %+v, want: %+v", name, got, c.want)
 		}
 		if got := j.IsEjected(later, "w"); got != c.isEjected {
-			t.Errorf("%s: got: set aside %v, want: %v", name, got, c.isEjected)
+			t.Errorf("%s: ejected: got: %v, want: %v", name, got, c.isEjected)
 		}
 	}
 }
 
-// A worker whose probe was a service got nothing else for as long as that ran.
+// The task of a service does not end. A worker whose probe was such a task got no other task for as
+// long as the service ran.
 func TestProbeThatKeepsRunningReadmitsItsWorker(t *testing.T) {
 	j := health.NewDetector()
 	fail(j, begin, "w", 3)
 	probed := begin.Add(time.Minute)
 	j.Placed(probed, "w", key("service"))
 	if got := j.ReadmitProbed(probed.Add(9 * time.Second)); len(got) > 0 || !j.IsEjected(probed, "w") {
-		t.Errorf("after 9 s: got: %v back, want: none", got)
+		t.Errorf("after 9 s: readmitted: got: %v, want: none", got)
 	}
 	if got := j.ReadmitProbed(probed.Add(10 * time.Second)); !slices.Equal(got, []worker.ID{"w"}) || j.IsEjected(probed, "w") {
-		t.Errorf("after 10 s: got: %v back, want: w, in use", got)
+		t.Errorf("after 10 s: readmitted: got: %v, want: w, not ejected", got)
 	}
 	if got := j.ReadmitProbed(probed.Add(time.Hour)); len(got) > 0 {
-		t.Errorf("later: got: %v back, want: none", got)
+		t.Errorf("later: readmitted: got: %v, want: none", got)
 	}
 }
 
+// A job that fails on several workers is at fault itself: its failures must not eject them.
 func TestJobThatFailsOnTwoWorkersEjectsNone(t *testing.T) {
 	j := health.NewDetector()
 	for i := range 9 {
 		id := worker.ID(fmt.Sprint("w", i%2))
 		if f := j.Ended(begin, id, key("bad"), worker.StateFailed, workers); f.IsWorkerAtFault {
-			t.Errorf("failure %d: got: %s blamed, want: the job", i, id)
+			t.Errorf("failure %d: at fault: got: %s, want: the job", i, id)
 		}
 	}
 }
@@ -115,6 +118,6 @@
 		}
 	}
 	if ejected != workers/2 {
-		t.Errorf("got: %d of %d set aside, want: %d", ejected, workers, workers/2)
+		t.Errorf("got: %d of %d set ejected, want: %d", ejected, workers, workers/2)
 	}
 }
