--- a/internal/work/customer.go
+++ b/internal/work/customer.go
@@ -3,26 +3,27 @@
 
 package work
 
-// CustomerName names a customer. The empty name stands for none: the job came through a
-// public queue, or from a record that did not tell.
+// CustomerName names a customer. It is empty for a job without a customer: one that was submitted
+// through a public queue, or whose record does not say whose it is.
 type CustomerName string
 
-// Caller is who asks something of a job.
+// Caller is the origin of a call about a job.
 type Caller struct {
-	// Customer is the one whose key the call carried; empty for none.
+	// Customer is the customer whose key the call carried; empty means that it carried none.
 	Customer CustomerName
-	// PublicQueue is the queue that the call came through if anyone may use that; else empty.
+	// PublicQueue is the queue through which the call came, if anyone may use that queue;
+	// otherwise it is empty.
 	PublicQueue string
 }
 
-// MayAccess reports whether the caller may see and cancel a job, or hand it in again. A job
-// without a customer is open to whoever may use a queue.
+// MayAccess reports whether the caller may see and cancel a job, or submit it again. A job without
+// a customer is open to every caller that may use a queue.
 func (c Caller) MayAccess(s *Spec) bool {
 	isPublic := c.PublicQueue != "" && c.PublicQueue == s.Queue
 	return s.Customer == "" || s.Customer == c.Customer || isPublic
 }
 
-// Submitter returns who has handed in the job.
+// Submitter returns the caller that submitted the job.
 func (s *Spec) Submitter() Caller {
 	if s.Customer == "" {
 		return Caller{PublicQueue: s.Queue}
--- a/internal/work/customer_test.go
+++ b/internal/work/customer_test.go
@@ -9,6 +9,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
+// A caller must not see or cancel the jobs of other customers.
 func TestMayAccess(t *testing.T) {
 	own := &work.Spec{Queue: "q", Customer: "a"}
 	for name, tc := range map[string]struct {
@@ -23,9 +24,9 @@
 		"through another public queue":         {work.Caller{PublicQueue: "p"}, own, false},
 		"another one through its public queue": {work.Caller{Customer: "b", PublicQueue: "q"}, own, true},
 		"a job without a customer":             {work.Caller{Customer: "b"}, &work.Spec{Queue: "q"}, true},
-		"over, so that its queue is unknown":   {work.Caller{PublicQueue: "q"}, &work.Spec{Customer: "a"}, false},
-		"no queue is like no public queue":     {work.Caller{}, &work.Spec{Customer: "a"}, false},
-		"the one who handed it in":             {own.Submitter(), own, true},
+		"ended, so that its queue is not kept": {work.Caller{PublicQueue: "q"}, &work.Spec{Customer: "a"}, false},
+		"neither has a queue":                  {work.Caller{}, &work.Spec{Customer: "a"}, false},
+		"its submitter":                        {own.Submitter(), own, true},
 	} {
 		if got := tc.caller.MayAccess(tc.job); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
--- a/internal/work/progress.go
+++ b/internal/work/progress.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// JobState is what a caller is told of a job.
+// JobState is the state of a job as callers see it.
 type JobState string
 
 // The states.
@@ -15,13 +15,13 @@
 	JobSucceeded JobState = "succeeded"
 	JobFailed    JobState = "failed"
 	JobCancelled JobState = "cancelled"
-	// JobWithdrawn is a job that was cancelled while it was not known, or not taken.
-	// Callers are told that there is none. It never runs: handed in later, it is
-	// cancelled.
+	// JobWithdrawn is the state of a job that was cancelled before it was known or accepted.
+	// Callers are answered that there is no such job. It never runs: if it is submitted
+	// later, it is cancelled.
 	JobWithdrawn JobState = "withdrawn"
 )
 
-// IsFinal reports whether no task of the job runs any more.
+// IsFinal reports whether the state never changes again: the job has ended.
 func (s JobState) IsFinal() bool {
 	switch s {
 	case JobSucceeded, JobFailed, JobCancelled, JobWithdrawn:
@@ -31,12 +31,13 @@
 	return false
 }
 
-// Places and failures are kept as arrays without the names of their fields: an owner
-// writes each job again with each task that ends. A field that is new needs a list of its own:
-// arrays of other lengths are not read.
+// Failure, Placement and Crash are stored as arrays, without the names of their fields, to keep
+// records small: an owner writes the record of a job again each time one of its tasks ends. Fields
+// must not be added to them or moved, as an array of another length cannot be read: a new field
+// needs a list of its own in StepProgress.
 
-// Failure is one attempt of a task that failed. Worker and run together name the
-// attempt, so that an end that is told twice counts once.
+// Failure is an attempt of a task that failed. Worker and Run together identify the attempt, so
+// that a failure that is reported twice counts once.
 type Failure struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -54,52 +55,53 @@
 	Run    uint64
 }
 
-// Crash is a worker that crashed, or went silent for good, under an attempt of a task.
+// Crash is a worker that crashed, or stopped answering and did not return, while an attempt of a
+// task was on it.
 type Crash struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Index  int
 	Worker string
-	// Machine is what the worker was a life of; empty when that is not known.
+	// Machine is the machine of which the worker was one incarnation; empty when it is not known.
 	Machine string
 	Run     uint64
-	// RunTime is how long the worker is known to have had the attempt.
+	// RunTime is for how long the worker is known to have run the attempt.
 	RunTime time.Duration
-	// IsConfirmed means that the worker is known to have crashed. Otherwise it may only have
-	// been cut off until its leases were over.
+	// IsConfirmed means that the worker is known to have crashed. Otherwise it may only have been
+	// unreachable until its leases expired.
 	IsConfirmed bool
-	// IsInherited means that an earlier owner had started the attempt: Ran and Others are
-	// not known.
+	// IsInherited means that a previous owner had started the attempt: RunTime and OthersSilent
+	// are then not known.
 	IsInherited bool
-	// IsExplained means that a task under which a worker had crashed before was started there
-	// later.
+	// IsExplained means that another task probably caused the crash: one that had been on a worker
+	// that crashed before, and was started on this worker later than the attempt.
 	IsExplained bool
-	// OthersSilent is how many other workers fell silent in the same moment.
+	// OthersSilent is how many other workers stopped answering at the same time.
 	OthersSilent int
 }
 
-// StepProgress is what is known of a step.
+// StepProgress is the state of a step.
 type StepProgress struct {
-	// Done has a bit for each task that has ended well.
+	// Done has a bit for each task, which is set when the task has succeeded.
 	Done []byte
 	// Failures are the attempts that failed.
 	Failures []Failure
-	// Crashes are the workers that crashed under tasks.
+	// Crashes are the workers that crashed while tasks of the step were on them.
 	Crashes []Crash `msgpack:",omitempty"`
-	// Placements is where tasks may run.
+	// Placements are where tasks may run.
 	Placements []Placement `msgpack:"Places"`
-	// Checkpoints is where tasks can go on from, by their index.
+	// Checkpoints are the saved states from which tasks can resume, by the index of the task.
 	Checkpoints map[int]string `msgpack:"Saved"`
-	// Run is the highest run of any task that is known.
+	// Run is the highest run number that is known of any task.
 	Run uint64
 }
 
-// IsDone reports whether task i has ended well.
+// IsDone reports whether task i has succeeded.
 func (p *StepProgress) IsDone(i int) bool {
 	return i/8 < len(p.Done) && p.Done[i/8]&(1<<(i%8)) != 0
 }
 
-// SetDone notes that task i has ended well.
+// SetDone records that task i has succeeded.
 func (p *StepProgress) SetDone(i int) {
 	for i/8 >= len(p.Done) {
 		p.Done = append(p.Done, 0)
@@ -107,14 +109,15 @@
 	p.Done[i/8] |= 1 << (i % 8)
 }
 
-// Progress is what must last of a job beside its Spec.
+// Progress is the state of a job that is stored in addition to its Spec.
 type Progress struct {
 	State JobState
-	// Customer is whose job it is once it is over: its Spec is not kept any longer.
+	// Customer is the job's customer. It is set when the job has ended, since its Spec is then no
+	// longer stored.
 	Customer CustomerName `msgpack:",omitempty"`
-	// Rounds has the steps of each round that has begun, by its number.
+	// Rounds has the steps of each round that has begun, by the number of the round.
 	Rounds map[int][]StepProgress
-	// RoundsDone has a bit for each round whose steps have all ended well; such
+	// RoundsDone has a bit for each round, which is set when all its steps have succeeded; such
 	// a round is no longer in Rounds.
 	RoundsDone StepProgress
 }
--- a/internal/work/spec.go
+++ b/internal/work/spec.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package work has the jobs that callers hand in: steps of tasks that depend on
-// each other, and what is known of how far they are.
+// Package work defines the jobs that callers submit, which consist of steps of tasks, with
+// dependencies between the steps, and the progress of these jobs.
 package work
 
 import (
@@ -13,27 +13,29 @@
 	"github.com/leverdyke/leverdyke"
 )
 
-// JobID names a job. The caller chooses it; the same ID is the same job.
+// JobID identifies a job. The caller chooses it: a second submission with the same ID is the same
+// job.
 type JobID string
 
-// TaskID names a task.
+// TaskID identifies a task.
 type TaskID struct {
 	Job JobID
-	// Round counts the times that a repeated job runs, from 0.
+	// Round is the number of the round of a job that runs repeatedly, from 0.
 	Round int
-	// Step and Index count from 0.
+	// Step is the number of the step in the job, and Index that of the task in the step, both
+	// from 0.
 	Step  int
 	Index int
 }
 
-// StepID names a step of one round.
+// StepID identifies a step of one round of a job.
 type StepID struct {
 	Job   JobID
 	Round int
 	Step  int
 }
 
-// StepID returns the step that the task belongs to.
+// StepID returns the step to which the task belongs.
 func (t TaskID) StepID() StepID { return StepID{t.Job, t.Round, t.Step} }
 
 // Compare orders tasks by job, round, step and index.
@@ -49,45 +51,46 @@
 // String returns the step as it is logged.
 func (s StepID) String() string { return fmt.Sprintf("%s.%d.%d", s.Job, s.Round, s.Step) }
 
-// Step is a set of like tasks.
+// Step is a set of tasks of the same kind. The names of its fields are stored.
 type Step struct {
-	// Count is how many tasks there are; at least 1.
+	// Count is the number of tasks; at least 1.
 	Count int
-	// Need is what each task takes.
+	// Need is the resources that each task needs.
 	Need leverdyke.Resources
-	// Estimate is a rough guess of how long a task takes; it may be far off.
+	// Estimate is the caller's rough estimate of a task's run time; it may be far off.
 	Estimate time.Duration
-	// After are steps of lower number that must be done before.
+	// After has the numbers of earlier steps whose tasks must all succeed before this step starts.
 	After []int
-	// IsResumable means that a stopped task can go on from where it was saved.
+	// IsResumable means that a stopped task can continue from a checkpoint.
 	IsResumable bool `msgpack:"KeepsProgress"`
-	// IsGang means that the tasks only work together and end together.
+	// IsGang means that the tasks only run together: they start together and end together.
 	IsGang bool
-	// IsSameRack asks for all tasks in one rack; elsewhere they are slower.
+	// IsSameRack asks for all tasks to be placed in one rack; spread over racks they are slower.
 	IsSameRack bool
-	// Label is one that the worker must have; empty means any worker.
+	// Label is a label that the worker must have; empty means any worker.
 	Label string
-	// DataRack is the rack near the data; empty means none. Elsewhere it is slower.
+	// DataRack is the rack near the tasks' data; in other racks they are slower. Empty means none.
 	DataRack string
 	// MaxPerWorker bounds the tasks of the step on one worker; 0 means no bound.
 	MaxPerWorker int
-	// AllowsSpeculation allows copies of a task to run side by side.
+	// AllowsSpeculation allows speculative copies, which run beside the first attempt of a task.
 	AllowsSpeculation bool `msgpack:"MayDuplicate"`
 	// IsLongRunning means that the tasks run until the job is cancelled.
 	IsLongRunning bool `msgpack:"IsLasting"`
-	// MaxUnavailable is how many lasting tasks may be away at once by our own doing;
-	// negative means that no bound was given.
+	// MaxUnavailable is how many tasks of a long-running step the scheduler may itself cause not
+	// to run at the same time; negative means that no bound was given.
 	MaxUnavailable int `msgpack:"MayMiss"`
 	// Image names what the tasks run.
 	Image string
-	// TailTarget is the tail latency that the users of a lasting task may see; 0
-	// means none.
+	// TailTarget is the highest tail latency that the users of a long-running task should see;
+	// 0 means none.
 	TailTarget time.Duration
-	// IsBestEffort means that the processors it asks for are not set aside for it.
+	// IsBestEffort means that no processors are reserved for the tasks: they run on those that
+	// other tasks leave idle.
 	IsBestEffort bool `msgpack:"IsFiller"`
 }
 
-// Charge returns what a task of the step takes of a worker's room.
+// Charge returns the resources of a worker that are reserved for each task of the step.
 func (s *Step) Charge() leverdyke.Resources {
 	need := s.Need
 	if s.IsBestEffort {
@@ -96,28 +99,29 @@
 	return need
 }
 
-// Spec is a job as it was handed in. It never changes.
+// Spec is a job as it was submitted. It never changes. The names of its fields are stored.
 type Spec struct {
 	ID JobID
-	// Queue names the queue that it was handed in to.
+	// Queue names the queue to which the job was submitted.
 	Queue string
-	// Customer is whose job it is; empty means nobody's.
+	// Customer is the customer that the job belongs to; empty means none.
 	Customer CustomerName `msgpack:",omitempty"`
-	// Payload goes to each task as it is.
+	// Payload is passed to each task unchanged.
 	Payload string
 	Steps   []Step
-	// Rounds is how often the steps run at set times; 0 means once, at once.
+	// Rounds is the number of rounds, each of which runs all steps at a set time. 0 means that
+	// the steps run once, immediately.
 	Rounds int
-	// StartAt is when round 0 is due, by the time of day.
+	// StartAt is the time of day at which round 0 is due.
 	StartAt time.Time
-	// Interval is the time between rounds.
+	// Interval is the time between the starts of two rounds.
 	Interval time.Duration
-	// AcceptedAt is when it was handed in, by the time of day of that node.
+	// AcceptedAt is when the job was accepted, by the time of day of the node that accepted it.
 	AcceptedAt time.Time
 }
 
-// Limits of a job's shape. Above them a job is refused, so that one request can
-// take neither the memory nor the time of a node.
+// Limits of a job's size. A larger job is refused, so that a single request cannot exhaust the
+// memory or the processor time of a node.
 const (
 	maxSteps     = 256
 	maxTasks     = 20_000
@@ -136,19 +140,19 @@
 // Error returns the text of the error.
 func (e *FieldError) Error() string { return fmt.Sprintf("work: %s: %s", e.Field, e.Reason) }
 
-// Validate returns a *FieldError when the job cannot be taken.
+// Validate returns a *FieldError if the job cannot be accepted.
 func (s *Spec) Validate() error {
 	if len(s.Payload) > maxPayload {
-		return &FieldError{"payload", fmt.Sprintf("is %d bytes, at most %d are taken", len(s.Payload), maxPayload)}
+		return &FieldError{"payload", fmt.Sprintf("is %d bytes, at most %d are accepted", len(s.Payload), maxPayload)}
 	}
 	if len(s.Steps) == 0 || len(s.Steps) > maxSteps {
-		return &FieldError{"steps", fmt.Sprintf("there are %d, want 1 to %d", len(s.Steps), maxSteps)}
+		return &FieldError{"steps", fmt.Sprintf("has %d steps, want 1 to %d", len(s.Steps), maxSteps)}
 	}
 	if s.Rounds < 0 || s.Rounds > maxRounds {
 		return &FieldError{"rounds", fmt.Sprintf("is %d, want 0 to %d", s.Rounds, maxRounds)}
 	}
 	if s.Rounds > 1 && s.Interval <= 0 {
-		return &FieldError{"interval", "must be positive for a job of several rounds"}
+		return &FieldError{"interval", "must be positive for a job with more than one round"}
 	}
 	tasks := 0
 	for i := range s.Steps {
@@ -158,7 +162,7 @@
 		tasks += s.Steps[i].Count
 	}
 	if tasks > maxTasks {
-		return &FieldError{"steps", fmt.Sprintf("have %d tasks, at most %d are taken", tasks, maxTasks)}
+		return &FieldError{"steps", fmt.Sprintf("have %d tasks, at most %d are accepted", tasks, maxTasks)}
 	}
 	return nil
 }
@@ -179,7 +183,7 @@
 	}
 	for _, d := range s.After {
 		if d < 0 || d >= i {
-			return &FieldError{field("after"), fmt.Sprintf("names step %d, want an earlier step", d)}
+			return &FieldError{field("after"), fmt.Sprintf("refers to step %d, want the number of an earlier step", d)}
 		}
 	}
 	return nil
