--- a/leverdyke_test.go
+++ b/leverdyke_test.go
@@ -18,9 +18,9 @@
 		want int64
 	}{
 		{"nothing is needed", leverdyke.Resources{}, 0},
-		{"processors are short", leverdyke.Resources{MilliCPU: 400, Slots: 1}, 2},
-		{"slots are short", leverdyke.Resources{MilliCPU: 1, Slots: 1}, 3},
-		{"accelerators are missing", leverdyke.Resources{Accelerators: 1, Slots: 1}, 0},
+		{"limited by processors", leverdyke.Resources{MilliCPU: 400, Slots: 1}, 2},
+		{"limited by slots", leverdyke.Resources{MilliCPU: 1, Slots: 1}, 3},
+		{"no accelerators", leverdyke.Resources{Accelerators: 1, Slots: 1}, 0},
 	} {
 		if got := c.need.Count(free); got != c.want {
 			t.Errorf("%s: got: %v, want: %v", c.name, got, c.want)
@@ -28,7 +28,7 @@
 	}
 	over := leverdyke.Resources{MilliCPU: -5, Slots: 1}
 	if got := (leverdyke.Resources{MilliCPU: 1}).Count(over); got != 0 {
-		t.Errorf("negative room: got: %v, want: 0", got)
+		t.Errorf("negative free capacity: got: %v, want: 0", got)
 	}
 }
 
@@ -47,9 +47,10 @@
 	}
 }
 
-func TestErrorKeepsItsCause(t *testing.T) {
+// A caller must be able to match the cause of an error with errors.Is.
+func TestErrorWrapsItsCause(t *testing.T) {
 	cause := errors.New("cut")
-	err := leverdyke.MayHaveRun("the answer did not come", cause)
+	err := leverdyke.MayHaveRun("the answer did not arrive", cause)
 	if !errors.Is(err, cause) {
 		t.Errorf("got: %v, want: an error that wraps %v", err, cause)
 	}
--- a/resources.go
+++ b/resources.go
@@ -5,8 +5,8 @@
 
 import "fmt"
 
-// Resources is an amount of every dimension that a VM has. The zero value is
-// nothing. Values are copied; they are safe for concurrent use.
+// Resources is an amount of each resource dimension of a VM. The zero value is no resources.
+// Methods do not change their receiver, so that values are safe for concurrent use.
 type Resources struct {
 	// MilliCPU is processor time in thousandths of a core; never negative.
 	MilliCPU int64 `json:"milli_cpu,omitempty" yaml:"milli_cpu"`
@@ -14,16 +14,16 @@
 	MemoryMiB int64 `json:"memory_mib,omitempty" yaml:"memory_mib"`
 	// Accelerators counts whole devices; never negative.
 	Accelerators int64 `json:"accelerators,omitempty" yaml:"accelerators"`
-	// Slots counts the places for tasks and requests; never negative.
+	// Slots is how many tasks and requests can run at once; never negative.
 	Slots int64 `json:"slots,omitempty" yaml:"slots"`
 }
 
-// Add returns the sum of both amounts.
+// Add returns r plus o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{r.MilliCPU + o.MilliCPU, r.MemoryMiB + o.MemoryMiB, r.Accelerators + o.Accelerators, r.Slots + o.Slots}
 }
 
-// Sub returns r less o; the result may be negative.
+// Sub returns r minus o; the result may be negative.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMiB - o.MemoryMiB, r.Accelerators - o.Accelerators, r.Slots - o.Slots}
 }
@@ -33,7 +33,7 @@
 	return Resources{r.MilliCPU * n, r.MemoryMiB * n, r.Accelerators * n, r.Slots * n}
 }
 
-// Max returns the larger amount of each dimension.
+// Max returns the larger of r and o in each dimension.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{max(r.MilliCPU, o.MilliCPU), max(r.MemoryMiB, o.MemoryMiB), max(r.Accelerators, o.Accelerators), max(r.Slots, o.Slots)}
 }
@@ -58,7 +58,7 @@
 	return ""
 }
 
-// Count returns how many times r fits into o; 0 when r is nothing.
+// Count returns how many times r fits into o; 0 if r is the zero value.
 func (r Resources) Count(o Resources) int64 {
 	n := int64(-1)
 	for _, d := range [...][2]int64{{r.MilliCPU, o.MilliCPU}, {r.MemoryMiB, o.MemoryMiB}, {r.Accelerators, o.Accelerators}, {r.Slots, o.Slots}} {
@@ -72,7 +72,7 @@
 	return max(n, 0)
 }
 
-// String returns the amount as a person reads it.
+// String returns the amounts in a human-readable form.
 func (r Resources) String() string {
 	return fmt.Sprintf("cpu=%dm mem=%dMiB acc=%d slots=%d", r.MilliCPU, r.MemoryMiB, r.Accelerators, r.Slots)
 }
--- a/verdict.go
+++ b/verdict.go
@@ -5,28 +5,28 @@
 
 import "fmt"
 
-// Verdict says whether a request may have run. The zero value is not valid.
+// Verdict is whether a request may have run. The zero value is not valid.
 type Verdict string
 
 // The verdicts.
 const (
-	// VerdictRan means that the work ran and its answer is complete.
+	// VerdictRan means that the request ran and its answer is complete.
 	VerdictRan Verdict = "ran"
-	// VerdictNotRun is a promise: nothing ran and nothing will.
+	// VerdictNotRun guarantees that the request has not run and will not run.
 	VerdictNotRun Verdict = "not-run"
-	// VerdictMayHaveRun means that it is not known whether the work ran.
+	// VerdictMayHaveRun means that it is not known whether the request ran.
 	VerdictMayHaveRun Verdict = "may-have-run"
 )
 
-// Refusal says why a request that did not run was refused. The zero value means that it may
-// be sent again later.
+// Refusal is why a request that did not run was refused. The zero value means that the request may
+// succeed when it is sent again later.
 type Refusal string
 
-// The refusals that another try does not change.
+// The refusals that remain the same when the request is sent again.
 const (
-	// RefusalTaken means that the ID of the request belongs to somebody else's.
+	// RefusalTaken means that the ID of the request is already used by another customer.
 	RefusalTaken Refusal = "taken"
-	// RefusalImpossible means that the request can never be carried out as it is.
+	// RefusalImpossible means that the request can never be carried out unless it is changed.
 	RefusalImpossible Refusal = "impossible"
 )
 
@@ -37,13 +37,13 @@
 type Error struct {
 	// Verdict is never empty.
 	Verdict Verdict
-	// Refusal is empty where another try may succeed.
+	// Refusal is empty if the request may succeed when it is sent again.
 	Refusal Refusal
-	// Reason is a short sentence without a final stop.
+	// Reason is a short sentence without a full stop at its end.
 	Reason string
-	// RetryAfterSeconds is when to come back; 0 means that no time is known.
+	// RetryAfterSeconds is after how many seconds to retry; 0 means that no time is known.
 	RetryAfterSeconds int
-	// Err is the cause; nil means that there is none to tell.
+	// Err is the cause; nil means that there is none.
 	Err error
 }
 
@@ -58,12 +58,12 @@
 // Unwrap returns the cause, which may be nil.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotRun returns an error that promises that nothing ran.
+// NotRun returns an error with VerdictNotRun.
 func NotRun(reason string, retryAfterSeconds int) *Error {
 	return &Error{Verdict: VerdictNotRun, Reason: reason, RetryAfterSeconds: retryAfterSeconds}
 }
 
-// MayHaveRun returns an error for work whose fate is not known.
+// MayHaveRun returns an error with VerdictMayHaveRun: it is not known whether the request ran.
 func MayHaveRun(reason string, cause error) *Error {
 	return &Error{Verdict: VerdictMayHaveRun, Reason: reason, Err: cause}
 }
