--- a/internal/estimate/response_time_test.go
+++ b/internal/estimate/response_time_test.go
@@ -10,6 +10,8 @@
 	"github.com/leverdyke/leverdyke/internal/estimate"
 )
 
+// The timeout must stay above the usual response times, so that orders that are answered do not count
+// as unacknowledged, and within its bounds.
 func TestTimeoutFollowsResponseTimes(t *testing.T) {
 	const ms = time.Millisecond
 	for name, tc := range map[string]struct {
--- a/internal/estimate/run_times_test.go
+++ b/internal/estimate/run_times_test.go
@@ -34,7 +34,7 @@
 			t.Errorf("%s: corrected: got: %v, want: %v to %v", name, got, tc.min, tc.max)
 		}
 		if got := d.IsReliable(); got != tc.isReliable {
-			t.Errorf("%s: trusted: got: %v, want: %v", name, got, tc.isReliable)
+			t.Errorf("%s: reliable: got: %v, want: %v", name, got, tc.isReliable)
 		}
 	}
 	if got := (*estimate.RunTimes)(nil).Correct(declared); got != declared {
--- a/internal/fairshare/fairshare_test.go
+++ b/internal/fairshare/fairshare_test.go
@@ -11,6 +11,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
+// A customer counts as over its share only clearly above it, and one of low weight only above the mean.
 func TestOverShare(t *testing.T) {
 	for name, tc := range map[string]struct {
 		usages []fairshare.Usage
--- a/internal/health/detector_test.go
+++ b/internal/health/detector_test.go
@@ -29,6 +29,7 @@
 	return f
 }
 
+// A success resets the count of failures, and an ejection ends by itself.
 func TestThreeFailuresInARowEjectAWorker(t *testing.T) {
 	j := health.NewDetector()
 	if f := fail(j, begin, "w", 2); f != (health.Finding{}) || j.IsEjected(begin, "w") {
@@ -107,6 +108,7 @@
 	}
 }
 
+// If all workers fail, ejecting them all would leave none to run anything.
 func TestAtMostHalfOfTheWorkersAreEjected(t *testing.T) {
 	j := health.NewDetector()
 	ejected := 0
--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -28,6 +28,7 @@
 	return l
 }
 
+// Tasks may start only as far as the limit allows beside what runs and what may be running.
 func TestAdmissible(t *testing.T) {
 	for name, tc := range map[string]struct {
 		customer work.CustomerName
@@ -61,6 +62,8 @@
 	}
 }
 
+// A lowered limit must be noticed while tasks run, so that the excess can be stopped; a limit that is
+// fully used is not exceeded.
 func TestIsOverLimit(t *testing.T) {
 	l := newLedger()
 	l.Charge("a", each.Times(4), false)
@@ -91,6 +94,7 @@
 	}
 }
 
+// The number of batches depends on the limit alone, not on what the customer uses now.
 func TestBatches(t *testing.T) {
 	l := newLedger()
 	l.Charge("a", each.Times(3), false)
--- a/internal/urgency/urgency_test.go
+++ b/internal/urgency/urgency_test.go
@@ -11,6 +11,7 @@
 	"github.com/leverdyke/leverdyke/internal/urgency"
 )
 
+// The cases of want are in the order in which the work has to go; only late and overdue work is late.
 func TestOrder(t *testing.T) {
 	const s = time.Second
 	named := map[string]urgency.Work{
@@ -50,8 +51,8 @@
 	}
 }
 
-// Late work must not starve where the load exceeds what can be done for good: it goes first in 100 ms
-// of each second.
+// Late work must not starve while the load permanently exceeds the capacity: it goes first in 100 ms of
+// each second.
 func TestLateWorkDoesNotStarve(t *testing.T) {
 	first := 0
 	for i := range 1000 {
--- a/internal/waits/waits_test.go
+++ b/internal/waits/waits_test.go
@@ -11,6 +11,7 @@
 	"github.com/leverdyke/leverdyke/internal/waits"
 )
 
+// Waits of the same queue and reason are added up, and taking the totals resets them.
 func TestTotals(t *testing.T) {
 	s := waits.Totals{}
 	s.Add("b", waits.Capacity, 2, time.Second)
