--- a/internal/quota/ledger_test.go
+++ b/internal/quota/ledger_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// A lowered limit must be noticed while tasks run, so that the excess can be stopped; a limit that is
-// fully used is not exceeded.
+// A limit that is lowered while tasks run is exceeded, and starts that were planned before must then not
+// be ordered. A limit that is fully used is not exceeded.
 func TestIsOverLimit(t *testing.T) {
 	l := newLedger()
 	l.Charge("a", each.Times(4), false)
