--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -30,10 +30,10 @@
 		before := s.waiting + s.copiesWanted
 		e.placeStep(s)
 		after := s.waiting + s.copiesWanted
-		e.rotation.Looked(after < before)
+		e.rotation.Tried(after < before)
 		isWaiting = isWaiting || after > 0
 	}
-	if isWaiting || e.rotation.HasLeft() {
+	if isWaiting || e.rotation.HasSkipped() {
 		// What they wait for may come without an event: a pause ends, a lane that did
 		// not answer is asked again.
 		e.recheckAt = e.now.Add(recheckPause)
@@ -60,7 +60,7 @@
 		return !s.isQueued
 	})
 	e.noteShares()
-	e.isLateTurn = urgency.HasTurn(time.Duration(e.now.UnixNano()))
+	e.isLateTurn = urgency.IsLateFirst(time.Duration(e.now.UnixNano()))
 	slices.SortStableFunc(e.queue, e.compareTurns)
 	if e.inherited == nil {
 		return e.queue
@@ -144,7 +144,7 @@
 	for i := range s.tasks {
 		e.turns = append(e.turns, i)
 	}
-	if s.spec.IsLasting {
+	if s.spec.IsLongRunning {
 		slices.SortStableFunc(e.turns, func(i, k int) int { return s.tasks[i].ranAt.Compare(s.tasks[k].ranAt) })
 	}
 	return e.turns
@@ -279,7 +279,7 @@
 // any task of the step.
 func (e *Engine) score(w *worker, s *step, t *task) float64 {
 	score := w.fullness()
-	if s.spec.IsLasting || s.spec.IsFiller || t != nil && isSuspect(t) {
+	if s.spec.IsLongRunning || s.spec.IsBestEffort || t != nil && isSuspect(t) {
 		score = -score
 	}
 	switch {
@@ -301,7 +301,7 @@
 		score += weightZone
 	}
 	score -= e.stake(s, t) * w.health.Risk(e.now)
-	if s.spec.IsFiller || s.spec.TailTarget > 0 {
+	if s.spec.IsBestEffort || s.spec.TailTarget > 0 {
 		score -= weightShared * w.conflicts(s)
 	}
 	return score
@@ -311,7 +311,7 @@
 // not failed yet.
 func (e *Engine) stake(s *step, t *task) float64 {
 	limit := e.queues[s.job.spec.Queue].MaxAttempts
-	if s.spec.IsLasting || limit <= 0 {
+	if s.spec.IsLongRunning || limit <= 0 {
 		return weightSpare
 	}
 	left := limit
@@ -347,7 +347,7 @@
 		if a.step == nil {
 			continue
 		}
-		if s.spec.IsFiller && a.step.spec.TailTarget > 0 || s.spec.TailTarget > 0 && a.step.spec.IsFiller {
+		if s.spec.IsBestEffort && a.step.spec.TailTarget > 0 || s.spec.TailTarget > 0 && a.step.spec.IsBestEffort {
 			return 1
 		}
 	}
@@ -450,14 +450,14 @@
 	q := e.queues[a.step.job.spec.Queue]
 	text, hasTicket := a.step.permit.Holds(a.worker.ID, e.now)
 	isHeldBack := e.isPaused && !e.isGangUnderWay(a)
-	isOverLimit := e.quota.IsOver(a.step.customer()) && !e.isGangUnderWay(a)
+	isOverLimit := e.quota.IsOverLimit(a.step.customer()) && !e.isGangUnderWay(a)
 	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Advice != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
 		e.dropPlanned(a, "a member was not ordered")
 		return
 	}
 	a.phase, a.orderedAt, a.worker.orderedAt = phaseOrdered, e.now, e.now
 	e.noteTrial(a)
-	e.durations(a.step).Begin(e.now)
+	e.durations(a.step).Ordered(e.now)
 	e.noteUnkept(a)
 	a.hasSaved = a.step.savedFor(a.id.Index) != ""
 	e.counts.Starts++
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -292,7 +292,7 @@
 		go func() {
 			_ = l.owner.Submit(context.Background(), &work.Spec{
 				ID: id, Queue: queue, Payload: payload, AcceptedAt: time.Now(),
-				Steps: []work.Step{{Count: tasks, Need: leverdyke.Resources{MilliCPU: milli, MemoryMiB: 3600}, Estimate: duration, MayMiss: -1}},
+				Steps: []work.Step{{Count: tasks, Need: leverdyke.Resources{MilliCPU: milli, MemoryMiB: 3600}, Estimate: duration, MaxUnavailable: -1}},
 			})
 		}()
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -44,7 +44,7 @@
 	// listedWorkers is how many workers the list had when it was last read.
 	listedWorkers atomic.Int64
 	// customerUse is the result of CustomerUse; nil before the first sample.
-	customerUse atomic.Pointer[[]quota.CustomerUse]
+	customerUse atomic.Pointer[[]quota.CustomerUtilization]
 	// lagBits has the bits of the result of Lag.
 	lagBits atomic.Uint64
 
@@ -246,7 +246,7 @@
 }
 
 // CustomerUse returns the customers that use most of their limits, as last sampled.
-func (o *Owner) CustomerUse() []quota.CustomerUse {
+func (o *Owner) CustomerUse() []quota.CustomerUtilization {
 	if use := o.customerUse.Load(); use != nil {
 		return *use
 	}
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -82,7 +82,7 @@
 }
 
 func newJob(id string) *work.Spec {
-	return &work.Spec{ID: work.JobID(id), Queue: "q", Steps: []work.Step{{Count: 2, MayMiss: -1}}}
+	return &work.Spec{ID: work.JobID(id), Queue: "q", Steps: []work.Step{{Count: 2, MaxUnavailable: -1}}}
 }
 
 func awaitState(t *testing.T, o *owner.Owner, id string, want work.JobState) {
