--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -26,14 +26,14 @@
 	for _, id := range lost {
 		e.claims.Drop(id)
 		if s := e.findStep(id); s != nil {
-			s.permit.Lost()
+			s.permissions.Lost()
 			e.isDirty = true
 		}
 	}
 }
 
 func (e *Engine) findStep(id work.StepID) *step {
-	s, _ := e.find(work.TaskID{Job: id.Job, Round: id.Round, Step: id.Step})
+	s, _ := e.findTask(work.TaskID{Job: id.Job, Round: id.Round, Step: id.Step})
 	return s
 }
 
@@ -47,11 +47,11 @@
 		return
 	}
 	if !isKnown {
-		s.permit.Failed(e.now)
+		s.permissions.Failed(e.now)
 		e.options.Log(events.AdviceFailed, "step", id, "lane", laneName, "asked", len(asked))
 		return
 	}
-	s.permit.Answered(asked, good, valid, e.now)
+	s.permissions.Answered(asked, good, valid, e.now)
 }
 
 // maxAsks bounds the calls that one look at all that waits prepares, the most urgent
@@ -63,7 +63,7 @@
 
 // askAdvice asks for the step, if it helps and a lane is free.
 func (e *Engine) askAdvice(s *step, policy *order.AdvicePolicy, missing int) {
-	if e.asksLeft <= 0 || !s.permit.MayAsk(e.now) {
+	if e.asksLeft <= 0 || !s.permissions.MayAsk(e.now) {
 		return
 	}
 	hasRoomyPool := e.inUse[e.queues[s.job.spec.Queue].Service] < roomyShare
@@ -79,7 +79,7 @@
 	isMissed := !e.lanesMissedAt.IsZero() && e.now.Sub(e.lanesMissedAt) < lanesMissedFor
 	if isMissed && !hasRoomyPool && !hasRoomNow(s, found) && !e.lanes.HasSpare() {
 		// Nothing could start on the answer, and what has room waits for a lane.
-		s.permit.PutOff(e.now)
+		s.permissions.PutOff(e.now)
 		if e.putOffsLeft > 0 {
 			e.putOffsLeft--
 			e.asksLeft++
@@ -88,11 +88,11 @@
 	}
 	asked := permit.Choose(found, policy, missing)
 	if len(asked) == 0 {
-		s.permit.NobodyToAsk(e.now)
+		s.permissions.NobodyToAsk(e.now)
 		return
 	}
 	patience := e.lanes.Take(lane, s.id, policy, len(asked), e.now)
-	s.permit.Asked()
+	s.permissions.Asked()
 	if e.has(MechanismClaims) {
 		e.claims.Add(s.id, asked, missing, s.spec.Charge())
 	}
@@ -129,7 +129,7 @@
 func (e *Engine) askable(s *step, policy *order.AdvicePolicy) []permit.Candidate {
 	found := []permit.Candidate{}
 	pool := e.queues[s.job.spec.Queue].Service
-	needsSound := slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.needsSound(s, &t) })
+	needsSound := slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.needsHealthyWorker(s, &t) })
 	charge := s.spec.Charge()
 	renewAt := e.now.Add(policy.Base + permit.AskMargin)
 	if !e.has(MechanismAdviceAhead) {
@@ -146,11 +146,11 @@
 		if fits == 0 && (withoutRoom >= permit.MaxAsked || !e.has(MechanismAdviceAhead) || !mayFree(w, s)) {
 			continue
 		}
-		isGood, isKnown := s.permit.Verdict(id)
+		isGood, isKnown := s.permissions.Verdict(id)
 		if isKnown && !isGood {
 			continue
 		}
-		if _, ok := s.permit.Holds(id, renewAt); ok {
+		if _, ok := s.permissions.Holds(id, renewAt); ok {
 			continue
 		}
 		found = append(found, permit.Candidate{ID: id, Fits: fits, IsGood: isGood, IsSuspect: w.speed.IsSuspect || w.health.IsPaused(e.now)})
--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -97,10 +97,10 @@
 	}
 	for _, spec := range b.Specs {
 		j := e.jobs[spec.ID]
-		if j == nil || j.isKept {
+		if j == nil || j.isPersisted {
 			continue
 		}
-		j.isKept = true
+		j.isPersisted = true
 		if !j.state.IsFinal() {
 			e.live = append(e.live, j)
 			e.openRounds(j)
@@ -110,7 +110,7 @@
 		e.progressKept(j, b.Progress[j.spec.ID].State)
 	}
 	for w, n := range b.seen.All() {
-		e.confirm(w, n)
+		e.confirmEnds(w, n)
 	}
 	for _, a := range b.planned {
 		e.placeKept(a)
@@ -123,16 +123,16 @@
 	if e.jobs[j.spec.ID] != j || !state.IsFinal() {
 		return
 	}
-	j.isShown = true
-	j.isKept = j.isKept || state != work.JobWithdrawn
+	j.isFinalPersisted = true
+	j.isPersisted = j.isPersisted || state != work.JobWithdrawn
 }
 
 // Refused says that the batch is certainly not in the store. Its new jobs are
 // dropped as never accepted; its progress goes into the next batch.
 func (e *Engine) Refused(b *Batch) {
 	for _, spec := range b.Specs {
-		if j := e.jobs[spec.ID]; j != nil && !j.isKept {
-			e.dropNew(j)
+		if j := e.jobs[spec.ID]; j != nil && !j.isPersisted {
+			e.dropUnpersisted(j)
 		}
 	}
 	next := e.batchNow()
@@ -140,7 +140,7 @@
 	next.planned = append(next.planned, b.planned...)
 	for _, j := range b.jobs {
 		if e.jobs[j.spec.ID] == j {
-			e.hurry(j)
+			e.markUrgent(j)
 		}
 	}
 	for w, n := range b.seen.All() {
@@ -184,18 +184,18 @@
 				p.Places = append(p.Places, work.Place{Index: i, Worker: string(a.worker.ID), Run: a.run})
 			}
 		}
-		for _, id := range t.heldBy {
+		for _, id := range t.mayRunOn {
 			p.Places = append(p.Places, work.Place{Index: i, Worker: string(id), Run: t.run})
 		}
 		if !s.spec.IsLasting {
 			p.Failures = append(p.Failures, t.failures...)
 		}
 		p.Crashes = append(p.Crashes, t.crashes...)
-		if t.saved != "" {
+		if t.checkpoint != "" {
 			if p.Saved == nil {
 				p.Saved = map[int]string{}
 			}
-			p.Saved[i] = t.saved
+			p.Saved[i] = t.checkpoint
 		}
 	}
 	return p
@@ -211,7 +211,7 @@
 	for _, spec := range e.batch.Specs {
 		refused = append(refused, spec.ID)
 		if j := e.jobs[spec.ID]; j != nil {
-			e.dropNew(j)
+			e.dropUnpersisted(j)
 		}
 	}
 	e.batch.Specs = nil
@@ -221,5 +221,5 @@
 // IsKept reports whether a job is in the store.
 func (e *Engine) IsKept(id work.JobID) bool {
 	j := e.jobs[id]
-	return j != nil && j.isKept
+	return j != nil && j.isPersisted
 }
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -57,13 +57,13 @@
 		c.engine.StartAnswered(a.Worker, a.Task, a.Run, order.StartDone, at)
 		if !c.lasts[a.Task.Job] {
 			c.ends[a.Worker]++
-			c.engine.Listed(&order.Hold{Worker: a.Worker, IsLook: true}, &order.Listing{Finished: []order.End{{
+			c.engine.PollAnswered(&order.Hold{Worker: a.Worker, IsLook: true}, &order.Listing{Finished: []order.End{{
 				Number: c.ends[a.Worker], Task: a.Task, Run: a.Run, Kind: order.EndDone,
 			}}})
 		}
 	case order.Hold:
 		if a.Wait == 0 {
-			c.engine.Listed(&a, &order.Listing{At: order.WorkerTime(c.clock.Now().UnixNano())})
+			c.engine.PollAnswered(&a, &order.Listing{At: order.WorkerTime(c.clock.Now().UnixNano())})
 		}
 	}
 }
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -41,7 +41,7 @@
 	}
 	w := c.workers[0]
 	t := &s.tasks[i]
-	if t.avoid != w.ID && !isChoosy(t) && w.attempts.Get(s.taskID(i)) == nil {
+	if t.avoidWorker != w.ID && !needsIndividualPlacement(t) && w.attempts.Get(s.taskID(i)) == nil {
 		c.taken = true
 		return w
 	}
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -63,7 +63,7 @@
 			continue
 		}
 		w := e.choose(s, i, q, nil)
-		if isChoosy(t) && w == nil {
+		if needsIndividualPlacement(t) && w == nil {
 			continue
 		}
 		if w == nil || w.speed.IsSlow(e.now) {
--- a/internal/dispatch/customer.go
+++ b/internal/dispatch/customer.go
@@ -74,7 +74,7 @@
 func (e *Engine) noteDoubts() {
 	e.quota.ClearDoubts()
 	for _, w := range e.workers.All() {
-		for task := range w.foreign {
+		for task := range w.unknownRuns {
 			if j := e.jobs[task.Job]; j != nil {
 				e.quota.DoubtUnknown(j.spec.Customer)
 			}
@@ -131,7 +131,7 @@
 			out = append(out, s)
 			continue
 		}
-		s.waitsFor = waits.Limit
+		s.waitReason = waits.Limit
 		if !held[name] {
 			held[name] = e.quota.MayFitLater(name, s.least())
 			e.logHeld(s)
@@ -148,5 +148,5 @@
 	}
 	e.heldLogAt = e.now.Add(heldLogPause)
 	u := e.quota.Usage(s.customer())
-	e.options.Log(events.StepHeldByLimit, "step", s.id, "customer", s.customer(), "used", u.Used, "limit", u.Limit, "needs", s.least(), "waited", e.now.Sub(s.openAt), "unsure", u.IsUnsure)
+	e.options.Log(events.StepHeldByLimit, "step", s.id, "customer", s.customer(), "used", u.Used, "limit", u.Limit, "needs", s.least(), "waited", e.now.Sub(s.openedAt), "unsure", u.IsUnsure)
 }
--- a/internal/dispatch/cut_test.go
+++ b/internal/dispatch/cut_test.go
@@ -28,12 +28,12 @@
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
-	e.Listed(&order.Hold{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
+	e.PollAnswered(&order.Hold{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(2, time.Second)}})
 	e.Committed(e.TakeBatch())
 	e.Decide()
 	e.Committed(e.TakeBatch())
-	e.LifeOver("w")
+	e.IncarnationEnded("w")
 	for i := range 2 {
 		if got := told[work.TaskID{Job: "a", Index: i}]; got != 1 {
 			t.Errorf("lines on task %d: got: %d, want: 1", i, got)
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -105,7 +105,7 @@
 	// strays has what may still be on its way to workers and is not wanted any more.
 	strays stray.Orders
 	// cutOff has workers that may have crashed, or only be cut off.
-	cutOff ordered.Map[order.WorkerID, *cutOff]
+	cutOff ordered.Map[order.WorkerID, *possibleCrash]
 	// silences are workers that fell silent lately, whether they live or not.
 	silences crash.Silences
 	// soloUntil is until when a task under which several workers have crashed is tried, and
@@ -116,7 +116,7 @@
 	// inheritedUntil is when all leases that the earlier owner gave are over.
 	inheritedUntil time.Time
 	// inherited is set while any task may run anywhere by an earlier owner's order.
-	inherited *inheritedDoubt
+	inherited *inheritedUncertainty
 	// hasLearned means that what workers have told of its orders is not kept yet.
 	hasLearned bool
 	actions    []order.Action
@@ -237,7 +237,7 @@
 	}
 	for _, w := range e.workers.All() {
 		for _, a := range w.attempts.All() {
-			if a.phase == phasePlanned && e.mayStartUnkept(a) {
+			if a.phase == phasePlanned && e.mayStartUnpersisted(a) {
 				e.sendSoon(a)
 			}
 		}
@@ -318,11 +318,11 @@
 		}
 	}
 	e.live = slices.DeleteFunc(e.live, func(j *job) bool { return j.state.IsFinal() && j.attempts == 0 })
-	e.forgetCutOff()
-	e.logAway()
+	e.expirePossibleCrashes()
+	e.logNotRunning()
 	e.strays.Forget(e.now)
 	for id, j := range e.jobs {
-		if j.state.IsFinal() && j.isShown && e.now.Sub(j.endedAt) > keepFinal && j.attempts == 0 {
+		if j.state.IsFinal() && j.isFinalPersisted && e.now.Sub(j.endedAt) > keepFinal && j.attempts == 0 {
 			delete(e.jobs, id)
 			e.batchNow().Forgotten = append(e.batchNow().Forgotten, id)
 		}
@@ -346,7 +346,7 @@
 	a := e.actions
 	e.actions = nil
 	for _, ordered := range e.fresh {
-		ordered.isHandedOut = true
+		ordered.isSent = true
 	}
 	e.fresh = e.fresh[:0]
 	return a
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -456,7 +456,7 @@
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}, {ID: "v", Service: "pool", Capacity: room}}, true)
 	listed := func(id order.WorkerID, at order.WorkerTime, askedAt time.Time) {
-		e.Listed(&order.Hold{Worker: id, AskedAt: askedAt}, &order.Listing{At: at})
+		e.PollAnswered(&order.Hold{Worker: id, AskedAt: askedAt}, &order.Listing{At: at})
 	}
 	askedAt := c.Now()
 	listed("w", 10, askedAt)
@@ -505,7 +505,7 @@
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
-	e.Listed(&order.Hold{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
+	e.PollAnswered(&order.Hold{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}})
 	looks := 0
 	advance := func(d time.Duration) {
@@ -559,7 +559,7 @@
 		running := []order.Running{{Task: work.TaskID{Job: "a"}, Run: 1}}
 		for _, a := range e.Actions() {
 			if h := a.(order.Hold); h.Worker == "0" {
-				e.Listed(&h, &order.Listing{At: 1, Running: running})
+				e.PollAnswered(&h, &order.Listing{At: 1, Running: running})
 			}
 		}
 		for _, a := range e.Actions() {
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -49,7 +49,7 @@
 	if s.waiting != waiting || s.copiesWanted != copies {
 		add("%s: %d wait and %d copies are wanted, counted: %d and %d", s.id, waiting, copies, s.waiting, s.copiesWanted)
 	}
-	isWanted := s.isOpen && s.job.isKept && (waiting > 0 || copies > 0)
+	isWanted := s.isOpen && s.job.isPersisted && (waiting > 0 || copies > 0)
 	if isWanted && !(s.isQueued && slices.Contains(e.queue, s)) {
 		add("%s: %d wait and %d copies are wanted, and it is not in the queue", s.id, waiting, copies)
 	}
@@ -68,7 +68,7 @@
 			e.checkAttempt(a, writing, add)
 		}
 	}
-	for _, w := range t.heldBy {
+	for _, w := range t.mayRunOn {
 		if !slices.Contains(e.unsettled.Get(w), id) {
 			add("%s is held by %s, of which nothing is to be settled", id, w)
 		}
--- a/internal/dispatch/gang.go
+++ b/internal/dispatch/gang.go
@@ -27,12 +27,12 @@
 	for i, w := range places {
 		e.start(w, s, i, run)
 	}
-	e.options.Log(events.StepPlaced, "step", s.id, "queue", q.Name, "placed", len(places), "run", run, "waited", e.now.Sub(s.openAt))
+	e.options.Log(events.StepPlaced, "step", s.id, "queue", q.Name, "placed", len(places), "run", run, "waited", e.now.Sub(s.openedAt))
 }
 
 // hasHeld reports whether a task may run where nobody can tell.
 func (s *step) hasHeld() bool {
-	return slices.ContainsFunc(s.tasks, func(t task) bool { return len(t.heldBy) > 0 })
+	return slices.ContainsFunc(s.tasks, func(t task) bool { return len(t.mayRunOn) > 0 })
 }
 
 // gangPlaces returns a worker for each task of a gang, in one rack where that is
--- a/internal/dispatch/inherit.go
+++ b/internal/dispatch/inherit.go
@@ -21,62 +21,62 @@
 // ordered the start. Otherwise any task may run anywhere, and none is started
 // before all workers have told what they run, or until. listed is how many
 // workers the earlier owner's list had.
-func (e *Engine) Inherit(until time.Time, isExact bool, listed int) {
+func (e *Engine) Inherit(until time.Time, areStartsPersisted bool, listedWorkers int) {
 	e.inheritedUntil = until
-	if !isExact {
-		e.inherited = &inheritedDoubt{until: until, listed: listed, entriesBackAt: e.now.Add(entriesBack)}
+	if !areStartsPersisted {
+		e.inherited = &inheritedUncertainty{leasesExpireAt: until, previouslyListed: listedWorkers, listCompleteAt: e.now.Add(listRecoveryTime)}
 	}
 	for _, j := range e.live {
-		j.isInherited, j.isInexact = true, !isExact
+		j.isInherited, j.mayHaveUnpersistedStarts = true, !areStartsPersisted
 	}
 }
 
 // entriesBack is how long after the store's return the entries of workers that
 // live may be missing from the platform's list: about two seconds by its word.
-const entriesBack = 2300 * time.Millisecond
+const listRecoveryTime = 2300 * time.Millisecond
 
 // inheritedDoubt is what is open about the orders of an earlier owner that did not keep
 // the places of all tasks.
-type inheritedDoubt struct {
+type inheritedUncertainty struct {
 	// until is when all leases that it gave are over.
-	until time.Time
+	leasesExpireAt time.Time
 	// listed is how many workers its list had. A shorter list may lack some that
 	// live until entriesBackAt.
-	listed        int
-	entriesBackAt time.Time
+	previouslyListed int
+	listCompleteAt   time.Time
 	// entries is how many workers the list has now; 0 before it is known to be whole.
-	entries int
+	currentlyListed int
 	// hasUnclear means that the list has entries of unknown workers that tell nothing. A
 	// worker writes its own again with each heartbeat.
 	hasUnclear bool
 	// lostUntil is when the leases are over of workers that went from the list before
 	// they told what they run.
-	lostUntil time.Time
+	unlistedLeasesUntil time.Time
 }
 
 // lost takes that a worker went from the list before it told what it runs. One
 // that drained has ended; another was silent for two heartbeats at least, and
 // goes on under its lease if it is only cut off.
-func (e *Engine) lost(w *worker) {
+func (e *Engine) extendUncertainty(w *worker) {
 	if e.inherited == nil || w.session.IsListed() || w.IsDraining {
 		return
 	}
-	e.inherited.lostUntil = e.now.Add(session.OwnBound - (heartbeatsMissed-1)*e.options.Heartbeat)
+	e.inherited.unlistedLeasesUntil = e.now.Add(session.OwnBound - (heartbeatsUntilRemoval-1)*e.options.Heartbeat)
 }
 
 // isDoubtOver reports whether all workers have told what they run, or nothing of the
 // earlier owner's can run any more.
-func (e *Engine) isDoubtOver() bool {
+func (e *Engine) isUncertaintyResolved() bool {
 	d := e.inherited
-	if !e.now.Before(d.until) {
+	if !e.now.Before(d.leasesExpireAt) {
 		return true
 	}
-	isWhole := d.entries > 0 && (d.entries >= d.listed && !d.hasUnclear || !e.now.Before(d.entriesBackAt))
-	if !isWhole || e.now.Before(d.lostUntil) {
+	isListComplete := d.currentlyListed > 0 && (d.currentlyListed >= d.previouslyListed && !d.hasUnclear || !e.now.Before(d.listCompleteAt))
+	if !isListComplete || e.now.Before(d.unlistedLeasesUntil) {
 		return false
 	}
 	for _, w := range e.workers.All() {
-		if !w.session.IsListed() && !w.isGone {
+		if !w.session.IsListed() && !w.isUnlisted {
 			return false
 		}
 	}
@@ -84,12 +84,12 @@
 }
 
 // holdTask notes that a task may run on a worker by an earlier owner's order.
-func (e *Engine) holdTask(id work.TaskID, worker order.WorkerID) {
-	s, t := e.find(id)
-	if t == nil || t.state != taskWaiting || slices.Contains(t.heldBy, worker) {
+func (e *Engine) addInheritedTask(id work.TaskID, worker order.WorkerID) {
+	s, t := e.findTask(id)
+	if t == nil || t.state != taskWaiting || slices.Contains(t.mayRunOn, worker) {
 		return
 	}
-	t.heldBy = append(t.heldBy, worker)
+	t.mayRunOn = append(t.mayRunOn, worker)
 	e.chargeCustomer(s)
 	e.unsettled.Set(worker, append(e.unsettled.Get(worker), id))
 }
@@ -100,44 +100,44 @@
 }
 
 // settle says that it is known what a worker runs.
-func (e *Engine) settle(id order.WorkerID, why string) {
+func (e *Engine) resolveInherited(id order.WorkerID, reason string) {
 	tasks, ok := e.unsettled.Find(id)
 	if !ok {
 		return
 	}
 	e.unsettled.Delete(id)
 	for _, task := range tasks {
-		if s, t := e.find(task); t != nil {
-			t.heldBy = slices.DeleteFunc(t.heldBy, func(w order.WorkerID) bool { return w == id })
+		if s, t := e.findTask(task); t != nil {
+			t.mayRunOn = slices.DeleteFunc(t.mayRunOn, func(w order.WorkerID) bool { return w == id })
 			e.releaseCustomer(s)
 			if w := e.workers.Get(id); w == nil || w.attempts.Get(task) == nil {
 				e.strays.Note(id, task, t.run, e.now, e.now)
 			}
 		}
 	}
-	if why != settledByListing {
-		e.noteInheritedCrash(id, tasks, why == settledByLife)
+	if reason != resolvedByListing {
+		e.recordInheritedCrashes(id, tasks, reason == resolvedByIncarnationEnd)
 	}
 	e.isDirty = true
-	if why != settledByListing {
-		e.options.Log(events.InheritedSettled, "worker", id, "tasks", len(tasks), "why", why)
+	if reason != resolvedByListing {
+		e.options.Log(events.InheritedSettled, "worker", id, "tasks", len(tasks), "why", reason)
 	}
 	if e.unsettled.Len() == 0 {
-		e.options.Log(events.Inherited, "last", id, "why", why)
+		e.options.Log(events.Inherited, "last", id, "why", reason)
 	}
 }
 
 // Why it is known what a worker runs.
 const (
-	settledByListing = "told what it runs"
-	settledByLife    = "life over"
-	settledByTime    = "leases lapsed"
+	resolvedByListing        = "told what it runs"
+	resolvedByIncarnationEnd = "life over"
+	resolvedByLeaseExpiry    = "leases lapsed"
 )
 
 // tickInherited settles workers whose leases are over and that nobody reaches.
 func (e *Engine) tickInherited() {
-	if e.inherited != nil && e.isDoubtOver() {
-		e.options.Log(events.DoubtOver, "entries", e.inherited.entries, "earlier", e.inherited.listed, "left", e.inherited.until.Sub(e.now))
+	if e.inherited != nil && e.isUncertaintyResolved() {
+		e.options.Log(events.DoubtOver, "entries", e.inherited.currentlyListed, "earlier", e.inherited.previouslyListed, "left", e.inherited.leasesExpireAt.Sub(e.now))
 		e.inherited = nil
 		e.isDirty = true
 		e.hasLearned = true
@@ -148,7 +148,7 @@
 	}
 	for id := range e.unsettled.All() {
 		if w := e.workers.Get(id); w == nil || e.now.After(w.session.Until()) {
-			e.settle(id, settledByTime)
+			e.resolveInherited(id, resolvedByLeaseExpiry)
 		}
 	}
 }
--- a/internal/dispatch/inherit_test.go
+++ b/internal/dispatch/inherit_test.go
@@ -60,7 +60,7 @@
 
 func (h *heir) told(id order.WorkerID) {
 	at := order.WorkerTime(h.clock.Now().Sub(clock.NewFake().Now()) + time.Second)
-	h.Listed(&order.Hold{Worker: id, AskedAt: h.clock.Now()}, &order.Listing{At: at})
+	h.PollAnswered(&order.Hold{Worker: id, AskedAt: h.clock.Now()}, &order.Listing{At: at})
 }
 
 // All tasks of all jobs waited 6.5 s for leases after an owner that had run ahead
@@ -113,7 +113,7 @@
 func TestWhatIsLearnedOfAnEarlierOwnerIsUnkeptUntilTheStoreHasIt(t *testing.T) {
 	h := newHeir(1)
 	h.list("v")
-	h.Listed(&order.Hold{Worker: "v", AskedAt: h.clock.Now()}, &order.Listing{
+	h.PollAnswered(&order.Hold{Worker: "v", AskedAt: h.clock.Now()}, &order.Listing{
 		At: order.WorkerTime(time.Second), Finished: []order.End{{Number: 1, Task: work.TaskID{Job: "a"}, Run: 1, Kind: order.EndDone}},
 	})
 	h.clock.Advance(100 * time.Millisecond)
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -30,14 +30,14 @@
 	spec  *work.Spec
 	state work.JobState
 	// isKept means that the job is in the store; until then nothing starts.
-	isKept bool
+	isPersisted bool
 	// isShown means that the final state is in the store; until then callers are
 	// told that the job runs.
-	isShown bool
+	isFinalPersisted bool
 	// isInherited means that an earlier owner may have started tasks of it.
 	isInherited bool
 	// isInexact means that it had not kept all that it knew of them.
-	isInexact bool
+	mayHaveUnpersistedStarts bool
 	// isDirty means that it is to be written, isUrgent that at once.
 	isDirty, isUrgent bool
 	hasBegun          bool
@@ -49,26 +49,26 @@
 	roundsLeft        int
 	// attempts counts those of which it is not known that they are over; idleAt is when there was
 	// one last.
-	attempts int
-	idleAt   time.Time
+	attempts  int
+	idleSince time.Time
 }
 
 type round struct {
-	number int
-	dueAt  time.Time
-	steps  []*step
-	left   int
+	number    int
+	dueAt     time.Time
+	steps     []*step
+	stepsLeft int
 }
 
 // step is a step of one round.
 type step struct {
-	job    *job
-	round  *round
-	id     work.StepID
-	spec   *work.Step
-	tasks  []task
-	left   int
-	isOpen bool
+	job       *job
+	round     *round
+	id        work.StepID
+	spec      *work.Step
+	tasks     []task
+	tasksLeft int
+	isOpen    bool
 	// isQueued means that it is in Engine.queue, priority is that of its job's queue when it
 	// was last looked at there.
 	isQueued bool
@@ -77,23 +77,23 @@
 	rank     urgency.Rank
 	rankedAt time.Time
 	// chainEnd and leftEnd are of Engine.chain.
-	chainEnd, leftEnd time.Duration
+	chainEnd, remainingEnd time.Duration
 	// waiting counts the tasks in the state waiting.
-	waiting int
-	openAt  time.Time
+	waiting  int
+	openedAt time.Time
 	// mayTryEarly is Engine.mayTryEarly when it was looked at last.
-	mayTryEarly bool
+	mayProbeEarly bool
 	// waitsFor is what its tasks waited for when it was looked at last.
-	waitsFor waits.Reason
+	waitReason waits.Reason
 	// copiesWanted counts the tasks that want a copy.
 	copiesWanted int
 	// doneRuns and doneTime are of the tasks that are done.
-	doneRuns int
-	doneTime time.Duration
+	doneTasks   int
+	doneRunTime time.Duration
 	// permit is what is known of the workers that may run it.
-	permit permit.Step
+	permissions permit.Step
 	// gangFailures counts the attempts of a gang in which a member failed.
-	gangFailures map[uint64]bool
+	failedGangRuns map[uint64]bool
 }
 
 type task struct {
@@ -103,22 +103,22 @@
 	run      uint64
 	failures []work.Failure
 	// crashes are the workers that crashed under it, crashedAt is when that was known last.
-	crashes   []work.Crash
-	crashedAt time.Time
-	saved     string
+	crashes     []work.Crash
+	lastCrashAt time.Time
+	checkpoint  string
 	// avoid is where the task failed or hung last.
-	avoid order.WorkerID
+	avoidWorker order.WorkerID
 	// heldBy are workers on which an earlier owner may have started it.
-	heldBy []order.WorkerID
+	mayRunOn []order.WorkerID
 	// copy is a second attempt beside the first; wantsCopy asks for one.
 	copy      *attempt
 	wantsCopy bool
 	// unwanted are attempts besides these that a worker has told of and that are stopped.
 	unwanted []*attempt
 	// rescues counts attempts that were stopped as too slow.
-	rescues int
+	replacements int
 	// failedAt is when an attempt failed last, ranAt when one that ran was over last.
-	failedAt, ranAt time.Time
+	lastFailedAt, lastRanAt time.Time
 	// preemptions counts attempts that made way for a gang.
 	preemptions int
 }
@@ -127,35 +127,35 @@
 	// soundPatience is how long a task with one attempt left waits for a worker that
 	// has not failed anything since its last success: with the last attempt the
 	// whole job fails.
-	soundPatience = 1500 * time.Millisecond
+	healthyWorkerTimeout = 1500 * time.Millisecond
 	// otherPatience is how long a task that has failed waits for a worker on which it
 	// has not. Callers expect that nothing stands still for 3 s while there is room.
-	otherPatience = 2200 * time.Millisecond
+	otherWorkerTimeout = 2200 * time.Millisecond
 	// recheckPause is the time between two looks at tasks that wait while nothing
 	// happens.
-	recheckPause = 100 * time.Millisecond
+	recheckInterval = 100 * time.Millisecond
 )
 
 // mayTry reports whether a task that has failed, or may crash its workers, may start on
 // the worker now.
-func (e *Engine) mayTry(w *worker, s *step, t *task) bool {
-	if !e.mayTryNow(w, t) {
+func (e *Engine) mayRetryOn(w *worker, s *step, t *task) bool {
+	if !e.mayRunSuspect(w, t) {
 		return false
 	}
 	if len(t.failures) == 0 || s.spec.IsLasting {
 		return true
 	}
-	if e.needsSound(s, t) && !w.health.IsSound(e.now) {
+	if e.needsHealthyWorker(s, t) && !w.health.IsSound(e.now) {
 		return false
 	}
 	failedHere := slices.ContainsFunc(t.failures, func(f work.Failure) bool { return f.Worker == string(w.ID) })
-	return !failedHere || e.now.Sub(t.failedAt) >= otherPatience
+	return !failedHere || e.now.Sub(t.lastFailedAt) >= otherWorkerTimeout
 }
 
 // needsSound reports whether a task still waits for a worker that has failed nothing
 // lately, since the job fails with its next failure.
-func (e *Engine) needsSound(s *step, t *task) bool {
-	return len(t.failures) > 0 && e.isLastAttempt(s, t) && e.now.Sub(t.failedAt) < soundPatience
+func (e *Engine) needsHealthyWorker(s *step, t *task) bool {
+	return len(t.failures) > 0 && e.isLastAttempt(s, t) && e.now.Sub(t.lastFailedAt) < healthyWorkerTimeout
 }
 
 // isLastAttempt reports whether the job fails if the task fails once more.
@@ -169,8 +169,8 @@
 func (e *Engine) AddJob(spec *work.Spec) bool {
 	if j, ok := e.jobs[spec.ID]; ok {
 		if j.state == work.JobWithdrawn {
-			j.state, j.isShown = work.JobCancelled, false
-			e.hurry(j)
+			j.state, j.isFinalPersisted = work.JobCancelled, false
+			e.markUrgent(j)
 		}
 		return false
 	}
@@ -191,9 +191,9 @@
 	j.acceptedAt = e.acceptedBefore(spec.AcceptedAt)
 	e.jobs[spec.ID] = j
 	if p != nil {
-		e.restore(j, p)
+		e.restoreProgress(j, p)
 	}
-	j.isKept = j.state != work.JobWithdrawn
+	j.isPersisted = j.state != work.JobWithdrawn
 	if j.state.IsFinal() {
 		return
 	}
@@ -207,10 +207,10 @@
 	}
 }
 
-func (e *Engine) restore(j *job, p *work.Progress) {
+func (e *Engine) restoreProgress(j *job, p *work.Progress) {
 	j.state = p.State
 	if p.State.IsFinal() {
-		j.isShown, j.endedAt = true, e.now
+		j.isFinalPersisted, j.endedAt = true, e.now
 		return
 	}
 	j.roundsDone = p.RoundsDone
@@ -233,7 +233,7 @@
 		s.tasks[i].run = p.Run
 		if p.IsDone(i) && s.tasks[i].state == taskWaiting {
 			s.tasks[i].state = taskDone
-			s.left--
+			s.tasksLeft--
 			s.waiting--
 			s.job.hasBegun = true
 		}
@@ -248,19 +248,19 @@
 			e.restoreCrash(s, c)
 		}
 	}
-	for i, text := range p.Saved {
+	for i, checkpoint := range p.Saved {
 		if i >= 0 && i < len(s.tasks) {
-			s.tasks[i].saved = text
+			s.tasks[i].checkpoint = checkpoint
 		}
 	}
-	for _, place := range p.Places {
-		if place.Index >= 0 && place.Index < len(s.tasks) {
-			s.tasks[place.Index].run = max(s.tasks[place.Index].run, place.Run)
-			e.holdTask(work.TaskID{Job: s.id.Job, Round: s.id.Round, Step: s.id.Step, Index: place.Index}, order.WorkerID(place.Worker))
+	for _, placement := range p.Places {
+		if placement.Index >= 0 && placement.Index < len(s.tasks) {
+			s.tasks[placement.Index].run = max(s.tasks[placement.Index].run, placement.Run)
+			e.addInheritedTask(work.TaskID{Job: s.id.Job, Round: s.id.Round, Step: s.id.Step, Index: placement.Index}, order.WorkerID(placement.Worker))
 		}
 	}
-	if s.left == 0 {
-		s.round.left--
+	if s.tasksLeft == 0 {
+		s.round.stepsLeft--
 	}
 }
 
@@ -295,12 +295,12 @@
 }
 
 func (e *Engine) openRound(j *job, k int) *round {
-	r := &round{number: k, dueAt: j.dueAt(k), left: len(j.spec.Steps)}
+	r := &round{number: k, dueAt: j.dueAt(k), stepsLeft: len(j.spec.Steps)}
 	for i := range j.spec.Steps {
 		spec := &j.spec.Steps[i]
 		s := &step{
 			job: j, round: r, id: work.StepID{Job: j.spec.ID, Round: k, Step: i}, spec: spec,
-			tasks: make([]task, spec.Count), left: spec.Count, waiting: spec.Count,
+			tasks: make([]task, spec.Count), tasksLeft: spec.Count, waiting: spec.Count,
 		}
 		for t := range s.tasks {
 			s.tasks[t].state = taskWaiting
@@ -321,7 +321,7 @@
 			continue
 		}
 		s.isOpen = true
-		s.openAt, s.waitsFor = e.now, waits.Turn
+		s.openedAt, s.waitReason = e.now, waits.Turn
 		e.enqueue(s)
 		e.isDirty = true
 	}
@@ -329,7 +329,7 @@
 
 func (r *round) areDone(steps []int) bool {
 	for _, i := range steps {
-		if r.steps[i].left > 0 {
+		if r.steps[i].tasksLeft > 0 {
 			return false
 		}
 	}
@@ -337,7 +337,7 @@
 }
 
 // find returns the step and the task, or nil when there is none.
-func (e *Engine) find(id work.TaskID) (*step, *task) {
+func (e *Engine) findTask(id work.TaskID) (*step, *task) {
 	j := e.jobs[id.Job]
 	if j == nil {
 		return nil, nil
@@ -356,17 +356,17 @@
 // addFailure notes a failed attempt and reports whether it was not known before.
 func (s *step) addFailure(f work.Failure) bool {
 	t := &s.tasks[f.Index]
-	for _, old := range t.failures {
-		if old.Worker == f.Worker && old.Run == f.Run {
+	for _, known := range t.failures {
+		if known.Worker == f.Worker && known.Run == f.Run {
 			return false
 		}
 	}
 	t.failures = append(t.failures, f)
 	if s.spec.IsGang {
-		if s.gangFailures == nil {
-			s.gangFailures = map[uint64]bool{}
+		if s.failedGangRuns == nil {
+			s.failedGangRuns = map[uint64]bool{}
 		}
-		s.gangFailures[f.Run] = true
+		s.failedGangRuns[f.Run] = true
 	}
 	return true
 }
@@ -376,13 +376,13 @@
 
 func (s *step) failuresOf(t *task) int {
 	if s.spec.IsGang {
-		return len(s.gangFailures)
+		return len(s.failedGangRuns)
 	}
 	return len(t.failures)
 }
 
 // taskEnded notes that a task has ended well, once.
-func (e *Engine) taskEnded(s *step, i int) {
+func (e *Engine) markTaskDone(s *step, i int) {
 	t := &s.tasks[i]
 	if t.state == taskDone {
 		return
@@ -392,21 +392,21 @@
 	}
 	s.dropCopyWish(t)
 	t.state = taskDone
-	s.left--
-	e.touch(s.job)
-	if s.left > 0 {
+	s.tasksLeft--
+	e.markDirty(s.job)
+	if s.tasksLeft > 0 {
 		return
 	}
 	e.isDirty = true
-	s.round.left--
-	if s.round.left > 0 {
+	s.round.stepsLeft--
+	if s.round.stepsLeft > 0 {
 		e.openSteps(s.round)
 		return
 	}
-	e.roundEnded(s.job, s.round)
+	e.markRoundDone(s.job, s.round)
 }
 
-func (e *Engine) roundEnded(j *job, r *round) {
+func (e *Engine) markRoundDone(j *job, r *round) {
 	j.roundsDone.SetDone(r.number)
 	j.roundsLeft--
 	e.batchNow().isUrgent = true
@@ -417,14 +417,14 @@
 }
 
 // endJob sets the final state and stops all that still runs.
-func (e *Engine) endJob(j *job, state work.JobState, why string) {
+func (e *Engine) endJob(j *job, state work.JobState, reason string) {
 	if j.state.IsFinal() {
 		return
 	}
 	j.state, j.endedAt = state, e.now
-	e.hurry(j)
+	e.markUrgent(j)
 	e.isDirty = true
-	e.options.Log(events.JobEnded, "job", j.spec.ID, "state", state, "why", why, "took", e.now.Sub(j.acceptedAt), "attempts", j.attempts)
+	e.options.Log(events.JobEnded, "job", j.spec.ID, "state", state, "why", reason, "took", e.now.Sub(j.acceptedAt), "attempts", j.attempts)
 	if j.attempts == 0 {
 		return
 	}
@@ -437,7 +437,7 @@
 	}
 }
 
-func (e *Engine) touch(j *job) {
+func (e *Engine) markDirty(j *job) {
 	if j.isDirty {
 		return
 	}
@@ -447,8 +447,8 @@
 }
 
 // hurry is touch of a job that must not wait: a place to start at, or its end.
-func (e *Engine) hurry(j *job) {
-	e.touch(j)
+func (e *Engine) markUrgent(j *job) {
+	e.markDirty(j)
 	j.isUrgent = true
 	e.batchNow().isUrgent = true
 }
@@ -469,32 +469,32 @@
 	if j == nil {
 		j = e.newJob(&work.Spec{ID: id, Customer: by})
 		e.jobs[id] = j
-		e.withdraw(j)
+		e.recordWithdrawal(j)
 	}
 	e.endJob(j, work.JobCancelled, "cancelled by its caller")
 	return j.state != work.JobWithdrawn
 }
 
 // withdraw keeps in mind that a job that is not taken was cancelled.
-func (e *Engine) withdraw(j *job) {
+func (e *Engine) recordWithdrawal(j *job) {
 	j.state, j.endedAt = work.JobWithdrawn, e.now
-	e.hurry(j)
+	e.markUrgent(j)
 }
 
 // dropNew drops a job that is certainly not kept. One that was cancelled meanwhile
 // stays withdrawn.
-func (e *Engine) dropNew(j *job) {
+func (e *Engine) dropUnpersisted(j *job) {
 	if j.state.IsFinal() {
-		e.withdraw(j)
+		e.recordWithdrawal(j)
 		return
 	}
 	delete(e.jobs, j.spec.ID)
 }
 
-// IsSettledCancel reports whether the final state of a job is kept.
-func (e *Engine) IsSettledCancel(id work.JobID) bool {
+// IsFinalPersisted reports whether the final state of a job is kept.
+func (e *Engine) IsFinalPersisted(id work.JobID) bool {
 	j := e.jobs[id]
-	return j != nil && j.state.IsFinal() && j.isShown
+	return j != nil && j.state.IsFinal() && j.isFinalPersisted
 }
 
 // State returns what a caller is told of a job; false when there is none.
@@ -503,7 +503,7 @@
 	switch {
 	case j == nil || j.state == work.JobWithdrawn:
 		return "", false
-	case j.state.IsFinal() && j.isShown:
+	case j.state.IsFinal() && j.isFinalPersisted:
 		return j.state, true
 	case j.hasBegun || j.state.IsFinal():
 		return work.JobRunning, true
@@ -515,7 +515,7 @@
 func (e *Engine) Pending(queue string) int {
 	n := 0
 	for _, j := range e.live {
-		if j.spec.Queue == queue && j.isKept && !j.hasBegun && !j.state.IsFinal() {
+		if j.spec.Queue == queue && j.isPersisted && !j.hasBegun && !j.state.IsFinal() {
 			n++
 		}
 	}
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -14,11 +14,11 @@
 
 // StartAnswered takes the answer to an order to start, once for each. at is the worker's clock
 // in the answer, 0 when it told none.
-func (e *Engine) StartAnswered(id order.WorkerID, task work.TaskID, run uint64, outcome order.StartOutcome, at order.WorkerTime) {
+func (e *Engine) StartAnswered(id order.WorkerID, task work.TaskID, run uint64, outcome order.StartOutcome, clock order.WorkerTime) {
 	e.unanswered--
 	defer e.sendReady()
 	if outcome == order.StartLifeOver {
-		e.LifeOver(id)
+		e.IncarnationEnded(id)
 		return
 	}
 	w := e.workers.Get(id)
@@ -26,8 +26,8 @@
 		return
 	}
 	a := w.attempts.Get(task)
-	isOfThisStart := a != nil && w.session.MayShow(at, a.orderedAt)
-	isOfThisStart = w.session.ReadAnswer(at, e.now) && isOfThisStart
+	isFromThisIncarnation := a != nil && w.session.MayShow(clock, a.orderedAt)
+	isFromThisIncarnation = w.session.ReadAnswer(clock, e.now) && isFromThisIncarnation
 	if a == nil || a.run != run {
 		return
 	}
@@ -40,41 +40,41 @@
 	}
 	switch outcome {
 	case order.StartDone:
-		a.startedAt, a.startedOn = at, e.now
-		a.isTold = a.isTold || isOfThisStart
-		if at > 0 && !a.hasSaved {
-			a.progress.Take(at, 0, 0)
+		a.startConfirmedClock, a.startConfirmedAt = clock, e.now
+		a.isAcknowledged = a.isAcknowledged || isFromThisIncarnation
+		if clock > 0 && !a.isResumed {
+			a.progress.Take(clock, 0, 0)
 		}
 		if a.phase != phaseRunning {
 			a.phase = phaseRunning
-			a.percentAt = e.now
+			a.percentChangedAt = e.now
 		}
 	case order.StartUnknown:
 		if a.phase == phaseOrdered {
-			e.doubt(a)
+			e.markUnacknowledged(a)
 		}
 	case order.StartRefused, order.StartNoRoom, order.StartNoTicket, order.StartUnhealthy, order.StartFenced, order.StartLifeOver:
-		e.startRefused(w, a, outcome)
+		e.handleRefusedStart(w, a, outcome)
 	}
 }
 
-func (e *Engine) startRefused(w *worker, a *attempt, outcome order.StartOutcome) {
+func (e *Engine) handleRefusedStart(w *worker, a *attempt, outcome order.StartOutcome) {
 	if a.phase == phaseRunning {
 		return
 	}
 	e.options.Log(events.StartRefused, "task", a.id, "run", a.run, "worker", w.ID, "why", outcome)
 	switch outcome {
 	case order.StartNoTicket:
-		a.step.permit.Forget(w.ID)
+		a.step.permissions.Forget(w.ID)
 	case order.StartUnhealthy:
 		w.health.Refused(e.now)
 	case order.StartNoRoom, order.StartRefused:
 		w.health.Refused(e.now)
 	case order.StartDone, order.StartFenced, order.StartUnknown, order.StartLifeOver:
 	}
-	a.isTold = true
+	a.isAcknowledged = true
 	e.release(a)
-	e.attemptOver(a)
+	e.detachAttempt(a)
 	if a.step.spec.IsGang {
 		e.stopGang(a.step, a.run, "a member was refused")
 	}
@@ -82,134 +82,134 @@
 
 // StopAnswered takes the answer to an order to stop. isKnown is false when there
 // was none.
-func (e *Engine) StopAnswered(id order.WorkerID, task work.TaskID, run uint64, isKnown bool, at order.WorkerTime) {
+func (e *Engine) StopAnswered(id order.WorkerID, task work.TaskID, run uint64, isAnswered bool, clock order.WorkerTime) {
 	w := e.workers.Get(id)
-	if w == nil || !isKnown {
+	if w == nil || !isAnswered {
 		return
 	}
-	w.session.ReadAnswer(at, e.now)
+	w.session.ReadAnswer(clock, e.now)
 	w.refusals.Refused(task, run)
 	a := w.attempts.Get(task)
 	if a == nil || a.run != run {
 		return
 	}
-	a.stopAckedAt, a.stopAckedOn = at, e.now
-	e.look(w)
+	a.stopConfirmedClock, a.stopConfirmedAt = clock, e.now
+	e.pollNow(w)
 }
 
-// Listed takes a worker's word on all that it runs.
-func (e *Engine) Listed(h *order.Hold, l *order.Listing) {
-	if l.Worker != "" {
-		e.startedAgain(h.Worker, l.Worker)
+// PollAnswered takes a worker's word on all that it runs.
+func (e *Engine) PollAnswered(poll *order.Hold, listing *order.Listing) {
+	if listing.Worker != "" {
+		e.handleRestart(poll.Worker, listing.Worker)
 		return
 	}
-	w := e.workers.Get(h.Worker)
+	w := e.workers.Get(poll.Worker)
 	if w == nil {
 		return
 	}
 	if w.session.HasMissed() && !w.session.IsSilent() {
-		e.lossyUntil = e.now.Add(lossyTime)
+		e.lossyUntil = e.now.Add(lossyPeriod)
 	}
 	if w.session.HasMissed() {
 		e.silences.Ended(w.ID)
 	}
-	w.session.Heard(l.At, e.now)
-	w.session.Forgot(h.Confirmed)
-	e.takeListing(w, l, h.AskedAt)
-	e.answeredHold(w, h.IsLook)
+	w.session.Heard(listing.At, e.now)
+	w.session.Forgot(poll.Confirmed)
+	e.handleListing(w, listing, poll.AskedAt)
+	e.finishPoll(w, poll.IsLook)
 	e.dropIfEmpty(w)
 }
 
-func (e *Engine) takeListing(w *worker, l *order.Listing, askedOn time.Time) {
+func (e *Engine) handleListing(w *worker, listing *order.Listing, askedAt time.Time) {
 	if !w.session.IsListed() {
-		e.beginListing(w)
+		e.prepareFirstListing(w)
 	}
-	for i := range l.Finished {
-		e.ended(w, &l.Finished[i])
+	for i := range listing.Finished {
+		e.handleEnd(w, &listing.Finished[i])
 	}
-	if !w.session.List(l.At, e.now) {
+	if !w.session.List(listing.At, e.now) {
 		return
 	}
-	clear(w.foreign)
-	running := make(map[work.TaskID]bool, len(l.Running))
-	for i := range l.Running {
-		running[l.Running[i].Task] = true
-		e.runs(w, &l.Running[i])
+	clear(w.unknownRuns)
+	running := make(map[work.TaskID]bool, len(listing.Running))
+	for i := range listing.Running {
+		running[listing.Running[i].Task] = true
+		e.handleRunning(w, &listing.Running[i])
 	}
-	e.settleMissing(w, l, running, askedOn)
+	e.reconcileMissing(w, listing, running, askedAt)
 	if !w.session.IsListed() {
 		w.session.SetListed(true)
 		e.isDirty = true
 	}
-	e.settleStarts(w)
-	e.judgeSpeed(w)
+	e.resolveIncarnations(w)
+	e.detectSlowWorker(w)
 	e.setPaces(w)
 }
 
 // beginListing takes that a worker tells for the first time what it runs, or again after all
 // on it was taken as over. What may be on its way to an earlier start of it is known as such
 // before the listing is looked at.
-func (e *Engine) beginListing(w *worker) {
-	e.forgiveCrash(w.ID)
-	e.endEarlierLives(w)
-	e.waitForOthers(w)
+func (e *Engine) prepareFirstListing(w *worker) {
+	e.retractCrash(w.ID)
+	e.endPreviousIncarnations(w)
+	e.waitForOtherLeases(w)
 }
 
 // runs takes an attempt that the worker says it runs.
-func (e *Engine) runs(w *worker, r *order.Running) {
-	a := w.attempts.Get(r.Task)
-	if a == nil || a.run != r.Run {
-		a = e.adopt(w, r)
+func (e *Engine) handleRunning(w *worker, running *order.Running) {
+	a := w.attempts.Get(running.Task)
+	if a == nil || a.run != running.Run {
+		a = e.adopt(w, running)
 		if a == nil {
 			return
 		}
 	}
-	a.isTold = true
+	a.isAcknowledged = true
 	if a.phase != phaseRunning {
 		a.phase = phaseRunning
-		a.percentAt = e.now
+		a.percentChangedAt = e.now
 		// The order got no answer: from here on it is known to have come.
-		a.startedAt, a.startedOn = w.session.ListedClock(), e.now
+		a.startConfirmedClock, a.startConfirmedAt = w.session.ListedClock(), e.now
 	}
-	if r.Percent != a.percent {
-		a.percent, a.percentAt = r.Percent, e.now
+	if running.Percent != a.percent {
+		a.percent, a.percentChangedAt = running.Percent, e.now
 	}
-	a.figure = r.Figure
-	a.progress.Take(w.session.ListedClock(), r.Percent, e.expected(a.step))
+	a.metric = running.Figure
+	a.progress.Take(w.session.ListedClock(), running.Percent, e.expectedDuration(a.step))
 	if a.step != nil {
 		a.step.job.hasBegun = true
-		if r.Saved != "" {
-			a.step.tasks[a.id.Index].saved = r.Saved
+		if running.Saved != "" {
+			a.step.tasks[a.id.Index].checkpoint = running.Saved
 		}
 	}
 }
 
 // adopt takes an attempt that an earlier owner started, or stops it when it is
 // of no use.
-func (e *Engine) adopt(w *worker, r *order.Running) *attempt {
-	s, t := e.find(r.Task)
+func (e *Engine) adopt(w *worker, running *order.Running) *attempt {
+	s, t := e.findTask(running.Task)
 	if s == nil {
-		w.foreign[r.Task] = r.Run
-		e.doStop(w, r.Task, r.Run)
+		w.unknownRuns[running.Task] = running.Run
+		e.doStop(w, running.Task, running.Run)
 		return nil
 	}
-	if old := w.attempts.Get(r.Task); old != nil {
+	if previous := w.attempts.Get(running.Task); previous != nil {
 		// The worker has one run of a task at most: the other one is not there.
-		e.release(old)
-		e.attemptOver(old)
+		e.release(previous)
+		e.detachAttempt(previous)
 	}
 	a := &attempt{
-		id: r.Task, step: s, run: r.Run, worker: w, charge: s.spec.Charge(), phase: phaseRunning,
-		orderedAt: e.now, startedAt: w.session.Clock(), startedOn: e.now, percentAt: e.now, pace: fullPace, isAdopted: true,
+		id: running.Task, step: s, run: running.Run, worker: w, charge: s.spec.Charge(), phase: phaseRunning,
+		orderedAt: e.now, startConfirmedClock: w.session.Clock(), startConfirmedAt: e.now, percentChangedAt: e.now, pace: fullPace, isAdopted: true,
 	}
 	w.session.WaitFor(e.inheritedUntil)
 	e.charge(a)
-	if slices.Contains(t.heldBy, w.ID) {
-		a.isKept = true
+	if slices.Contains(t.mayRunOn, w.ID) {
+		a.isPersisted = true
 	} else {
 		e.keepPlace(a)
 	}
-	t.run = max(t.run, r.Run)
+	t.run = max(t.run, running.Run)
 	if s.spec.MayDuplicate && t.state == taskPlaced && t.copy == nil && !s.job.state.IsFinal() {
 		s.dropCopyWish(t)
 		t.copy = a
@@ -221,7 +221,7 @@
 	isWanted := t.state == taskWaiting && !s.job.state.IsFinal()
 	if !isWanted {
 		if t.state == taskPlaced {
-			e.options.Log(events.TaskTwice, "task", r.Task, "run", r.Run, "worker", w.ID)
+			e.options.Log(events.TaskTwice, "task", running.Task, "run", running.Run, "worker", w.ID)
 			t.unwanted = append(t.unwanted, a)
 		}
 		e.stop(a, "not wanted")
@@ -234,84 +234,84 @@
 
 func (e *Engine) charge(a *attempt) {
 	a.worker.attempts.Set(a.id, a)
-	a.worker.isRestless = true
+	a.worker.needsTick = true
 	a.worker.used = a.worker.used.Add(a.charge)
 	e.chargeCustomer(a.step)
 	a.step.job.attempts++
 }
 
 // ended takes an end, once.
-func (e *Engine) ended(w *worker, end *order.End) {
+func (e *Engine) handleEnd(w *worker, end *order.End) {
 	if !w.session.Take(end.Number) {
 		return
 	}
 	e.batchNow().seen.Set(w, end.Number)
 	a := w.attempts.Get(end.Task)
 	if a != nil && a.run == end.Run {
-		a.isTold = true
+		a.isAcknowledged = true
 		e.release(a)
 	} else {
 		a = nil
 	}
-	s, t := e.find(end.Task)
+	s, t := e.findTask(end.Task)
 	if s == nil {
 		return
 	}
 	t.run = max(t.run, end.Run)
-	if end.Saved != "" && (a != nil || t.saved == "") {
-		t.saved = end.Saved
+	if end.Saved != "" && (a != nil || t.checkpoint == "") {
+		t.checkpoint = end.Saved
 	}
 	switch end.Kind {
 	case order.EndDone:
 		if a != nil {
-			e.learn(a)
+			e.learnDuration(a)
 		}
-		e.endedDone(w, s, end, a)
+		e.handleSuccess(w, s, end, a)
 	case order.EndFailed:
-		e.endedFailed(w, s, end)
+		e.handleFailure(w, s, end)
 	case order.EndStopped, order.EndLapsed, order.EndBroken, order.EndAlone:
-		if a == nil || a.stopWhy == "" {
+		if a == nil || a.stopReason == "" {
 			e.options.Log(events.AttemptEnded, "task", end.Task, "run", end.Run, "worker", w.ID, "how", end.Kind)
 		}
 	}
 	if a != nil {
-		e.attemptOver(a)
+		e.detachAttempt(a)
 	}
 }
 
 // endedDone takes a good end. a is the attempt that has ended, nil where it is not known.
-func (e *Engine) endedDone(w *worker, s *step, end *order.End, a *attempt) {
+func (e *Engine) handleSuccess(w *worker, s *step, end *order.End, a *attempt) {
 	e.counts.Done++
 	w.health.Succeeded(e.now)
 	if s.spec.IsLasting {
 		return
 	}
 	if !s.spec.IsGang {
-		e.doneOnce(s, end.Task.Index, a)
+		e.completeTask(s, end.Task.Index, a)
 		return
 	}
 	for i := range s.tasks {
-		if mate := s.tasks[i].attempt; mate != nil && mate.run == end.Run && mate.phase != phasePlanned {
+		if member := s.tasks[i].attempt; member != nil && member.run == end.Run && member.phase != phasePlanned {
 			// The members of a gang end together.
-			e.doneOnce(s, i, mate)
+			e.completeTask(s, i, member)
 			continue
 		}
-		e.doneOnce(s, i, a)
+		e.completeTask(s, i, a)
 	}
 }
 
 // doneOnce notes that a task is done, and stops its attempts but the one that is. Its number does
 // not tell that one: an owner that does not know of it gives the same number to the next.
-func (e *Engine) doneOnce(s *step, i int, done *attempt) {
+func (e *Engine) completeTask(s *step, i int, finished *attempt) {
 	for _, a := range []*attempt{s.tasks[i].attempt, s.tasks[i].copy} {
-		if a != nil && a != done {
+		if a != nil && a != finished {
 			e.stop(a, "another attempt is done")
 		}
 	}
-	e.taskEnded(s, i)
+	e.markTaskDone(s, i)
 }
 
-func (e *Engine) endedFailed(w *worker, s *step, end *order.End) {
+func (e *Engine) handleFailure(w *worker, s *step, end *order.End) {
 	e.counts.Failed++
 	i := end.Task.Index
 	isNew := s.addFailure(work.Failure{Index: i, Worker: string(w.ID), Run: end.Run})
@@ -321,8 +321,8 @@
 	if e.has(MechanismHealth) {
 		w.health.Failed(e.now, s.job.spec.ID)
 	}
-	s.tasks[i].avoid, s.tasks[i].failedAt = w.ID, e.now
-	e.touch(s.job)
+	s.tasks[i].avoidWorker, s.tasks[i].lastFailedAt = w.ID, e.now
+	e.markDirty(s.job)
 	e.options.Log(events.AttemptEnded, "task", end.Task, "run", end.Run, "worker", w.ID, "how", end.Kind, "failures", s.failureCount(i))
 	if s.spec.IsLasting {
 		s.tasks[i].failures = nil
@@ -338,10 +338,10 @@
 }
 
 // stopGang stops what is left of a run of a gang.
-func (e *Engine) stopGang(s *step, run uint64, why string) {
+func (e *Engine) stopGang(s *step, run uint64, reason string) {
 	for i := range s.tasks {
 		if a := s.tasks[i].attempt; a != nil && a.run == run {
-			e.stop(a, why)
+			e.stop(a, reason)
 		}
 	}
 }
@@ -349,23 +349,23 @@
 // settleMissing settles the attempts that a listing should have and has not: those
 // whose start or stop was confirmed before the listing was asked for. The clock
 // in a listing does not tell when its content was put together.
-func (e *Engine) settleMissing(w *worker, l *order.Listing, running map[work.TaskID]bool, askedOn time.Time) {
+func (e *Engine) reconcileMissing(w *worker, listing *order.Listing, running map[work.TaskID]bool, askedAt time.Time) {
 	for id, a := range w.attempts.All() {
 		if running[id] {
 			continue
 		}
-		if a.phase == phaseDoubtful && !a.isStopping {
+		if a.phase == phaseUnacknowledged && !a.isStopping {
 			e.stop(a, "order was not carried out in time")
 		}
-		isStopped := a.stopAckedAt > 0 && a.stopAckedAt <= l.At && !askedOn.Before(a.stopAckedOn)
-		isStarted := a.phase == phaseRunning && a.startedAt > 0 && a.startedAt < l.At && askedOn.After(a.startedOn)
-		if !isStopped && !isStarted {
+		isStopConfirmed := a.stopConfirmedClock > 0 && a.stopConfirmedClock <= listing.At && !askedAt.Before(a.stopConfirmedAt)
+		isStartConfirmed := a.phase == phaseRunning && a.startConfirmedClock > 0 && a.startConfirmedClock < listing.At && askedAt.After(a.startConfirmedAt)
+		if !isStopConfirmed && !isStartConfirmed {
 			continue
 		}
-		if !isStopped {
+		if !isStopConfirmed {
 			e.options.Log(events.AttemptMissing, "task", id, "run", a.run, "worker", w.ID)
 		}
 		e.release(a)
-		e.attemptOver(a)
+		e.detachAttempt(a)
 	}
 }
--- a/internal/dispatch/not_running.go
+++ b/internal/dispatch/not_running.go
@@ -12,32 +12,32 @@
 
 const (
 	// awayAfter is how long nothing of a task that lasts may run until a line tells it.
-	awayAfter = 3 * time.Second
+	notRunningLogAfter = 3 * time.Second
 	// awayLogPause is the time between two lines on one step, and maxAwayLogged bounds the steps
 	// that are told of at once.
-	awayLogPause  = time.Second
-	maxAwayLogged = 8
+	notRunningLogInterval = time.Second
+	maxNotRunningLogged   = 8
 )
 
 // supply counts the workers with room for a task of a step, by why it may not be started there.
-type supply struct {
+type availability struct {
 	// roomy have room. Of these setAside get nothing because of their health, denied are known
 	// not to be permitted, unasked were never asked about, and ticketed hold a permission now.
-	roomy, setAside, denied, unasked, ticketed int
+	withCapacity, ejected, denied, unqueried, permitted int
 }
 
 // logAway tells of which tasks that last nothing runs for long, and what might run them.
-func (e *Engine) logAway() {
+func (e *Engine) logNotRunning() {
 	if e.now.Before(e.awayLogAt) {
 		return
 	}
-	e.awayLogAt = e.now.Add(awayLogPause)
-	told := 0
+	e.awayLogAt = e.now.Add(notRunningLogInterval)
+	logged := 0
 	for _, j := range e.live {
 		for _, r := range j.rounds {
 			for _, s := range r.steps {
-				if told < maxAwayLogged && s.spec.IsLasting && e.logAwayOf(s) {
-					told++
+				if logged < maxNotRunningLogged && s.spec.IsLasting && e.logNotRunningStep(s) {
+					logged++
 				}
 			}
 		}
@@ -45,39 +45,39 @@
 }
 
 // logAwayOf tells of the tasks of one step, in one line, and reports whether there was one.
-func (e *Engine) logAwayOf(s *step) bool {
+func (e *Engine) logNotRunningStep(s *step) bool {
 	if !s.isOpen || s.job.state.IsFinal() {
 		return false
 	}
-	away, longest, index := 0, time.Duration(0), 0
+	notRunning, longest, index := 0, time.Duration(0), 0
 	for i := range s.tasks {
-		d := e.awayFor(s, &s.tasks[i])
-		if d < awayAfter {
+		d := e.notRunningFor(s, &s.tasks[i])
+		if d < notRunningLogAfter {
 			continue
 		}
-		if away++; d > longest {
+		if notRunning++; d > longest {
 			longest, index = d, i
 		}
 	}
-	if away == 0 {
+	if notRunning == 0 {
 		return false
 	}
-	t, has := &s.tasks[index], e.supplyOf(s)
-	e.options.Log(events.TaskAway, "task", s.taskID(index), "run", t.run, "away", longest, "tasks", away, "state", t.state, "phase", t.phase(),
-		"reason", s.waitsFor, "crashes", len(t.crashes), "held", len(t.heldBy), "roomy", has.roomy, "setAside", has.setAside,
-		"denied", has.denied, "unasked", has.unasked, "ticketed", has.ticketed)
+	t, counts := &s.tasks[index], e.availabilityOf(s)
+	e.options.Log(events.TaskAway, "task", s.taskID(index), "run", t.run, "away", longest, "tasks", notRunning, "state", t.state, "phase", t.phase(),
+		"reason", s.waitReason, "crashes", len(t.crashes), "held", len(t.mayRunOn), "roomy", counts.withCapacity, "setAside", counts.ejected,
+		"denied", counts.denied, "unasked", counts.unqueried, "ticketed", counts.permitted)
 	return true
 }
 
 // awayFor returns for how long nothing of a task is known to have run.
-func (e *Engine) awayFor(s *step, t *task) time.Duration {
+func (e *Engine) notRunningFor(s *step, t *task) time.Duration {
 	if t.state == taskDone || t.phase() == phaseRunning {
 		return 0
 	}
-	if t.ranAt.After(s.openAt) {
-		return e.now.Sub(t.ranAt)
+	if t.lastRanAt.After(s.openedAt) {
+		return e.now.Sub(t.lastRanAt)
 	}
-	return e.now.Sub(s.openAt)
+	return e.now.Sub(s.openedAt)
 }
 
 // phase returns that of the task's attempt; empty when it has none.
@@ -88,29 +88,29 @@
 	return t.attempt.phase
 }
 
-func (e *Engine) supplyOf(s *step) supply {
-	has := supply{}
+func (e *Engine) availabilityOf(s *step) availability {
+	counts := availability{}
 	q, ok := e.queues[s.job.spec.Queue]
 	if !ok {
-		return has
+		return counts
 	}
 	for id, w := range e.workers.All() {
 		if !e.isReachable(w) || !e.mayRun(w, s, q.Service) || e.roomBeside(w, s, leverdyke.Resources{}) == 0 {
 			continue
 		}
-		has.roomy++
-		isGood, isKnown := s.permit.Verdict(id)
-		_, hasTicket := s.permit.Holds(id, e.now)
+		counts.withCapacity++
+		isPermitted, isKnown := s.permissions.Verdict(id)
+		_, hasPermit := s.permissions.Holds(id, e.now)
 		switch {
-		case isKnown && !isGood:
-			has.denied++
+		case isKnown && !isPermitted:
+			counts.denied++
 		case !e.isUsable(w, s):
-			has.setAside++
+			counts.ejected++
 		case q.Advice != nil && !isKnown:
-			has.unasked++
-		case q.Advice == nil || hasTicket:
-			has.ticketed++
+			counts.unqueried++
+		case q.Advice == nil || hasPermit:
+			counts.permitted++
 		}
 	}
-	return has
+	return counts
 }
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -36,7 +36,7 @@
 		}
 		hasFillers = hasFillers || a.step.spec.IsFiller
 		if target := a.step.spec.TailTarget; target > 0 && a.percent >= 100 {
-			worst = max(worst, float64(a.figure)/float64(target.Milliseconds()))
+			worst = max(worst, float64(a.metric)/float64(target.Milliseconds()))
 		}
 	}
 	if !hasFillers {
@@ -50,7 +50,7 @@
 }
 
 func (e *Engine) setPace(a *attempt, worst float64) {
-	if e.now.Sub(a.pacedAt) < pacePause {
+	if e.now.Sub(a.paceChangedAt) < pacePause {
 		return
 	}
 	want := a.pace
@@ -66,6 +66,6 @@
 	if want == a.pace {
 		return
 	}
-	a.pace, a.pacedAt = want, e.now
+	a.pace, a.paceChangedAt = want, e.now
 	e.do(order.Pace{Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.strays.Generation(a.worker.ID), Task: a.id, Run: a.run, Percent: want})
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -36,7 +36,7 @@
 	if isWaiting || e.rotation.HasLeft() {
 		// What they wait for may come without an event: a pause ends, a lane that did
 		// not answer is asked again.
-		e.recheckAt = e.now.Add(recheckPause)
+		e.recheckAt = e.now.Add(recheckInterval)
 	}
 }
 
@@ -81,10 +81,10 @@
 	if !ok {
 		return
 	}
-	s.mayTryEarly = e.mayTryEarly(s, q.Service)
+	s.mayProbeEarly = e.mayTryEarly(s, q.Service)
 	e.startTasks(s, &q)
 	if s.waiting > 0 {
-		s.waitsFor = e.whyWaiting(s, &q)
+		s.waitReason = e.whyWaiting(s, &q)
 	}
 }
 
@@ -99,7 +99,7 @@
 	var candidates *candidates
 	for _, i := range e.turnsOf(s) {
 		t := &s.tasks[i]
-		if t.state != taskWaiting || len(t.heldBy) > 0 {
+		if t.state != taskWaiting || len(t.mayRunOn) > 0 {
 			continue
 		}
 		if placed >= mayStart {
@@ -109,9 +109,9 @@
 			candidates = e.newCandidates(s, q)
 		}
 		w := candidates.take(e, s, i, q)
-		if w == nil && isChoosy(t) {
+		if w == nil && needsIndividualPlacement(t) {
 			// Only this task may have no worker that suits it.
-			e.keepQuiet(s, i, q)
+			e.reserveForSuspect(s, i, q)
 			continue
 		}
 		if w == nil {
@@ -122,7 +122,7 @@
 		placed++
 	}
 	if placed > 0 {
-		e.options.Log(events.StepPlaced, "step", s.id, "queue", q.Name, "placed", placed, "waiting", s.waiting, "waited", e.now.Sub(s.openAt))
+		e.options.Log(events.StepPlaced, "step", s.id, "queue", q.Name, "placed", placed, "waiting", s.waiting, "waited", e.now.Sub(s.openedAt))
 	}
 	if s.copiesWanted > 0 {
 		e.placeCopies(s, q)
@@ -145,7 +145,7 @@
 		e.turns = append(e.turns, i)
 	}
 	if s.spec.IsLasting {
-		slices.SortStableFunc(e.turns, func(i, k int) int { return s.tasks[i].ranAt.Compare(s.tasks[k].ranAt) })
+		slices.SortStableFunc(e.turns, func(i, k int) int { return s.tasks[i].lastRanAt.Compare(s.tasks[k].lastRanAt) })
 	}
 	return e.turns
 }
@@ -215,7 +215,7 @@
 	var best *worker
 	bestScore := 0.0
 	for _, w := range e.permitted(s, q) {
-		if w.attempts.Get(id) != nil || !e.mayTry(w, s, t) {
+		if w.attempts.Get(id) != nil || !e.mayRetryOn(w, s, t) {
 			continue
 		}
 		room := e.fits(w, s)
@@ -247,7 +247,7 @@
 			}
 		}
 	}
-	s.permit.Permitted(e.now, func(id order.WorkerID) {
+	s.permissions.Permitted(e.now, func(id order.WorkerID) {
 		if w := e.workers.Get(id); w != nil && q.Advice != nil && e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
 			found = append(found, w)
 		}
@@ -291,7 +291,7 @@
 	if w.health.IsPaused(e.now) {
 		score -= weightAside
 	}
-	if t != nil && (t.avoid == w.ID || hasCrashed(t, w.Machine)) {
+	if t != nil && (t.avoidWorker == w.ID || hasCrashedOn(t, w.Machine)) {
 		score -= weightAvoid
 	}
 	if s.spec.DataRack != "" && w.Rack != s.spec.DataRack {
@@ -385,12 +385,12 @@
 	if w.health.IsPaused(e.now) {
 		w.health.BeginTrial(e.now)
 	}
-	w.orderedAt = e.now
-	e.noteTrial(a)
+	w.lastStartAt = e.now
+	e.isolateSuspect(a)
 	t.run = max(t.run, run)
 	e.keepPlace(a)
-	e.hurry(s.job)
-	if e.mayStartUnkept(a) {
+	e.markUrgent(s.job)
+	if e.mayStartUnpersisted(a) {
 		e.sendSoon(a)
 	}
 	return a
@@ -399,7 +399,7 @@
 // keepPlace puts the place of an attempt into the batch. One that is ordered
 // already counts as unkept until then.
 func (e *Engine) keepPlace(a *attempt) {
-	e.touch(a.step.job)
+	e.markDirty(a.step.job)
 	b := e.batchNow()
 	b.planned = append(b.planned, a)
 	if a.phase != phasePlanned {
@@ -408,17 +408,17 @@
 }
 
 func (e *Engine) noteUnkept(a *attempt) {
-	if !a.isKept && !a.isUnkept {
-		a.isUnkept = true
+	if !a.isPersisted && !a.isWriteBehind {
+		a.isWriteBehind = true
 		e.unkept++
 	}
 }
 
 // placeKept says that the place of an attempt is in the store.
 func (e *Engine) placeKept(a *attempt) {
-	a.isKept = true
-	if a.isUnkept {
-		a.isUnkept = false
+	a.isPersisted = true
+	if a.isWriteBehind {
+		a.isWriteBehind = false
 		e.unkept--
 	}
 }
@@ -442,24 +442,24 @@
 	if a.phase != phasePlanned || a.worker.attempts.Get(a.id) != a {
 		return
 	}
-	if !a.isKept && !e.mayStartUnkept(a) {
+	if !a.isPersisted && !e.mayStartUnpersisted(a) {
 		// The store is waited for again: it has its turn when its place is kept. An owner that
 		// does not say that it runs ahead must not.
 		return
 	}
 	q := e.queues[a.step.job.spec.Queue]
-	text, hasTicket := a.step.permit.Holds(a.worker.ID, e.now)
+	text, hasTicket := a.step.permissions.Holds(a.worker.ID, e.now)
 	isHeldBack := e.isPaused && !e.isGangUnderWay(a)
 	isOverLimit := e.quota.IsOver(a.step.customer()) && !e.isGangUnderWay(a)
 	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Advice != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
 		e.dropPlanned(a, "a member was not ordered")
 		return
 	}
-	a.phase, a.orderedAt, a.worker.orderedAt = phaseOrdered, e.now, e.now
-	e.noteTrial(a)
-	e.durations(a.step).Begin(e.now)
+	a.phase, a.orderedAt, a.worker.lastStartAt = phaseOrdered, e.now, e.now
+	e.isolateSuspect(a)
+	e.durationsOf(a.step).Begin(e.now)
 	e.noteUnkept(a)
-	a.hasSaved = a.step.savedFor(a.id.Index) != ""
+	a.isResumed = a.step.savedFor(a.id.Index) != ""
 	e.counts.Starts++
 	e.unanswered++
 	e.fresh = append(e.fresh, a)
@@ -473,7 +473,7 @@
 // gang would wait for it in vain, up to gang time: they are given up, too.
 func (e *Engine) dropPlanned(a *attempt, why string) {
 	e.release(a)
-	e.attemptOver(a)
+	e.detachAttempt(a)
 	if a.step != nil && a.step.spec.IsGang {
 		e.stopGang(a.step, a.run, why)
 	}
@@ -497,10 +497,10 @@
 // on from the same text.
 func (s *step) savedFor(i int) string {
 	if !s.spec.IsGang {
-		return s.tasks[i].saved
+		return s.tasks[i].checkpoint
 	}
 	for t := range s.tasks {
-		if text := s.tasks[t].saved; text != "" {
+		if text := s.tasks[t].checkpoint; text != "" {
 			return text
 		}
 	}
--- a/internal/dispatch/refused_test.go
+++ b/internal/dispatch/refused_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("the job here: got: %v, want: %v, as it is kept", got, kept)
 	}
 	e.Cancel("a", "")
-	if kept != work.JobCancelled && e.IsSettledCancel("a") {
+	if kept != work.JobCancelled && e.IsFinalPersisted("a") {
 		t.Error("its cancelling: got: settled, want: not yet kept")
 	}
 }
@@ -52,12 +52,12 @@
 	e.Advance(clock.NewFake().Now())
 	e.Cancel("a", "")
 	e.Committed(e.TakeBatch())
-	if state, ok := e.State("a"); ok || !e.IsSettledCancel("a") {
+	if state, ok := e.State("a"); ok || !e.IsFinalPersisted("a") {
 		t.Errorf("cancelled before it came: got: %v, %v, want: settled, and no such job", state, ok)
 	}
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, 0)}})
-	if state, _ := e.State("a"); state.IsFinal() || e.IsSettledCancel("a") || e.IsKept("a") {
-		t.Errorf("handed in, not kept: got: %v, settled: %v, want: not yet", state, e.IsSettledCancel("a"))
+	if state, _ := e.State("a"); state.IsFinal() || e.IsFinalPersisted("a") || e.IsKept("a") {
+		t.Errorf("handed in, not kept: got: %v, settled: %v, want: not yet", state, e.IsFinalPersisted("a"))
 	}
 	e.Committed(e.TakeBatch())
 	if state, _ := e.State("a"); state != work.JobCancelled || !e.IsKept("a") {
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -49,7 +49,7 @@
 	}
 	e.reserveAt = e.now.Add(reservePause)
 	for _, w := range e.reserved {
-		w.reserved, w.reservedAt = w.reserved[:0], time.Time{}
+		w.reservations, w.reservationsReadyAt = w.reservations[:0], time.Time{}
 	}
 	e.reserved, e.reservations = e.reserved[:0], 0
 	clear(e.largest)
@@ -74,11 +74,11 @@
 // others, unless its tasks will have ended when that is needed.
 func (e *Engine) freeFor(w *worker, s *step) leverdyke.Resources {
 	free := w.Capacity.Sub(w.used)
-	if w.reservedAt.IsZero() {
+	if w.reservationsReadyAt.IsZero() {
 		return free
 	}
-	expected := e.expected(s)
-	if expected > 0 && !s.spec.IsLasting && !s.spec.IsFiller && e.now.Add(expected).Before(w.reservedAt) {
+	expected := e.expectedDuration(s)
+	if expected > 0 && !s.spec.IsLasting && !s.spec.IsFiller && e.now.Add(expected).Before(w.reservationsReadyAt) {
 		return free
 	}
 	return free.Sub(e.reservedBefore(w, s))
@@ -97,8 +97,8 @@
 func (e *Engine) reservedBefore(w *worker, s *step) leverdyke.Resources {
 	priority := e.queues[s.job.spec.Queue].Priority
 	sum := leverdyke.Resources{}
-	for i := range w.reserved {
-		if r := &w.reserved[i]; r.step != s && r.priority <= priority {
+	for i := range w.reservations {
+		if r := &w.reservations[i]; r.step != s && r.priority <= priority {
 			sum = sum.Add(r.room)
 		}
 	}
@@ -121,12 +121,12 @@
 	for i := range places {
 		p := &places[i]
 		w := workers[p.Worker].worker
-		if w.reservedAt.IsZero() {
+		if w.reservationsReadyAt.IsZero() {
 			e.reserved = append(e.reserved, w)
 		}
-		w.reserved = append(w.reserved, reservation{s, q.Priority, need})
-		if readyAt := e.now.Add(p.ReadyIn); w.reservedAt.Before(readyAt) {
-			w.reservedAt = readyAt
+		w.reservations = append(w.reservations, reservation{s, q.Priority, need})
+		if readyAt := e.now.Add(p.ReadyIn); w.reservationsReadyAt.Before(readyAt) {
+			w.reservationsReadyAt = readyAt
 		}
 		for _, k := range p.Stops {
 			e.preempt(workers[p.Worker].occupants[k], s)
@@ -160,7 +160,7 @@
 // mayTryAny reports whether a task of the step that waits may start on the worker now.
 // Room that none of them takes is left to others, which may prove the worker sound.
 func (e *Engine) mayTryAny(w *worker, s *step) bool {
-	return slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.mayTry(w, s, &t) })
+	return slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.mayRetryOn(w, s, &t) })
 }
 
 // reservable returns the workers of which room can be kept for a step: those that are
@@ -177,7 +177,7 @@
 			add(w)
 		}
 	}
-	s.permit.Good(func(id order.WorkerID) {
+	s.permissions.Good(func(id order.WorkerID) {
 		if q.Advice != nil {
 			add(e.workers.Get(id))
 		}
@@ -231,7 +231,7 @@
 	if a.isStopping {
 		return max(a.stopSentAt.Add(e.options.StopTime).Sub(e.now), 0)
 	}
-	expected := e.expected(a.step)
+	expected := e.expectedDuration(a.step)
 	left := time.Duration(float64(expected) * float64(100-a.percent) / 100)
 	if a.percent == 0 {
 		left = expected - e.now.Sub(a.orderedAt)
@@ -242,7 +242,7 @@
 // lostBy returns the work that stopping an attempt costs.
 func (e *Engine) lostBy(a *attempt) time.Duration {
 	ran := e.now.Sub(a.orderedAt)
-	if a.step.tasks[a.id.Index].saved != "" {
+	if a.step.tasks[a.id.Index].checkpoint != "" {
 		ran = min(ran, saveEvery)
 	}
 	return ran + restartTime
@@ -262,6 +262,6 @@
 // spare returns how much earlier than the objective of its queue the step of an attempt
 // will likely end.
 func (e *Engine) spare(a *attempt, q *order.Queue) time.Duration {
-	objective := q.Latency + time.Duration(q.Stretch*float64(e.expected(a.step)))
+	objective := q.Latency + time.Duration(q.Stretch*float64(e.expectedDuration(a.step)))
 	return a.step.openedFor().Add(objective).Sub(e.now) - e.endsIn(a)
 }
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -20,19 +20,19 @@
 
 // mayBeOnItsWay reports whether the order to start may not have come to the worker yet:
 // it has not told that it has.
-func (a *attempt) mayBeOnItsWay() bool { return a.mayHaveRun() && !a.isTold && !a.isAdopted }
+func (a *attempt) mayBeInFlight() bool { return a.mayHaveRun() && !a.isAcknowledged && !a.isAdopted }
 
 // refuseStrays makes orders that were given up be refused by a start of a worker that has just
 // become known, or by one that may have begun since the worker was heard last: it is told so
 // before it is known, as such an order may be the first to reach it.
-func (e *Engine) refuseStrays(w *worker) {
+func (e *Engine) refuseAbandoned(w *worker) {
 	w.refusals.Add(e.strays.Of(w.ID, e.now))
-	w.isRestless = w.isRestless || w.refusals.HasAny()
-	e.stopStrays(w)
+	w.needsTick = w.needsTick || w.refusals.HasAny()
+	e.sendRefusals(w)
 }
 
 // stopStrays tells a worker again to refuse the orders of which it has not said that it does.
-func (e *Engine) stopStrays(w *worker) {
+func (e *Engine) sendRefusals(w *worker) {
 	if !w.refusals.HasAny() {
 		return
 	}
@@ -44,53 +44,53 @@
 // startedAgain takes that another start of a worker has answered than the one that was
 // asked: that one is over. The platform's list may not have the newer one yet; it is asked
 // what it runs at once, and gets nothing new before.
-func (e *Engine) startedAgain(id, newer order.WorkerID) {
+func (e *Engine) handleRestart(id, newID order.WorkerID) {
 	old := e.workers.Get(id)
 	if old == nil {
 		return
 	}
-	e.options.Log(events.WorkerRestarted, "worker", newer, "before", id, "attempts", old.attempts.Len(), "handled", old.session.Taken(), "clockBefore", time.Duration(old.session.Clock()))
-	next := e.workers.Get(newer)
-	if next == nil && !e.over[newer] {
+	e.options.Log(events.WorkerRestarted, "worker", newID, "before", id, "attempts", old.attempts.Len(), "handled", old.session.Taken(), "clockBefore", time.Duration(old.session.Clock()))
+	successor := e.workers.Get(newID)
+	if successor == nil && !e.over[newID] {
 		entry := old.Worker
-		entry.ID, entry.IsDraining, entry.IsUnclear = newer, false, true
-		next = e.addWorker(&entry)
+		entry.ID, entry.IsDraining, entry.IsUnclear = newID, false, true
+		successor = e.addWorker(&entry)
 	}
-	e.lifeOver(id, next)
+	e.endIncarnation(id, successor)
 }
 
 // inheritFrom makes a newer start of a worker responsible for what may be on its way to an
 // earlier one: these attempts keep their room and their tasks until the newer start has told
 // whether it runs them, and refuses them otherwise. Such an order brings the end of a lease by the
 // earlier clock, also where it is refused.
-func (e *Engine) inheritFrom(old, next *worker) {
+func (e *Engine) transferInFlight(old, successor *worker) {
 	for id, a := range old.attempts.All() {
-		if a.mayBeOnItsWay() && next.attempts.Get(id) == nil {
-			e.move(a, next)
-			next.session.WaitFor(a.orderedAt.Add(stray.Time + session.AnyBound))
+		if a.mayBeInFlight() && successor.attempts.Get(id) == nil {
+			e.transferAttempt(a, successor)
+			successor.session.WaitFor(a.orderedAt.Add(stray.Time + session.AnyBound))
 		}
 	}
-	for _, o := range e.strays.Of(next.ID, e.now) {
-		next.session.WaitFor(o.Until.Add(session.AnyBound))
+	for _, o := range e.strays.Of(successor.ID, e.now) {
+		successor.session.WaitFor(o.Until.Add(session.AnyBound))
 	}
 	if old.session.IsWaiting() && !old.session.HasMissed() {
 		// So may a question that is on its way: the owner did not know of the newer start.
-		next.session.WaitFor(e.now.Add(session.AnyBound))
+		successor.session.WaitFor(e.now.Add(session.AnyBound))
 	}
 }
 
 // move makes an attempt one of another start of its worker, which may carry out the order
 // or not.
-func (e *Engine) move(a *attempt, next *worker) {
+func (e *Engine) transferAttempt(a *attempt, successor *worker) {
 	a.worker.attempts.Delete(a.id)
 	a.worker.used = a.worker.used.Sub(a.charge)
-	a.worker = next
-	next.attempts.Set(a.id, a)
-	next.used = next.used.Add(a.charge)
-	next.isRestless = true
-	a.phase, a.doubtAt = phaseDoubtful, e.now
-	a.startedAt, a.startedOn = 0, time.Time{}
-	a.stopAckedAt, a.stopAckedOn = 0, time.Time{}
+	a.worker = successor
+	successor.attempts.Set(a.id, a)
+	successor.used = successor.used.Add(a.charge)
+	successor.needsTick = true
+	a.phase, a.unacknowledgedAt = phaseUnacknowledged, e.now
+	a.startConfirmedClock, a.startConfirmedAt = 0, time.Time{}
+	a.stopConfirmedClock, a.stopConfirmedAt = 0, time.Time{}
 	if a.isStopping {
 		e.sendStop(a)
 	}
@@ -98,21 +98,21 @@
 
 // settleStarts settles what earlier owners may have started on any start of a worker that
 // has told what it runs.
-func (e *Engine) settleStarts(w *worker) {
+func (e *Engine) resolveIncarnations(w *worker) {
 	for id := range e.unsettled.All() {
 		switch {
 		case !id.IsSameWorker(w.ID):
 		case id.IsOtherStart(w.ID):
-			e.settle(id, settledByLife)
+			e.resolveInherited(id, resolvedByIncarnationEnd)
 		default:
-			e.settle(id, settledByListing)
+			e.resolveInherited(id, resolvedByListing)
 		}
 	}
 }
 
 // waitForOthers waits for leases that an earlier owner may have given by the clock of an
 // earlier start: it had tasks there.
-func (e *Engine) waitForOthers(w *worker) {
+func (e *Engine) waitForOtherLeases(w *worker) {
 	for id := range e.unsettled.All() {
 		if id.IsOtherStart(w.ID) {
 			w.session.WaitFor(e.now.Add(session.AnyBound))
@@ -122,7 +122,7 @@
 
 // isUnsettled reports whether an earlier owner may have started tasks on any start of a
 // worker.
-func (e *Engine) isUnsettled(worker order.WorkerID) bool {
+func (e *Engine) hasUnresolved(worker order.WorkerID) bool {
 	for id := range e.unsettled.All() {
 		if id.IsSameWorker(worker) {
 			return true
@@ -132,7 +132,7 @@
 }
 
 // otherStart returns the entry of another start of a worker; nil when the list has none.
-func otherStart(list []order.Worker, id order.WorkerID) *order.Worker {
+func otherIncarnation(list []order.Worker, id order.WorkerID) *order.Worker {
 	for i := range list {
 		if !list[i].IsRemoved && list[i].ID.IsOtherStart(id) {
 			return &list[i]
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -185,7 +185,7 @@
 		w.run(tick)
 	}
 	first.isDead, first.running = true, map[work.TaskID]*modelRun{}
-	w.engine.LifeOver(first.entry.ID)
+	w.engine.IncarnationEnded(first.entry.ID)
 	w.run(10 * time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
 	expectWhole(t, w)
@@ -309,7 +309,7 @@
 		t.Fatalf("batch: got: %+v, want: one with the places of a job", batch)
 	}
 	w.engine.Committed(batch)
-	w.engine.LifeOver(w.workers["w00"].entry.ID)
+	w.engine.IncarnationEnded(w.workers["w00"].entry.ID)
 	for _, a := range w.engine.Actions() {
 		if s, ok := a.(order.Start); ok {
 			t.Errorf("got: an order to start %s on %s, want: none", s.Task, s.Worker)
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -49,7 +49,7 @@
 			running = append(running, order.Running{Task: s.Task, Run: s.Run})
 		}
 	}
-	c.engine.Listed(&order.Hold{Worker: id, AskedAt: c.clock.Now()}, &order.Listing{At: c.at, Running: running, Finished: ends})
+	c.engine.PollAnswered(&order.Hold{Worker: id, AskedAt: c.clock.Now()}, &order.Listing{At: c.at, Running: running, Finished: ends})
 }
 
 func (*retryCell) hasEnded(s order.Start, ends []order.End) bool {
@@ -85,7 +85,7 @@
 			c.engine.StartAnswered(a.Worker, a.Task, a.Run, order.StartDone, c.at)
 		case order.Hold:
 			if a.Worker == c.silent {
-				c.engine.HoldFailed(&a)
+				c.engine.PollFailed(&a)
 			} else {
 				c.listed(a.Worker)
 			}
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -74,7 +74,7 @@
 	e.SetWorkers(list, true)
 	for _, a := range e.Actions() {
 		h := a.(order.Hold)
-		e.Listed(&h, &order.Listing{At: 1})
+		e.PollAnswered(&h, &order.Listing{At: 1})
 	}
 	gang := step(members, time.Second)
 	gang.IsGang = true
@@ -118,7 +118,7 @@
 	e.SetWorkers(list, true)
 	for _, a := range e.Actions() {
 		h := a.(order.Hold)
-		e.Listed(&h, &order.Listing{At: 1})
+		e.PollAnswered(&h, &order.Listing{At: 1})
 	}
 	gang := step(3, time.Second)
 	gang.IsGang = true
@@ -155,7 +155,7 @@
 	e.SetWorkers([]order.Worker{{ID: "v", Service: "pool", Capacity: room}}, true)
 	for _, a := range e.Actions() {
 		h := a.(order.Hold)
-		e.Listed(&h, &order.Listing{At: 1})
+		e.PollAnswered(&h, &order.Listing{At: 1})
 	}
 	e.Actions()
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}})
@@ -164,7 +164,7 @@
 	e.Committed(e.TakeBatch())
 	// Its end on another worker is told, of an attempt that an earlier owner started.
 	task := work.TaskID{Job: "a"}
-	e.Listed(&order.Hold{Worker: "v", IsLook: true}, &order.Listing{At: 2, Finished: []order.End{{Number: 1, Task: task, Run: 7, Kind: order.EndDone}}})
+	e.PollAnswered(&order.Hold{Worker: "v", IsLook: true}, &order.Listing{At: 2, Finished: []order.End{{Number: 1, Task: task, Run: 7, Kind: order.EndDone}}})
 	if state, _ := e.State("a"); state != work.JobRunning {
 		t.Fatalf("state: got: %v, want: %v until it is kept", state, work.JobRunning)
 	}
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -73,9 +73,9 @@
 
 // isStarved reports whether nothing of the step's job has run for long while there is room.
 func (e *Engine) isStarved(s *step, pool string) bool {
-	idleAt := s.openAt
-	if s.job.idleAt.After(idleAt) {
-		idleAt = s.job.idleAt
+	idleAt := s.openedAt
+	if s.job.idleSince.After(idleAt) {
+		idleAt = s.job.idleSince
 	}
 	return s.job.attempts == 0 && e.now.Sub(idleAt) >= starvedAfter && e.inUse[pool] < roomyShare
 }
@@ -99,19 +99,19 @@
 // chain returns how long the longest chain of steps of a round takes, and what is left of it.
 func (e *Engine) chain(r *round, q *order.Queue) (whole, left time.Duration) {
 	for _, s := range r.steps {
-		s.chainEnd, s.leftEnd = 0, 0
+		s.chainEnd, s.remainingEnd = 0, 0
 		for _, i := range s.spec.After {
-			s.chainEnd, s.leftEnd = max(s.chainEnd, r.steps[i].chainEnd), max(s.leftEnd, r.steps[i].leftEnd)
+			s.chainEnd, s.remainingEnd = max(s.chainEnd, r.steps[i].chainEnd), max(s.remainingEnd, r.steps[i].remainingEnd)
 		}
-		takes := time.Duration(e.quota.Waves(s.customer(), s.spec.Need, len(s.tasks))) * e.expected(s)
+		takes := time.Duration(e.quota.Waves(s.customer(), s.spec.Need, len(s.tasks))) * e.expectedDuration(s)
 		if q.Advice != nil {
 			takes += q.Advice.Base + askedWorkers*q.Advice.Each
 		}
 		s.chainEnd += takes
-		if s.left > 0 {
-			s.leftEnd += takes
+		if s.tasksLeft > 0 {
+			s.remainingEnd += takes
 		}
-		whole, left = max(whole, s.chainEnd), max(left, s.leftEnd)
+		whole, left = max(whole, s.chainEnd), max(left, s.remainingEnd)
 	}
 	return whole, left
 }
--- a/internal/dispatch/usable.go
+++ b/internal/dispatch/usable.go
@@ -7,11 +7,11 @@
 
 // isUsable reports whether the worker may get something new of the step.
 func (e *Engine) isUsable(w *worker, s *step) bool {
-	isEarly := s.mayTryEarly && w.health.MayTryEarly(e.now)
+	isEarly := s.mayProbeEarly && w.health.MayTryEarly(e.now)
 	switch {
-	case !e.isReachable(w), len(w.foreign) > 0, e.now.Before(w.trialUntil):
+	case !e.isReachable(w), len(w.unknownRuns) > 0, e.now.Before(w.isolatedUntil):
 		return false
-	case w.keptFor != s && e.now.Before(w.keptUntil):
+	case w.exclusiveStep != s && e.now.Before(w.exclusiveUntil):
 		return false
 	case w.health.IsPaused(e.now) && !isEarly, w.health.OnTrial && w.trials() > 0:
 		return false
@@ -25,13 +25,13 @@
 	if !s.spec.IsLasting {
 		return e.isStarved(s, pool)
 	}
-	isAway := func(t task) bool { return t.state == taskWaiting && e.awayFor(s, &t) >= otherPatience }
+	isAway := func(t task) bool { return t.state == taskWaiting && e.notRunningFor(s, &t) >= otherWorkerTimeout }
 	return slices.ContainsFunc(s.tasks, isAway)
 }
 
 // isReachable reports whether the worker takes orders, whatever its health.
 func (e *Engine) isReachable(w *worker) bool {
-	return w.session.IsListed() && !w.isGone && !w.IsDraining && !w.IsUnclear && !w.session.IsSilent() && e.now.Sub(w.session.HeardAt()) <= overdueAfter
+	return w.session.IsListed() && !w.isUnlisted && !w.IsDraining && !w.IsUnclear && !w.session.IsSilent() && e.now.Sub(w.session.HeardAt()) <= overdueAfter
 }
 
 // trials returns how many attempts the worker is on trial with.
--- a/internal/dispatch/waits.go
+++ b/internal/dispatch/waits.go
@@ -14,7 +14,7 @@
 func (e *Engine) noteWaits(since time.Duration) {
 	for _, s := range e.queue {
 		if s.waiting > 0 && !s.job.state.IsFinal() {
-			e.waits.Add(s.job.spec.Queue, s.waitsFor, s.waiting, since)
+			e.waits.Add(s.job.spec.Queue, s.waitReason, s.waiting, since)
 		}
 	}
 }
@@ -31,7 +31,7 @@
 		return waits.Limit
 	case q.Advice == nil || len(e.permitted(s, q)) > 0:
 		return waits.Room
-	case s.permit.IsAsking():
+	case s.permissions.IsAsking():
 		return waits.Permission
 	case e.lanes.Free(q.Advice) == "":
 		return waits.Lane
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -25,18 +25,18 @@
 	used leverdyke.Resources
 	// reserved is kept for others that wait; it is complete at reservedAt, which is zero
 	// when none is.
-	reserved   []reservation
-	reservedAt time.Time
+	reservations        []reservation
+	reservationsReadyAt time.Time
 	// foreign are attempts of which nothing is known, so that their size is not
 	// known either: while there are any, the worker gets nothing new.
-	foreign map[work.TaskID]uint64
+	unknownRuns map[work.TaskID]uint64
 	// session is what this start of the worker has told.
 	session session.Session
 	// isGone means that the platform's list no longer has it; hasLeft that it was
 	// removed because the worker has ended as planned.
-	isGone, hasLeft bool
+	isUnlisted, hasShutDown bool
 	// isLeaving means that the list lost it while it answered: it ends as planned.
-	isLeaving bool
+	isShuttingDown bool
 	// isSuperseded means that the list has another start of the worker in its place.
 	isSuperseded bool
 	// refusals are orders that may still come and that it is told to refuse.
@@ -44,15 +44,15 @@
 	health   outlier.Health
 	// tickedAt is when it was looked at last by time alone. isRestless means that it is to
 	// be at the next tick: something on it is under way.
-	tickedAt   time.Time
-	isRestless bool
-	speed      outlier.Speed
+	tickedAt  time.Time
+	needsTick bool
+	speed     outlier.Speed
 	// orderedAt is when a start was planned or ordered last, triedAt when that was of a task
 	// that may crash it; until trialUntil it gets nothing else.
-	orderedAt, triedAt, trialUntil time.Time
+	lastStartAt, lastSuspectAt, isolatedUntil time.Time
 	// keptFor is the step for which the worker is kept until keptUntil.
-	keptFor   *step
-	keptUntil time.Time
+	exclusiveStep  *step
+	exclusiveUntil time.Time
 }
 
 // phase is where an attempt is.
@@ -64,8 +64,8 @@
 	// phaseOrdered means that the order is on its way.
 	phaseOrdered phase = "ordered"
 	// phaseDoubtful means that the order got no answer and may be carried out.
-	phaseDoubtful phase = "doubtful"
-	phaseRunning  phase = "running"
+	phaseUnacknowledged phase = "doubtful"
+	phaseRunning        phase = "running"
 )
 
 // attempt is a start of a task that is not known to be over.
@@ -77,60 +77,60 @@
 	charge leverdyke.Resources
 	phase  phase
 	// orderedAt is when the order was sent; isHandedOut means that it has left the engine.
-	orderedAt   time.Time
-	isHandedOut bool
+	orderedAt time.Time
+	isSent    bool
 	// doubtAt is when the order became doubtful.
-	doubtAt time.Time
+	unacknowledgedAt time.Time
 	// startedAt is the worker's clock when it confirmed the start.
-	startedAt order.WorkerTime
+	startConfirmedClock order.WorkerTime
 	// startedOn and stopAckedOn are when the worker's word came, by the engine's
 	// time: only a listing that was asked for later can do without the attempt.
-	startedOn, stopAckedOn time.Time
+	startConfirmedAt, stopConfirmedAt time.Time
 	// isStopping means that it was told to stop; stopSentAt is when, last.
 	isStopping bool
 	stopSentAt time.Time
-	stopWhy    string
+	stopReason string
 	// stopAckedAt is the worker's clock when it confirmed the stop; 0 before.
-	stopAckedAt order.WorkerTime
-	percent     int
-	percentAt   time.Time
-	progress    outlier.Progress
-	figure      int
-	pace        int
-	pacedAt     time.Time
+	stopConfirmedClock order.WorkerTime
+	percent            int
+	percentChangedAt   time.Time
+	progress           outlier.Progress
+	metric             int
+	pace               int
+	paceChangedAt      time.Time
 	// isTold means that this start of the worker has told of it: the order has come.
-	isTold bool
+	isAcknowledged bool
 	// hasSaved means that it went on from where an earlier attempt was saved;
 	// isAdopted that an earlier owner started it.
-	hasSaved, isAdopted bool
+	isResumed, isAdopted bool
 	// isReplaced means that it was judged as stuck or too slow.
 	isReplaced bool
 	// isKept means that its place is in the store, isUnkept that it was ordered
 	// without.
-	isKept, isUnkept bool
+	isPersisted, isWriteBehind bool
 }
 
 // SetWorkers takes the platform's list, whole. isCertain is false while the list
 // may lack workers that live: then none is taken as gone.
-func (e *Engine) SetWorkers(list []order.Worker, isCertain bool) {
+func (e *Engine) SetWorkers(list []order.Worker, isComplete bool) {
 	seen := make(map[order.WorkerID]bool, len(list))
 	hasUnclear := false
 	for _, entry := range list {
 		if entry.IsRemoved {
-			e.entryRemoved(&entry, isCertain)
+			e.handleEntryRemoved(&entry, isComplete)
 			continue
 		}
 		seen[entry.ID] = true
 		if !e.over[entry.ID] {
-			e.setWorker(entry)
+			e.updateWorker(entry)
 		}
 		hasUnclear = hasUnclear || entry.IsUnclear && e.workers.Get(entry.ID) == nil
 	}
-	if !isCertain {
+	if !isComplete {
 		return
 	}
 	if e.inherited != nil {
-		e.inherited.entries, e.inherited.hasUnclear = len(seen), hasUnclear
+		e.inherited.currentlyListed, e.inherited.hasUnclear = len(seen), hasUnclear
 	}
 	for id := range e.over {
 		if !seen[id] {
@@ -138,30 +138,30 @@
 		}
 	}
 	for id, w := range e.workers.All() {
-		if !seen[id] && !w.isGone {
-			e.unlisted(w, otherStart(list, id))
+		if !seen[id] && !w.isUnlisted {
+			e.handleUnlisted(w, otherIncarnation(list, id))
 		}
 	}
 }
 
 // unlisted takes that the list does not have a worker, but perhaps another start of it.
-func (e *Engine) unlisted(w *worker, other *order.Worker) {
-	if other != nil && e.over[other.ID] {
+func (e *Engine) handleUnlisted(w *worker, replacement *order.Worker) {
+	if replacement != nil && e.over[replacement.ID] {
 		// It has started again, and is about to write its entry.
 		return
 	}
-	w.isGone, w.isSuperseded = true, other != nil
-	if other == nil {
-		w.isLeaving = !w.session.HasMissed()
-		e.lost(w)
+	w.isUnlisted, w.isSuperseded = true, replacement != nil
+	if replacement == nil {
+		w.isShuttingDown = !w.session.HasMissed()
+		e.extendUncertainty(w)
 	}
 	e.options.Log(events.WorkerUnlisted, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.HeardAt()))
 	e.dropIfEmpty(w)
 }
 
-func (e *Engine) setWorker(entry order.Worker) {
+func (e *Engine) updateWorker(entry order.Worker) {
 	w := e.workers.Get(entry.ID)
-	if w == nil && entry.IsUnclear && !e.mayRunOn(&entry) {
+	if w == nil && entry.IsUnclear && !e.mayRunInherited(&entry) {
 		return
 	}
 	if w == nil {
@@ -175,7 +175,7 @@
 		e.isDirty = true
 		e.options.Log(events.WorkerResized, "worker", entry.ID, "from", w.Capacity, "to", entry.Capacity, "used", w.used)
 	}
-	if w.isGone || w.IsDraining != entry.IsDraining || w.IsUnclear != entry.IsUnclear {
+	if w.isUnlisted || w.IsDraining != entry.IsDraining || w.IsUnclear != entry.IsUnclear {
 		e.isDirty = true
 	}
 	if w.Machine != entry.Machine {
@@ -183,30 +183,30 @@
 		defer e.index.add(w)
 	}
 	w.Worker = entry
-	w.isGone, w.isLeaving, w.isSuperseded = false, false, false
+	w.isUnlisted, w.isShuttingDown, w.isSuperseded = false, false, false
 }
 
 // addWorker takes a start of a worker that was not known, and asks what it runs.
 func (e *Engine) addWorker(entry *order.Worker) *worker {
-	w := &worker{Worker: *entry, foreign: map[work.TaskID]uint64{}, isRestless: true}
+	w := &worker{Worker: *entry, unknownRuns: map[work.TaskID]uint64{}, needsTick: true}
 	e.workers.Set(entry.ID, w)
 	e.index.add(w)
 	e.strays.NextGeneration(entry.ID)
-	e.refuseStrays(w)
-	e.hold(w)
+	e.refuseAbandoned(w)
+	e.longPoll(w)
 	return w
 }
 
 // mayRunOn reports whether a worker of which only an unclear entry is known may run
 // tasks of an earlier owner, and can be asked.
-func (e *Engine) mayRunOn(entry *order.Worker) bool {
-	return entry.Addr.IsValid() && e.isUnsettled(entry.ID)
+func (e *Engine) mayRunInherited(entry *order.Worker) bool {
+	return entry.Addr.IsValid() && e.hasUnresolved(entry.ID)
 }
 
 const (
 	// heartbeatsMissed is how many heartbeats must stay away until the platform
 	// removes the entry of a silent worker.
-	heartbeatsMissed = 3
+	heartbeatsUntilRemoval = 3
 	// removalSlack covers when heartbeats and removals are seen: the list is read
 	// every 0.4 s.
 	removalSlack = time.Second
@@ -215,44 +215,44 @@
 // entryRemoved takes the removal of an entry. One of a worker that drains and was
 // heard lately was removed because the worker has left, and nothing of it runs
 // any more; otherwise the worker may only be cut off.
-func (e *Engine) entryRemoved(entry *order.Worker, isCertain bool) {
+func (e *Engine) handleEntryRemoved(entry *order.Worker, isComplete bool) {
 	w := e.workers.Get(entry.ID)
-	if w == nil || !w.IsDraining || !isCertain || entry.HeartbeatAt.IsZero() {
+	if w == nil || !w.IsDraining || !isComplete || entry.HeartbeatAt.IsZero() {
 		return
 	}
-	silent := e.now.Sub(entry.HeartbeatAt)
-	if silent >= heartbeatsMissed*e.options.Heartbeat-removalSlack {
+	sinceHeartbeat := e.now.Sub(entry.HeartbeatAt)
+	if sinceHeartbeat >= heartbeatsUntilRemoval*e.options.Heartbeat-removalSlack {
 		return
 	}
-	w.hasLeft = true
-	e.options.Log(events.WorkerLeft, "worker", w.ID, "attempts", w.attempts.Len(), "heartbeat", silent)
+	w.hasShutDown = true
+	e.options.Log(events.WorkerLeft, "worker", w.ID, "attempts", w.attempts.Len(), "heartbeat", sinceHeartbeat)
 	if w.session.HasMissed() {
-		e.LifeOver(w.ID)
+		e.IncarnationEnded(w.ID)
 		return
 	}
-	e.look(w)
+	e.pollNow(w)
 }
 
 // endEarlierLives ends the other lives of a machine, and the other starts of a worker, that
 // has answered. One in whose place the list has another start answers late.
-func (e *Engine) endEarlierLives(w *worker) {
+func (e *Engine) endPreviousIncarnations(w *worker) {
 	if w.isSuperseded {
 		return
 	}
 	for _, other := range e.index.earlierLives(w) {
-		e.lifeOver(other.ID, w)
+		e.endIncarnation(other.ID, w)
 	}
-	e.crashKnown(w)
+	e.confirmCrashes(w)
 }
 
-// LifeOver says that a worker's life is over: nothing of it runs any more.
-func (e *Engine) LifeOver(id order.WorkerID) { e.lifeOver(id, nil) }
+// IncarnationEnded says that a worker's life is over: nothing of it runs any more.
+func (e *Engine) IncarnationEnded(id order.WorkerID) { e.endIncarnation(id, nil) }
 
 // lifeOver is LifeOver of a worker after which next is there; nil when that is not known.
-func (e *Engine) lifeOver(id order.WorkerID, next *worker) {
-	if next == nil || !id.IsOtherStart(next.ID) {
+func (e *Engine) endIncarnation(id order.WorkerID, successor *worker) {
+	if successor == nil || !id.IsOtherStart(successor.ID) {
 		// Orders of an earlier owner may run on a newer start: it has to tell first.
-		e.settle(id, settledByLife)
+		e.resolveInherited(id, resolvedByIncarnationEnd)
 	}
 	e.over[id] = true
 	w := e.workers.Get(id)
@@ -260,18 +260,18 @@
 		return
 	}
 	e.options.Log(events.WorkerLifeOver, "worker", id, "attempts", w.attempts.Len())
-	under := e.noteCrashes(w, true)
-	if next != nil && id.IsOtherStart(next.ID) {
-		e.inheritFrom(w, next)
+	tasks := e.recordCrashes(w, true)
+	if successor != nil && id.IsOtherStart(successor.ID) {
+		e.transferInFlight(w, successor)
 	}
-	e.lapseAll(w, cutByLife)
-	e.judgeCrash(id, under)
-	w.isGone = true
+	e.endAllAttempts(w, endedWithIncarnation)
+	e.failCrashingJobs(id, tasks)
+	w.isUnlisted = true
 	e.dropIfEmpty(w)
 }
 
 func (e *Engine) dropIfEmpty(w *worker) {
-	if !w.isGone || w.attempts.Len() > 0 || len(w.foreign) > 0 {
+	if !w.isUnlisted || w.attempts.Len() > 0 || len(w.unknownRuns) > 0 {
 		return
 	}
 	if _, ok := e.unsettled.Find(w.ID); ok {
@@ -283,41 +283,41 @@
 
 // calmTick is the time between two looks at a worker on which nothing is under way: all
 // its attempts run, and a listing is on its way.
-const calmTick = 100 * time.Millisecond
+const steadyTickInterval = 100 * time.Millisecond
 
 // isTickDue reports whether it is time to look at the worker.
 func (e *Engine) isTickDue(w *worker) bool {
-	return w.isRestless || e.now.Sub(w.tickedAt) >= calmTick
+	return w.needsTick || e.now.Sub(w.tickedAt) >= steadyTickInterval
 }
 
 func (e *Engine) tickWorker(w *worker) {
 	w.tickedAt = e.now
 	polls := &w.session.Polls
-	w.isRestless = w.refusals.HasAny() || !w.session.IsListed() || !polls.IsWaiting() || polls.WantsLook() || w.isGone || w.IsDraining
+	w.needsTick = w.refusals.HasAny() || !w.session.IsListed() || !polls.IsWaiting() || polls.WantsLook() || w.isUnlisted || w.IsDraining
 	if polls.MayWait(e.now) {
-		e.hold(w)
+		e.longPoll(w)
 	}
-	isOverdue := !w.session.IsListed() && polls.WaitsFor(e.now) > firstPatience
+	isOverdue := !w.session.IsListed() && polls.WaitsFor(e.now) > firstListingTimeout
 	if polls.WantsLook() || isOverdue {
-		e.look(w)
+		e.pollNow(w)
 	}
-	e.stopStrays(w)
+	e.sendRefusals(w)
 	e.dropIfEmpty(w)
 	if w.attempts.Len() == 0 {
 		return
 	}
 	if w.session.IsOver(e.now) {
 		e.options.Log(events.WorkerLost, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.HeardAt()))
-		under := e.noteCrashes(w, false)
-		e.lapseAll(w, cutByTime)
-		e.judgeCrash(w.ID, under)
+		tasks := e.recordCrashes(w, false)
+		e.endAllAttempts(w, endedByLeaseExpiry)
+		e.failCrashingJobs(w.ID, tasks)
 		return
 	}
 	for _, a := range w.attempts.All() {
 		e.tickAttempt(a)
-		w.isRestless = w.isRestless || a.phase != phaseRunning || a.isStopping
+		w.needsTick = w.needsTick || a.phase != phaseRunning || a.isStopping
 	}
-	if w.IsDraining && !w.isGone {
+	if w.IsDraining && !w.isUnlisted {
 		e.evacuate(w)
 	}
 }
@@ -330,84 +330,84 @@
 		return
 	}
 	if a.phase == phaseOrdered && e.now.Sub(a.orderedAt) > e.answers.Patience() && !e.now.Before(e.stalledUntil) {
-		e.doubt(a)
+		e.markUnacknowledged(a)
 	}
-	if a.phase == phaseDoubtful && !a.isStopping && e.now.Sub(a.doubtAt) > doubtPatience {
+	if a.phase == phaseUnacknowledged && !a.isStopping && e.now.Sub(a.unacknowledgedAt) > doubtPatience {
 		e.stop(a, "order was not answered")
 		return
 	}
 	e.copyIfSilent(a)
-	if a.isStopping && a.stopAckedAt == 0 && e.now.Sub(a.stopSentAt) > stopRetry {
+	if a.isStopping && a.stopConfirmedClock == 0 && e.now.Sub(a.stopSentAt) > stopRetry {
 		e.sendStop(a)
 	}
-	if a.isStopping && a.stopAckedAt > 0 && a.phase == phaseDoubtful {
-		e.look(a.worker)
+	if a.isStopping && a.stopConfirmedClock > 0 && a.phase == phaseUnacknowledged {
+		e.pollNow(a.worker)
 	}
-	e.checkTrial(a)
-	e.clearOutlived(a)
+	e.checkProbation(a)
+	e.clearRefutedCrashes(a)
 	e.checkProgress(a)
 }
 
 // doubt takes an order as one that may have been carried out or may be later.
 // Where the worker says that it runs, it is left alone; otherwise it is stopped,
 // which also keeps it from being carried out.
-func (e *Engine) doubt(a *attempt) {
-	a.phase = phaseDoubtful
-	a.doubtAt = e.now
+func (e *Engine) markUnacknowledged(a *attempt) {
+	a.phase = phaseUnacknowledged
+	a.unacknowledgedAt = e.now
 	e.window.Answered(e.now.Sub(a.orderedAt), e.now)
 	e.counts.Doubtful++
 	e.options.Log(events.OrderDoubtful, "task", a.id, "run", a.run, "worker", a.worker.ID, "age", e.now.Sub(a.orderedAt))
 	e.wantCopy(a)
-	e.look(a.worker)
+	e.pollNow(a.worker)
 }
 
 // Why all attempts on a worker are over.
 const (
-	cutByLife = "life over"
-	cutByTime = "leases lapsed"
+	endedWithIncarnation = "life over"
+	endedByLeaseExpiry   = "leases lapsed"
 )
 
 // lapseAll takes all attempts of a worker as over.
-func (e *Engine) lapseAll(w *worker, why string) {
-	e.logCut(w, why)
+func (e *Engine) endAllAttempts(w *worker, reason string) {
+	e.logEndedAttempts(w, reason)
 	for _, a := range w.attempts.All() {
 		e.counts.Lapsed++
 		e.release(a)
-		e.attemptOver(a)
+		e.detachAttempt(a)
 	}
-	clear(w.foreign)
+	clear(w.unknownRuns)
 	w.session.SetListed(false)
 	e.isDirty = true
 }
 
 // maxCutLogged bounds the lines on attempts that end with one worker: that is about as
 // many as it has, and a whole rack that goes writes some hundred lines.
-const maxCutLogged = 20
+const maxEndedLogged = 20
 
 // logCut tells which attempts end with their worker, and how long they are known to have
 // been on it.
-func (e *Engine) logCut(w *worker, why string) {
+func (e *Engine) logEndedAttempts(w *worker, reason string) {
 	n := 0
 	for _, a := range w.attempts.All() {
-		if n++; n > maxCutLogged {
+		if n++; n > maxEndedLogged {
 			return
 		}
-		e.options.Log(events.AttemptCut, "task", a.id, "run", a.run, "worker", w.ID, "why", why, "phase", a.phase, "ran", max(w.session.HeardAt().Sub(a.orderedAt), 0))
+		e.options.Log(events.AttemptCut, "task", a.id, "run", a.run, "worker", w.ID, "why", reason, "phase", a.phase, "ran", max(w.session.HeardAt().Sub(a.orderedAt), 0))
 	}
 }
 
 // stop orders an attempt to stop, once.
-func (e *Engine) stop(a *attempt, why string) {
+func (e *Engine) stop(a *attempt, reason string) {
 	if a.isStopping {
 		return
 	}
-	if a.phase == phasePlanned || e.takeBack(a) {
-		e.dropPlanned(a, why)
+	if a.phase == phasePlanned || e.withdrawStart(a) {
+		e.dropPlanned(a, reason)
 		return
 	}
 	a.isStopping = true
-	a.worker.isRestless = true
-	a.stopWhy = why
+	a.worker.needsTick = true
+	a.stopReason = reason
 	e.counts.Stopped++
 	e.sendStop(a)
 }
@@ -415,8 +415,8 @@
 // takeBack takes back an order to start that has not left the engine, and reports whether
 // there was one: what ends between the order and its handing out would be started again,
 // as the last task of a job that is told to have succeeded.
-func (e *Engine) takeBack(a *attempt) bool {
-	if a.phase != phaseOrdered || a.isHandedOut {
+func (e *Engine) withdrawStart(a *attempt) bool {
+	if a.phase != phaseOrdered || a.isSent {
 		return false
 	}
 	isOrder := func(x order.Action) bool {
@@ -427,8 +427,8 @@
 	e.fresh = slices.DeleteFunc(e.fresh, func(x *attempt) bool { return x == a })
 	e.counts.Starts--
 	e.unanswered--
-	if a.isUnkept && !a.isKept {
-		a.isUnkept = false
+	if a.isWriteBehind && !a.isPersisted {
+		a.isWriteBehind = false
 		e.unkept--
 	}
 	a.phase = phasePlanned
@@ -447,17 +447,17 @@
 		return
 	}
 	// An order that has not left would reach a newer start of the worker.
-	e.takeBack(a)
+	e.withdrawStart(a)
 	w.attempts.Delete(a.id)
 	w.used = w.used.Sub(a.charge)
-	if a.mayBeOnItsWay() {
+	if a.mayBeInFlight() {
 		e.strays.Note(w.ID, a.id, a.run, a.orderedAt, e.now)
 	}
 	if a.step != nil {
 		a.step.job.attempts--
-		a.step.job.idleAt = e.now
+		a.step.job.idleSince = e.now
 		if a.phase == phaseRunning {
-			a.step.tasks[a.id.Index].ranAt = e.now
+			a.step.tasks[a.id.Index].lastRanAt = e.now
 		}
 		e.releaseCustomer(a.step)
 	}
@@ -466,7 +466,7 @@
 
 // attemptOver makes the task of a released attempt wait again, if none of its attempts is
 // left: one that is not wanted and told to stop may still run.
-func (e *Engine) attemptOver(a *attempt) {
+func (e *Engine) detachAttempt(a *attempt) {
 	if a.step == nil {
 		return
 	}
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -407,7 +407,7 @@
 	m, fence := w.named(h.Worker), w.fence
 	lost, delay := w.isLost()
 	if m != nil && m.refuses {
-		w.later(w.delay(), func() { w.engine.HoldFailed(&h) })
+		w.later(w.delay(), func() { w.engine.PollFailed(&h) })
 		return
 	}
 	if lost && m != nil && w.rng.Float64() < w.lateHoldShare {
@@ -418,7 +418,7 @@
 		})
 	}
 	if m == nil || m.isDead || m.isCut || lost {
-		w.later(h.Wait+h.Patience, func() { w.engine.HoldFailed(&h) })
+		w.later(h.Wait+h.Patience, func() { w.engine.PollFailed(&h) })
 		return
 	}
 	w.held[h.Worker]++
@@ -444,10 +444,10 @@
 		}
 		w.later(w.delay(), func() {
 			if l == nil {
-				w.engine.HoldFailed(&h)
+				w.engine.PollFailed(&h)
 				return
 			}
-			w.engine.Listed(&h, l)
+			w.engine.PollAnswered(&h, l)
 		})
 	})
 }
--- a/internal/owner/cancel.go
+++ b/internal/owner/cancel.go
@@ -26,7 +26,7 @@
 		ev.reply <- errNoJob
 		return
 	}
-	isSettled := o.engine.IsSettledCancel(ev.id)
+	isSettled := o.engine.IsFinalPersisted(ev.id)
 	switch {
 	case !isSettled && !o.isTrusted():
 		ev.reply <- leverdyke.NotRun("this node may not be the owner of the jobs", retryAfter)
@@ -44,7 +44,7 @@
 // only the store can tell that this node still is the owner, and only what is kept
 // outlasts it.
 func (o *Owner) answerCancel(id work.JobID) {
-	if len(o.cancels[id]) == 0 || !o.engine.IsSettledCancel(id) {
+	if len(o.cancels[id]) == 0 || !o.engine.IsFinalPersisted(id) {
 		return
 	}
 	var err error
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -130,11 +130,11 @@
 func (ev holdEvent) apply(o *Owner) {
 	switch ev.outcome {
 	case order.HoldListed:
-		o.engine.Listed(&ev.hold, ev.listing)
+		o.engine.PollAnswered(&ev.hold, ev.listing)
 	case order.HoldSilent:
-		o.engine.HoldFailed(&ev.hold)
+		o.engine.PollFailed(&ev.hold)
 	case order.HoldLifeOver:
-		o.engine.LifeOver(ev.hold.Worker)
+		o.engine.IncarnationEnded(ev.hold.Worker)
 	}
 }
 
