--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -13,25 +13,26 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Tasks that crash their workers: what is on a worker when its life ends is noted for each
-// task, kept with its job, and judged by package crash. A worker that dies tells no end, so
-// that nothing else would ever bound the starts of such a task.
+// Detection of tasks that crash their workers: when an incarnation of a worker ends, that is
+// recorded for each task on it, persisted with the task's job, and judged by package crash. A
+// worker that crashes does not report its tasks as failed, so nothing else would bound the number
+// of starts of such a task.
 
-// cutOff is a worker of which nothing was heard until its leases were over: it may have
-// crashed, or only be cut off.
+// possibleCrash is a worker that did not answer until its leases had expired: it may have crashed,
+// or only be unreachable.
 type possibleCrash struct {
 	machine string
-	// tasks are those under which that counts as a crash.
+	// tasks are those for which a crash was recorded.
 	tasks []work.TaskID
 	since time.Time
 }
 
-// keepCutOff is how long it is kept in mind which tasks were on a worker that may have
-// crashed: workers are back some seconds after a crash, and cuts last for seconds.
+// possibleCrashRetention is how long the tasks on a worker that may have crashed are remembered:
+// workers return some seconds after a crash, and network partitions last for seconds.
 const possibleCrashRetention = time.Minute
 
-// isSuspect reports whether a task may be one that crashes its workers: one did, or the
-// one that has just been told to start it is silent.
+// isSuspect reports whether a task is suspected of crashing its workers: recorded crashes suggest
+// it, or the worker that was just ordered to start it does not answer.
 func isSuspect(t *task) bool {
 	if crash.IsSuspect(t.crashes) {
 		return true
@@ -40,45 +41,47 @@
 	return a != nil && a.worker.session.IsSilent() && a.observedRunTime() < crash.FreshTime
 }
 
-// isChoosy reports whether a worker that suits other tasks of the step may not suit this
-// one.
+// needsIndividualPlacement reports whether a worker that suits other tasks of the step may not
+// suit this one.
 func needsIndividualPlacement(t *task) bool {
 	return len(t.failures) > 0 || len(t.crashes) > 0 || isSuspect(t)
 }
 
-// hasCrashed reports whether a worker on that machine has crashed under the task.
+// hasCrashedOn reports whether a worker on that machine has crashed while it had the task.
 func hasCrashedOn(t *task, machine string) bool {
 	return machine != "" && slices.ContainsFunc(t.crashes, func(c work.Crash) bool { return c.Machine == machine })
 }
 
-// isQuiet reports whether a task that may crash the worker can be tried there: nothing else
-// has just started, of which a crash could be the doing.
+// hasNoRecentStart reports whether a suspect can be run on the worker: nothing else has just
+// started there that could be the cause of a crash instead.
 func (w *worker) hasNoRecentStart(now time.Time) bool {
 	return now.Sub(w.lastStartAt) >= crash.TrialTime
 }
 
-// mayTryNow reports whether a task that may crash the worker can be tried there now.
+// mayRunSuspect reports whether the task may start on the worker now as far as crashes are
+// concerned. A suspect only starts where a crash would be evidence against it.
 func (e *Engine) mayRunSuspect(w *worker, t *task) bool {
 	if !isSuspect(t) {
 		return true
 	}
 	if hasCrashedOn(t, w.Machine) && e.now.Sub(t.lastCrashAt) < otherWorkerTimeout {
-		// A second crash there would prove nothing more.
+		// A second crash on the same machine would be no further evidence.
 		return false
 	}
 	isAllowedNow := !crash.NeedsSolo(t.crashes) || !e.now.Before(e.soloUntil)
 	return isAllowedNow && w.hasNoRecentStart(e.now) && e.now.Sub(w.lastSuspectAt) >= crash.SoonTime
 }
 
-// mayStartUnkept reports whether an attempt may be ordered before its place is in the store.
-// A task against which anything tells waits for that, also where the store is slow or out:
-// the next owner would start it as if nothing had happened.
+// mayStartUnpersisted reports whether an attempt may be ordered before its placement is in the
+// store. If there is any evidence that the task crashes workers, it has to wait for that even
+// while the store is slow or unavailable: the next owner would otherwise not know of the start,
+// and would run the task again as if nothing had happened.
 func (e *Engine) mayStartUnpersisted(a *attempt) bool {
 	return e.isUnlogged && !crash.Tells(a.step.tasks[a.id.Index].crashes)
 }
 
-// clearOutlived forgets the crashes under a task that lasts which its run has outlived: it has no good
-// end that would do so.
+// clearRefutedCrashes clears the crashes recorded for a long-running task that its current run has
+// refuted by lasting long enough. Such a task has no successful end that would do so.
 func (e *Engine) clearRefutedCrashes(a *attempt) {
 	if a.step == nil || !a.step.spec.IsLasting || a.phase != phaseRunning {
 		return
@@ -94,8 +97,9 @@
 	}
 }
 
-// keepQuiet keeps other steps off a worker for a moment, so that a task which may crash it can be
-// tried there: where work comes all the time no worker is ever quiet. One worker is kept at a time.
+// reserveForSuspect keeps other steps off a worker for a moment, so that a suspect can be run
+// there: where tasks arrive all the time, every worker has a recent start. One worker is reserved
+// in this way at a time.
 func (e *Engine) reserveForSuspect(s *step, i int, q *order.Queue) {
 	t := &s.tasks[i]
 	if e.now.Before(e.keptUntil) || !isSuspect(t) || e.now.Sub(t.lastCrashAt) < otherWorkerTimeout || e.notRunningFor(s, t) < otherWorkerTimeout {
@@ -117,11 +121,11 @@
 	}
 }
 
-// keptTime is how long a worker is kept for a trial: until it is quiet, and the next look.
+// suspectReservationTime is how long a worker is reserved for a suspect: long enough for it to
+// have no recent start, and for the next scheduling pass to follow.
 const suspectReservationTime = 2 * crash.TrialTime
 
-// noteTrial keeps other tasks off a worker for a while that is told to start one that may
-// crash it.
+// isolateSuspect keeps other tasks off a worker for a while when it is ordered to start a suspect.
 func (e *Engine) isolateSuspect(a *attempt) {
 	t := &a.step.tasks[a.id.Index]
 	if !isSuspect(t) {
@@ -133,8 +137,9 @@
 	}
 }
 
-// ran returns how long the worker is known to have had the attempt. Of one that an earlier
-// owner started that is not known, but it was there to be listed.
+// observedRunTime returns how long the worker is known to have had the attempt. For an attempt
+// that a previous owner started that is not known; it had run before it was first listed, so that
+// crash.FreshTime is added.
 func (a *attempt) observedRunTime() time.Duration {
 	ran := max(a.worker.session.HeardAt().Sub(a.orderedAt), 0)
 	if a.isAdopted {
@@ -143,16 +148,16 @@
 	return ran
 }
 
-// mayHaveRun reports whether the order to start has left the engine.
+// mayHaveRun reports whether the order to start has been sent.
 func (a *attempt) mayHaveRun() bool {
 	return a.phase != phasePlanned && (a.isSent || a.isAdopted)
 }
 
-// endsAsPlanned reports whether the worker drains, or has left as planned.
+// isPlannedShutdown reports whether the worker is draining, or has shut down as planned.
 func (w *worker) isPlannedShutdown() bool { return w.IsDraining || w.hasShutDown || w.isShuttingDown }
 
-// noteCrashes notes for all tasks on a worker that it crashed under them, unless it ended
-// as planned. isKnown is false when it may only be cut off. It returns these tasks.
+// recordCrashes records a crash of the worker for all tasks on it, unless it shut down as planned,
+// and returns these tasks. isConfirmed is false if the worker may only be unreachable.
 func (e *Engine) recordCrashes(w *worker, isConfirmed bool) []work.TaskID {
 	if w.isPlannedShutdown() {
 		return nil
@@ -176,12 +181,12 @@
 	return tasks
 }
 
-// sameTime is how far apart the starts of tasks on a worker may be that count as one: a
-// step's tasks are ordered within milliseconds, trials a second apart.
+// sameStartWindow is how far apart the starts of tasks on a worker may be to count as
+// simultaneous: a step's tasks are ordered within milliseconds, suspects a second apart.
 const sameStartWindow = 50 * time.Millisecond
 
-// lastSuspect returns the attempt of a task under which a worker has crashed before, and
-// that had just been started on this one; nil when there is none.
+// latestSuspect returns the attempt of a task for which a crash counts as evidence, and which had
+// just been started on this worker; the latest one if there are several, nil if there is none.
 func (w *worker) latestSuspect() *attempt {
 	var latest *attempt
 	for id, a := range w.attempts.All() {
@@ -195,6 +200,7 @@
 	return latest
 }
 
+// recordCrash records a crash for a task, unless the task or its job has ended.
 func (e *Engine) recordCrash(s *step, c work.Crash) {
 	t := &s.tasks[c.Index]
 	if t.state == taskDone || s.job.state.IsFinal() {
@@ -204,8 +210,8 @@
 	e.markDirty(s.job)
 }
 
-// noteInheritedCrash notes that a worker on which an earlier owner may have started tasks
-// is over. How long it had them is not known.
+// recordInheritedCrashes records that a worker on which a previous owner may have started tasks
+// has ended. How long it had run them is not known.
 func (e *Engine) recordInheritedCrashes(id order.WorkerID, tasks []work.TaskID, isConfirmed bool) {
 	w := e.workers.Get(id)
 	if w != nil && w.isPlannedShutdown() {
@@ -226,7 +232,7 @@
 	e.failCrashingJobs(id, tasks)
 }
 
-// restoreCrash takes a crash that an earlier owner has noted.
+// restoreCrash restores a crash that a previous owner recorded.
 func (e *Engine) restoreCrash(s *step, c work.Crash) {
 	s.tasks[c.Index].crashes = append(s.tasks[c.Index].crashes, c)
 	if c.IsKnown {
@@ -239,7 +245,8 @@
 	e.cutOff.Get(id).tasks = append(e.cutOff.Get(id).tasks, s.taskID(c.Index))
 }
 
-// judgeCrash gives up the jobs of tasks that crash workers, of those on one that crashed.
+// failCrashingJobs fails the jobs of those tasks on a crashed worker that are found to crash
+// workers.
 func (e *Engine) failCrashingJobs(id order.WorkerID, tasks []work.TaskID) {
 	steps := []*step{}
 	suspects := []crash.Suspect{}
@@ -265,8 +272,9 @@
 	return len(t.crashes) > 0 && t.crashes[len(t.crashes)-1].Worker == string(id)
 }
 
-// crashKnown says that a worker has begun a life: the one before it on its machine, or under
-// its name, which may only have been cut off, is over.
+// confirmCrashes handles the first answer of an incarnation of a worker. Those before it on its
+// machine or under its name have ended, so that crashes of them that were only possible are
+// confirmed.
 func (e *Engine) confirmCrashes(w *worker) {
 	for id, c := range e.cutOff.All() {
 		isPrevious := c.machine == w.Machine && w.Machine != "" && id != w.ID || w.ID.IsOtherStart(id)
@@ -283,7 +291,8 @@
 	}
 }
 
-// confirmCrash makes a crash that may have been a cut a known one, and the last one.
+// confirmCrash turns a possible crash into a confirmed one, and makes it the last of the task's
+// crashes.
 func (t *task) confirmCrash(id order.WorkerID) {
 	i := slices.IndexFunc(t.crashes, func(c work.Crash) bool { return c.Worker == string(id) })
 	if i < 0 {
@@ -294,8 +303,8 @@
 	t.crashes = append(slices.Delete(t.crashes, i, i+1), c)
 }
 
-// forgiveCrash says that a worker that was silent until its leases were over lives: it had
-// only been cut off.
+// retractCrash removes the recorded crash of a worker that answers again after its leases had
+// expired: it was only unreachable.
 func (e *Engine) retractCrash(id order.WorkerID) {
 	c := e.cutOff.Get(id)
 	if c == nil {
@@ -310,7 +319,7 @@
 	}
 }
 
-// forgetCutOff forgets workers that were cut off, or fell silent, long ago.
+// expirePossibleCrashes forgets workers that possibly crashed, or became silent, too long ago.
 func (e *Engine) expirePossibleCrashes() {
 	e.silences.Forget(e.now.Add(-possibleCrashRetention))
 	for id, c := range e.cutOff.All() {
--- a/internal/dispatch/evacuate.go
+++ b/internal/dispatch/evacuate.go
@@ -3,10 +3,10 @@
 
 package dispatch
 
-// evacuate stops the lasting tasks of a worker that leaves, one of a step at a
-// time, so that each is at work elsewhere before the next one goes. They would
-// run until the worker ends, and then be away until its lease is over. Other
-// tasks mostly end before the worker does.
+// evacuate stops the long-running tasks of a draining worker, one of each step at a time, so that
+// each is at work elsewhere before the next one is stopped. Otherwise they would run until the
+// worker ends, and could not start elsewhere before its lease has expired. Other tasks mostly end
+// before the worker does.
 func (e *Engine) evacuate(w *worker) {
 	if !e.has(MechanismEvacuation) {
 		return
@@ -16,12 +16,12 @@
 			continue
 		}
 		if a.step.waiting == 0 && !a.step.isMoving() {
-			e.stop(a, "its worker leaves")
+			e.stop(a, "its worker is draining")
 		}
 	}
 }
 
-// isMoving reports whether an attempt of the step is on its way out or in.
+// isMoving reports whether an attempt of the step is being stopped, or is not at work yet.
 func (s *step) isMoving() bool {
 	for i := range s.tasks {
 		if a := s.tasks[i].attempt; a != nil && (a.isStopping || a.phase != phaseRunning || a.percent < 100) {
--- a/internal/dispatch/inherit.go
+++ b/internal/dispatch/inherit.go
@@ -13,14 +13,14 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Inherit says that the jobs known so far had an earlier owner, whose leases are
-// all over at until. A task that it may have started on a worker is not started
-// elsewhere before that worker has told what it runs, or until.
+// Inherit records that the jobs known so far had a previous owner, whose leases have all expired
+// at until. A task that it may have started on a worker is not started elsewhere before that
+// worker has sent its listing, or before until.
 //
-// isExact means that the earlier owner kept each place of a task before it
-// ordered the start. Otherwise any task may run anywhere, and none is started
-// before all workers have told what they run, or until. listed is how many
-// workers the earlier owner's list had.
+// areStartsPersisted means that the previous owner persisted each placement of a task before it
+// ordered the start. Otherwise any task may run anywhere, and none is started before all workers
+// have sent their listings, or before until. listedWorkers is how many workers the previous
+// owner's list had.
 func (e *Engine) Inherit(until time.Time, areStartsPersisted bool, listedWorkers int) {
 	e.inheritedUntil = until
 	if !areStartsPersisted {
@@ -31,32 +31,34 @@
 	}
 }
 
-// entriesBack is how long after the store's return the entries of workers that
-// live may be missing from the platform's list: about two seconds by its word.
+// listRecoveryTime is how long after the store's recovery the platform's list may lack entries of
+// running workers; the platform states about two seconds.
 const listRecoveryTime = 2300 * time.Millisecond
 
-// inheritedDoubt is what is open about the orders of an earlier owner that did not keep
-// the places of all tasks.
+// inheritedUncertainty is what is not known about the orders of a previous owner that did not
+// persist the placements of all tasks.
 type inheritedUncertainty struct {
-	// until is when all leases that it gave are over.
+	// leasesExpireAt is when all leases that it gave have expired.
 	leasesExpireAt time.Time
-	// listed is how many workers its list had. A shorter list may lack some that
-	// live until entriesBackAt.
+	// previouslyListed is how many workers its list had. A shorter list may lack running workers
+	// until listCompleteAt.
 	previouslyListed int
 	listCompleteAt   time.Time
-	// entries is how many workers the list has now; 0 before it is known to be whole.
+	// currentlyListed is how many workers the list has now; 0 until the list is known to be
+	// complete.
 	currentlyListed int
-	// hasUnclear means that the list has entries of unknown workers that tell nothing. A
-	// worker writes its own again with each heartbeat.
+	// hasUnclear means that the list has unclear entries of workers that are not known otherwise,
+	// so that it is not known what these run. Each worker writes its entry again with its next
+	// heartbeat, so that this does not last.
 	hasUnclear bool
-	// lostUntil is when the leases are over of workers that went from the list before
-	// they told what they run.
+	// unlistedLeasesUntil is when the leases have expired of workers that were removed from the
+	// list before they sent a listing.
 	unlistedLeasesUntil time.Time
 }
 
-// lost takes that a worker went from the list before it told what it runs. One
-// that drained has ended; another was silent for two heartbeats at least, and
-// goes on under its lease if it is only cut off.
+// extendUncertainty extends the uncertainty for a worker that was removed from the list before it
+// sent a listing. One that drained has ended. Any other was silent for two heartbeats at least,
+// and if it is only unreachable, it goes on until its lease expires.
 func (e *Engine) extendUncertainty(w *worker) {
 	if e.inherited == nil || w.session.IsListed() || w.IsDraining {
 		return
@@ -64,8 +66,8 @@
 	e.inherited.unlistedLeasesUntil = e.now.Add(session.OwnBound - (heartbeatsUntilRemoval-1)*e.options.Heartbeat)
 }
 
-// isDoubtOver reports whether all workers have told what they run, or nothing of the
-// earlier owner's can run any more.
+// isUncertaintyResolved reports whether all workers have sent their listings, or nothing that the
+// previous owner started can run any more.
 func (e *Engine) isUncertaintyResolved() bool {
 	d := e.inherited
 	if !e.now.Before(d.leasesExpireAt) {
@@ -83,7 +85,7 @@
 	return true
 }
 
-// holdTask notes that a task may run on a worker by an earlier owner's order.
+// addInheritedTask records that a task may run on a worker by a previous owner's order.
 func (e *Engine) addInheritedTask(id work.TaskID, worker order.WorkerID) {
 	s, t := e.findTask(id)
 	if t == nil || t.state != taskWaiting || slices.Contains(t.mayRunOn, worker) {
@@ -94,12 +96,13 @@
 	e.unsettled.Set(worker, append(e.unsettled.Get(worker), id))
 }
 
-// isBlocked reports whether any task of the job may run where nobody can tell.
+// isBlocked reports whether tasks of the job may run on any worker by a previous owner's order, so
+// that none of them may be started.
 func (e *Engine) isBlocked(j *job) bool {
 	return j.isInherited && e.inherited != nil
 }
 
-// settle says that it is known what a worker runs.
+// resolveInherited records that it is now known which of a previous owner's tasks the worker runs.
 func (e *Engine) resolveInherited(id order.WorkerID, reason string) {
 	tasks, ok := e.unsettled.Find(id)
 	if !ok {
@@ -127,14 +130,15 @@
 	}
 }
 
-// Why it is known what a worker runs.
+// Reasons why it is known what a worker runs; they are logged.
 const (
 	resolvedByListing        = "told what it runs"
 	resolvedByIncarnationEnd = "life over"
 	resolvedByLeaseExpiry    = "leases lapsed"
 )
 
-// tickInherited settles workers whose leases are over and that nobody reaches.
+// tickInherited ends the uncertainty once it is resolved, and resolves workers that cannot be
+// reached and whose leases have expired.
 func (e *Engine) tickInherited() {
 	if e.inherited != nil && e.isUncertaintyResolved() {
 		e.options.Log(events.DoubtOver, "entries", e.inherited.currentlyListed, "earlier", e.inherited.previouslyListed, "left", e.inherited.leasesExpireAt.Sub(e.now))
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -15,30 +15,32 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// taskState is where a task is.
+// taskState is the scheduling state of a task.
 type taskState string
 
 const (
 	taskWaiting taskState = "waiting"
-	// taskPlaced means that an attempt of it exists that is not known to be over.
+	// taskPlaced means that the task has an attempt that is not known to have ended.
 	taskPlaced taskState = "placed"
 	taskDone   taskState = "done"
 )
 
-// job is a job with all that is known of it.
+// job is a job and all that is known of its progress.
 type job struct {
 	spec  *work.Spec
 	state work.JobState
-	// isKept means that the job is in the store; until then nothing starts.
+	// isPersisted means that the job is in the store; nothing of it starts before that.
 	isPersisted bool
-	// isShown means that the final state is in the store; until then callers are
-	// told that the job runs.
+	// isFinalPersisted means that the final state is in the store; until then callers see the job
+	// as running.
 	isFinalPersisted bool
-	// isInherited means that an earlier owner may have started tasks of it.
+	// isInherited means that a previous owner may have started tasks of the job.
 	isInherited bool
-	// isInexact means that it had not kept all that it knew of them.
+	// mayHaveUnpersistedStarts means that it may have started some before their placements were
+	// persisted.
 	mayHaveUnpersistedStarts bool
-	// isDirty means that it is to be written, isUrgent that at once.
+	// isDirty means that the job's progress is to be written, isUrgent that it must not wait for
+	// the next periodic batch.
 	isDirty, isUrgent bool
 	hasBegun          bool
 	acceptedAt        time.Time
@@ -47,12 +49,13 @@
 	roundsDone        work.StepProgress
 	nextRound         int
 	roundsLeft        int
-	// attempts counts those of which it is not known that they are over; idleAt is when there was
-	// one last.
+	// attempts counts the attempts that are not known to have ended; idleSince is when the last
+	// one was released.
 	attempts  int
 	idleSince time.Time
 }
 
+// round is one repetition of a job's steps. A job that is not periodic has a single one.
 type round struct {
 	number    int
 	dueAt     time.Time
@@ -60,7 +63,7 @@
 	stepsLeft int
 }
 
-// step is a step of one round.
+// step is a step in one round of a job.
 type step struct {
 	job       *job
 	round     *round
@@ -68,76 +71,84 @@
 	spec      *work.Step
 	tasks     []task
 	tasksLeft int
-	isOpen    bool
-	// isQueued means that it is in Engine.queue, priority is that of its job's queue when it
-	// was last looked at there.
+	// isOpen means that all steps that this one depends on are done, so that its tasks may start.
+	isOpen bool
+	// isQueued means that the step is in Engine.queue. priority is that of its job's queue as of
+	// the last scheduling pass.
 	isQueued bool
 	priority int
-	// rank is its place among those of its priority, worked out at rankedAt.
+	// rank orders the step among those of the same priority; it was computed at rankedAt.
 	rank     urgency.Rank
 	rankedAt time.Time
-	// chainEnd and leftEnd are of Engine.chain.
+	// chainEnd and remainingEnd belong to the computation of a round's longest chain of dependent
+	// steps: how long a chain up to this step takes, in all and without the steps that are done.
 	chainEnd, remainingEnd time.Duration
-	// waiting counts the tasks in the state waiting.
-	waiting  int
+	// waiting counts the tasks in the state taskWaiting.
+	waiting int
+	// openedAt is when all steps that this one depends on were done.
 	openedAt time.Time
-	// mayTryEarly is Engine.mayTryEarly when it was looked at last.
+	// mayProbeEarly means that, as of the last scheduling pass, tasks of the step may be started
+	// on ejected workers before their ejection time has ended.
 	mayProbeEarly bool
-	// waitsFor is what its tasks waited for when it was looked at last.
+	// waitReason is what its tasks were waiting for in the last scheduling pass.
 	waitReason waits.Reason
-	// copiesWanted counts the tasks that want a copy.
+	// copiesWanted counts the tasks that want a speculative copy.
 	copiesWanted int
-	// doneRuns and doneTime are of the tasks that are done.
+	// doneTasks and doneRunTime are the number and the summed run times of the tasks that have
+	// ended successfully and whose run time is known.
 	doneTasks   int
 	doneRunTime time.Duration
-	// permit is what is known of the workers that may run it.
+	// permissions is what is known about which workers may run the step.
 	permissions permit.Step
-	// gangFailures counts the attempts of a gang in which a member failed.
+	// failedGangRuns has the runs of a gang in which a member failed.
 	failedGangRuns map[uint64]bool
 }
 
+// task is one task of a step, with the attempts at it.
 type task struct {
 	state   taskState
 	attempt *attempt
-	// run is the highest run of the task that is known.
+	// run is the highest run number of the task that is known.
 	run      uint64
 	failures []work.Failure
-	// crashes are the workers that crashed under it, crashedAt is when that was known last.
+	// crashes are the crashes of workers that had the task; lastCrashAt is when the last one was
+	// recorded.
 	crashes     []work.Crash
 	lastCrashAt time.Time
-	checkpoint  string
-	// avoid is where the task failed or hung last.
+	// checkpoint is the state that the task saved last; its next attempt resumes from it.
+	checkpoint string
+	// avoidWorker is where the task last failed, got stuck or was too slow.
 	avoidWorker order.WorkerID
-	// heldBy are workers on which an earlier owner may have started it.
+	// mayRunOn has the workers on which a previous owner may have started the task.
 	mayRunOn []order.WorkerID
-	// copy is a second attempt beside the first; wantsCopy asks for one.
+	// copy is a speculative copy, a second attempt that runs beside the first; wantsCopy requests
+	// one.
 	copy      *attempt
 	wantsCopy bool
-	// unwanted are attempts besides these that a worker has told of and that are stopped.
+	// unwanted are further attempts that workers have reported and that are being stopped.
 	unwanted []*attempt
-	// rescues counts attempts that were stopped as too slow.
+	// replacements counts the attempts that were stopped as stuck or too slow.
 	replacements int
-	// failedAt is when an attempt failed last, ranAt when one that ran was over last.
+	// lastFailedAt is when an attempt last failed, lastRanAt when one that ran was last released.
 	lastFailedAt, lastRanAt time.Time
-	// preemptions counts attempts that made way for a gang.
+	// preemptions counts the attempts that were preempted.
 	preemptions int
 }
 
 const (
-	// soundPatience is how long a task with one attempt left waits for a worker that
-	// has not failed anything since its last success: with the last attempt the
-	// whole job fails.
+	// healthyWorkerTimeout is how long a task with one attempt left waits for a worker that has
+	// not failed anything since its last success: with the last attempt the whole job fails.
 	healthyWorkerTimeout = 1500 * time.Millisecond
-	// otherPatience is how long a task that has failed waits for a worker on which it
-	// has not. Callers expect that nothing stands still for 3 s while there is room.
+	// otherWorkerTimeout is how long a task that has failed waits for a worker on which it has
+	// not. Callers expect that no task stays not running for 3 s while there is free capacity.
 	otherWorkerTimeout = 2200 * time.Millisecond
-	// recheckPause is the time between two looks at tasks that wait while nothing
-	// happens.
+	// recheckInterval is the time between two scheduling passes over waiting tasks while no event
+	// causes one.
 	recheckInterval = 100 * time.Millisecond
 )
 
-// mayTry reports whether a task that has failed, or may crash its workers, may start on
-// the worker now.
+// mayRetryOn reports whether a task that has failed, or is suspected of crashing its workers, may
+// start on the worker now.
 func (e *Engine) mayRetryOn(w *worker, s *step, t *task) bool {
 	if !e.mayRunSuspect(w, t) {
 		return false
@@ -152,8 +163,8 @@
 	return !failedHere || e.now.Sub(t.lastFailedAt) >= otherWorkerTimeout
 }
 
-// needsSound reports whether a task still waits for a worker that has failed nothing
-// lately, since the job fails with its next failure.
+// needsHealthyWorker reports whether a task still waits for a worker that has not failed anything
+// lately, because the job fails with the task's next failure.
 func (e *Engine) needsHealthyWorker(s *step, t *task) bool {
 	return len(t.failures) > 0 && e.isLastAttempt(s, t) && e.now.Sub(t.lastFailedAt) < healthyWorkerTimeout
 }
@@ -164,8 +175,9 @@
 	return limit > 0 && !s.spec.IsLasting && limit-s.failuresOf(t) <= 1
 }
 
-// AddJob takes a job that is to be kept. It reports whether the job is new; a
-// job that is known is left as it is. The job starts when its batch is committed.
+// AddJob adds a job, which goes into the next batch, and reports whether it is new. A job that is
+// known is not added again; if it was cancelled before it was submitted, it becomes cancelled. The
+// job starts when its batch is committed.
 func (e *Engine) AddJob(spec *work.Spec) bool {
 	if j, ok := e.jobs[spec.ID]; ok {
 		if j.state == work.JobWithdrawn {
@@ -182,7 +194,7 @@
 	return true
 }
 
-// RestoreJob takes a job that the store has, with its progress, which may be nil.
+// RestoreJob adds a job that was read from the store, with its progress, which may be nil.
 func (e *Engine) RestoreJob(spec *work.Spec, p *work.Progress) {
 	if _, ok := e.jobs[spec.ID]; ok {
 		return
@@ -207,6 +219,7 @@
 	}
 }
 
+// restoreProgress restores the state of a job that was read from the store.
 func (e *Engine) restoreProgress(j *job, p *work.Progress) {
 	j.state = p.State
 	if p.State.IsFinal() {
@@ -311,7 +324,7 @@
 	return r
 }
 
-// openSteps opens the steps whose earlier steps are all done.
+// openSteps opens the steps of which all dependencies are done.
 func (e *Engine) openSteps(r *round) {
 	if r == nil {
 		return
@@ -336,7 +349,7 @@
 	return true
 }
 
-// find returns the step and the task, or nil when there is none.
+// findTask returns the step and the task, nil if there is no such task.
 func (e *Engine) findTask(id work.TaskID) (*step, *task) {
 	j := e.jobs[id.Job]
 	if j == nil {
@@ -353,7 +366,7 @@
 	return s, &s.tasks[id.Index]
 }
 
-// addFailure notes a failed attempt and reports whether it was not known before.
+// addFailure records a failed attempt and reports whether it was not recorded before.
 func (s *step) addFailure(f work.Failure) bool {
 	t := &s.tasks[f.Index]
 	for _, known := range t.failures {
@@ -371,7 +384,7 @@
 	return true
 }
 
-// failureCount returns how many of the allowed attempts the task has used.
+// failureCount returns how many of the allowed attempts the task has used up.
 func (s *step) failureCount(i int) int { return s.failuresOf(&s.tasks[i]) }
 
 func (s *step) failuresOf(t *task) int {
@@ -381,7 +394,7 @@
 	return len(t.failures)
 }
 
-// taskEnded notes that a task has ended well, once.
+// markTaskDone records that a task has ended successfully, once for each task.
 func (e *Engine) markTaskDone(s *step, i int) {
 	t := &s.tasks[i]
 	if t.state == taskDone {
@@ -416,7 +429,7 @@
 	e.endJob(j, work.JobSucceeded, "all tasks have ended well")
 }
 
-// endJob sets the final state and stops all that still runs.
+// endJob sets the final state of a job and stops all its attempts.
 func (e *Engine) endJob(j *job, state work.JobState, reason string) {
 	if j.state.IsFinal() {
 		return
@@ -437,6 +450,7 @@
 	}
 }
 
+// markDirty puts the progress of a job into the next batch.
 func (e *Engine) markDirty(j *job) {
 	if j.isDirty {
 		return
@@ -446,24 +460,24 @@
 	b.jobs = append(b.jobs, j)
 }
 
-// hurry is touch of a job that must not wait: a place to start at, or its end.
+// markUrgent is markDirty for what must not wait for the next periodic batch: a placement that is
+// to be started, or the end of the job.
 func (e *Engine) markUrgent(j *job) {
 	e.markDirty(j)
 	j.isUrgent = true
 	e.batchNow().isUrgent = true
 }
 
-// MayAccess reports whether a caller may see, cancel and hand in again the job of that ID, or
-// there is none.
+// MayAccess reports whether a caller may see, cancel and submit again the job of that ID. It is
+// true if there is no such job.
 func (e *Engine) MayAccess(id work.JobID, by work.Caller) bool {
 	j := e.jobs[id]
 	return j == nil || by.MayAccess(j.spec)
 }
 
-// Cancel cancels a job, whether it is known or not: its submission may still be on
-// its way, or have been refused and be sent again. The cancelling is kept once
-// IsSettledCancel says so, which is when a caller may hear of it. It reports whether
-// there is such a job.
+// Cancel cancels a job, whether it is known or not: its submission may still be in flight, or may
+// have been refused and be sent again. It reports whether there is such a job. The cancellation is
+// persisted once IsFinalPersisted reports true, and must not be acknowledged to the caller before.
 func (e *Engine) Cancel(id work.JobID, by work.CustomerName) bool {
 	j := e.jobs[id]
 	if j == nil {
@@ -475,14 +489,15 @@
 	return j.state != work.JobWithdrawn
 }
 
-// withdraw keeps in mind that a job that is not taken was cancelled.
+// recordWithdrawal records that a job was cancelled that has not been accepted, so that it does
+// not run if its submission arrives later.
 func (e *Engine) recordWithdrawal(j *job) {
 	j.state, j.endedAt = work.JobWithdrawn, e.now
 	e.markUrgent(j)
 }
 
-// dropNew drops a job that is certainly not kept. One that was cancelled meanwhile
-// stays withdrawn.
+// dropUnpersisted drops a job that is certainly not in the store. If it was cancelled meanwhile,
+// that stays on record.
 func (e *Engine) dropUnpersisted(j *job) {
 	if j.state.IsFinal() {
 		e.recordWithdrawal(j)
@@ -491,13 +506,13 @@
 	delete(e.jobs, j.spec.ID)
 }
 
-// IsFinalPersisted reports whether the final state of a job is kept.
+// IsFinalPersisted reports whether the final state of a job is in the store.
 func (e *Engine) IsFinalPersisted(id work.JobID) bool {
 	j := e.jobs[id]
 	return j != nil && j.state.IsFinal() && j.isFinalPersisted
 }
 
-// State returns what a caller is told of a job; false when there is none.
+// State returns the state of a job that callers are shown; false if there is no such job.
 func (e *Engine) State(id work.JobID) (work.JobState, bool) {
 	j := e.jobs[id]
 	switch {
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -12,8 +12,8 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// StartAnswered takes the answer to an order to start, once for each. at is the worker's clock
-// in the answer, 0 when it told none.
+// StartAnswered handles the answer to an order to start, once for each order. clock is the
+// worker's clock in the answer, 0 if the answer has none.
 func (e *Engine) StartAnswered(id order.WorkerID, task work.TaskID, run uint64, outcome order.StartOutcome, clock order.WorkerTime) {
 	e.unanswered--
 	defer e.sendReady()
@@ -58,6 +58,7 @@
 	}
 }
 
+// handleRefusedStart releases an attempt that the worker refused to start.
 func (e *Engine) handleRefusedStart(w *worker, a *attempt, outcome order.StartOutcome) {
 	if a.phase == phaseRunning {
 		return
@@ -80,8 +81,7 @@
 	}
 }
 
-// StopAnswered takes the answer to an order to stop. isKnown is false when there
-// was none.
+// StopAnswered handles the answer to an order to stop. isAnswered is false if none arrived.
 func (e *Engine) StopAnswered(id order.WorkerID, task work.TaskID, run uint64, isAnswered bool, clock order.WorkerTime) {
 	w := e.workers.Get(id)
 	if w == nil || !isAnswered {
@@ -97,7 +97,8 @@
 	e.pollNow(w)
 }
 
-// PollAnswered takes a worker's word on all that it runs.
+// PollAnswered handles the answer to a poll: the worker's listing of all that it runs. If another
+// incarnation of the worker answered than was polled, the polled one has ended.
 func (e *Engine) PollAnswered(poll *order.Hold, listing *order.Listing) {
 	if listing.Worker != "" {
 		e.handleRestart(poll.Worker, listing.Worker)
@@ -146,16 +147,16 @@
 	e.setPaces(w)
 }
 
-// beginListing takes that a worker tells for the first time what it runs, or again after all
-// on it was taken as over. What may be on its way to an earlier start of it is known as such
-// before the listing is looked at.
+// prepareFirstListing prepares the first listing of a worker, or the first one after all its
+// attempts were treated as ended. Orders that may be in flight to a previous incarnation are
+// transferred to this one first, so that the listing shows whether it runs them.
 func (e *Engine) prepareFirstListing(w *worker) {
 	e.retractCrash(w.ID)
 	e.endPreviousIncarnations(w)
 	e.waitForOtherLeases(w)
 }
 
-// runs takes an attempt that the worker says it runs.
+// handleRunning records an attempt that the worker reports as running.
 func (e *Engine) handleRunning(w *worker, running *order.Running) {
 	a := w.attempts.Get(running.Task)
 	if a == nil || a.run != running.Run {
@@ -168,7 +169,7 @@
 	if a.phase != phaseRunning {
 		a.phase = phaseRunning
 		a.percentChangedAt = e.now
-		// The order got no answer: from here on it is known to have come.
+		// The order was not answered: this listing is the first to show that it has arrived.
 		a.startConfirmedClock, a.startConfirmedAt = w.session.ListedClock(), e.now
 	}
 	if running.Percent != a.percent {
@@ -184,8 +185,8 @@
 	}
 }
 
-// adopt takes an attempt that an earlier owner started, or stops it when it is
-// of no use.
+// adopt records an attempt that a previous owner started, or stops it if the task does not need
+// it.
 func (e *Engine) adopt(w *worker, running *order.Running) *attempt {
 	s, t := e.findTask(running.Task)
 	if s == nil {
@@ -194,7 +195,7 @@
 		return nil
 	}
 	if previous := w.attempts.Get(running.Task); previous != nil {
-		// The worker has one run of a task at most: the other one is not there.
+		// A worker runs at most one attempt of a task, so the previous one is not there any more.
 		e.release(previous)
 		e.detachAttempt(previous)
 	}
@@ -232,6 +233,7 @@
 	return a
 }
 
+// charge charges an attempt to its worker, customer and job.
 func (e *Engine) charge(a *attempt) {
 	a.worker.attempts.Set(a.id, a)
 	a.worker.needsTick = true
@@ -240,7 +242,7 @@
 	a.step.job.attempts++
 }
 
-// ended takes an end, once.
+// handleEnd handles the end of an attempt that a worker reports, once for each end.
 func (e *Engine) handleEnd(w *worker, end *order.End) {
 	if !w.session.Take(end.Number) {
 		return
@@ -279,7 +281,7 @@
 	}
 }
 
-// endedDone takes a good end. a is the attempt that has ended, nil where it is not known.
+// handleSuccess handles a successful end. a is the attempt that has ended, nil if it is not known.
 func (e *Engine) handleSuccess(w *worker, s *step, end *order.End, a *attempt) {
 	e.counts.Done++
 	w.health.Succeeded(e.now)
@@ -300,8 +302,9 @@
 	}
 }
 
-// doneOnce notes that a task is done, and stops its attempts but the one that is. Its number does
-// not tell that one: an owner that does not know of it gives the same number to the next.
+// completeTask marks a task as done, and stops its attempts other than the one that has ended. The
+// run number does not identify that one: an owner that does not know of it gives the same number
+// to its own next attempt.
 func (e *Engine) completeTask(s *step, i int, finished *attempt) {
 	for _, a := range []*attempt{s.tasks[i].attempt, s.tasks[i].copy} {
 		if a != nil && a != finished {
@@ -337,7 +340,7 @@
 	}
 }
 
-// stopGang stops what is left of a run of a gang.
+// stopGang stops the remaining attempts of a run of a gang.
 func (e *Engine) stopGang(s *step, run uint64, reason string) {
 	for i := range s.tasks {
 		if a := s.tasks[i].attempt; a != nil && a.run == run {
@@ -346,9 +349,9 @@
 	}
 }
 
-// settleMissing settles the attempts that a listing should have and has not: those
-// whose start or stop was confirmed before the listing was asked for. The clock
-// in a listing does not tell when its content was put together.
+// reconcileMissing ends attempts that a listing should have and does not: those whose start or
+// stop was confirmed before the listing was requested. The clock in a listing does not show when
+// its content was put together, so the time of the request is compared instead.
 func (e *Engine) reconcileMissing(w *worker, listing *order.Listing, running map[work.TaskID]bool, askedAt time.Time) {
 	for id, a := range w.attempts.All() {
 		if running[id] {
--- a/internal/dispatch/not_running.go
+++ b/internal/dispatch/not_running.go
@@ -11,22 +11,25 @@
 )
 
 const (
-	// awayAfter is how long nothing of a task that lasts may run until a line tells it.
+	// notRunningLogAfter is how long a long-running task is not running before that is logged.
 	notRunningLogAfter = 3 * time.Second
-	// awayLogPause is the time between two lines on one step, and maxAwayLogged bounds the steps
-	// that are told of at once.
+	// notRunningLogInterval is the time between two lines on one step, and maxNotRunningLogged
+	// bounds the steps that are logged at once.
 	notRunningLogInterval = time.Second
 	maxNotRunningLogged   = 8
 )
 
-// supply counts the workers with room for a task of a step, by why it may not be started there.
+// availability counts the workers with free capacity for a task of a step, by whether and why not
+// the task may start there.
 type availability struct {
-	// roomy have room. Of these setAside get nothing because of their health, denied are known
-	// not to be permitted, unasked were never asked about, and ticketed hold a permission now.
+	// withCapacity counts all of them. Of these, ejected get nothing because of their health,
+	// denied are known not to be permitted, unqueried have not been part of a permission query,
+	// and permitted may start the task now.
 	withCapacity, ejected, denied, unqueried, permitted int
 }
 
-// logAway tells of which tasks that last nothing runs for long, and what might run them.
+// logNotRunning logs which long-running tasks have not been running for long, and which workers
+// could run them.
 func (e *Engine) logNotRunning() {
 	if e.now.Before(e.awayLogAt) {
 		return
@@ -44,7 +47,8 @@
 	}
 }
 
-// logAwayOf tells of the tasks of one step, in one line, and reports whether there was one.
+// logNotRunningStep logs this for the tasks of one step, in one line, and reports whether it wrote
+// one.
 func (e *Engine) logNotRunningStep(s *step) bool {
 	if !s.isOpen || s.job.state.IsFinal() {
 		return false
@@ -69,7 +73,7 @@
 	return true
 }
 
-// awayFor returns for how long nothing of a task is known to have run.
+// notRunningFor returns for how long no attempt of a task is known to have run.
 func (e *Engine) notRunningFor(s *step, t *task) time.Duration {
 	if t.state == taskDone || t.phase() == phaseRunning {
 		return 0
@@ -80,7 +84,7 @@
 	return e.now.Sub(s.openedAt)
 }
 
-// phase returns that of the task's attempt; empty when it has none.
+// phase returns the phase of the task's attempt; empty if it has none.
 func (t *task) phase() phase {
 	if t.attempt == nil {
 		return ""
@@ -88,6 +92,7 @@
 	return t.attempt.phase
 }
 
+// availabilityOf counts the workers on which a task of the step could start.
 func (e *Engine) availabilityOf(s *step) availability {
 	counts := availability{}
 	q, ok := e.queues[s.job.spec.Queue]
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -9,53 +9,54 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// How workers are asked for listings.
+// Waits, timeouts and rates of the polls by which workers are asked for their listings.
 const (
-	// busyWait is how long a worker with tasks waits for an end, idleWait one
-	// without. Progress and tails are only told by listings; the worker accepts
-	// 2 s at most.
+	// busyPollWait is how long a long poll may wait for a task to end on a worker with tasks,
+	// idlePollWait on one without. Progress and tail latencies are only reported in listings.
+	// Workers accept a wait of 2 s at most.
 	busyPollWait = 500 * time.Millisecond
 	idlePollWait = 2 * time.Second
-	// listingRate is how many listings a second are asked for only to hear of progress.
-	// With more workers each waits longer for an end, up to idleWait; ends are told at once
-	// in any case.
+	// maxPollRate is how many polls a second are sent only to learn of progress. With more workers
+	// than that allows, each poll waits longer, up to idlePollWait; the end of a task is reported
+	// at once in any case.
 	maxPollRate = 1000
-	// lossyWait is for a worker with tasks for lossyTime after an answer was lost: an
-	// end is not told while the engine waits for an answer that does not come.
+	// lossyPollWait is the wait for a worker with tasks during lossyPeriod after an answer was
+	// lost: no end can be reported while the engine waits for an answer that does not arrive.
 	lossyPollWait = 150 * time.Millisecond
 	lossyPeriod   = 5 * time.Second
-	// holdPatiences is how many times as long as an order to start a listing may
-	// stay without an answer, besides its wait, and shortestHoldPatience the least.
+	// A poll may stay unanswered for its wait and pollTimeoutFactor times the timeout of an order
+	// to start, or for its wait and minPollTimeout if that is longer.
 	pollTimeoutFactor = 3
 	minPollTimeout    = 150 * time.Millisecond
-	// pacedWait is for a worker on which tasks disturb each other.
+	// pacedPollWait is the wait for a worker on which tasks disturb each other.
 	pacedPollWait = 500 * time.Millisecond
-	// confirmWait is the longest that a listing waits for ends to be kept: the
-	// store may be out, and progress and new ends are worth telling again.
+	// maxConfirmWait is the longest that the next poll is delayed until the ends of attempts
+	// reported so far are persisted. The store may be unavailable for longer, and progress and new
+	// ends are needed even if the worker reports the old ends again with them.
 	maxConfirmWait = 400 * time.Millisecond
-	// firstPatience is how long the first listing of a worker may take until another
-	// one is asked for beside it: until it is there, what an earlier owner started on
-	// the worker is not known.
+	// firstListingTimeout is how long the first listing of a worker may take until another poll is
+	// sent beside it: until a listing has arrived, it is not known what a previous owner started
+	// on the worker.
 	firstListingTimeout = 200 * time.Millisecond
 )
 
-// hold asks for the next listing of a worker.
+// longPoll sends the next long poll to a worker, unless one is outstanding.
 func (e *Engine) longPoll(w *worker) {
 	if w.session.IsWaiting() {
 		return
 	}
 	w.session.Wait(e.now)
 	poll := order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), Wait: e.longPollWait(w), Patience: e.pollTimeout(), AskedAt: e.now}
-	// The lease of a worker that does not answer is left to end: where its tasks
-	// may run is known the sooner.
+	// The lease of a worker that does not answer is not renewed: the sooner it expires, the sooner
+	// it is certain that its tasks have ended.
 	if !w.session.HeardAt().IsZero() && e.isTrusted && !w.session.HasMissed() {
 		poll.Deadline = w.session.Renew(e.now)
 	}
 	e.do(poll)
 }
 
-// look asks for a listing at once, or as soon as the last such question is
-// answered or overdue: an answer may be lost.
+// pollNow polls a worker for an immediate answer. If such a poll is outstanding, this waits until
+// that one is answered or overdue: an answer may be lost.
 func (e *Engine) pollNow(w *worker) {
 	if !w.session.Look(e.now) {
 		w.needsTick = true
@@ -64,11 +65,12 @@
 	e.do(order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), IsLook: true, Patience: e.pollTimeout(), AskedAt: e.now})
 }
 
-// holdPatience returns how much longer than it waits a listing may take.
+// pollTimeout returns how much longer than its wait a poll may take.
 func (e *Engine) pollTimeout() time.Duration {
 	return max(pollTimeoutFactor*e.answers.Patience(), minPollTimeout)
 }
 
+// longPollWait returns how long the worker may wait for an end before it answers a long poll.
 func (e *Engine) longPollWait(w *worker) time.Duration {
 	switch {
 	case !w.session.IsListed() || w.session.HasMissed():
@@ -91,7 +93,7 @@
 	return min(max(busyPollWait, time.Duration(e.workers.Len())*time.Second/maxPollRate), idlePollWait)
 }
 
-// PollFailed says that a listing did not come.
+// PollFailed handles a poll that was not answered.
 func (e *Engine) PollFailed(poll *order.Hold) {
 	w := e.workers.Get(poll.Worker)
 	if w == nil {
@@ -112,6 +114,7 @@
 	e.finishPoll(w, poll.IsLook)
 }
 
+// finishPoll records that a poll is no longer outstanding, and sends the next one where it is due.
 func (e *Engine) finishPoll(w *worker, isImmediate bool) {
 	if isImmediate {
 		w.session.LookAnswered()
@@ -126,14 +129,16 @@
 		return
 	}
 	if !w.session.AreConfirmed() {
-		// Until the ends are confirmed the worker would tell them again at once.
+		// Until the ends are confirmed, the worker would answer the next poll at once with the
+		// same ends.
 		w.session.RestUntil(e.now.Add(maxConfirmWait))
 		return
 	}
 	e.longPoll(w)
 }
 
-// confirm lets a worker forget ends, and asks it for the next.
+// confirmEnds confirms the ends up to a number, so that the worker can forget them, and sends it
+// the next poll.
 func (e *Engine) confirmEnds(w *worker, number uint64) {
 	w.session.Confirm(number)
 	if !w.session.IsSilent() && w.session.AreConfirmed() && e.workers.Get(w.ID) == w {
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -11,54 +11,58 @@
 	"github.com/leverdyke/leverdyke/internal/outlier"
 )
 
-// Limits by which attempts are judged from the progress that workers tell.
+// Limits for judging attempts by the progress that workers report.
 const (
-	// stuckLeast and stuckShare are how long a task may show no progress: the
-	// least, and a share of the time that it should take. The shortest tasks take
-	// 0.8 s, so that one percent takes 64 ms on a worker that is eight times slower.
+	// A task is stuck when it shows no progress for minStuckTimeout plus stuckFraction of its
+	// expected duration. The shortest tasks take 0.8 s, so that one percent takes 64 ms on a
+	// worker that is eight times slower.
 	minStuckTimeout = 600 * time.Millisecond
 	stuckFraction   = 0.15
-	// stuckFiller is for tasks that only get what others leave.
+	// bestEffortStuckTimeout is for best-effort tasks, which only get the processor time that
+	// others leave.
 	bestEffortStuckTimeout = 8 * time.Second
-	// stuckLasting is for a lasting task that does not get to work, and provenLasting how long one
-	// is at work until the trial of its worker has gone well.
+	// longRunningStuckTimeout is for a long-running task that does not get to work.
+	// longRunningProbation is how long one must be at work for its worker to pass its probation.
 	longRunningStuckTimeout = 4 * time.Second
 	longRunningProbation    = time.Second
-	// nearlyDone is the percent from which a task may take its time: it is longer
-	// than the worker thought. stuckEnd is how long.
+	// nearlyDonePercent is the progress from which a task may show none for longer, because it
+	// takes longer than the worker estimated; nearlyDoneStuckTimeout is how long.
 	nearlyDonePercent      = 98
 	nearlyDoneStuckTimeout = 4 * time.Second
-	// worthRatio is how much sooner another attempt must be done to be worth it.
+	// replacementGain is how many times as long as a replacement an attempt must still take for
+	// the replacement to be worth it.
 	replacementGain = 1.3
-	// maxRescues bounds the attempts of a task that are stopped as too slow.
+	// maxReplacements is how many attempts of a task may have been stopped as stuck or too slow
+	// until further slow ones are left alone.
 	maxReplacements = 2
-	// trustedRuns is how many done tasks of a step make its time known, if they are
-	// half of it.
+	// minTrustedTasks is how many done tasks of a step make its duration known, if they are half
+	// of its tasks.
 	minTrustedTasks = 2
 )
 
-// expected returns how long a task of the step should take on a sound worker, by
-// those of it that are done, or by the caller's estimate, corrected by what the
-// tasks of the queue took; 0 when nothing is known.
+// expectedDuration returns how long a task of the step should take on a healthy worker, by the
+// step's tasks that are done, or by the caller's estimate, corrected by how long tasks of the
+// queue took; 0 if neither is known.
 func (e *Engine) expectedDuration(s *step) time.Duration {
 	if s.doneTasks > 0 {
-		// The first to be done are the shortest: they do not lower the estimate.
+		// The first tasks to be done are the shortest: they must not lower the estimate.
 		return max(s.doneRunTime/time.Duration(s.doneTasks), e.correctedEstimate(s))
 	}
 	return e.correctedEstimate(s)
 }
 
-// estimated returns the caller's estimate, corrected.
+// correctedEstimate returns the caller's estimate, corrected by how long tasks of the queue took.
 func (e *Engine) correctedEstimate(s *step) time.Duration {
 	return e.estimates[s.job.spec.Queue].Correct(s.spec.Estimate)
 }
 
-// isTrustedTime reports whether expected is good enough to judge a single task.
+// isDurationTrusted reports whether expectedDuration is accurate enough to judge a single task by
+// it.
 func (e *Engine) isDurationTrusted(s *step) bool {
 	return s.doneTasks >= max(minTrustedTasks, len(s.tasks)/2) || s.spec.Estimate > 0 && e.estimates[s.job.spec.Queue].IsTrusted()
 }
 
-// learn takes the time that a task took from its order to its end.
+// learnDuration records the time that a task took from its order to its end.
 func (e *Engine) learnDuration(a *attempt) {
 	s := a.step
 	if s == nil || s.spec.IsLasting || s.spec.IsFiller || a.isResumed || a.isAdopted {
@@ -74,7 +78,7 @@
 	e.durationsOf(s).Learn(e.now, took, s.spec.Estimate)
 }
 
-// durations returns what is learned of the run times of a step's queue.
+// durationsOf returns the statistics of run times of the step's queue.
 func (e *Engine) durationsOf(s *step) *estimate.Durations {
 	queue := s.job.spec.Queue
 	if e.estimates[queue] == nil {
@@ -83,8 +87,8 @@
 	return e.estimates[queue]
 }
 
-// checkTrial ends the trial of a worker when a task that lasts is at work there: it has no good
-// end.
+// checkProbation ends the probation of a worker when a long-running task is at work there: such a
+// task has no successful end that would do so.
 func (e *Engine) checkProbation(a *attempt) {
 	health := &a.worker.health
 	isAtWork := a.phase == phaseRunning && !a.isStopping && a.step != nil && a.step.spec.IsLasting && a.percent >= 100
@@ -93,20 +97,21 @@
 	}
 }
 
-// checkProgress gives a task another chance elsewhere when its attempt stands
-// still, or goes on so slowly that another one would be done sooner.
+// checkProgress replaces an attempt that is stuck, or so slow that another one would be done
+// earlier.
 func (e *Engine) checkProgress(a *attempt) {
 	if a.phase != phaseRunning || a.isStopping || a.isReplaced || a.step == nil || a.step.spec.IsLasting && a.percent >= 100 {
 		return
 	}
-	// Progress is only known from listings: a silent worker is no stuck task.
+	// Progress is only known from listings, so that time without a listing does not count: a
+	// silent worker does not mean that its tasks are stuck.
 	stalledFor := a.worker.session.ListedAt().Sub(a.percentChangedAt)
 	if stalledFor >= e.stuckTimeout(a) && a.pace == fullPace {
 		e.options.Log(events.AttemptStuck, "task", a.id, "run", a.run, "worker", a.worker.ID, "percent", a.percent, "for", stalledFor, "expected", e.expectedDuration(a.step))
 		if !a.step.spec.IsFiller {
 			a.worker.health.SetAside(e.now)
 		}
-		e.replace(a, "stands still")
+		e.replace(a, "no progress")
 		return
 	}
 	if (a.worker.speed.IsSlow(e.now) || e.isDurationTrusted(a.step)) && e.isWorthReplacing(a) {
@@ -114,6 +119,7 @@
 	}
 }
 
+// stuckTimeout returns how long the attempt may show no progress.
 func (e *Engine) stuckTimeout(a *attempt) time.Duration {
 	s := a.step
 	switch {
@@ -128,7 +134,7 @@
 	return minStuckTimeout + time.Duration(stuckFraction*float64(expected))
 }
 
-// isWorthReplacing reports whether another attempt would be done much sooner.
+// isWorthReplacing reports whether another attempt would be done much earlier.
 func (e *Engine) isWorthReplacing(a *attempt) bool {
 	s := a.step
 	if s.spec.IsLasting || s.spec.IsFiller || s.spec.IsGang || a.hasCopy() {
@@ -146,8 +152,8 @@
 	return float64(remaining) > replacementGain*float64(replacement)
 }
 
-// replace starts a copy of the task, or stops the attempt so that the task can
-// start elsewhere.
+// replace requests a speculative copy of the task or, where that is not allowed, stops the attempt
+// so that the task can start elsewhere.
 func (e *Engine) replace(a *attempt, reason string) {
 	a.isReplaced = true
 	t := &a.step.tasks[a.id.Index]
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -12,26 +12,29 @@
 	"github.com/leverdyke/leverdyke/internal/stray"
 )
 
-// A worker may start again under its name. Each start is a worker of its own here, so that
-// nothing that is known of one is taken for another's: order.WorkerID. What outlasts a start
-// is on its way to it. An order reaches whichever start is there when it comes, and a newer
-// one carries it out: it knows no fence and no run that was stopped, and by its clock the end
-// of the lease lies far ahead.
+// A worker may restart under its name. Each incarnation is a worker of its own here (see
+// order.WorkerID), so that nothing known about one is applied to another. Only what is in flight
+// outlasts an incarnation: an order reaches whichever incarnation is running when it arrives. A
+// newer one would carry it out, because it knows neither the fencing token nor the runs that were
+// stopped, and because by its clock, which started anew, the end of the lease in the order lies
+// far in the future.
 
-// mayBeOnItsWay reports whether the order to start may not have come to the worker yet:
-// it has not told that it has.
+// mayBeInFlight reports whether the order to start may not have arrived yet: the worker has not
+// reported the attempt.
 func (a *attempt) mayBeInFlight() bool { return a.mayHaveRun() && !a.isAcknowledged && !a.isAdopted }
 
-// refuseStrays makes orders that were given up be refused by a start of a worker that has just
-// become known, or by one that may have begun since the worker was heard last: it is told so
-// before it is known, as such an order may be the first to reach it.
+// refuseAbandoned makes an incarnation of a worker refuse abandoned orders to start. It is called
+// for one that has just become known, and when a worker does not answer, so that a newer one may
+// have begun. The refusals are sent before that one is known, as an abandoned order may be the
+// first message to reach it.
 func (e *Engine) refuseAbandoned(w *worker) {
 	w.refusals.Add(e.strays.Of(w.ID, e.now))
 	w.needsTick = w.needsTick || w.refusals.HasAny()
 	e.sendRefusals(w)
 }
 
-// stopStrays tells a worker again to refuse the orders of which it has not said that it does.
+// sendRefusals tells the worker to refuse abandoned orders, again and again until it has confirmed
+// that it does.
 func (e *Engine) sendRefusals(w *worker) {
 	if !w.refusals.HasAny() {
 		return
@@ -41,9 +44,9 @@
 	}
 }
 
-// startedAgain takes that another start of a worker has answered than the one that was
-// asked: that one is over. The platform's list may not have the newer one yet; it is asked
-// what it runs at once, and gets nothing new before.
+// handleRestart handles an answer from another incarnation of a worker than the one that was
+// polled: that one has ended. The platform's list may not have the newer one yet; it is polled at
+// once for what it runs, and gets nothing new before it has answered.
 func (e *Engine) handleRestart(id, newID order.WorkerID) {
 	old := e.workers.Get(id)
 	if old == nil {
@@ -59,10 +62,11 @@
 	e.endIncarnation(id, successor)
 }
 
-// inheritFrom makes a newer start of a worker responsible for what may be on its way to an
-// earlier one: these attempts keep their room and their tasks until the newer start has told
-// whether it runs them, and refuses them otherwise. Such an order brings the end of a lease by the
-// earlier clock, also where it is refused.
+// transferInFlight transfers the attempts whose orders may be in flight from a previous
+// incarnation of a worker to a newer one. They keep their resources and their tasks until the
+// newer one has reported whether it runs them; if it does not, it refuses them from then on. Each
+// such order extends the worker's lease by the clock of the previous incarnation, even if it is
+// refused, so that the longest possible lease has to be waited for.
 func (e *Engine) transferInFlight(old, successor *worker) {
 	for id, a := range old.attempts.All() {
 		if a.mayBeInFlight() && successor.attempts.Get(id) == nil {
@@ -74,13 +78,14 @@
 		successor.session.WaitFor(o.Until.Add(session.AnyBound))
 	}
 	if old.session.IsWaiting() && !old.session.HasMissed() {
-		// So may a question that is on its way: the owner did not know of the newer start.
+		// A poll in flight may do so, too: the owner did not know of the newer incarnation when it
+		// sent the poll.
 		successor.session.WaitFor(e.now.Add(session.AnyBound))
 	}
 }
 
-// move makes an attempt one of another start of its worker, which may carry out the order
-// or not.
+// transferAttempt transfers an attempt to another incarnation of its worker, which may or may not
+// carry out the order.
 func (e *Engine) transferAttempt(a *attempt, successor *worker) {
 	a.worker.attempts.Delete(a.id)
 	a.worker.used = a.worker.used.Sub(a.charge)
@@ -96,8 +101,8 @@
 	}
 }
 
-// settleStarts settles what earlier owners may have started on any start of a worker that
-// has told what it runs.
+// resolveIncarnations resolves what previous owners may have started on any incarnation of a
+// worker that has sent its listing.
 func (e *Engine) resolveIncarnations(w *worker) {
 	for id := range e.unsettled.All() {
 		switch {
@@ -110,8 +115,8 @@
 	}
 }
 
-// waitForOthers waits for leases that an earlier owner may have given by the clock of an
-// earlier start: it had tasks there.
+// waitForOtherLeases waits for leases that a previous owner may have given by the clock of another
+// incarnation, on which it may have started tasks.
 func (e *Engine) waitForOtherLeases(w *worker) {
 	for id := range e.unsettled.All() {
 		if id.IsOtherStart(w.ID) {
@@ -120,7 +125,7 @@
 	}
 }
 
-// isUnsettled reports whether an earlier owner may have started tasks on any start of a
+// hasUnresolved reports whether a previous owner may have started tasks on any incarnation of a
 // worker.
 func (e *Engine) hasUnresolved(worker order.WorkerID) bool {
 	for id := range e.unsettled.All() {
@@ -131,7 +136,8 @@
 	return false
 }
 
-// otherStart returns the entry of another start of a worker; nil when the list has none.
+// otherIncarnation returns the list's entry of another incarnation of a worker, nil if there is
+// none.
 func otherIncarnation(list []order.Worker, id order.WorkerID) *order.Worker {
 	for i := range list {
 		if !list[i].IsRemoved && list[i].ID.IsOtherStart(id) {
--- a/internal/dispatch/speed.go
+++ b/internal/dispatch/speed.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// judgeAfter is the least time after which the whole of an attempt tells its rate:
-	// percents are whole numbers.
+	// minRateTime is the least time after which the average rate of an attempt is usable: progress
+	// is reported in whole percents.
 	minRateTime = 300 * time.Millisecond
-	// slowestRate is the least rate that is believed, in percent a second: what stands
-	// still is judged otherwise.
+	// minRate is the least rate that projections use, in percent a second. Attempts without
+	// progress are detected by stuckTimeout instead.
 	minRate = 1.0
 )
 
-// projected returns how long the attempt will take in all at its last rate, or at
-// that so far; 0 when that cannot be told yet.
+// projectedDuration returns how long the attempt will take in all, by its latest rate or else by
+// its average one; 0 if that is not known yet.
 func (a *attempt) projectedDuration() time.Duration {
 	elapsed := a.worker.session.ListedAt().Sub(a.orderedAt)
 	rate, hasRate := a.progress.Rate()
@@ -36,9 +36,8 @@
 	return time.Duration(float64(elapsed) * 100 / max(float64(a.percent), 1))
 }
 
-// judgeSpeed finds out from a listing whether a worker is slow: whether most of
-// its tasks seem to take far too long, of two steps at least or of one whose time
-// is known well.
+// detectSlowWorker judges from a listing whether a worker is slow: whether most of its tasks are
+// likely to take far too long, of two steps at least or of one whose duration is known well.
 func (e *Engine) detectSlowWorker(w *worker) {
 	judged, slow := 0, 0
 	var slowStep *step
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -17,58 +17,63 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// worker is one start of a worker with the attempts that are charged to it.
+// worker is one incarnation of a worker, with the attempts that are charged to it.
 type worker struct {
 	order.Worker
 	attempts ordered.Map[work.TaskID, *attempt]
-	// used is the sum of what the attempts are charged.
+	// used is the sum of the charges of its attempts.
 	used leverdyke.Resources
-	// reserved is kept for others that wait; it is complete at reservedAt, which is zero
-	// when none is.
+	// reservations are the resources kept free for waiting steps. All of them are available at
+	// reservationsReadyAt, which is zero if there are none.
 	reservations        []reservation
 	reservationsReadyAt time.Time
-	// foreign are attempts of which nothing is known, so that their size is not
-	// known either: while there are any, the worker gets nothing new.
+	// unknownRuns has the runs, by task, that the worker reports of tasks unknown to this engine.
+	// What they need is not known either, so the worker gets nothing new while there are any.
 	unknownRuns map[work.TaskID]uint64
-	// session is what this start of the worker has told.
+	// session has the lease, the listings, the reported ends and the polls of this incarnation.
 	session session.Session
-	// isGone means that the platform's list no longer has it; hasLeft that it was
-	// removed because the worker has ended as planned.
+	// isUnlisted means that the platform's list no longer has the worker, or that this incarnation
+	// has ended. hasShutDown means that its entry was removed because it shut down as planned.
 	isUnlisted, hasShutDown bool
-	// isLeaving means that the list lost it while it answered: it ends as planned.
+	// isShuttingDown means that its entry disappeared while it still answered polls: it shuts down
+	// as planned.
 	isShuttingDown bool
-	// isSuperseded means that the list has another start of the worker in its place.
+	// isSuperseded means that the list has another incarnation of the worker in its place.
 	isSuperseded bool
-	// refusals are orders that may still come and that it is told to refuse.
+	// refusals are abandoned orders to start that may still arrive and that the worker is told to
+	// refuse.
 	refusals stray.Refusals
 	health   outlier.Health
-	// tickedAt is when it was looked at last by time alone. isRestless means that it is to
-	// be at the next tick: something on it is under way.
+	// tickedAt is when tickWorker last ran for the worker. needsTick makes it run at the next
+	// tick, because something on the worker is in progress.
 	tickedAt  time.Time
 	needsTick bool
 	speed     outlier.Speed
-	// orderedAt is when a start was planned or ordered last, triedAt when that was of a task
-	// that may crash it; until trialUntil it gets nothing else.
+	// lastStartAt is when a start on the worker was last planned or ordered, lastSuspectAt when
+	// that was of a task suspected of crashing its workers. Until isolatedUntil the worker gets
+	// nothing else, so that a crash can be attributed to the suspect.
 	lastStartAt, lastSuspectAt, isolatedUntil time.Time
-	// keptFor is the step for which the worker is kept until keptUntil.
+	// exclusiveStep is the only step whose tasks the worker may get until exclusiveUntil.
 	exclusiveStep  *step
 	exclusiveUntil time.Time
 }
 
-// phase is where an attempt is.
+// phase is the stage of an attempt, from planned to running.
 type phase string
 
 const (
-	// phasePlanned means that its place is not kept yet: nothing was ordered.
+	// phasePlanned means that the start has not been ordered: the placement is still to be
+	// persisted, or too many orders are without an answer.
 	phasePlanned phase = "planned"
-	// phaseOrdered means that the order is on its way.
+	// phaseOrdered means that the start was ordered and its answer is awaited.
 	phaseOrdered phase = "ordered"
-	// phaseDoubtful means that the order got no answer and may be carried out.
+	// phaseUnacknowledged means that the order was not answered; it may have been carried out, or
+	// may be later.
 	phaseUnacknowledged phase = "doubtful"
 	phaseRunning        phase = "running"
 )
 
-// attempt is a start of a task that is not known to be over.
+// attempt is a start of a task, from its planning until it is known to have ended.
 type attempt struct {
 	id     work.TaskID
 	step   *step
@@ -76,42 +81,53 @@
 	worker *worker
 	charge leverdyke.Resources
 	phase  phase
-	// orderedAt is when the order was sent; isHandedOut means that it has left the engine.
+	// orderedAt is when the start was planned and, from then on, when it was ordered. isSent means
+	// that Actions has returned the order, so that it can no longer be withdrawn.
 	orderedAt time.Time
 	isSent    bool
-	// doubtAt is when the order became doubtful.
+	// unacknowledgedAt is when the order became unacknowledged.
 	unacknowledgedAt time.Time
-	// startedAt is the worker's clock when it confirmed the start.
+	// startConfirmedClock is the worker's clock when it confirmed the start; 0 before.
 	startConfirmedClock order.WorkerTime
-	// startedOn and stopAckedOn are when the worker's word came, by the engine's
-	// time: only a listing that was asked for later can do without the attempt.
+	// startConfirmedAt and stopConfirmedAt are when these confirmations arrived, by the engine's
+	// time. A listing without the attempt proves that it has ended only if the listing was
+	// requested later than that.
 	startConfirmedAt, stopConfirmedAt time.Time
-	// isStopping means that it was told to stop; stopSentAt is when, last.
+	// isStopping means that the attempt was ordered to stop; stopSentAt is when that order was
+	// last sent.
 	isStopping bool
 	stopSentAt time.Time
 	stopReason string
-	// stopAckedAt is the worker's clock when it confirmed the stop; 0 before.
+	// stopConfirmedClock is the worker's clock when it confirmed the stop; 0 before.
 	stopConfirmedClock order.WorkerTime
-	percent            int
-	percentChangedAt   time.Time
-	progress           outlier.Progress
-	metric             int
-	pace               int
-	paceChangedAt      time.Time
-	// isTold means that this start of the worker has told of it: the order has come.
+	// percent is the reported progress. A long-running task is at work at 100.
+	percent          int
+	percentChangedAt time.Time
+	progress         outlier.Progress
+	// metric is the tail latency in ms that is reported for a task that serves users; for other
+	// tasks it is their processor use in thousandths.
+	metric int
+	// pace is the share of its full speed, in percent, that a best-effort task was ordered to work
+	// at.
+	pace          int
+	paceChangedAt time.Time
+	// isAcknowledged means that the order to start is known to have arrived at this incarnation of
+	// the worker, which has reported or refused the attempt.
 	isAcknowledged bool
-	// hasSaved means that it went on from where an earlier attempt was saved;
-	// isAdopted that an earlier owner started it.
+	// isResumed means that the attempt started from a checkpoint of an earlier one; isAdopted that
+	// a previous owner started it.
 	isResumed, isAdopted bool
-	// isReplaced means that it was judged as stuck or too slow.
+	// isReplaced means that the attempt was judged as stuck or too slow, and that a replacement
+	// was requested.
 	isReplaced bool
-	// isKept means that its place is in the store, isUnkept that it was ordered
-	// without.
+	// isPersisted means that the placement is in the store. isWriteBehind means that the start was
+	// ordered before that, and that the placement is still to be persisted.
 	isPersisted, isWriteBehind bool
 }
 
-// SetWorkers takes the platform's list, whole. isCertain is false while the list
-// may lack workers that live: then none is taken as gone.
+// SetWorkers applies the platform's list of workers; each call passes the whole list. isComplete
+// is false while the list may lack workers that still run: then a worker that is not in it is not
+// taken as removed.
 func (e *Engine) SetWorkers(list []order.Worker, isComplete bool) {
 	seen := make(map[order.WorkerID]bool, len(list))
 	hasUnclear := false
@@ -144,10 +160,12 @@
 	}
 }
 
-// unlisted takes that the list does not have a worker, but perhaps another start of it.
+// handleUnlisted handles a worker that is no longer in the list. replacement is the list's entry
+// of another incarnation of it, nil if there is none.
 func (e *Engine) handleUnlisted(w *worker, replacement *order.Worker) {
 	if replacement != nil && e.over[replacement.ID] {
-		// It has started again, and is about to write its entry.
+		// The list still has the entry of an incarnation that has ended: w is a newer one, which
+		// has not written its own entry yet.
 		return
 	}
 	w.isUnlisted, w.isSuperseded = true, replacement != nil
@@ -159,6 +177,7 @@
 	e.dropIfEmpty(w)
 }
 
+// updateWorker applies the list's entry of a worker.
 func (e *Engine) updateWorker(entry order.Worker) {
 	w := e.workers.Get(entry.ID)
 	if w == nil && entry.IsUnclear && !e.mayRunInherited(&entry) {
@@ -186,7 +205,7 @@
 	w.isUnlisted, w.isShuttingDown, w.isSuperseded = false, false, false
 }
 
-// addWorker takes a start of a worker that was not known, and asks what it runs.
+// addWorker adds an incarnation of a worker that was not known, and polls it for what it runs.
 func (e *Engine) addWorker(entry *order.Worker) *worker {
 	w := &worker{Worker: *entry, unknownRuns: map[work.TaskID]uint64{}, needsTick: true}
 	e.workers.Set(entry.ID, w)
@@ -197,24 +216,24 @@
 	return w
 }
 
-// mayRunOn reports whether a worker of which only an unclear entry is known may run
-// tasks of an earlier owner, and can be asked.
+// mayRunInherited reports whether a worker of which only an unclear entry is known can be polled,
+// and may run tasks that a previous owner started.
 func (e *Engine) mayRunInherited(entry *order.Worker) bool {
 	return entry.Addr.IsValid() && e.hasUnresolved(entry.ID)
 }
 
 const (
-	// heartbeatsMissed is how many heartbeats must stay away until the platform
+	// heartbeatsUntilRemoval is how many heartbeats in a row must be missing before the platform
 	// removes the entry of a silent worker.
 	heartbeatsUntilRemoval = 3
-	// removalSlack covers when heartbeats and removals are seen: the list is read
-	// every 0.4 s.
+	// removalSlack allows for the delay with which heartbeats and removals are seen: the list is
+	// read every 0.4 s.
 	removalSlack = time.Second
 )
 
-// entryRemoved takes the removal of an entry. One of a worker that drains and was
-// heard lately was removed because the worker has left, and nothing of it runs
-// any more; otherwise the worker may only be cut off.
+// handleEntryRemoved handles the removal of an entry. If the worker is draining and its last
+// heartbeat is recent, the entry was removed because the worker has shut down, and nothing runs on
+// it any more. Otherwise the worker may still run and only be unreachable.
 func (e *Engine) handleEntryRemoved(entry *order.Worker, isComplete bool) {
 	w := e.workers.Get(entry.ID)
 	if w == nil || !w.IsDraining || !isComplete || entry.HeartbeatAt.IsZero() {
@@ -233,8 +252,9 @@
 	e.pollNow(w)
 }
 
-// endEarlierLives ends the other lives of a machine, and the other starts of a worker, that
-// has answered. One in whose place the list has another start answers late.
+// endPreviousIncarnations ends the other workers on the machine of a worker that has answered, and
+// the other incarnations of that worker: at most one of all these is running. If the list has
+// another incarnation in its place, the answer is a late one and ends none of them.
 func (e *Engine) endPreviousIncarnations(w *worker) {
 	if w.isSuperseded {
 		return
@@ -245,13 +265,15 @@
 	e.confirmCrashes(w)
 }
 
-// IncarnationEnded says that a worker's life is over: nothing of it runs any more.
+// IncarnationEnded records that an incarnation of a worker has ended: nothing runs on it any more.
 func (e *Engine) IncarnationEnded(id order.WorkerID) { e.endIncarnation(id, nil) }
 
-// lifeOver is LifeOver of a worker after which next is there; nil when that is not known.
+// endIncarnation is IncarnationEnded with the worker that followed on the same machine or under
+// the same name; successor is nil if none is known.
 func (e *Engine) endIncarnation(id order.WorkerID, successor *worker) {
 	if successor == nil || !id.IsOtherStart(successor.ID) {
-		// Orders of an earlier owner may run on a newer start: it has to tell first.
+		// If the successor is another incarnation of the same worker, orders of a previous owner
+		// may have reached that one: its listing has to show it first.
 		e.resolveInherited(id, resolvedByIncarnationEnd)
 	}
 	e.over[id] = true
@@ -270,6 +292,7 @@
 	e.dropIfEmpty(w)
 }
 
+// dropIfEmpty removes a worker that is no longer listed, once nothing may run on it.
 func (e *Engine) dropIfEmpty(w *worker) {
 	if !w.isUnlisted || w.attempts.Len() > 0 || len(w.unknownRuns) > 0 {
 		return
@@ -281,15 +304,17 @@
 	e.index.remove(w)
 }
 
-// calmTick is the time between two looks at a worker on which nothing is under way: all
-// its attempts run, and a listing is on its way.
+// steadyTickInterval is the time between two ticks of a worker on which nothing is in progress:
+// all its attempts run, and a long poll is outstanding.
 const steadyTickInterval = 100 * time.Millisecond
 
-// isTickDue reports whether it is time to look at the worker.
+// isTickDue reports whether tickWorker is to run for the worker now.
 func (e *Engine) isTickDue(w *worker) bool {
 	return w.needsTick || e.now.Sub(w.tickedAt) >= steadyTickInterval
 }
 
+// tickWorker does what is due on a worker by time alone: polls, refusals, the expiry of its leases
+// and the timeouts of its attempts.
 func (e *Engine) tickWorker(w *worker) {
 	w.tickedAt = e.now
 	polls := &w.session.Polls
@@ -322,10 +347,11 @@
 	}
 }
 
+// tickAttempt does what is due on an attempt by time alone.
 func (e *Engine) tickAttempt(a *attempt) {
 	if a.phase == phasePlanned {
 		if !e.isReachable(a.worker) {
-			e.stop(a, "worker is not reached")
+			e.stop(a, "worker is unreachable")
 		}
 		return
 	}
@@ -348,9 +374,9 @@
 	e.checkProgress(a)
 }
 
-// doubt takes an order as one that may have been carried out or may be later.
-// Where the worker says that it runs, it is left alone; otherwise it is stopped,
-// which also keeps it from being carried out.
+// markUnacknowledged marks an order to start as unacknowledged: it may have been carried out, or
+// may be later. If the worker reports that the attempt runs, it is left alone; otherwise it is
+// stopped, which also makes the worker refuse the order if it arrives later.
 func (e *Engine) markUnacknowledged(a *attempt) {
 	a.phase = phaseUnacknowledged
 	a.unacknowledgedAt = e.now
@@ -361,13 +387,13 @@
 	e.pollNow(a.worker)
 }
 
-// Why all attempts on a worker are over.
+// Reasons why all attempts on a worker have ended; they are logged.
 const (
 	endedWithIncarnation = "life over"
 	endedByLeaseExpiry   = "leases lapsed"
 )
 
-// lapseAll takes all attempts of a worker as over.
+// endAllAttempts treats all attempts on a worker as ended.
 func (e *Engine) endAllAttempts(w *worker, reason string) {
 	e.logEndedAttempts(w, reason)
 	for _, a := range w.attempts.All() {
@@ -380,11 +406,11 @@
 	e.isDirty = true
 }
 
-// maxCutLogged bounds the lines on attempts that end with one worker: that is about as
-// many as it has, and a whole rack that goes writes some hundred lines.
+// maxEndedLogged bounds the log lines about attempts that end with one worker. A worker has about
+// as many, so that the loss of a whole rack writes some hundred lines.
 const maxEndedLogged = 20
 
-// logCut tells which attempts end with their worker, and how long they are known to have
+// logEndedAttempts logs which attempts end with their worker, and how long each is known to have
 // been on it.
 func (e *Engine) logEndedAttempts(w *worker, reason string) {
 	n := 0
@@ -396,7 +422,7 @@
 	}
 }
 
-// stop orders an attempt to stop, once.
+// stop orders an attempt to stop, unless that was done before.
 func (e *Engine) stop(a *attempt, reason string) {
 	if a.isStopping {
 		return
@@ -412,9 +438,9 @@
 	e.sendStop(a)
 }
 
-// takeBack takes back an order to start that has not left the engine, and reports whether
-// there was one: what ends between the order and its handing out would be started again,
-// as the last task of a job that is told to have succeeded.
+// withdrawStart withdraws an order to start that Actions has not returned yet, and reports whether
+// there was one. A task that ends between its order and the call of Actions would otherwise be
+// started again, for example the last task of a job that callers were told had succeeded.
 func (e *Engine) withdrawStart(a *attempt) bool {
 	if a.phase != phaseOrdered || a.isSent {
 		return false
@@ -440,13 +466,14 @@
 	e.doStop(a.worker, a.id, a.run)
 }
 
-// release gives back the room of an attempt.
+// release returns the resources of an attempt to its worker.
 func (e *Engine) release(a *attempt) {
 	w := a.worker
 	if w.attempts.Get(a.id) != a {
 		return
 	}
-	// An order that has not left would reach a newer start of the worker.
+	// An order that Actions has not returned yet would be sent to a newer incarnation of the
+	// worker.
 	e.withdrawStart(a)
 	w.attempts.Delete(a.id)
 	w.used = w.used.Sub(a.charge)
@@ -464,8 +491,8 @@
 	e.isDirty = true
 }
 
-// attemptOver makes the task of a released attempt wait again, if none of its attempts is
-// left: one that is not wanted and told to stop may still run.
+// detachAttempt removes a released attempt from its task, which waits again if it has no attempt
+// left. Unwanted attempts count for this: they were ordered to stop, but may still run.
 func (e *Engine) detachAttempt(a *attempt) {
 	if a.step == nil {
 		return
