--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -15,30 +15,32 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// taskState is where a task is.
+// taskState is the scheduling state of a task.
 type taskState string
 
 const (
 	taskWaiting taskState = "waiting"
-	// taskPlaced means that an attempt of it exists that is not known to be over.
+	// taskPlaced means that the task has an attempt that is not known to have ended.
 	taskPlaced taskState = "placed"
 	taskDone   taskState = "done"
 )
 
-// job is a job with all that is known of it.
+// job is a job and all that is known of its progress.
 type job struct {
 	spec  *work.Spec
 	state work.JobState
-	// isKept means that the job is in the store; until then nothing starts.
-	isKept bool
-	// isShown means that the final state is in the store; until then callers are
-	// told that the job runs.
-	isShown bool
-	// isInherited means that an earlier owner may have started tasks of it.
+	// isPersisted means that the job is in the store; nothing of it starts before that.
+	isPersisted bool
+	// isFinalPersisted means that the final state is in the store; until then callers see the job
+	// as running.
+	isFinalPersisted bool
+	// isInherited means that a previous owner may have started tasks of the job.
 	isInherited bool
-	// isInexact means that it had not kept all that it knew of them.
-	isInexact bool
-	// isDirty means that it is to be written, isUrgent that at once.
+	// mayHaveUnpersistedStarts means that it may have started some before their placements were
+	// persisted.
+	mayHaveUnpersistedStarts bool
+	// isDirty means that the job's progress is to be written, isUrgent that it must not wait for
+	// the next periodic batch.
 	isDirty, isUrgent bool
 	hasBegun          bool
 	acceptedAt        time.Time
@@ -47,115 +49,124 @@
 	roundsDone        work.StepProgress
 	nextRound         int
 	roundsLeft        int
-	// attempts counts those of which it is not known that they are over; idleAt is when there was
-	// one last.
-	attempts int
-	idleAt   time.Time
+	// attempts counts the attempts that are not known to have ended; idleSince is when the last
+	// one was released.
+	attempts  int
+	idleSince time.Time
 }
 
+// round is one repetition of a job's steps. A job that is not periodic has a single one.
 type round struct {
-	number int
-	dueAt  time.Time
-	steps  []*step
-	left   int
+	number    int
+	dueAt     time.Time
+	steps     []*step
+	stepsLeft int
 }
 
-// step is a step of one round.
+// step is a step in one round of a job.
 type step struct {
-	job    *job
-	round  *round
-	id     work.StepID
-	spec   *work.Step
-	tasks  []task
-	left   int
+	job       *job
+	round     *round
+	id        work.StepID
+	spec      *work.Step
+	tasks     []task
+	tasksLeft int
+	// isOpen means that all steps that this one depends on are done, so that its tasks may start.
 	isOpen bool
-	// isQueued means that it is in Engine.queue, priority is that of its job's queue when it
-	// was last looked at there.
+	// isQueued means that the step is in Engine.queue. priority is that of its job's queue as of
+	// the last scheduling pass.
 	isQueued bool
 	priority int
-	// rank is its place among those of its priority, worked out at rankedAt.
+	// rank orders the step among those of the same priority; it was computed at rankedAt.
 	rank     urgency.Rank
 	rankedAt time.Time
-	// chainEnd and leftEnd are of Engine.chain.
-	chainEnd, leftEnd time.Duration
-	// waiting counts the tasks in the state waiting.
+	// chainEnd and remainingEnd belong to the computation of a round's longest chain of dependent
+	// steps: how long a chain up to this step takes, in all and without the steps that are done.
+	chainEnd, remainingEnd time.Duration
+	// waiting counts the tasks in the state taskWaiting.
 	waiting int
-	openAt  time.Time
-	// mayTryEarly is Engine.mayTryEarly when it was looked at last.
-	mayTryEarly bool
-	// waitsFor is what its tasks waited for when it was looked at last.
-	waitsFor waits.Reason
-	// copiesWanted counts the tasks that want a copy.
+	// openedAt is when all steps that this one depends on were done.
+	openedAt time.Time
+	// mayProbeEarly means that, as of the last scheduling pass, tasks of the step may be started
+	// on ejected workers before their ejection time has ended.
+	mayProbeEarly bool
+	// waitReason is what its tasks were waiting for in the last scheduling pass.
+	waitReason waits.Reason
+	// copiesWanted counts the tasks that want a speculative copy.
 	copiesWanted int
-	// doneRuns and doneTime are of the tasks that are done.
-	doneRuns int
-	doneTime time.Duration
-	// permit is what is known of the workers that may run it.
-	permit permit.Step
-	// gangFailures counts the attempts of a gang in which a member failed.
-	gangFailures map[uint64]bool
+	// doneTasks and doneRunTime are the number and the summed run times of the tasks that have
+	// ended successfully and whose run time is known.
+	doneTasks   int
+	doneRunTime time.Duration
+	// permissions is what is known about which workers may run the step.
+	permissions permit.Step
+	// failedGangRuns has the runs of a gang in which a member failed.
+	failedGangRuns map[uint64]bool
 }
 
+// task is one task of a step, with the attempts at it.
 type task struct {
 	state   taskState
 	attempt *attempt
-	// run is the highest run of the task that is known.
+	// run is the highest run number of the task that is known.
 	run      uint64
 	failures []work.Failure
-	// crashes are the workers that crashed under it, crashedAt is when that was known last.
-	crashes   []work.Crash
-	crashedAt time.Time
-	saved     string
-	// avoid is where the task failed or hung last.
-	avoid order.WorkerID
-	// heldBy are workers on which an earlier owner may have started it.
-	heldBy []order.WorkerID
-	// copy is a second attempt beside the first; wantsCopy asks for one.
+	// crashes are the crashes of workers that had the task; lastCrashAt is when the last one was
+	// recorded.
+	crashes     []work.Crash
+	lastCrashAt time.Time
+	// checkpoint is the state that the task saved last; its next attempt resumes from it.
+	checkpoint string
+	// avoidWorker is where the task last failed, got stuck or was too slow.
+	avoidWorker order.WorkerID
+	// mayRunOn has the workers on which a previous owner may have started the task.
+	mayRunOn []order.WorkerID
+	// copy is a speculative copy, a second attempt that runs beside the first; wantsCopy requests
+	// one.
 	copy      *attempt
 	wantsCopy bool
-	// unwanted are attempts besides these that a worker has told of and that are stopped.
+	// unwanted are further attempts that workers have reported and that are being stopped.
 	unwanted []*attempt
-	// rescues counts attempts that were stopped as too slow.
-	rescues int
-	// failedAt is when an attempt failed last, ranAt when one that ran was over last.
-	failedAt, ranAt time.Time
-	// preemptions counts attempts that made way for a gang.
+	// replacements counts the attempts that were stopped as stuck or too slow.
+	replacements int
+	// lastFailedAt is when an attempt last failed, lastRanAt when one that ran was last released.
+	lastFailedAt, lastRanAt time.Time
+	// preemptions counts the attempts that were preempted.
 	preemptions int
 }
 
 const (
-	// soundPatience is how long a task with one attempt left waits for a worker that
-	// has not failed anything since its last success: with the last attempt the
-	// whole job fails.
-	soundPatience = 1500 * time.Millisecond
-	// otherPatience is how long a task that has failed waits for a worker on which it
-	// has not. Callers expect that nothing stands still for 3 s while there is room.
-	otherPatience = 2200 * time.Millisecond
-	// recheckPause is the time between two looks at tasks that wait while nothing
-	// happens.
-	recheckPause = 100 * time.Millisecond
+	// healthyWorkerTimeout is how long a task with one attempt left waits for a worker that has
+	// not failed anything since its last success: with the last attempt the whole job fails.
+	healthyWorkerTimeout = 1500 * time.Millisecond
+	// otherWorkerTimeout is how long a task that has failed waits for a worker on which it has
+	// not. Callers expect that no task stays not running for 3 s while there is free capacity.
+	otherWorkerTimeout = 2200 * time.Millisecond
+	// recheckInterval is the time between two scheduling passes over waiting tasks while no event
+	// causes one.
+	recheckInterval = 100 * time.Millisecond
 )
 
-// mayTry reports whether a task that has failed, or may crash its workers, may start on
-// the worker now.
-func (e *Engine) mayTry(w *worker, s *step, t *task) bool {
-	if !e.mayTryNow(w, t) {
+// mayRetryOn reports whether a task that has failed, or is suspected of crashing its workers, may
+// start on the worker now.
+func (e *Engine) mayRetryOn(w *worker, s *step, t *task) bool {
+	if !e.mayRunSuspect(w, t) {
 		return false
 	}
 	if len(t.failures) == 0 || s.spec.IsLongRunning {
 		return true
 	}
-	if e.needsSound(s, t) && !w.health.IsSound(e.now) {
+	if e.needsHealthyWorker(s, t) && !w.health.IsSound(e.now) {
 		return false
 	}
 	failedHere := slices.ContainsFunc(t.failures, func(f work.Failure) bool { return f.Worker == string(w.ID) })
-	return !failedHere || e.now.Sub(t.failedAt) >= otherPatience
+	return !failedHere || e.now.Sub(t.lastFailedAt) >= otherWorkerTimeout
 }
 
-// needsSound reports whether a task still waits for a worker that has failed nothing
-// lately, since the job fails with its next failure.
-func (e *Engine) needsSound(s *step, t *task) bool {
-	return len(t.failures) > 0 && e.isLastAttempt(s, t) && e.now.Sub(t.failedAt) < soundPatience
+// needsHealthyWorker reports whether a task still waits for a worker that has not failed anything
+// lately, because the job fails with the task's next failure.
+func (e *Engine) needsHealthyWorker(s *step, t *task) bool {
+	return len(t.failures) > 0 && e.isLastAttempt(s, t) && e.now.Sub(t.lastFailedAt) < healthyWorkerTimeout
 }
 
 // isLastAttempt reports whether the job fails if the task fails once more.
@@ -164,13 +175,14 @@
 	return limit > 0 && !s.spec.IsLongRunning && limit-s.failuresOf(t) <= 1
 }
 
-// AddJob takes a job that is to be kept. It reports whether the job is new; a
-// job that is known is left as it is. The job starts when its batch is committed.
+// AddJob adds a job, which goes into the next batch, and reports whether it is new. A job that is
+// known is not added again; if it was cancelled before it was submitted, it becomes cancelled. The
+// job starts when its batch is committed.
 func (e *Engine) AddJob(spec *work.Spec) bool {
 	if j, ok := e.jobs[spec.ID]; ok {
 		if j.state == work.JobWithdrawn {
-			j.state, j.isShown = work.JobCancelled, false
-			e.hurry(j)
+			j.state, j.isFinalPersisted = work.JobCancelled, false
+			e.markUrgent(j)
 		}
 		return false
 	}
@@ -182,7 +194,7 @@
 	return true
 }
 
-// RestoreJob takes a job that the store has, with its progress, which may be nil.
+// RestoreJob adds a job that was read from the store, with its progress, which may be nil.
 func (e *Engine) RestoreJob(spec *work.Spec, p *work.Progress) {
 	if _, ok := e.jobs[spec.ID]; ok {
 		return
@@ -191,9 +203,9 @@
 	j.acceptedAt = e.acceptedBefore(spec.AcceptedAt)
 	e.jobs[spec.ID] = j
 	if p != nil {
-		e.restore(j, p)
+		e.restoreProgress(j, p)
 	}
-	j.isKept = j.state != work.JobWithdrawn
+	j.isPersisted = j.state != work.JobWithdrawn
 	if j.state.IsFinal() {
 		return
 	}
@@ -207,10 +219,11 @@
 	}
 }
 
-func (e *Engine) restore(j *job, p *work.Progress) {
+// restoreProgress restores the state of a job that was read from the store.
+func (e *Engine) restoreProgress(j *job, p *work.Progress) {
 	j.state = p.State
 	if p.State.IsFinal() {
-		j.isShown, j.endedAt = true, e.now
+		j.isFinalPersisted, j.endedAt = true, e.now
 		return
 	}
 	j.roundsDone = p.RoundsDone
@@ -233,7 +246,7 @@
 		s.tasks[i].run = p.Run
 		if p.IsDone(i) && s.tasks[i].state == taskWaiting {
 			s.tasks[i].state = taskDone
-			s.left--
+			s.tasksLeft--
 			s.waiting--
 			s.job.hasBegun = true
 		}
@@ -248,19 +261,19 @@
 			e.restoreCrash(s, c)
 		}
 	}
-	for i, text := range p.Checkpoints {
+	for i, checkpoint := range p.Checkpoints {
 		if i >= 0 && i < len(s.tasks) {
-			s.tasks[i].saved = text
+			s.tasks[i].checkpoint = checkpoint
 		}
 	}
-	for _, place := range p.Placements {
-		if place.Index >= 0 && place.Index < len(s.tasks) {
-			s.tasks[place.Index].run = max(s.tasks[place.Index].run, place.Run)
-			e.holdTask(work.TaskID{Job: s.id.Job, Round: s.id.Round, Step: s.id.Step, Index: place.Index}, order.WorkerID(place.Worker))
+	for _, placement := range p.Placements {
+		if placement.Index >= 0 && placement.Index < len(s.tasks) {
+			s.tasks[placement.Index].run = max(s.tasks[placement.Index].run, placement.Run)
+			e.addInheritedTask(work.TaskID{Job: s.id.Job, Round: s.id.Round, Step: s.id.Step, Index: placement.Index}, order.WorkerID(placement.Worker))
 		}
 	}
-	if s.left == 0 {
-		s.round.left--
+	if s.tasksLeft == 0 {
+		s.round.stepsLeft--
 	}
 }
 
@@ -295,12 +308,12 @@
 }
 
 func (e *Engine) openRound(j *job, k int) *round {
-	r := &round{number: k, dueAt: j.dueAt(k), left: len(j.spec.Steps)}
+	r := &round{number: k, dueAt: j.dueAt(k), stepsLeft: len(j.spec.Steps)}
 	for i := range j.spec.Steps {
 		spec := &j.spec.Steps[i]
 		s := &step{
 			job: j, round: r, id: work.StepID{Job: j.spec.ID, Round: k, Step: i}, spec: spec,
-			tasks: make([]task, spec.Count), left: spec.Count, waiting: spec.Count,
+			tasks: make([]task, spec.Count), tasksLeft: spec.Count, waiting: spec.Count,
 		}
 		for t := range s.tasks {
 			s.tasks[t].state = taskWaiting
@@ -311,7 +324,7 @@
 	return r
 }
 
-// openSteps opens the steps whose earlier steps are all done.
+// openSteps opens the steps of which all dependencies are done.
 func (e *Engine) openSteps(r *round) {
 	if r == nil {
 		return
@@ -321,7 +334,7 @@
 			continue
 		}
 		s.isOpen = true
-		s.openAt, s.waitsFor = e.now, waits.Priority
+		s.openedAt, s.waitReason = e.now, waits.Priority
 		e.enqueue(s)
 		e.isDirty = true
 	}
@@ -329,15 +342,15 @@
 
 func (r *round) areDone(steps []int) bool {
 	for _, i := range steps {
-		if r.steps[i].left > 0 {
+		if r.steps[i].tasksLeft > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// find returns the step and the task, or nil when there is none.
-func (e *Engine) find(id work.TaskID) (*step, *task) {
+// findTask returns the step and the task, nil if there is no such task.
+func (e *Engine) findTask(id work.TaskID) (*step, *task) {
 	j := e.jobs[id.Job]
 	if j == nil {
 		return nil, nil
@@ -353,36 +366,36 @@
 	return s, &s.tasks[id.Index]
 }
 
-// addFailure notes a failed attempt and reports whether it was not known before.
+// addFailure records a failed attempt and reports whether it was not recorded before.
 func (s *step) addFailure(f work.Failure) bool {
 	t := &s.tasks[f.Index]
-	for _, old := range t.failures {
-		if old.Worker == f.Worker && old.Run == f.Run {
+	for _, known := range t.failures {
+		if known.Worker == f.Worker && known.Run == f.Run {
 			return false
 		}
 	}
 	t.failures = append(t.failures, f)
 	if s.spec.IsGang {
-		if s.gangFailures == nil {
-			s.gangFailures = map[uint64]bool{}
+		if s.failedGangRuns == nil {
+			s.failedGangRuns = map[uint64]bool{}
 		}
-		s.gangFailures[f.Run] = true
+		s.failedGangRuns[f.Run] = true
 	}
 	return true
 }
 
-// failureCount returns how many of the allowed attempts the task has used.
+// failureCount returns how many of the allowed attempts the task has used up.
 func (s *step) failureCount(i int) int { return s.failuresOf(&s.tasks[i]) }
 
 func (s *step) failuresOf(t *task) int {
 	if s.spec.IsGang {
-		return len(s.gangFailures)
+		return len(s.failedGangRuns)
 	}
 	return len(t.failures)
 }
 
-// taskEnded notes that a task has ended well, once.
-func (e *Engine) taskEnded(s *step, i int) {
+// markTaskDone records that a task has ended successfully, once for each task.
+func (e *Engine) markTaskDone(s *step, i int) {
 	t := &s.tasks[i]
 	if t.state == taskDone {
 		return
@@ -392,21 +405,21 @@
 	}
 	s.dropCopyWish(t)
 	t.state = taskDone
-	s.left--
-	e.touch(s.job)
-	if s.left > 0 {
+	s.tasksLeft--
+	e.markDirty(s.job)
+	if s.tasksLeft > 0 {
 		return
 	}
 	e.isDirty = true
-	s.round.left--
-	if s.round.left > 0 {
+	s.round.stepsLeft--
+	if s.round.stepsLeft > 0 {
 		e.openSteps(s.round)
 		return
 	}
-	e.roundEnded(s.job, s.round)
+	e.markRoundDone(s.job, s.round)
 }
 
-func (e *Engine) roundEnded(j *job, r *round) {
+func (e *Engine) markRoundDone(j *job, r *round) {
 	j.roundsDone.SetDone(r.number)
 	j.roundsLeft--
 	e.batchNow().isUrgent = true
@@ -416,15 +429,15 @@
 	e.endJob(j, work.JobSucceeded, "all tasks have ended well")
 }
 
-// endJob sets the final state and stops all that still runs.
-func (e *Engine) endJob(j *job, state work.JobState, why string) {
+// endJob sets the final state of a job and stops all its attempts.
+func (e *Engine) endJob(j *job, state work.JobState, reason string) {
 	if j.state.IsFinal() {
 		return
 	}
 	j.state, j.endedAt = state, e.now
-	e.hurry(j)
+	e.markUrgent(j)
 	e.isDirty = true
-	e.options.Log(events.JobEnded, "job", j.spec.ID, "state", state, "why", why, "took", e.now.Sub(j.acceptedAt), "attempts", j.attempts)
+	e.options.Log(events.JobEnded, "job", j.spec.ID, "state", state, "why", reason, "took", e.now.Sub(j.acceptedAt), "attempts", j.attempts)
 	if j.attempts == 0 {
 		return
 	}
@@ -437,7 +450,8 @@
 	}
 }
 
-func (e *Engine) touch(j *job) {
+// markDirty puts the progress of a job into the next batch.
+func (e *Engine) markDirty(j *job) {
 	if j.isDirty {
 		return
 	}
@@ -446,64 +460,65 @@
 	b.jobs = append(b.jobs, j)
 }
 
-// hurry is touch of a job that must not wait: a place to start at, or its end.
-func (e *Engine) hurry(j *job) {
-	e.touch(j)
+// markUrgent is markDirty for what must not wait for the next periodic batch: a placement that is
+// to be started, or the end of the job.
+func (e *Engine) markUrgent(j *job) {
+	e.markDirty(j)
 	j.isUrgent = true
 	e.batchNow().isUrgent = true
 }
 
-// MayAccess reports whether a caller may see, cancel and hand in again the job of that ID, or
-// there is none.
+// MayAccess reports whether a caller may see, cancel and submit again the job of that ID. It is
+// true if there is no such job.
 func (e *Engine) MayAccess(id work.JobID, by work.Caller) bool {
 	j := e.jobs[id]
 	return j == nil || by.MayAccess(j.spec)
 }
 
-// Cancel cancels a job, whether it is known or not: its submission may still be on
-// its way, or have been refused and be sent again. The cancelling is kept once
-// IsSettledCancel says so, which is when a caller may hear of it. It reports whether
-// there is such a job.
+// Cancel cancels a job, whether it is known or not: its submission may still be in flight, or may
+// have been refused and be sent again. It reports whether there is such a job. The cancellation is
+// persisted once IsFinalPersisted reports true, and must not be acknowledged to the caller before.
 func (e *Engine) Cancel(id work.JobID, by work.CustomerName) bool {
 	j := e.jobs[id]
 	if j == nil {
 		j = e.newJob(&work.Spec{ID: id, Customer: by})
 		e.jobs[id] = j
-		e.withdraw(j)
+		e.recordWithdrawal(j)
 	}
 	e.endJob(j, work.JobCancelled, "cancelled by its caller")
 	return j.state != work.JobWithdrawn
 }
 
-// withdraw keeps in mind that a job that is not taken was cancelled.
-func (e *Engine) withdraw(j *job) {
+// recordWithdrawal records that a job was cancelled that has not been accepted, so that it does
+// not run if its submission arrives later.
+func (e *Engine) recordWithdrawal(j *job) {
 	j.state, j.endedAt = work.JobWithdrawn, e.now
-	e.hurry(j)
+	e.markUrgent(j)
 }
 
-// dropNew drops a job that is certainly not kept. One that was cancelled meanwhile
-// stays withdrawn.
-func (e *Engine) dropNew(j *job) {
+// dropUnpersisted drops a job that is certainly not in the store. If it was cancelled meanwhile,
+// that stays on record.
+func (e *Engine) dropUnpersisted(j *job) {
 	if j.state.IsFinal() {
-		e.withdraw(j)
+		e.recordWithdrawal(j)
 		return
 	}
 	delete(e.jobs, j.spec.ID)
 }
 
-// IsSettledCancel reports whether the final state of a job is kept.
-func (e *Engine) IsSettledCancel(id work.JobID) bool {
+// IsFinalPersisted reports whether the final state of a job is in the store.
+func (e *Engine) IsFinalPersisted(id work.JobID) bool {
 	j := e.jobs[id]
-	return j != nil && j.state.IsFinal() && j.isShown
+	return j != nil && j.state.IsFinal() && j.isFinalPersisted
 }
 
-// State returns what a caller is told of a job; false when there is none.
+// State returns the state of a job that callers are shown; false if there is no such job.
 func (e *Engine) State(id work.JobID) (work.JobState, bool) {
 	j := e.jobs[id]
 	switch {
 	case j == nil || j.state == work.JobWithdrawn:
 		return "", false
-	case j.state.IsFinal() && j.isShown:
+	case j.state.IsFinal() && j.isFinalPersisted:
 		return j.state, true
 	case j.hasBegun || j.state.IsFinal():
 		return work.JobRunning, true
@@ -515,7 +530,7 @@
 func (e *Engine) Pending(queue string) int {
 	n := 0
 	for _, j := range e.live {
-		if j.spec.Queue == queue && j.isKept && !j.hasBegun && !j.state.IsFinal() {
+		if j.spec.Queue == queue && j.isPersisted && !j.hasBegun && !j.state.IsFinal() {
 			n++
 		}
 	}
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -17,58 +17,63 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// worker is one start of a worker with the attempts that are charged to it.
+// worker is one incarnation of a worker, with the attempts that are charged to it.
 type worker struct {
 	order.Worker
 	attempts ordered.Map[work.TaskID, *attempt]
-	// used is the sum of what the attempts are charged.
+	// used is the sum of the charges of its attempts.
 	used leverdyke.Resources
-	// reserved is kept for others that wait; it is complete at reservedAt, which is zero
-	// when none is.
-	reserved   []reservation
-	reservedAt time.Time
-	// foreign are attempts of which nothing is known, so that their size is not
-	// known either: while there are any, the worker gets nothing new.
-	foreign map[work.TaskID]uint64
-	// session is what this start of the worker has told.
+	// reservations are the resources kept free for waiting steps. All of them are available at
+	// reservationsReadyAt, which is zero if there are none.
+	reservations        []reservation
+	reservationsReadyAt time.Time
+	// unknownRuns has the runs, by task, that the worker reports of tasks unknown to this engine.
+	// What they need is not known either, so the worker gets nothing new while there are any.
+	unknownRuns map[work.TaskID]uint64
+	// session has the lease, the listings, the reported ends and the polls of this incarnation.
 	session session.Session
-	// isGone means that the platform's list no longer has it; hasLeft that it was
-	// removed because the worker has ended as planned.
-	isGone, hasLeft bool
-	// isLeaving means that the list lost it while it answered: it ends as planned.
-	isLeaving bool
-	// isSuperseded means that the list has another start of the worker in its place.
+	// isUnlisted means that the platform's list no longer has the worker, or that this incarnation
+	// has ended. hasShutDown means that its entry was removed because it shut down as planned.
+	isUnlisted, hasShutDown bool
+	// isShuttingDown means that its entry disappeared while it still answered polls: it shuts down
+	// as planned.
+	isShuttingDown bool
+	// isSuperseded means that the list has another incarnation of the worker in its place.
 	isSuperseded bool
-	// refusals are orders that may still come and that it is told to refuse.
+	// refusals are abandoned orders to start that may still arrive and that the worker is told to
+	// refuse.
 	refusals stray.Refusals
 	health   outlier.Health
-	// tickedAt is when it was looked at last by time alone. isRestless means that it is to
-	// be at the next tick: something on it is under way.
-	tickedAt   time.Time
-	isRestless bool
-	speed      outlier.Speed
-	// orderedAt is when a start was planned or ordered last, triedAt when that was of a task
-	// that may crash it; until trialUntil it gets nothing else.
-	orderedAt, triedAt, trialUntil time.Time
-	// keptFor is the step for which the worker is kept until keptUntil.
-	keptFor   *step
-	keptUntil time.Time
+	// tickedAt is when tickWorker last ran for the worker. needsTick makes it run at the next
+	// tick, because something on the worker is in progress.
+	tickedAt  time.Time
+	needsTick bool
+	speed     outlier.Speed
+	// lastStartAt is when a start on the worker was last planned or ordered, lastSuspectAt when
+	// that was of a task suspected of crashing its workers. Until isolatedUntil the worker gets
+	// nothing else, so that a crash can be attributed to the suspect.
+	lastStartAt, lastSuspectAt, isolatedUntil time.Time
+	// exclusiveStep is the only step whose tasks the worker may get until exclusiveUntil.
+	exclusiveStep  *step
+	exclusiveUntil time.Time
 }
 
-// phase is where an attempt is.
+// phase is the stage of an attempt, from planned to running.
 type phase string
 
 const (
-	// phasePlanned means that its place is not kept yet: nothing was ordered.
+	// phasePlanned means that the start has not been ordered: the placement is still to be
+	// persisted, or too many orders are without an answer.
 	phasePlanned phase = "planned"
-	// phaseOrdered means that the order is on its way.
+	// phaseOrdered means that the start was ordered and its answer is awaited.
 	phaseOrdered phase = "ordered"
-	// phaseDoubtful means that the order got no answer and may be carried out.
-	phaseDoubtful phase = "doubtful"
-	phaseRunning  phase = "running"
+	// phaseUnacknowledged means that the order was not answered; it may have been carried out, or
+	// may be later.
+	phaseUnacknowledged phase = "doubtful"
+	phaseRunning        phase = "running"
 )
 
-// attempt is a start of a task that is not known to be over.
+// attempt is a start of a task, from its planning until it is known to have ended.
 type attempt struct {
 	id     work.TaskID
 	step   *step
@@ -76,61 +81,72 @@
 	worker *worker
 	charge leverdyke.Resources
 	phase  phase
-	// orderedAt is when the order was sent; isHandedOut means that it has left the engine.
-	orderedAt   time.Time
-	isHandedOut bool
-	// doubtAt is when the order became doubtful.
-	doubtAt time.Time
-	// startedAt is the worker's clock when it confirmed the start.
-	startedAt order.WorkerTime
-	// startedOn and stopAckedOn are when the worker's word came, by the engine's
-	// time: only a listing that was asked for later can do without the attempt.
-	startedOn, stopAckedOn time.Time
-	// isStopping means that it was told to stop; stopSentAt is when, last.
+	// orderedAt is when the start was planned and, from then on, when it was ordered. isSent means
+	// that Actions has returned the order, so that it can no longer be withdrawn.
+	orderedAt time.Time
+	isSent    bool
+	// unacknowledgedAt is when the order became unacknowledged.
+	unacknowledgedAt time.Time
+	// startConfirmedClock is the worker's clock when it confirmed the start; 0 before.
+	startConfirmedClock order.WorkerTime
+	// startConfirmedAt and stopConfirmedAt are when these confirmations arrived, by the engine's
+	// time. A listing without the attempt proves that it has ended only if the listing was
+	// requested later than that.
+	startConfirmedAt, stopConfirmedAt time.Time
+	// isStopping means that the attempt was ordered to stop; stopSentAt is when that order was
+	// last sent.
 	isStopping bool
 	stopSentAt time.Time
-	stopWhy    string
-	// stopAckedAt is the worker's clock when it confirmed the stop; 0 before.
-	stopAckedAt order.WorkerTime
-	percent     int
-	percentAt   time.Time
-	progress    outlier.Progress
-	figure      int
-	pace        int
-	pacedAt     time.Time
-	// isTold means that this start of the worker has told of it: the order has come.
-	isTold bool
-	// hasSaved means that it went on from where an earlier attempt was saved;
-	// isAdopted that an earlier owner started it.
-	hasSaved, isAdopted bool
-	// isReplaced means that it was judged as stuck or too slow.
+	stopReason string
+	// stopConfirmedClock is the worker's clock when it confirmed the stop; 0 before.
+	stopConfirmedClock order.WorkerTime
+	// percent is the reported progress. A long-running task is at work at 100.
+	percent          int
+	percentChangedAt time.Time
+	progress         outlier.Progress
+	// metric is the tail latency in ms that is reported for a task that serves users; for other
+	// tasks it is their processor use in thousandths.
+	metric int
+	// pace is the share of its full speed, in percent, that a best-effort task was ordered to work
+	// at.
+	pace          int
+	paceChangedAt time.Time
+	// isAcknowledged means that the order to start is known to have arrived at this incarnation of
+	// the worker, which has reported or refused the attempt.
+	isAcknowledged bool
+	// isResumed means that the attempt started from a checkpoint of an earlier one; isAdopted that
+	// a previous owner started it.
+	isResumed, isAdopted bool
+	// isReplaced means that the attempt was judged as stuck or too slow, and that a replacement
+	// was requested.
 	isReplaced bool
-	// isKept means that its place is in the store, isUnkept that it was ordered
-	// without.
-	isKept, isUnkept bool
+	// isPersisted means that the placement is in the store. isWriteBehind means that the start was
+	// ordered before that, and that the placement is still to be persisted.
+	isPersisted, isWriteBehind bool
 }
 
-// SetWorkers takes the platform's list, whole. isCertain is false while the list
-// may lack workers that live: then none is taken as gone.
-func (e *Engine) SetWorkers(list []order.Worker, isCertain bool) {
+// SetWorkers applies the platform's list of workers; each call passes the whole list. isComplete
+// is false while the list may lack workers that still run: then a worker that is not in it is not
+// taken as removed.
+func (e *Engine) SetWorkers(list []order.Worker, isComplete bool) {
 	seen := make(map[order.WorkerID]bool, len(list))
 	hasUnclear := false
 	for _, entry := range list {
 		if entry.IsRemoved {
-			e.entryRemoved(&entry, isCertain)
+			e.handleEntryRemoved(&entry, isComplete)
 			continue
 		}
 		seen[entry.ID] = true
 		if !e.over[entry.ID] {
-			e.setWorker(entry)
+			e.updateWorker(entry)
 		}
 		hasUnclear = hasUnclear || entry.IsUnclear && e.workers.Get(entry.ID) == nil
 	}
-	if !isCertain {
+	if !isComplete {
 		return
 	}
 	if e.inherited != nil {
-		e.inherited.entries, e.inherited.hasUnclear = len(seen), hasUnclear
+		e.inherited.currentlyListed, e.inherited.hasUnclear = len(seen), hasUnclear
 	}
 	for id := range e.over {
 		if !seen[id] {
@@ -138,30 +154,33 @@
 		}
 	}
 	for id, w := range e.workers.All() {
-		if !seen[id] && !w.isGone {
-			e.unlisted(w, otherStart(list, id))
+		if !seen[id] && !w.isUnlisted {
+			e.handleUnlisted(w, otherIncarnation(list, id))
 		}
 	}
 }
 
-// unlisted takes that the list does not have a worker, but perhaps another start of it.
-func (e *Engine) unlisted(w *worker, other *order.Worker) {
-	if other != nil && e.over[other.ID] {
-		// It has started again, and is about to write its entry.
+// handleUnlisted handles a worker that is no longer in the list. replacement is the list's entry
+// of another incarnation of it, nil if there is none.
+func (e *Engine) handleUnlisted(w *worker, replacement *order.Worker) {
+	if replacement != nil && e.over[replacement.ID] {
+		// The list still has the entry of an incarnation that has ended: w is a newer one, which
+		// has not written its own entry yet.
 		return
 	}
-	w.isGone, w.isSuperseded = true, other != nil
-	if other == nil {
-		w.isLeaving = !w.session.HasMissed()
-		e.lost(w)
+	w.isUnlisted, w.isSuperseded = true, replacement != nil
+	if replacement == nil {
+		w.isShuttingDown = !w.session.HasMissed()
+		e.extendUncertainty(w)
 	}
 	e.options.Log(events.WorkerUnlisted, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.HeardAt()))
 	e.dropIfEmpty(w)
 }
 
-func (e *Engine) setWorker(entry order.Worker) {
+// updateWorker applies the list's entry of a worker.
+func (e *Engine) updateWorker(entry order.Worker) {
 	w := e.workers.Get(entry.ID)
-	if w == nil && entry.IsUnclear && !e.mayRunOn(&entry) {
+	if w == nil && entry.IsUnclear && !e.mayRunInherited(&entry) {
 		return
 	}
 	if w == nil {
@@ -175,7 +194,7 @@
 		e.isDirty = true
 		e.options.Log(events.WorkerResized, "worker", entry.ID, "from", w.Capacity, "to", entry.Capacity, "used", w.used)
 	}
-	if w.isGone || w.IsDraining != entry.IsDraining || w.IsUnclear != entry.IsUnclear {
+	if w.isUnlisted || w.IsDraining != entry.IsDraining || w.IsUnclear != entry.IsUnclear {
 		e.isDirty = true
 	}
 	if w.Machine != entry.Machine {
@@ -183,76 +202,79 @@
 		defer e.index.add(w)
 	}
 	w.Worker = entry
-	w.isGone, w.isLeaving, w.isSuperseded = false, false, false
+	w.isUnlisted, w.isShuttingDown, w.isSuperseded = false, false, false
 }
 
-// addWorker takes a start of a worker that was not known, and asks what it runs.
+// addWorker adds an incarnation of a worker that was not known, and polls it for what it runs.
 func (e *Engine) addWorker(entry *order.Worker) *worker {
-	w := &worker{Worker: *entry, foreign: map[work.TaskID]uint64{}, isRestless: true}
+	w := &worker{Worker: *entry, unknownRuns: map[work.TaskID]uint64{}, needsTick: true}
 	e.workers.Set(entry.ID, w)
 	e.index.add(w)
 	e.strays.NextGeneration(entry.ID)
-	e.refuseStrays(w)
-	e.hold(w)
+	e.refuseAbandoned(w)
+	e.longPoll(w)
 	return w
 }
 
-// mayRunOn reports whether a worker of which only an unclear entry is known may run
-// tasks of an earlier owner, and can be asked.
-func (e *Engine) mayRunOn(entry *order.Worker) bool {
-	return entry.Addr.IsValid() && e.isUnsettled(entry.ID)
+// mayRunInherited reports whether a worker of which only an unclear entry is known can be polled,
+// and may run tasks that a previous owner started.
+func (e *Engine) mayRunInherited(entry *order.Worker) bool {
+	return entry.Addr.IsValid() && e.hasUnresolved(entry.ID)
 }
 
 const (
-	// heartbeatsMissed is how many heartbeats must stay away until the platform
+	// heartbeatsUntilRemoval is how many heartbeats in a row must be missing before the platform
 	// removes the entry of a silent worker.
-	heartbeatsMissed = 3
-	// removalSlack covers when heartbeats and removals are seen: the list is read
-	// every 0.4 s.
+	heartbeatsUntilRemoval = 3
+	// removalSlack allows for the delay with which heartbeats and removals are seen: the list is
+	// read every 0.4 s.
 	removalSlack = time.Second
 )
 
-// entryRemoved takes the removal of an entry. One of a worker that drains and was
-// heard lately was removed because the worker has left, and nothing of it runs
-// any more; otherwise the worker may only be cut off.
-func (e *Engine) entryRemoved(entry *order.Worker, isCertain bool) {
+// handleEntryRemoved handles the removal of an entry. If the worker is draining and its last
+// heartbeat is recent, the entry was removed because the worker has shut down, and nothing runs on
+// it any more. Otherwise the worker may still run and only be unreachable.
+func (e *Engine) handleEntryRemoved(entry *order.Worker, isComplete bool) {
 	w := e.workers.Get(entry.ID)
-	if w == nil || !w.IsDraining || !isCertain || entry.HeartbeatAt.IsZero() {
+	if w == nil || !w.IsDraining || !isComplete || entry.HeartbeatAt.IsZero() {
 		return
 	}
-	silent := e.now.Sub(entry.HeartbeatAt)
-	if silent >= heartbeatsMissed*e.options.Heartbeat-removalSlack {
+	sinceHeartbeat := e.now.Sub(entry.HeartbeatAt)
+	if sinceHeartbeat >= heartbeatsUntilRemoval*e.options.Heartbeat-removalSlack {
 		return
 	}
-	w.hasLeft = true
-	e.options.Log(events.WorkerLeft, "worker", w.ID, "attempts", w.attempts.Len(), "heartbeat", silent)
+	w.hasShutDown = true
+	e.options.Log(events.WorkerLeft, "worker", w.ID, "attempts", w.attempts.Len(), "heartbeat", sinceHeartbeat)
 	if w.session.HasMissed() {
-		e.LifeOver(w.ID)
+		e.IncarnationEnded(w.ID)
 		return
 	}
-	e.look(w)
+	e.pollNow(w)
 }
 
-// endEarlierLives ends the other lives of a machine, and the other starts of a worker, that
-// has answered. One in whose place the list has another start answers late.
-func (e *Engine) endEarlierLives(w *worker) {
+// endPreviousIncarnations ends the other workers on the machine of a worker that has answered, and
+// the other incarnations of that worker: at most one of all these is running. If the list has
+// another incarnation in its place, the answer is a late one and ends none of them.
+func (e *Engine) endPreviousIncarnations(w *worker) {
 	if w.isSuperseded {
 		return
 	}
 	for _, other := range e.index.earlierLives(w) {
-		e.lifeOver(other.ID, w)
+		e.endIncarnation(other.ID, w)
 	}
-	e.crashKnown(w)
+	e.confirmCrashes(w)
 }
 
-// LifeOver says that a worker's life is over: nothing of it runs any more.
-func (e *Engine) LifeOver(id order.WorkerID) { e.lifeOver(id, nil) }
+// IncarnationEnded records that an incarnation of a worker has ended: nothing runs on it any more.
+func (e *Engine) IncarnationEnded(id order.WorkerID) { e.endIncarnation(id, nil) }
 
-// lifeOver is LifeOver of a worker after which next is there; nil when that is not known.
-func (e *Engine) lifeOver(id order.WorkerID, next *worker) {
-	if next == nil || !id.IsOtherStart(next.ID) {
-		// Orders of an earlier owner may run on a newer start: it has to tell first.
-		e.settle(id, settledByLife)
+// endIncarnation is IncarnationEnded with the worker that followed on the same machine or under
+// the same name; successor is nil if none is known.
+func (e *Engine) endIncarnation(id order.WorkerID, successor *worker) {
+	if successor == nil || !id.IsOtherStart(successor.ID) {
+		// If the successor is another incarnation of the same worker, orders of a previous owner
+		// may have reached that one: its listing has to show it first.
+		e.resolveInherited(id, resolvedByIncarnationEnd)
 	}
 	e.over[id] = true
 	w := e.workers.Get(id)
@@ -260,18 +282,19 @@
 		return
 	}
 	e.options.Log(events.WorkerLifeOver, "worker", id, "attempts", w.attempts.Len())
-	under := e.noteCrashes(w, true)
-	if next != nil && id.IsOtherStart(next.ID) {
-		e.inheritFrom(w, next)
+	tasks := e.recordCrashes(w, true)
+	if successor != nil && id.IsOtherStart(successor.ID) {
+		e.transferInFlight(w, successor)
 	}
-	e.lapseAll(w, cutByLife)
-	e.judgeCrash(id, under)
-	w.isGone = true
+	e.endAllAttempts(w, endedWithIncarnation)
+	e.failCrashingJobs(id, tasks)
+	w.isUnlisted = true
 	e.dropIfEmpty(w)
 }
 
+// dropIfEmpty removes a worker that is no longer listed, once nothing may run on it.
 func (e *Engine) dropIfEmpty(w *worker) {
-	if !w.isGone || w.attempts.Len() > 0 || len(w.foreign) > 0 {
+	if !w.isUnlisted || w.attempts.Len() > 0 || len(w.unknownRuns) > 0 {
 		return
 	}
 	if _, ok := e.unsettled.Find(w.ID); ok {
@@ -281,142 +304,145 @@
 	e.index.remove(w)
 }
 
-// calmTick is the time between two looks at a worker on which nothing is under way: all
-// its attempts run, and a listing is on its way.
-const calmTick = 100 * time.Millisecond
+// steadyTickInterval is the time between two ticks of a worker on which nothing is in progress:
+// all its attempts run, and a long poll is outstanding.
+const steadyTickInterval = 100 * time.Millisecond
 
-// isTickDue reports whether it is time to look at the worker.
+// isTickDue reports whether tickWorker is to run for the worker now.
 func (e *Engine) isTickDue(w *worker) bool {
-	return w.isRestless || e.now.Sub(w.tickedAt) >= calmTick
+	return w.needsTick || e.now.Sub(w.tickedAt) >= steadyTickInterval
 }
 
+// tickWorker does what is due on a worker by time alone: polls, refusals, the expiry of its leases
+// and the timeouts of its attempts.
 func (e *Engine) tickWorker(w *worker) {
 	w.tickedAt = e.now
 	polls := &w.session.Polls
-	w.isRestless = w.refusals.HasAny() || !w.session.IsListed() || !polls.IsWaiting() || polls.WantsLook() || w.isGone || w.IsDraining
+	w.needsTick = w.refusals.HasAny() || !w.session.IsListed() || !polls.IsWaiting() || polls.WantsLook() || w.isUnlisted || w.IsDraining
 	if polls.MayWait(e.now) {
-		e.hold(w)
+		e.longPoll(w)
 	}
-	isOverdue := !w.session.IsListed() && polls.WaitsFor(e.now) > firstPatience
+	isOverdue := !w.session.IsListed() && polls.WaitsFor(e.now) > firstListingTimeout
 	if polls.WantsLook() || isOverdue {
-		e.look(w)
+		e.pollNow(w)
 	}
-	e.stopStrays(w)
+	e.sendRefusals(w)
 	e.dropIfEmpty(w)
 	if w.attempts.Len() == 0 {
 		return
 	}
 	if w.session.IsOver(e.now) {
 		e.options.Log(events.WorkerLost, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.HeardAt()))
-		under := e.noteCrashes(w, false)
-		e.lapseAll(w, cutByTime)
-		e.judgeCrash(w.ID, under)
+		tasks := e.recordCrashes(w, false)
+		e.endAllAttempts(w, endedByLeaseExpiry)
+		e.failCrashingJobs(w.ID, tasks)
 		return
 	}
 	for _, a := range w.attempts.All() {
 		e.tickAttempt(a)
-		w.isRestless = w.isRestless || a.phase != phaseRunning || a.isStopping
+		w.needsTick = w.needsTick || a.phase != phaseRunning || a.isStopping
 	}
-	if w.IsDraining && !w.isGone {
+	if w.IsDraining && !w.isUnlisted {
 		e.evacuate(w)
 	}
 }
 
+// tickAttempt does what is due on an attempt by time alone.
 func (e *Engine) tickAttempt(a *attempt) {
 	if a.phase == phasePlanned {
 		if !e.isReachable(a.worker) {
-			e.stop(a, "worker is not reached")
+			e.stop(a, "worker is unreachable")
 		}
 		return
 	}
 	if a.phase == phaseOrdered && e.now.Sub(a.orderedAt) > e.answers.Timeout() && !e.now.Before(e.stalledUntil) {
-		e.doubt(a)
+		e.markUnacknowledged(a)
 	}
-	if a.phase == phaseDoubtful && !a.isStopping && e.now.Sub(a.doubtAt) > doubtPatience {
+	if a.phase == phaseUnacknowledged && !a.isStopping && e.now.Sub(a.unacknowledgedAt) > doubtPatience {
 		e.stop(a, "order was not answered")
 		return
 	}
 	e.copyIfSilent(a)
-	if a.isStopping && a.stopAckedAt == 0 && e.now.Sub(a.stopSentAt) > stopRetry {
+	if a.isStopping && a.stopConfirmedClock == 0 && e.now.Sub(a.stopSentAt) > stopRetry {
 		e.sendStop(a)
 	}
-	if a.isStopping && a.stopAckedAt > 0 && a.phase == phaseDoubtful {
-		e.look(a.worker)
+	if a.isStopping && a.stopConfirmedClock > 0 && a.phase == phaseUnacknowledged {
+		e.pollNow(a.worker)
 	}
-	e.checkTrial(a)
-	e.clearOutlived(a)
+	e.checkProbation(a)
+	e.clearRefutedCrashes(a)
 	e.checkProgress(a)
 }
 
-// doubt takes an order as one that may have been carried out or may be later.
-// Where the worker says that it runs, it is left alone; otherwise it is stopped,
-// which also keeps it from being carried out.
-func (e *Engine) doubt(a *attempt) {
-	a.phase = phaseDoubtful
-	a.doubtAt = e.now
+// markUnacknowledged marks an order to start as unacknowledged: it may have been carried out, or
+// may be later. If the worker reports that the attempt runs, it is left alone; otherwise it is
+// stopped, which also makes the worker refuse the order if it arrives later.
+func (e *Engine) markUnacknowledged(a *attempt) {
+	a.phase = phaseUnacknowledged
+	a.unacknowledgedAt = e.now
 	e.window.Observe(e.now.Sub(a.orderedAt), e.now)
 	e.counts.Doubtful++
 	e.options.Log(events.OrderDoubtful, "task", a.id, "run", a.run, "worker", a.worker.ID, "age", e.now.Sub(a.orderedAt))
 	e.wantCopy(a)
-	e.look(a.worker)
+	e.pollNow(a.worker)
 }
 
-// Why all attempts on a worker are over.
+// Reasons why all attempts on a worker have ended; they are logged.
 const (
-	cutByLife = "life over"
-	cutByTime = "leases lapsed"
+	endedWithIncarnation = "life over"
+	endedByLeaseExpiry   = "leases lapsed"
 )
 
-// lapseAll takes all attempts of a worker as over.
-func (e *Engine) lapseAll(w *worker, why string) {
-	e.logCut(w, why)
+// endAllAttempts treats all attempts on a worker as ended.
+func (e *Engine) endAllAttempts(w *worker, reason string) {
+	e.logEndedAttempts(w, reason)
 	for _, a := range w.attempts.All() {
 		e.counts.Lapsed++
 		e.release(a)
-		e.attemptOver(a)
+		e.detachAttempt(a)
 	}
-	clear(w.foreign)
+	clear(w.unknownRuns)
 	w.session.SetListed(false)
 	e.isDirty = true
 }
 
-// maxCutLogged bounds the lines on attempts that end with one worker: that is about as
-// many as it has, and a whole rack that goes writes some hundred lines.
-const maxCutLogged = 20
+// maxEndedLogged bounds the log lines about attempts that end with one worker. A worker has about
+// as many, so that the loss of a whole rack writes some hundred lines.
+const maxEndedLogged = 20
 
-// logCut tells which attempts end with their worker, and how long they are known to have
+// logEndedAttempts logs which attempts end with their worker, and how long each is known to have
 // been on it.
-func (e *Engine) logCut(w *worker, why string) {
+func (e *Engine) logEndedAttempts(w *worker, reason string) {
 	n := 0
 	for _, a := range w.attempts.All() {
-		if n++; n > maxCutLogged {
+		if n++; n > maxEndedLogged {
 			return
 		}
-		e.options.Log(events.AttemptCut, "task", a.id, "run", a.run, "worker", w.ID, "why", why, "phase", a.phase, "ran", max(w.session.HeardAt().Sub(a.orderedAt), 0))
+		e.options.Log(events.AttemptCut, "task", a.id, "run", a.run, "worker", w.ID, "why", reason, "phase", a.phase, "ran", max(w.session.HeardAt().Sub(a.orderedAt), 0))
 	}
 }
 
-// stop orders an attempt to stop, once.
-func (e *Engine) stop(a *attempt, why string) {
+// stop orders an attempt to stop, unless that was done before.
+func (e *Engine) stop(a *attempt, reason string) {
 	if a.isStopping {
 		return
 	}
-	if a.phase == phasePlanned || e.takeBack(a) {
-		e.dropPlanned(a, why)
+	if a.phase == phasePlanned || e.withdrawStart(a) {
+		e.dropPlanned(a, reason)
 		return
 	}
 	a.isStopping = true
-	a.worker.isRestless = true
-	a.stopWhy = why
+	a.worker.needsTick = true
+	a.stopReason = reason
 	e.counts.Stopped++
 	e.sendStop(a)
 }
 
-// takeBack takes back an order to start that has not left the engine, and reports whether
-// there was one: what ends between the order and its handing out would be started again,
-// as the last task of a job that is told to have succeeded.
-func (e *Engine) takeBack(a *attempt) bool {
-	if a.phase != phaseOrdered || a.isHandedOut {
+// withdrawStart withdraws an order to start that Actions has not returned yet, and reports whether
+// there was one. A task that ends between its order and the call of Actions would otherwise be
+// started again, for example the last task of a job that callers were told had succeeded.
+func (e *Engine) withdrawStart(a *attempt) bool {
+	if a.phase != phaseOrdered || a.isSent {
 		return false
 	}
 	isOrder := func(x order.Action) bool {
@@ -427,8 +453,8 @@
 	e.fresh = slices.DeleteFunc(e.fresh, func(x *attempt) bool { return x == a })
 	e.counts.Starts--
 	e.unanswered--
-	if a.isUnkept && !a.isKept {
-		a.isUnkept = false
+	if a.isWriteBehind && !a.isPersisted {
+		a.isWriteBehind = false
 		e.unkept--
 	}
 	a.phase = phasePlanned
@@ -440,33 +466,34 @@
 	e.doStop(a.worker, a.id, a.run)
 }
 
-// release gives back the room of an attempt.
+// release returns the resources of an attempt to its worker.
 func (e *Engine) release(a *attempt) {
 	w := a.worker
 	if w.attempts.Get(a.id) != a {
 		return
 	}
-	// An order that has not left would reach a newer start of the worker.
-	e.takeBack(a)
+	// An order that Actions has not returned yet would be sent to a newer incarnation of the
+	// worker.
+	e.withdrawStart(a)
 	w.attempts.Delete(a.id)
 	w.used = w.used.Sub(a.charge)
-	if a.mayBeOnItsWay() {
+	if a.mayBeInFlight() {
 		e.strays.Note(w.ID, a.id, a.run, a.orderedAt, e.now)
 	}
 	if a.step != nil {
 		a.step.job.attempts--
-		a.step.job.idleAt = e.now
+		a.step.job.idleSince = e.now
 		if a.phase == phaseRunning {
-			a.step.tasks[a.id.Index].ranAt = e.now
+			a.step.tasks[a.id.Index].lastRanAt = e.now
 		}
 		e.releaseCustomer(a.step)
 	}
 	e.isDirty = true
 }
 
-// attemptOver makes the task of a released attempt wait again, if none of its attempts is
-// left: one that is not wanted and told to stop may still run.
-func (e *Engine) attemptOver(a *attempt) {
+// detachAttempt removes a released attempt from its task, which waits again if it has no attempt
+// left. Unwanted attempts count for this: they were ordered to stop, but may still run.
+func (e *Engine) detachAttempt(a *attempt) {
 	if a.step == nil {
 		return
 	}
--- a/internal/owner/cancel.go
+++ b/internal/owner/cancel.go
@@ -27,7 +27,7 @@
 		ev.reply <- errNoJob
 		return
 	}
-	isSettled := o.engine.IsSettledCancel(ev.id)
+	isSettled := o.engine.IsFinalPersisted(ev.id)
 	switch {
 	case !isSettled && !o.mayActAsOwner():
 		ev.reply <- leverdyke.NotRun("this node may not be the owner of the jobs", retryAfterSeconds)
@@ -45,7 +45,7 @@
 // state is persisted: only the store can confirm that this node is still the owner, and only
 // persisted state outlives it.
 func (o *Owner) answerCancel(id work.JobID) {
-	if len(o.pendingCancels[id]) == 0 || !o.engine.IsSettledCancel(id) {
+	if len(o.pendingCancels[id]) == 0 || !o.engine.IsFinalPersisted(id) {
 		return
 	}
 	var err error
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -130,11 +130,11 @@
 func (ev pollEvent) apply(o *Owner) {
 	switch ev.outcome {
 	case order.HoldListed:
-		o.engine.Listed(&ev.poll, ev.listing)
+		o.engine.PollAnswered(&ev.poll, ev.listing)
 	case order.HoldSilent:
-		o.engine.HoldFailed(&ev.poll)
+		o.engine.PollFailed(&ev.poll)
 	case order.HoldLifeOver:
-		o.engine.LifeOver(ev.poll.Worker)
+		o.engine.IncarnationEnded(ev.poll.Worker)
 	}
 }
 
