--- a/internal/stray/stray_test.go
+++ b/internal/abandoned/abandoned_test.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package stray_test
+package abandoned_test
 
 import (
 	"testing"
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/abandoned"
 	"github.com/leverdyke/leverdyke/internal/order"
-	"github.com/leverdyke/leverdyke/internal/stray"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
@@ -20,20 +20,20 @@
 
 // Both starts of a worker are reached by its name, and another worker by none of it.
 func TestWhatIsGivenUpMayReachEachStartOfAWorker(t *testing.T) {
-	o := stray.Orders{}
+	o := abandoned.Orders{}
 	first, second := order.NewWorkerID("w", begin), order.NewWorkerID("w", begin.Add(time.Minute))
 	o.Note(first, task(0), 1, begin, begin)
 	o.Note(second, task(1), 2, begin.Add(time.Second), begin.Add(time.Second))
-	o.Note(first, task(2), 3, begin, begin.Add(stray.Time+ms))
+	o.Note(first, task(2), 3, begin, begin.Add(abandoned.Time+ms))
 	for name, tc := range map[string]struct {
 		id   order.WorkerID
 		at   time.Duration
 		want int
 	}{
 		"at once":           {first, time.Second, 2},
-		"a newer start":     {second, stray.Time, 2},
-		"the first is late": {second, stray.Time + ms, 1},
-		"both are late":     {second, stray.Time + time.Second + ms, 0},
+		"a newer start":     {second, abandoned.Time, 2},
+		"the first is late": {second, abandoned.Time + ms, 1},
+		"both are late":     {second, abandoned.Time + time.Second + ms, 0},
 		"another worker":    {"other", time.Second, 0},
 	} {
 		if got := len(o.Of(tc.id, begin.Add(tc.at))); got != tc.want {
@@ -51,9 +51,9 @@
 
 func TestAWorkerIsToldUntilItRefuses(t *testing.T) {
 	const retry = 120 * ms
-	orders := []stray.Order{}
+	orders := []abandoned.Order{}
 	for i := range 6 {
-		orders = append(orders, stray.Order{Task: task(i), Run: 1, Until: begin.Add(stray.Time)})
+		orders = append(orders, abandoned.Order{Task: task(i), Run: 1, Until: begin.Add(abandoned.Time)})
 	}
 	for name, tc := range map[string]struct {
 		isSilent bool
@@ -62,7 +62,7 @@
 		"it answers":                      {false, []int{6, 0, 0, 0, 0, 0, 0, 6}},
 		"it does not, a few at each tick": {true, []int{4, 4, 4, 4, 4, 4, 4, 4}},
 	} {
-		r := stray.Refusals{}
+		r := abandoned.Refusals{}
 		r.Add(orders)
 		r.Add(orders[:2])
 		for i, want := range tc.want {
@@ -77,7 +77,7 @@
 		if got := len(r.Due(begin.Add(time.Second), retry, false)); got != 1 || !r.HasAny() {
 			t.Errorf("%s, all but one are refused: got: %d, want: 1", name, got)
 		}
-		if got := len(r.Due(begin.Add(stray.Time+ms), retry, false)); got != 0 || r.HasAny() {
+		if got := len(r.Due(begin.Add(abandoned.Time+ms), retry, false)); got != 0 || r.HasAny() {
 			t.Errorf("%s, none can come any more: got: %d, want: 0", name, got)
 		}
 	}
--- a/internal/stray/orders.go
+++ b/internal/abandoned/starts.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package stray keeps what may still be on its way to a worker and is not wanted any more. An
+// Package abandoned keeps what may still be on its way to a worker and is not wanted any more. An
 // order without an answer may be held up for seconds and reach whichever start of the worker is
 // there then; a newer one knows no token and no run that was stopped, and carries it out. It is
 // pure.
-package stray
+package abandoned
 
 import (
 	"slices"
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
+	"github.com/leverdyke/leverdyke/internal/abandoned"
 	"github.com/leverdyke/leverdyke/internal/crash"
 	"github.com/leverdyke/leverdyke/internal/estimate"
 	"github.com/leverdyke/leverdyke/internal/events"
@@ -24,7 +25,6 @@
 	"github.com/leverdyke/leverdyke/internal/permit"
 	"github.com/leverdyke/leverdyke/internal/quota"
 	"github.com/leverdyke/leverdyke/internal/rotation"
-	"github.com/leverdyke/leverdyke/internal/stray"
 	"github.com/leverdyke/leverdyke/internal/waits"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
@@ -103,7 +103,7 @@
 	// are not known yet, with these tasks.
 	unsettled ordered.Map[order.WorkerID, []work.TaskID]
 	// strays has what may still be on its way to workers and is not wanted any more.
-	strays stray.Orders
+	strays abandoned.Orders
 	// cutOff has workers that may have crashed, or only be cut off.
 	cutOff ordered.Map[order.WorkerID, *cutOff]
 	// silences are workers that fell silent lately, whether they live or not.
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -6,10 +6,10 @@
 import (
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/abandoned"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/session"
-	"github.com/leverdyke/leverdyke/internal/stray"
 )
 
 // A worker may start again under its name. Each start is a worker of its own here, so that
@@ -67,7 +67,7 @@
 	for id, a := range old.attempts.All() {
 		if a.mayBeOnItsWay() && next.attempts.Get(id) == nil {
 			e.move(a, next)
-			next.session.WaitFor(a.orderedAt.Add(stray.Time + session.AnyBound))
+			next.session.WaitFor(a.orderedAt.Add(abandoned.Time + session.AnyBound))
 		}
 	}
 	for _, o := range e.strays.Of(next.ID, e.now) {
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
+	"github.com/leverdyke/leverdyke/internal/abandoned"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/ordered"
 	"github.com/leverdyke/leverdyke/internal/outlier"
 	"github.com/leverdyke/leverdyke/internal/session"
-	"github.com/leverdyke/leverdyke/internal/stray"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
@@ -40,7 +40,7 @@
 	// isSuperseded means that the list has another start of the worker in its place.
 	isSuperseded bool
 	// refusals are orders that may still come and that it is told to refuse.
-	refusals stray.Refusals
+	refusals abandoned.Refusals
 	health   outlier.Health
 	// tickedAt is when it was looked at last by time alone. isRestless means that it is to
 	// be at the next tick: something on it is under way.
