--- a/internal/carrier/bench_test.go
+++ b/internal/carrier/bench_test.go
@@ -25,7 +25,7 @@
 	listing := &order.Listing{At: 7}
 	for i := range 8 {
 		listing.Running = append(listing.Running, order.Running{
-			Task: work.TaskID{Job: "5c0e7a21d94b36f8", Step: 1, Index: i}, Run: 2, Saved: "00000bb87a21d94b", Percent: 41,
+			Task: work.TaskID{Job: "5c0e7a21d94b36f8", Step: 1, Index: i}, Run: 2, Checkpoint: "00000bb87a21d94b", Percent: 41,
 		})
 	}
 	const batch = 4
@@ -33,7 +33,7 @@
 	n := 0
 	for b.Loop() {
 		w := &workers[n%len(workers)]
-		r.Add(order.Hold{Worker: w.ID, Addr: w.Addr, Wait: time.Second, Patience: time.Second}, w.ID, time.Second, begin)
+		r.Add(order.Poll{Worker: w.ID, Addr: w.Addr, Wait: time.Second, Timeout: time.Second}, w.ID, time.Second, begin)
 		if n++; n%batch != 0 {
 			continue
 		}
@@ -43,7 +43,7 @@
 			}
 			outcomes := []carrier.Outcome{}
 			for i := range sent.Orders {
-				outcomes = append(outcomes, carrier.Outcome{ID: sent.Orders[i].ID, Hold: order.HoldListed, Listing: listing})
+				outcomes = append(outcomes, carrier.Outcome{ID: sent.Orders[i].ID, Hold: order.PollAnswered, Listing: listing})
 			}
 			b.StopTimer()
 			data, err := codec.MarshalCompact(outcomes)
--- a/internal/carrier/carrier.go
+++ b/internal/carrier/carrier.go
@@ -18,7 +18,7 @@
 	Start(ctx context.Context, fence uint64, s *order.Start) (order.StartOutcome, order.WorkerTime)
 	// Stop returns the worker's clock, and false when no answer came.
 	Stop(ctx context.Context, fence uint64, s *order.Stop) (order.WorkerTime, bool)
-	Hold(ctx context.Context, fence uint64, h *order.Hold) (*order.Listing, order.HoldOutcome)
+	Hold(ctx context.Context, fence uint64, h *order.Poll) (*order.Listing, order.PollOutcome)
 	Pace(ctx context.Context, fence uint64, p *order.Pace) error
 }
 
@@ -158,7 +158,7 @@
 	case o.Start != nil:
 		out.Start = order.StartFenced
 	case o.Hold != nil:
-		out.Hold = order.HoldSilent
+		out.Hold = order.PollUnanswered
 	}
 	return out
 }
@@ -209,7 +209,7 @@
 	case o.Start != nil:
 		return StartTimeout
 	case o.Hold != nil:
-		return o.Hold.Wait + o.Hold.Patience
+		return o.Hold.Wait + o.Hold.Timeout
 	}
 	return StopTimeout
 }
--- a/internal/carrier/carrier_test.go
+++ b/internal/carrier/carrier_test.go
@@ -20,7 +20,7 @@
 type recorder struct {
 	mu     sync.Mutex
 	starts []order.Start
-	holds  []order.Hold
+	holds  []order.Poll
 	fences []uint64
 }
 
@@ -28,16 +28,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.starts, r.fences = append(r.starts, *s), append(r.fences, fence)
-	return order.StartDone, 5
+	return order.StartSucceeded, 5
 }
 
 func (*recorder) Stop(context.Context, uint64, *order.Stop) (order.WorkerTime, bool) { return 6, true }
 
-func (r *recorder) Hold(_ context.Context, _ uint64, h *order.Hold) (*order.Listing, order.HoldOutcome) {
+func (r *recorder) Hold(_ context.Context, _ uint64, h *order.Poll) (*order.Listing, order.PollOutcome) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.holds = append(r.holds, *h)
-	return &order.Listing{At: 7}, order.HoldListed
+	return &order.Listing{At: 7}, order.PollAnswered
 }
 
 func (*recorder) Pace(context.Context, uint64, *order.Pace) error { return nil }
@@ -91,11 +91,11 @@
 	s.Take(t.Context(), &carrier.Batch{Fence: 3, Orders: []carrier.Order{
 		startOf(1, "j"),
 		{ID: 2, Stop: &order.Stop{Worker: "w"}},
-		{ID: 3, Hold: &order.Hold{Worker: "w", Patience: time.Second}},
+		{ID: 3, Hold: &order.Poll{Worker: "w", Timeout: time.Second}},
 		{ID: 4, Pace: &order.Pace{Worker: "w"}},
 	}})
 	got := s.await(t, 4)
-	if got[1].Start != order.StartDone || got[1].At != 5 || !got[2].IsStopKnown || got[3].Hold != order.HoldListed || got[3].Listing.At != 7 {
+	if got[1].Start != order.StartSucceeded || got[1].At != 5 || !got[2].IsStopKnown || got[3].Hold != order.PollAnswered || got[3].Listing.At != 7 {
 		t.Errorf("got: %+v, want: each done", got)
 	}
 	if s.workers.fences[0] != 3 {
@@ -107,9 +107,9 @@
 func TestAnEarlierOwnerIsNotServed(t *testing.T) {
 	s := newSide()
 	s.Take(t.Context(), &carrier.Batch{Fence: 9})
-	s.Take(t.Context(), &carrier.Batch{Fence: 8, Orders: []carrier.Order{startOf(1, "j"), {ID: 2, Hold: &order.Hold{}}}})
+	s.Take(t.Context(), &carrier.Batch{Fence: 8, Orders: []carrier.Order{startOf(1, "j"), {ID: 2, Hold: &order.Poll{}}}})
 	got := s.await(t, 2)
-	if got[1].Start != order.StartFenced || got[2].Hold != order.HoldSilent || len(s.workers.starts) != 0 {
+	if got[1].Start != order.StartFenced || got[2].Hold != order.PollUnanswered || len(s.workers.starts) != 0 {
 		t.Errorf("got: %+v, %d started, want: fenced", got, len(s.workers.starts))
 	}
 }
@@ -135,7 +135,7 @@
 		s.clock.Advance(400 * ms)
 		s.carrier.Tick()
 		s.Take(t.Context(), &carrier.Batch{Fence: 1, Orders: []carrier.Order{startOf(3, "new")}})
-		if got := s.await(t, 2); got[3].Start != order.StartDone {
+		if got := s.await(t, 2); got[3].Start != order.StartSucceeded {
 			t.Errorf("%s: later: got: %+v, want: started", name, got)
 		}
 	}
@@ -148,7 +148,7 @@
 	s := newSide()
 	s.carrier.Tick()
 	hold := func(id uint64) *carrier.Batch {
-		return &carrier.Batch{Fence: 1, Orders: []carrier.Order{{ID: id, Hold: &order.Hold{Worker: "w", Confirmed: 37, Deadline: 9}}}}
+		return &carrier.Batch{Fence: 1, Orders: []carrier.Order{{ID: id, Hold: &order.Poll{Worker: "w", Confirmed: 37, Deadline: 9}}}}
 	}
 	s.Take(t.Context(), hold(1))
 	s.await(t, 1)
--- a/internal/carrier/messages.go
+++ b/internal/carrier/messages.go
@@ -24,7 +24,7 @@
 	Start      *order.Start
 	PayloadKey payloadKey
 	Stop       *order.Stop
-	Hold       *order.Hold
+	Hold       *order.Poll
 	Pace       *order.Pace
 }
 
@@ -47,6 +47,6 @@
 	// IsStopKnown means that a stop was answered.
 	IsStopKnown bool
 	// Hold is set for a listing, Listing when that came.
-	Hold    order.HoldOutcome
+	Hold    order.PollOutcome
 	Listing *order.Listing
 }
--- a/internal/carrier/router.go
+++ b/internal/carrier/router.go
@@ -212,7 +212,7 @@
 		o.Start = &a
 	case order.Stop:
 		o.Stop = &a
-	case order.Hold:
+	case order.Poll:
 		o.Hold = &a
 	case order.Pace:
 		o.Pace = &a
@@ -253,13 +253,13 @@
 }
 
 // noteHold finds out whether a carrier reaches no worker.
-func (r *Router) noteHold(node string, outcome order.HoldOutcome, now time.Time) {
+func (r *Router) noteHold(node string, outcome order.PollOutcome, now time.Time) {
 	switch outcome {
 	case "":
 		return
-	case order.HoldSilent:
+	case order.PollUnanswered:
 		r.silent[node]++
-	case order.HoldListed, order.HoldLifeOver:
+	case order.PollAnswered, order.PollIncarnationEnded:
 		r.silent[node] = 0
 	}
 	if r.silent[node] >= maxSilent {
--- a/internal/carrier/router_test.go
+++ b/internal/carrier/router_test.go
@@ -41,7 +41,7 @@
 func spread(r *carrier.Router, workers []order.Worker, now time.Time) map[string]int {
 	out := map[string]int{}
 	for i := range workers {
-		if !r.Add(order.Hold{Worker: workers[i].ID}, workers[i].ID, time.Second, now) {
+		if !r.Add(order.Poll{Worker: workers[i].ID}, workers[i].ID, time.Second, now) {
 			out[""]++
 		}
 	}
@@ -83,7 +83,7 @@
 	r.SetWorkers(workers)
 	r.SetNodes(append(nodesOf("strong", 15, 200, zones...), nodesOf("weak", 130, 48, zones...)...), begin)
 	for i := range workers {
-		r.Add(order.Hold{Worker: workers[i].ID}, workers[i].ID, time.Second, begin)
+		r.Add(order.Poll{Worker: workers[i].ID}, workers[i].ID, time.Second, begin)
 	}
 	batches := r.Batches()
 	if len(batches) != 15 {
@@ -158,7 +158,7 @@
 	if b == nil || b.Fence != 7 || len(b.Orders) != 1 {
 		t.Fatalf("got: %+v, want: one order with the fence 7", b)
 	}
-	out := []carrier.Outcome{{ID: b.Orders[0].ID, Start: order.StartDone}, {ID: b.Orders[0].ID + 1, Start: order.StartDone}}
+	out := []carrier.Outcome{{ID: b.Orders[0].ID, Start: order.StartSucceeded}, {ID: b.Orders[0].ID + 1, Start: order.StartSucceeded}}
 	got := r.Answered(out, begin.Add(3*ms))
 	if len(got) != 1 || got[0].Action != start || got[0].Took != 3*ms {
 		t.Errorf("got: %+v, want: the order to start, after 3 ms", got)
@@ -180,14 +180,14 @@
 func TestACarrierThatDoesNotAnswerIsNotUsedForAWhile(t *testing.T) {
 	nodes := nodesOf("n", 1, 10, "a")
 	r := carried(t, nodes...)
-	r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin)
+	r.Add(order.Poll{Worker: "w0000"}, "w0000", 500*ms, begin)
 	if got := expire(r, 0, 600*ms); len(got) != 0 {
 		t.Errorf("while an outcome may come: got: %v, want: none", got)
 	}
 	if got := expire(r, 700*ms, 700*ms); len(got) != 1 {
 		t.Errorf("overdue: got: %v, want: the listing", got)
 	}
-	if r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin.Add(700*ms)) {
+	if r.Add(order.Poll{Worker: "w0000"}, "w0000", 500*ms, begin.Add(700*ms)) {
 		t.Error("after that: got: carried, want: the owner itself")
 	}
 	r.SetNodes(nodes, begin.Add(800*ms))
@@ -203,7 +203,7 @@
 // An owner that was kept from running has outcomes that it has not taken in.
 func TestNothingIsOverdueForAnOwnerThatWasKeptFromRunning(t *testing.T) {
 	r := carried(t, nodesOf("n", 1, 10, "a")...)
-	r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin)
+	r.Add(order.Poll{Worker: "w0000"}, "w0000", 500*ms, begin)
 	if got := r.Expire(begin.Add(5 * time.Second)); len(got) != 0 {
 		t.Errorf("first look after 5 s: got: %v, want: none", got)
 	}
@@ -216,8 +216,8 @@
 	nodes := nodesOf("n", 1, 10, "a")
 	r := carried(t, nodes...)
 	for range 6 {
-		r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin)
-		r.Answered([]carrier.Outcome{{ID: r.Batches()["n000"].Orders[0].ID, Hold: order.HoldSilent}}, begin)
+		r.Add(order.Poll{Worker: "w0000"}, "w0000", 500*ms, begin)
+		r.Answered([]carrier.Outcome{{ID: r.Batches()["n000"].Orders[0].ID, Hold: order.PollUnanswered}}, begin)
 	}
 	r.SetNodes(nodes, begin.Add(100*ms))
 	if got := r.Carriers(); got != 0 {
--- a/internal/cell/messages.go
+++ b/internal/cell/messages.go
@@ -162,7 +162,7 @@
 }
 
 type adviseReply struct {
-	Good  []order.Ticket
+	Good  []order.Permit
 	Valid time.Duration
 }
 
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -24,7 +24,7 @@
 
 // Adviser asks the service that permits workers, from this node.
 type Adviser interface {
-	Ask(ctx context.Context, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error)
+	Ask(ctx context.Context, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error)
 }
 
 // Config follows the operators' configuration.
--- a/internal/cell/node_test.go
+++ b/internal/cell/node_test.go
@@ -39,7 +39,7 @@
 	return nil, &detour.UnsentError{Err: errors.New("not used here")}
 }
 
-func (idle) Ask(context.Context, work.StepID, []order.WorkerID) ([]order.Ticket, time.Duration, error) {
+func (idle) Ask(context.Context, work.StepID, []order.WorkerID) ([]order.Permit, time.Duration, error) {
 	return nil, 0, errors.New("not used here")
 }
 
@@ -53,8 +53,8 @@
 
 func (idle) Pace(context.Context, uint64, *order.Pace) error { return nil }
 
-func (idle) Hold(context.Context, uint64, *order.Hold) (*order.Listing, order.HoldOutcome) {
-	return nil, order.HoldSilent
+func (idle) Hold(context.Context, uint64, *order.Poll) (*order.Listing, order.PollOutcome) {
+	return nil, order.PollUnanswered
 }
 
 func (idle) Workers(context.Context) ([]order.Worker, error) { return nil, nil }
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -235,7 +235,7 @@
 }
 
 // Ask asks through a lane.
-func (l *lanes) Ask(ctx context.Context, lane string, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error) {
+func (l *lanes) Ask(ctx context.Context, lane string, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error) {
 	if lane == l.n.options.Name {
 		return l.n.options.Adviser.Ask(ctx, step, workers)
 	}
--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -38,7 +38,7 @@
 }
 
 // Advised takes the answer to a call. isKnown is false when there was none.
-func (e *Engine) Advised(laneName string, id work.StepID, asked []order.WorkerID, good []order.Ticket, valid time.Duration, isKnown bool) {
+func (e *Engine) Advised(laneName string, id work.StepID, asked []order.WorkerID, good []order.Permit, valid time.Duration, isKnown bool) {
 	e.lanes.Answered(laneName, id)
 	e.claims.Drop(id)
 	e.isDirty = true
@@ -62,7 +62,7 @@
 const maxPutOffs = 16
 
 // askAdvice asks for the step, if it helps and a lane is free.
-func (e *Engine) askAdvice(s *step, policy *order.AdvicePolicy, missing int) {
+func (e *Engine) askAdvice(s *step, policy *order.PermissionPolicy, missing int) {
 	if e.asksLeft <= 0 || !s.permit.MayAsk(e.now) {
 		return
 	}
@@ -97,7 +97,7 @@
 		e.claims.Add(s.id, asked, missing, s.spec.Charge())
 	}
 	e.counts.Asks++
-	e.do(order.Advise{Lane: lane, Step: s.id, Workers: asked, Patience: patience})
+	e.do(order.QueryPermission{Channel: lane, Step: s.id, Workers: asked, Timeout: patience})
 }
 
 // lanesMissedFor is how long lanes are left to steps of a pool with room after one found none free.
@@ -126,12 +126,12 @@
 // step, and whose ticket, if there is one, ends before the next could be there. Those
 // without room are among them where some may become free: who is permitted is then known when
 // there is room.
-func (e *Engine) askable(s *step, policy *order.AdvicePolicy) []permit.Candidate {
+func (e *Engine) askable(s *step, policy *order.PermissionPolicy) []permit.Candidate {
 	found := []permit.Candidate{}
 	pool := e.queues[s.job.spec.Queue].Service
 	needsSound := slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.needsSound(s, &t) })
 	charge := s.spec.Charge()
-	renewAt := e.now.Add(policy.Base + permit.AskMargin)
+	renewAt := e.now.Add(policy.BaseTime + permit.AskMargin)
 	if !e.has(MechanismAdviceAhead) {
 		renewAt = e.now
 	}
--- a/internal/dispatch/advice_test.go
+++ b/internal/dispatch/advice_test.go
@@ -15,25 +15,25 @@
 	const ms = time.Millisecond
 	h := newHeir(1)
 	queue := testQueue
-	queue.Advice = &order.AdvicePolicy{Base: 25 * ms, Each: ms, Valid: 2 * time.Second}
+	queue.Permission = &order.PermissionPolicy{BaseTime: 25 * ms, TimePerWorker: ms, ValidFor: 2 * time.Second}
 	h.SetQueues([]order.Queue{queue})
 	h.SetLanes([]string{"near", "far"})
 	h.list("v")
 	h.told("v")
-	asks := []order.Advise{}
+	asks := []order.QueryPermission{}
 	advance := func(d time.Duration) {
 		h.clock.Advance(d)
 		h.Advance(h.clock.Now())
 		h.Tick()
 		h.Decide()
 		for _, a := range h.Actions() {
-			if ask, ok := a.(order.Advise); ok {
+			if ask, ok := a.(order.QueryPermission); ok {
 				asks = append(asks, ask)
 			}
 		}
 	}
 	advance(20 * ms)
-	if len(asks) != 1 || asks[0].Patience != 302*ms {
+	if len(asks) != 1 || asks[0].Timeout != 302*ms {
 		t.Fatalf("asks: got: %v, want: one with a patience of 302ms", asks)
 	}
 	for range 30 {
--- a/internal/dispatch/away.go
+++ b/internal/dispatch/away.go
@@ -106,9 +106,9 @@
 			has.denied++
 		case !e.isUsable(w, s):
 			has.setAside++
-		case q.Advice != nil && !isKnown:
+		case q.Permission != nil && !isKnown:
 			has.unasked++
-		case q.Advice == nil || hasTicket:
+		case q.Permission == nil || hasTicket:
 			has.ticketed++
 		}
 	}
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -54,14 +54,14 @@
 	switch a := a.(type) {
 	case order.Start:
 		at := order.WorkerTime(c.clock.Now().UnixNano())
-		c.engine.StartAnswered(a.Worker, a.Task, a.Run, order.StartDone, at)
+		c.engine.StartAnswered(a.Worker, a.Task, a.Run, order.StartSucceeded, at)
 		if !c.lasts[a.Task.Job] {
 			c.ends[a.Worker]++
-			c.engine.Listed(&order.Hold{Worker: a.Worker, IsLook: true}, &order.Listing{Finished: []order.End{{
-				Number: c.ends[a.Worker], Task: a.Task, Run: a.Run, Kind: order.EndDone,
+			c.engine.Listed(&order.Poll{Worker: a.Worker, IsImmediate: true}, &order.Listing{Finished: []order.End{{
+				Number: c.ends[a.Worker], Task: a.Task, Run: a.Run, Kind: order.EndSucceeded,
 			}}})
 		}
-	case order.Hold:
+	case order.Poll:
 		if a.Wait == 0 {
 			c.engine.Listed(&a, &order.Listing{At: order.WorkerTime(c.clock.Now().UnixNano())})
 		}
--- a/internal/dispatch/claims_test.go
+++ b/internal/dispatch/claims_test.go
@@ -16,7 +16,7 @@
 func TestStepsThatAskTogetherNameOtherWorkers(t *testing.T) {
 	w := newWorld(1)
 	asking := testQueue
-	asking.Advice = &order.AdvicePolicy{Base: 500 * time.Millisecond, Each: 7 * time.Millisecond, Valid: 2 * time.Second}
+	asking.Permission = &order.PermissionPolicy{BaseTime: 500 * time.Millisecond, TimePerWorker: 7 * time.Millisecond, ValidFor: 2 * time.Second}
 	w.queues, w.lanes = []order.Queue{asking}, []string{"a", "b", "c", "d", "e"}
 	w.takeOver()
 	w.addWorkers(40, room)
@@ -26,7 +26,7 @@
 	w.submit("first", large)
 	w.submit("second", large)
 	named := map[string][]order.WorkerID{}
-	w.onAdvise = func(a order.Advise) { named[string(a.Step.Job)] = a.Workers }
+	w.onAdvise = func(a order.QueryPermission) { named[string(a.Step.Job)] = a.Workers }
 	w.run(100 * time.Millisecond)
 	first, second := named["first"], named["second"]
 	if len(first) < 6 || len(second) < 6 {
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -265,7 +265,7 @@
 // its name, which may only have been cut off, is over.
 func (e *Engine) crashKnown(w *worker) {
 	for id, c := range e.cutOff.All() {
-		isEarlier := c.machine == w.Machine && w.Machine != "" && id != w.ID || w.ID.IsOtherStart(id)
+		isEarlier := c.machine == w.Machine && w.Machine != "" && id != w.ID || w.ID.IsOtherIncarnation(id)
 		if !isEarlier {
 			continue
 		}
--- a/internal/dispatch/crash_world_test.go
+++ b/internal/dispatch/crash_world_test.go
@@ -125,7 +125,7 @@
 	for _, m := range w.each() {
 		for other, r := range m.runs() {
 			if other.Of() == id.Of() {
-				m.end(other, r, order.EndBroken)
+				m.end(other, r, order.EndGangBroken)
 			}
 		}
 	}
--- a/internal/dispatch/cut_test.go
+++ b/internal/dispatch/cut_test.go
@@ -28,7 +28,7 @@
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
-	e.Listed(&order.Hold{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
+	e.Listed(&order.Poll{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(2, time.Second)}})
 	e.Committed(e.TakeBatch())
 	e.Decide()
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -456,7 +456,7 @@
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}, {ID: "v", Service: "pool", Capacity: room}}, true)
 	listed := func(id order.WorkerID, at order.WorkerTime, askedAt time.Time) {
-		e.Listed(&order.Hold{Worker: id, AskedAt: askedAt}, &order.Listing{At: at})
+		e.Listed(&order.Poll{Worker: id, AskedAt: askedAt}, &order.Listing{At: at})
 	}
 	askedAt := c.Now()
 	listed("w", 10, askedAt)
@@ -478,7 +478,7 @@
 	settle()
 	c.Advance(5 * time.Millisecond)
 	e.Advance(c.Now())
-	e.StartAnswered(starts[0].Worker, starts[0].Task, 1, order.StartDone, 20)
+	e.StartAnswered(starts[0].Worker, starts[0].Task, 1, order.StartSucceeded, 20)
 	listed(starts[0].Worker, 30, askedAt)
 	settle()
 	if len(starts) != 1 {
@@ -505,7 +505,7 @@
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
-	e.Listed(&order.Hold{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
+	e.Listed(&order.Poll{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}})
 	looks := 0
 	advance := func(d time.Duration) {
@@ -522,11 +522,11 @@
 				e.StartAnswered(a.Worker, a.Task, a.Run, order.StartUnknown, 0)
 			case order.Stop:
 				e.StopAnswered(a.Worker, a.Task, a.Run, true, 20)
-			case order.Hold:
-				if a.IsLook {
+			case order.Poll:
+				if a.IsImmediate {
 					looks++
 				}
-			case order.Advise, order.Pace:
+			case order.QueryPermission, order.Pace:
 			}
 		}
 	}
@@ -558,12 +558,12 @@
 		e.SetWorkers(list, true)
 		running := []order.Running{{Task: work.TaskID{Job: "a"}, Run: 1}}
 		for _, a := range e.Actions() {
-			if h := a.(order.Hold); h.Worker == "0" {
+			if h := a.(order.Poll); h.Worker == "0" {
 				e.Listed(&h, &order.Listing{At: 1, Running: running})
 			}
 		}
 		for _, a := range e.Actions() {
-			if h, ok := a.(order.Hold); ok && h.Wait != want {
+			if h, ok := a.(order.Poll); ok && h.Wait != want {
 				t.Errorf("%d workers: wait of a busy one: got: %v, want: %v", workers, h.Wait, want)
 			}
 		}
--- a/internal/dispatch/gang.go
+++ b/internal/dispatch/gang.go
@@ -17,8 +17,8 @@
 	}
 	places := e.gangPlaces(s, q)
 	if places == nil {
-		if q.Advice != nil {
-			e.askAdvice(s, q.Advice, len(s.tasks))
+		if q.Permission != nil {
+			e.askAdvice(s, q.Permission, len(s.tasks))
 		}
 		e.reserveFor(s, q, len(s.tasks))
 		return
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -45,7 +45,7 @@
 		return
 	}
 	w.session.Wait(e.now)
-	h := order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), Wait: e.holdWait(w), Patience: e.holdPatience(), AskedAt: e.now}
+	h := order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), Wait: e.holdWait(w), Timeout: e.holdPatience(), AskedAt: e.now}
 	// The lease of a worker that does not answer is left to end: where its tasks
 	// may run is known the sooner.
 	if !w.session.HeardAt().IsZero() && e.isTrusted && !w.session.HasMissed() {
@@ -61,7 +61,7 @@
 		w.isRestless = true
 		return
 	}
-	e.do(order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), IsLook: true, Patience: e.holdPatience(), AskedAt: e.now})
+	e.do(order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), IsImmediate: true, Timeout: e.holdPatience(), AskedAt: e.now})
 }
 
 // holdPatience returns how much longer than it waits a listing may take.
@@ -92,7 +92,7 @@
 }
 
 // HoldFailed says that a listing did not come.
-func (e *Engine) HoldFailed(h *order.Hold) {
+func (e *Engine) HoldFailed(h *order.Poll) {
 	w := e.workers.Get(h.Worker)
 	if w == nil {
 		return
@@ -101,7 +101,7 @@
 		e.LifeOver(w.ID)
 		return
 	}
-	if !h.IsLook {
+	if !h.IsImmediate {
 		if !w.session.HasMissed() {
 			e.silences.Began(w.ID, w.session.HeardAt(), e.now)
 		}
@@ -109,7 +109,7 @@
 		w.session.Missed(e.now)
 		e.refuseStrays(w)
 	}
-	e.answeredHold(w, h.IsLook)
+	e.answeredHold(w, h.IsImmediate)
 }
 
 func (e *Engine) answeredHold(w *worker, isLook bool) {
--- a/internal/dispatch/inherit_test.go
+++ b/internal/dispatch/inherit_test.go
@@ -60,7 +60,7 @@
 
 func (h *heir) told(id order.WorkerID) {
 	at := order.WorkerTime(h.clock.Now().Sub(clock.NewFake().Now()) + time.Second)
-	h.Listed(&order.Hold{Worker: id, AskedAt: h.clock.Now()}, &order.Listing{At: at})
+	h.Listed(&order.Poll{Worker: id, AskedAt: h.clock.Now()}, &order.Listing{At: at})
 }
 
 // All tasks of all jobs waited 6.5 s for leases after an owner that had run ahead
@@ -113,8 +113,8 @@
 func TestWhatIsLearnedOfAnEarlierOwnerIsUnkeptUntilTheStoreHasIt(t *testing.T) {
 	h := newHeir(1)
 	h.list("v")
-	h.Listed(&order.Hold{Worker: "v", AskedAt: h.clock.Now()}, &order.Listing{
-		At: order.WorkerTime(time.Second), Finished: []order.End{{Number: 1, Task: work.TaskID{Job: "a"}, Run: 1, Kind: order.EndDone}},
+	h.Listed(&order.Poll{Worker: "v", AskedAt: h.clock.Now()}, &order.Listing{
+		At: order.WorkerTime(time.Second), Finished: []order.End{{Number: 1, Task: work.TaskID{Job: "a"}, Run: 1, Kind: order.EndSucceeded}},
 	})
 	h.clock.Advance(100 * time.Millisecond)
 	h.Advance(h.clock.Now())
@@ -139,7 +139,7 @@
 // owner had started ahead of the store. That one's end was told while the place waited for the
 // store, and the task started all the same, as the numbers of both were the same.
 func TestAPlannedAttemptGoesWhenAnotherOfItsNumberIsDone(t *testing.T) {
-	expectOtherStart(t, func(m *modelWorker, id work.TaskID) { m.end(id, &modelRun{run: 1}, order.EndDone) })
+	expectOtherStart(t, func(m *modelWorker, id work.TaskID) { m.end(id, &modelRun{run: 1}, order.EndSucceeded) })
 }
 
 // The same, but the earlier owner's attempt still runs: it is gone on with.
--- a/internal/dispatch/lab_test.go
+++ b/internal/dispatch/lab_test.go
@@ -23,12 +23,12 @@
 // that take a whole worker, the other tasks that take an eighth of it.
 var (
 	whole = order.Queue{
-		Name: "whole", Service: "pool", Priority: 1, MaxAttempts: 3, Stretch: 2.2, Latency: time.Second,
-		Advice: &order.AdvicePolicy{Base: 490 * time.Millisecond, Each: 7 * time.Millisecond, Valid: 2 * time.Second},
+		Name: "whole", Service: "pool", Priority: 1, MaxAttempts: 3, Stretch: 2.2, TargetLatency: time.Second,
+		Permission: &order.PermissionPolicy{BaseTime: 490 * time.Millisecond, TimePerWorker: 7 * time.Millisecond, ValidFor: 2 * time.Second},
 	}
 	part = order.Queue{
-		Name: "part", Service: "pool", Priority: 2, MaxAttempts: 3, Stretch: 4, Latency: 3 * time.Second,
-		Advice: &order.AdvicePolicy{Base: 140 * time.Millisecond, Each: 2 * time.Millisecond, Valid: 2 * time.Second},
+		Name: "part", Service: "pool", Priority: 2, MaxAttempts: 3, Stretch: 4, TargetLatency: 3 * time.Second,
+		Permission: &order.PermissionPolicy{BaseTime: 140 * time.Millisecond, TimePerWorker: 2 * time.Millisecond, ValidFor: 2 * time.Second},
 	}
 	// urgent is a queue that goes before both.
 	urgent      = order.Queue{Name: "urgent", Service: "pool", MaxAttempts: 3}
@@ -113,14 +113,14 @@
 	starved, _ := playMixedLab(newLab(8, dispatch.MechanismReservations))
 	t.Logf("longest and middle waits: large %v, %v, small %v, %v; large without reservations %v, %v",
 		large[0], large[len(large)/2], small[0], small[len(small)/2], starved[0], starved[len(starved)/2])
-	objective := time.Duration(whole.Stretch*float64(1900*time.Millisecond)) + whole.Latency
+	objective := time.Duration(whole.Stretch*float64(1900*time.Millisecond)) + whole.TargetLatency
 	if large[0] > objective {
 		t.Errorf("longest wait for a large job: got: %v, want: at most %v", large[0], objective)
 	}
 	if starved[0] < objective {
 		t.Errorf("longest wait without reservations: got: %v, want: over %v, or the load shows nothing", starved[0], objective)
 	}
-	if small[0] > 4*2100*time.Millisecond+part.Latency {
+	if small[0] > 4*2100*time.Millisecond+part.TargetLatency {
 		t.Errorf("longest wait for a small job: got: %v, want: within its objective", small[0])
 	}
 	expectWhole(t, w)
--- a/internal/dispatch/lasting_test.go
+++ b/internal/dispatch/lasting_test.go
@@ -45,7 +45,7 @@
 	o.idle(time.Second)
 	s := work.Step{Count: 15, Need: longStepNeed, Estimate: time.Hour, IsLasting: true, MaxPerWorker: 1, MayMiss: -1}
 	asked := map[order.WorkerID]bool{}
-	o.onAdvise = func(a order.Advise) {
+	o.onAdvise = func(a order.QueryPermission) {
 		for _, id := range a.Workers {
 			asked[id] = true
 		}
--- a/internal/dispatch/lasting_world_test.go
+++ b/internal/dispatch/lasting_world_test.go
@@ -81,7 +81,7 @@
 	for _, m := range l.w.each() {
 		p := place{step, m.entry.ID}
 		fits := m.fits(step, spec)
-		if fits == 0 || m.isDead || m.isCut || m.isSick || m.entry.IsDraining || queue.Advice != nil && !l.w.permits(queue, step, m.entry.ID) {
+		if fits == 0 || m.isDead || m.isCut || m.isSick || m.entry.IsDraining || queue.Permission != nil && !l.w.permits(queue, step, m.entry.ID) {
 			delete(l.roomFrom, p)
 			continue
 		}
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -17,7 +17,7 @@
 func (e *Engine) StartAnswered(id order.WorkerID, task work.TaskID, run uint64, outcome order.StartOutcome, at order.WorkerTime) {
 	e.unanswered--
 	defer e.sendReady()
-	if outcome == order.StartLifeOver {
+	if outcome == order.StartIncarnationEnded {
 		e.LifeOver(id)
 		return
 	}
@@ -39,7 +39,7 @@
 		e.window.Answered(e.now.Sub(a.orderedAt), e.now)
 	}
 	switch outcome {
-	case order.StartDone:
+	case order.StartSucceeded:
 		a.startedAt, a.startedOn = at, e.now
 		a.isTold = a.isTold || isOfThisStart
 		if at > 0 && !a.hasSaved {
@@ -53,7 +53,7 @@
 		if a.phase == phaseOrdered {
 			e.doubt(a)
 		}
-	case order.StartRefused, order.StartNoRoom, order.StartNoTicket, order.StartUnhealthy, order.StartFenced, order.StartLifeOver:
+	case order.StartRefused, order.StartNoCapacity, order.StartNoPermit, order.StartUnhealthy, order.StartFenced, order.StartIncarnationEnded:
 		e.startRefused(w, a, outcome)
 	}
 }
@@ -64,13 +64,13 @@
 	}
 	e.options.Log(events.StartRefused, "task", a.id, "run", a.run, "worker", w.ID, "why", outcome)
 	switch outcome {
-	case order.StartNoTicket:
+	case order.StartNoPermit:
 		a.step.permit.Forget(w.ID)
 	case order.StartUnhealthy:
 		w.health.Refused(e.now)
-	case order.StartNoRoom, order.StartRefused:
+	case order.StartNoCapacity, order.StartRefused:
 		w.health.Refused(e.now)
-	case order.StartDone, order.StartFenced, order.StartUnknown, order.StartLifeOver:
+	case order.StartSucceeded, order.StartFenced, order.StartUnknown, order.StartIncarnationEnded:
 	}
 	a.isTold = true
 	e.release(a)
@@ -98,9 +98,9 @@
 }
 
 // Listed takes a worker's word on all that it runs.
-func (e *Engine) Listed(h *order.Hold, l *order.Listing) {
-	if l.Worker != "" {
-		e.startedAgain(h.Worker, l.Worker)
+func (e *Engine) Listed(h *order.Poll, l *order.Listing) {
+	if l.OtherIncarnation != "" {
+		e.startedAgain(h.Worker, l.OtherIncarnation)
 		return
 	}
 	w := e.workers.Get(h.Worker)
@@ -116,7 +116,7 @@
 	w.session.Heard(l.At, e.now)
 	w.session.Forgot(h.Confirmed)
 	e.takeListing(w, l, h.AskedAt)
-	e.answeredHold(w, h.IsLook)
+	e.answeredHold(w, h.IsImmediate)
 	e.dropIfEmpty(w)
 }
 
@@ -174,12 +174,12 @@
 	if r.Percent != a.percent {
 		a.percent, a.percentAt = r.Percent, e.now
 	}
-	a.figure = r.Figure
+	a.figure = r.LoadMetric
 	a.progress.Take(w.session.ListedClock(), r.Percent, e.expected(a.step))
 	if a.step != nil {
 		a.step.job.hasBegun = true
-		if r.Saved != "" {
-			a.step.tasks[a.id.Index].saved = r.Saved
+		if r.Checkpoint != "" {
+			a.step.tasks[a.id.Index].saved = r.Checkpoint
 		}
 	}
 }
@@ -258,18 +258,18 @@
 		return
 	}
 	t.run = max(t.run, end.Run)
-	if end.Saved != "" && (a != nil || t.saved == "") {
-		t.saved = end.Saved
+	if end.Checkpoint != "" && (a != nil || t.saved == "") {
+		t.saved = end.Checkpoint
 	}
 	switch end.Kind {
-	case order.EndDone:
+	case order.EndSucceeded:
 		if a != nil {
 			e.learn(a)
 		}
 		e.endedDone(w, s, end, a)
 	case order.EndFailed:
 		e.endedFailed(w, s, end)
-	case order.EndStopped, order.EndLapsed, order.EndBroken, order.EndAlone:
+	case order.EndStopped, order.EndLeaseExpired, order.EndGangBroken, order.EndGangIncomplete:
 		if a == nil || a.stopWhy == "" {
 			e.options.Log(events.AttemptEnded, "task", end.Task, "run", end.Run, "worker", w.ID, "how", end.Kind)
 		}
--- a/internal/dispatch/office_test.go
+++ b/internal/dispatch/office_test.go
@@ -42,16 +42,16 @@
 
 var (
 	shortQueue = order.Queue{
-		Name: "short", Service: "pool", Priority: 0, MaxAttempts: 2, Stretch: 1.5, Latency: 250 * time.Millisecond,
-		Advice: &order.AdvicePolicy{Base: 26 * time.Millisecond, Each: 364 * time.Microsecond, Valid: 2500 * time.Millisecond},
+		Name: "short", Service: "pool", Priority: 0, MaxAttempts: 2, Stretch: 1.5, TargetLatency: 250 * time.Millisecond,
+		Permission: &order.PermissionPolicy{BaseTime: 26 * time.Millisecond, TimePerWorker: 364 * time.Microsecond, ValidFor: 2500 * time.Millisecond},
 	}
 	longQueue = order.Queue{
-		Name: "long", Service: "pool", Priority: 2, MaxAttempts: 4, Stretch: 2.2, Latency: 1200 * time.Millisecond,
-		Advice: &order.AdvicePolicy{Base: 494 * time.Millisecond, Each: 7150 * time.Microsecond, Valid: 2500 * time.Millisecond},
+		Name: "long", Service: "pool", Priority: 2, MaxAttempts: 4, Stretch: 2.2, TargetLatency: 1200 * time.Millisecond,
+		Permission: &order.PermissionPolicy{BaseTime: 494 * time.Millisecond, TimePerWorker: 7150 * time.Microsecond, ValidFor: 2500 * time.Millisecond},
 	}
 	lastingQueue = order.Queue{
-		Name: "lasting", Service: "pool", Priority: 1, MaxAttempts: 2, Stretch: 2.2, Latency: 2500 * time.Millisecond,
-		Advice: &order.AdvicePolicy{Base: 585 * time.Millisecond, Each: 8450 * time.Microsecond, Valid: 2500 * time.Millisecond},
+		Name: "lasting", Service: "pool", Priority: 1, MaxAttempts: 2, Stretch: 2.2, TargetLatency: 2500 * time.Millisecond,
+		Permission: &order.PermissionPolicy{BaseTime: 585 * time.Millisecond, TimePerWorker: 8450 * time.Microsecond, ValidFor: 2500 * time.Millisecond},
 	}
 	longStepNeed = leverdyke.Resources{MilliCPU: 9000, MemoryMiB: 9100}
 	officeRoom   = leverdyke.Resources{MilliCPU: 32_000, MemoryMiB: 64_000}
@@ -121,10 +121,10 @@
 	o.next++
 	chain, amount := time.Duration(0), 0.0
 	for i := range steps {
-		chain += steps[i].Estimate + q.Advice.Base + 30*q.Advice.Each
+		chain += steps[i].Estimate + q.Permission.BaseTime + 30*q.Permission.TimePerWorker
 		amount += float64(steps[i].Count) * float64(steps[i].Need.MilliCPU) / 1000 * steps[i].Estimate.Seconds()
 	}
-	o.jobs[id] = &officeJob{queue, customer, o.since(), time.Duration(q.Stretch*float64(chain)) + q.Latency, amount}
+	o.jobs[id] = &officeJob{queue, customer, o.since(), time.Duration(q.Stretch*float64(chain)) + q.TargetLatency, amount}
 	o.submitFor(customer, queue, string(id), steps...)
 }
 
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -128,8 +128,8 @@
 		e.placeCopies(s, q)
 	}
 	mayStart = e.quotaRoom(s)
-	if missing := min(s.waiting+s.copiesWanted, mayStart); missing > 0 && q.Advice != nil {
-		e.askAdvice(s, q.Advice, missing)
+	if missing := min(s.waiting+s.copiesWanted, mayStart); missing > 0 && q.Permission != nil {
+		e.askAdvice(s, q.Permission, missing)
 	}
 	if missing := min(s.waiting, mayStart); missing > 0 {
 		e.reserveFor(s, q, missing)
@@ -240,7 +240,7 @@
 // slice is reused by the next call.
 func (e *Engine) permitted(s *step, q *order.Queue) []*worker {
 	found := e.found[:0]
-	if q.Advice == nil {
+	if q.Permission == nil {
 		for _, w := range e.workers.All() {
 			if e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
 				found = append(found, w)
@@ -248,7 +248,7 @@
 		}
 	}
 	s.permit.Permitted(e.now, func(id order.WorkerID) {
-		if w := e.workers.Get(id); w != nil && q.Advice != nil && e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
+		if w := e.workers.Get(id); w != nil && q.Permission != nil && e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
 			found = append(found, w)
 		}
 	})
@@ -451,7 +451,7 @@
 	text, hasTicket := a.step.permit.Holds(a.worker.ID, e.now)
 	isHeldBack := e.isPaused && !e.isGangUnderWay(a)
 	isOverLimit := e.quota.IsOver(a.step.customer()) && !e.isGangUnderWay(a)
-	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Advice != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
+	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Permission != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
 		e.dropPlanned(a, "a member was not ordered")
 		return
 	}
@@ -465,7 +465,7 @@
 	e.fresh = append(e.fresh, a)
 	e.do(order.Start{
 		Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.strays.Generation(a.worker.ID), Task: a.id, Run: a.run, Payload: a.step.job.spec.Payload,
-		Saved: a.step.savedFor(a.id.Index), Ticket: text, Deadline: a.worker.session.Renew(e.now),
+		Checkpoint: a.step.savedFor(a.id.Index), Permit: text, Deadline: a.worker.session.Renew(e.now),
 	})
 }
 
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -172,13 +172,13 @@
 			found = append(found, reservable{worker: w})
 		}
 	}
-	if q.Advice == nil {
+	if q.Permission == nil {
 		for _, w := range e.workers.All() {
 			add(w)
 		}
 	}
 	s.permit.Good(func(id order.WorkerID) {
-		if q.Advice != nil {
+		if q.Permission != nil {
 			add(e.workers.Get(id))
 		}
 	})
@@ -262,6 +262,6 @@
 // spare returns how much earlier than the objective of its queue the step of an attempt
 // will likely end.
 func (e *Engine) spare(a *attempt, q *order.Queue) time.Duration {
-	objective := q.Latency + time.Duration(q.Stretch*float64(e.expected(a.step)))
+	objective := q.TargetLatency + time.Duration(q.Stretch*float64(e.expected(a.step)))
 	return a.step.openedFor().Add(objective).Sub(e.now) - e.endsIn(a)
 }
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -53,7 +53,7 @@
 	next := e.workers.Get(newer)
 	if next == nil && !e.over[newer] {
 		entry := old.Worker
-		entry.ID, entry.IsDraining, entry.IsUnclear = newer, false, true
+		entry.ID, entry.IsDraining, entry.IsUncertain = newer, false, true
 		next = e.addWorker(&entry)
 	}
 	e.lifeOver(id, next)
@@ -102,7 +102,7 @@
 	for id := range e.unsettled.All() {
 		switch {
 		case !id.IsSameWorker(w.ID):
-		case id.IsOtherStart(w.ID):
+		case id.IsOtherIncarnation(w.ID):
 			e.settle(id, settledByLife)
 		default:
 			e.settle(id, settledByListing)
@@ -114,7 +114,7 @@
 // earlier start: it had tasks there.
 func (e *Engine) waitForOthers(w *worker) {
 	for id := range e.unsettled.All() {
-		if id.IsOtherStart(w.ID) {
+		if id.IsOtherIncarnation(w.ID) {
 			w.session.WaitFor(e.now.Add(session.AnyBound))
 		}
 	}
@@ -134,7 +134,7 @@
 // otherStart returns the entry of another start of a worker; nil when the list has none.
 func otherStart(list []order.Worker, id order.WorkerID) *order.Worker {
 	for i := range list {
-		if !list[i].IsRemoved && list[i].ID.IsOtherStart(id) {
+		if !list[i].IsRemoved && list[i].ID.IsOtherIncarnation(id) {
 			return &list[i]
 		}
 	}
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -18,7 +18,7 @@
 	engine *dispatch.Engine
 	clock  *clock.Fake
 	starts []order.Start
-	asks   []order.Advise
+	asks   []order.QueryPermission
 	ends   map[order.WorkerID]uint64
 	at     order.WorkerTime
 	// silent is a worker that answers no question for a listing.
@@ -49,7 +49,7 @@
 			running = append(running, order.Running{Task: s.Task, Run: s.Run})
 		}
 	}
-	c.engine.Listed(&order.Hold{Worker: id, AskedAt: c.clock.Now()}, &order.Listing{At: c.at, Running: running, Finished: ends})
+	c.engine.Listed(&order.Poll{Worker: id, AskedAt: c.clock.Now()}, &order.Listing{At: c.at, Running: running, Finished: ends})
 }
 
 func (*retryCell) hasEnded(s order.Start, ends []order.End) bool {
@@ -82,14 +82,14 @@
 		case order.Start:
 			c.starts = append(c.starts, a)
 			c.at++
-			c.engine.StartAnswered(a.Worker, a.Task, a.Run, order.StartDone, c.at)
-		case order.Hold:
+			c.engine.StartAnswered(a.Worker, a.Task, a.Run, order.StartSucceeded, c.at)
+		case order.Poll:
 			if a.Worker == c.silent {
 				c.engine.HoldFailed(&a)
 			} else {
 				c.listed(a.Worker)
 			}
-		case order.Advise:
+		case order.QueryPermission:
 			c.asks = append(c.asks, a)
 		case order.Stop, order.Pace:
 		}
@@ -143,7 +143,7 @@
 	if len(c.starts) != 1 || c.starts[0].Worker == unsound {
 		t.Fatalf("second attempt: got: %v, want: one on the other worker than %s", c.starts, unsound)
 	}
-	c.end(order.EndDone)
+	c.end(order.EndSucceeded)
 	c.submit("b", false)
 	if got := c.starts[0].Worker; got == unsound {
 		t.Fatalf("first attempt of b: got: %s, want: the sound worker", got)
@@ -163,7 +163,7 @@
 // stood still for good (soak seed 322).
 func TestAFailedQuestionIsAskedAgainInAnIdleCell(t *testing.T) {
 	c := newRetryCell("w")
-	c.engine.SetQueues([]order.Queue{{Name: "q", Service: "pool", MaxAttempts: 2, Advice: &order.AdvicePolicy{Base: 20 * time.Millisecond}}})
+	c.engine.SetQueues([]order.Queue{{Name: "q", Service: "pool", MaxAttempts: 2, Permission: &order.PermissionPolicy{BaseTime: 20 * time.Millisecond}}})
 	c.engine.SetLanes([]string{"n"})
 	c.submit("a", false)
 	if len(c.asks) != 1 {
@@ -189,7 +189,7 @@
 		c.engine.Advance(c.clock.Now())
 		c.engine.Tick()
 		for _, a := range c.engine.Actions() {
-			if _, ok := a.(order.Hold); ok {
+			if _, ok := a.(order.Poll); ok {
 				holds++
 			}
 		}
--- a/internal/dispatch/speed_test.go
+++ b/internal/dispatch/speed_test.go
@@ -35,7 +35,7 @@
 		e.SetQueues([]order.Queue{testQueue})
 		e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
 		at := func() order.WorkerTime { return order.WorkerTime(time.Second + c.Now().Sub(begin)) }
-		e.Listed(&order.Hold{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: at()})
+		e.Listed(&order.Poll{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: at()})
 		for _, id := range []work.JobID{"a", "b"} {
 			e.AddJob(&work.Spec{ID: id, Queue: "q", Steps: []work.Step{step(1, time.Second)}})
 		}
@@ -47,7 +47,7 @@
 		running := []order.Running{}
 		for _, a := range e.Actions() {
 			if s, ok := a.(order.Start); ok {
-				e.StartAnswered("w", s.Task, s.Run, order.StartDone, at())
+				e.StartAnswered("w", s.Task, s.Run, order.StartSucceeded, at())
 				running = append(running, order.Running{Task: s.Task, Run: s.Run})
 			}
 		}
@@ -57,7 +57,7 @@
 			for i := range running {
 				running[i].Percent = percent
 			}
-			e.Listed(&order.Hold{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: at(), Running: running})
+			e.Listed(&order.Poll{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: at(), Running: running})
 		}
 		if len(running) != 2 || isSlow != tc.want {
 			t.Errorf("%s: slow: got: %v with %d tasks, want: %v with 2", name, isSlow, len(running), tc.want)
--- a/internal/dispatch/stall_test.go
+++ b/internal/dispatch/stall_test.go
@@ -34,6 +34,6 @@
 		if got := h.Counts().Doubtful; got != tc.want {
 			t.Errorf("%s: unanswered: got: %d, want: %d", name, got, tc.want)
 		}
-		h.StartAnswered("v", work.TaskID{Job: "a"}, 1, order.StartDone, 0)
+		h.StartAnswered("v", work.TaskID{Job: "a"}, 1, order.StartSucceeded, 0)
 	}
 }
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -73,7 +73,7 @@
 	}
 	e.SetWorkers(list, true)
 	for _, a := range e.Actions() {
-		h := a.(order.Hold)
+		h := a.(order.Poll)
 		e.Listed(&h, &order.Listing{At: 1})
 	}
 	gang := step(members, time.Second)
@@ -87,7 +87,7 @@
 		for _, a := range e.Actions() {
 			if s, ok := a.(order.Start); ok {
 				started++
-				e.StartAnswered(s.Worker, s.Task, s.Run, order.StartDone, 2)
+				e.StartAnswered(s.Worker, s.Task, s.Run, order.StartSucceeded, 2)
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 	}
 	e.SetWorkers(list, true)
 	for _, a := range e.Actions() {
-		h := a.(order.Hold)
+		h := a.(order.Poll)
 		e.Listed(&h, &order.Listing{At: 1})
 	}
 	gang := step(3, time.Second)
@@ -154,7 +154,7 @@
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "v", Service: "pool", Capacity: room}}, true)
 	for _, a := range e.Actions() {
-		h := a.(order.Hold)
+		h := a.(order.Poll)
 		e.Listed(&h, &order.Listing{At: 1})
 	}
 	e.Actions()
@@ -164,7 +164,7 @@
 	e.Committed(e.TakeBatch())
 	// Its end on another worker is told, of an attempt that an earlier owner started.
 	task := work.TaskID{Job: "a"}
-	e.Listed(&order.Hold{Worker: "v", IsLook: true}, &order.Listing{At: 2, Finished: []order.End{{Number: 1, Task: task, Run: 7, Kind: order.EndDone}}})
+	e.Listed(&order.Poll{Worker: "v", IsImmediate: true}, &order.Listing{At: 2, Finished: []order.End{{Number: 1, Task: task, Run: 7, Kind: order.EndSucceeded}}})
 	if state, _ := e.State("a"); state != work.JobRunning {
 		t.Fatalf("state: got: %v, want: %v until it is kept", state, work.JobRunning)
 	}
--- a/internal/dispatch/unclear_test.go
+++ b/internal/dispatch/unclear_test.go
@@ -16,7 +16,7 @@
 // again.
 func (w *world) unclear(isUnclear bool) {
 	for _, m := range w.each() {
-		m.entry.IsUnclear = isUnclear
+		m.entry.IsUncertain = isUnclear
 	}
 }
 
@@ -62,7 +62,7 @@
 	m := w.workers["w00"]
 	good := m.entry
 	// The model takes its room from its entry; the engine reads none in an unclear one.
-	m.entry = order.Worker{ID: good.ID, Addr: netip.MustParseAddrPort("127.0.0.1:80"), Capacity: good.Capacity, IsUnclear: true}
+	m.entry = order.Worker{ID: good.ID, Addr: netip.MustParseAddrPort("127.0.0.1:80"), Capacity: good.Capacity, IsUncertain: true}
 	w.takeOver()
 	w.run(20 * time.Second)
 	if w.starts != 2 || len(m.running) != 2 {
@@ -78,7 +78,7 @@
 // An entry under a key that is no worker's is not asked for anything.
 func TestAnUnclearEntryOfAnUnknownWorkerIsNotAsked(t *testing.T) {
 	h := newHeir(0)
-	h.SetWorkers([]order.Worker{{ID: "x", IsUnclear: true}}, true)
+	h.SetWorkers([]order.Worker{{ID: "x", IsUncertain: true}}, true)
 	h.clock.Advance(time.Second)
 	h.Advance(h.clock.Now())
 	h.Tick()
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -66,7 +66,7 @@
 		Age: e.now.Sub(s.openedFor()), Left: left, IsPressing: s.spec.IsLasting || e.isStarved(s, q.Service), MustNotYield: s.spec.IsGang,
 	}
 	if q.Stretch > 0 && e.has(MechanismUrgency) {
-		w.Objective = q.Latency + time.Duration(q.Stretch*float64(whole))
+		w.Objective = q.TargetLatency + time.Duration(q.Stretch*float64(whole))
 	}
 	s.rank, s.rankedAt = w.Rank(), e.now
 }
@@ -104,8 +104,8 @@
 			s.chainEnd, s.leftEnd = max(s.chainEnd, r.steps[i].chainEnd), max(s.leftEnd, r.steps[i].leftEnd)
 		}
 		takes := time.Duration(e.quota.Waves(s.customer(), s.spec.Need, len(s.tasks))) * e.expected(s)
-		if q.Advice != nil {
-			takes += q.Advice.Base + askedWorkers*q.Advice.Each
+		if q.Permission != nil {
+			takes += q.Permission.BaseTime + askedWorkers*q.Permission.TimePerWorker
 		}
 		s.chainEnd += takes
 		if s.left > 0 {
--- a/internal/dispatch/waits.go
+++ b/internal/dispatch/waits.go
@@ -29,11 +29,11 @@
 		return waits.Doubt
 	case e.quotaRoom(s) == 0:
 		return waits.Limit
-	case q.Advice == nil || len(e.permitted(s, q)) > 0:
+	case q.Permission == nil || len(e.permitted(s, q)) > 0:
 		return waits.Room
 	case s.permit.IsAsking():
 		return waits.Permission
-	case e.lanes.Free(q.Advice) == "":
+	case e.lanes.Free(q.Permission) == "":
 		return waits.Lane
 	}
 	return waits.Room
--- a/internal/dispatch/waits_test.go
+++ b/internal/dispatch/waits_test.go
@@ -13,7 +13,7 @@
 
 func TestWhatTasksWaitForIsTold(t *testing.T) {
 	asking := testQueue
-	asking.Advice = &order.AdvicePolicy{Base: 500 * time.Millisecond, Each: time.Millisecond, Valid: 2 * time.Second}
+	asking.Permission = &order.PermissionPolicy{BaseTime: 500 * time.Millisecond, TimePerWorker: time.Millisecond, ValidFor: 2 * time.Second}
 	for name, tc := range map[string]struct {
 		prepare func(w *world)
 		want    waits.Reason
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -124,7 +124,7 @@
 		if !e.over[entry.ID] {
 			e.setWorker(entry)
 		}
-		hasUnclear = hasUnclear || entry.IsUnclear && e.workers.Get(entry.ID) == nil
+		hasUnclear = hasUnclear || entry.IsUncertain && e.workers.Get(entry.ID) == nil
 	}
 	if !isCertain {
 		return
@@ -161,7 +161,7 @@
 
 func (e *Engine) setWorker(entry order.Worker) {
 	w := e.workers.Get(entry.ID)
-	if w == nil && entry.IsUnclear && !e.mayRunOn(&entry) {
+	if w == nil && entry.IsUncertain && !e.mayRunOn(&entry) {
 		return
 	}
 	if w == nil {
@@ -171,11 +171,11 @@
 	if entry.IsDraining && !w.IsDraining {
 		e.options.Log(events.WorkerLeaving, "worker", entry.ID, "attempts", w.attempts.Len())
 	}
-	if w.Capacity != entry.Capacity && !entry.IsUnclear {
+	if w.Capacity != entry.Capacity && !entry.IsUncertain {
 		e.isDirty = true
 		e.options.Log(events.WorkerResized, "worker", entry.ID, "from", w.Capacity, "to", entry.Capacity, "used", w.used)
 	}
-	if w.isGone || w.IsDraining != entry.IsDraining || w.IsUnclear != entry.IsUnclear {
+	if w.isGone || w.IsDraining != entry.IsDraining || w.IsUncertain != entry.IsUncertain {
 		e.isDirty = true
 	}
 	if w.Machine != entry.Machine {
@@ -250,7 +250,7 @@
 
 // lifeOver is LifeOver of a worker after which next is there; nil when that is not known.
 func (e *Engine) lifeOver(id order.WorkerID, next *worker) {
-	if next == nil || !id.IsOtherStart(next.ID) {
+	if next == nil || !id.IsOtherIncarnation(next.ID) {
 		// Orders of an earlier owner may run on a newer start: it has to tell first.
 		e.settle(id, settledByLife)
 	}
@@ -261,7 +261,7 @@
 	}
 	e.options.Log(events.WorkerLifeOver, "worker", id, "attempts", w.attempts.Len())
 	under := e.noteCrashes(w, true)
-	if next != nil && id.IsOtherStart(next.ID) {
+	if next != nil && id.IsOtherIncarnation(next.ID) {
 		e.inheritFrom(w, next)
 	}
 	e.lapseAll(w, cutByLife)
--- a/internal/dispatch/worker_index.go
+++ b/internal/dispatch/worker_index.go
@@ -48,7 +48,7 @@
 		}
 	}
 	for _, other := range x.byName[w.ID.Name()] {
-		if w.ID.IsOtherStart(other.ID) && !slices.Contains(found, other) {
+		if w.ID.IsOtherIncarnation(other.ID) && !slices.Contains(found, other) {
 			found = append(found, other)
 		}
 	}
--- a/internal/dispatch/worker_model_test.go
+++ b/internal/dispatch/worker_model_test.go
@@ -105,14 +105,14 @@
 	for id, r := range m.runs() {
 		switch {
 		case m.at(since) >= m.deadline:
-			m.end(id, r, order.EndLapsed)
+			m.end(id, r, order.EndLeaseExpired)
 		case !r.stops.IsZero() && !now.Before(r.stops):
 			m.end(id, r, order.EndStopped)
 		case r.isStuck:
 		case !now.Before(r.endsAt) && r.fails:
 			m.end(id, r, order.EndFailed)
 		case !now.Before(r.endsAt):
-			m.end(id, r, order.EndDone)
+			m.end(id, r, order.EndSucceeded)
 		}
 	}
 }
@@ -142,14 +142,14 @@
 	}
 	m.renew(s.Deadline, since)
 	if old := m.running[s.Task]; old != nil && old.run == s.Run {
-		return order.StartDone, false
+		return order.StartSucceeded, false
 	}
 	if m.running[s.Task] != nil || s.Run <= m.barred[s.Task] || s.Deadline <= m.at(since) {
 		return order.StartRefused, false
 	}
 	r.run = s.Run
 	m.running[s.Task] = r
-	return order.StartDone, true
+	return order.StartSucceeded, true
 }
 
 func (m *modelWorker) stop(fence uint64, s *order.Stop, now time.Time, takes time.Duration) bool {
@@ -164,7 +164,7 @@
 	return true
 }
 
-func (m *modelWorker) hold(fence uint64, h *order.Hold, since time.Duration) *order.Listing {
+func (m *modelWorker) hold(fence uint64, h *order.Poll, since time.Duration) *order.Listing {
 	if !m.obeys(fence) {
 		return nil
 	}
@@ -174,7 +174,7 @@
 	for _, e := range m.finished {
 		if e.Number > m.lastSeen {
 			kept = append(kept, e)
-		} else if e.Kind == order.EndDone {
+		} else if e.Kind == order.EndSucceeded {
 			m.confirmed[e.Task] = true
 		}
 	}
@@ -183,8 +183,8 @@
 	for id, r := range m.runs() {
 		l.Running = append(l.Running, order.Running{Task: id, Run: r.run, Percent: r.percent(m.now)})
 	}
-	if m.entry.ID.IsOtherStart(h.Worker) {
-		l.Worker = m.entry.ID
+	if m.entry.ID.IsOtherIncarnation(h.Worker) {
+		l.OtherIncarnation = m.entry.ID
 	}
 	return l
 }
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -76,7 +76,7 @@
 	queues []order.Queue
 	mayRun func(order.WorkerID) bool
 	// onAdvise sees each call for permission; nil sees none.
-	onAdvise func(order.Advise)
+	onAdvise func(order.QueryPermission)
 	// mayRunStep tells it by step instead; nil where mayRun does.
 	mayRunStep func(*order.Queue, work.StepID, order.WorkerID) bool
 	endedAt    map[work.JobID]time.Duration
@@ -120,7 +120,7 @@
 		return traced{at: at, worker: a.Worker, task: a.Task, run: a.Run}
 	case order.Stop:
 		return traced{at: at, worker: a.Worker, task: a.Task, run: a.Run}
-	case order.Hold:
+	case order.Poll:
 		return traced{at: at, worker: a.Worker, run: a.Confirmed, wait: a.Wait}
 	}
 	return traced{at: at}
@@ -299,29 +299,29 @@
 		w.orderStart(a)
 	case order.Stop:
 		w.orderStop(a)
-	case order.Hold:
+	case order.Poll:
 		w.orderHold(a)
-	case order.Advise:
+	case order.QueryPermission:
 		w.advise(a)
 	case order.Pace:
 	}
 }
 
 // advise answers which workers are permitted, after the time that the policy tells.
-func (w *world) advise(a order.Advise) {
+func (w *world) advise(a order.QueryPermission) {
 	if w.onAdvise != nil {
 		w.onAdvise(a)
 	}
 	q := w.queueOf(a.Step.Job)
-	policy := q.Advice
-	good := []order.Ticket{}
+	policy := q.Permission
+	good := []order.Permit{}
 	for _, id := range a.Workers {
 		if w.mayRunStep == nil && (w.mayRun == nil || w.mayRun(id)) || w.mayRunStep != nil && w.mayRunStep(q, a.Step, id) {
-			good = append(good, order.Ticket{Worker: id, Text: "t"})
+			good = append(good, order.Permit{Worker: id, Text: "t"})
 		}
 	}
-	w.later(policy.Base+time.Duration(len(a.Workers))*policy.Each, func() {
-		w.engine.Advised(a.Lane, a.Step, a.Workers, good, policy.Valid, true)
+	w.later(policy.BaseTime+time.Duration(len(a.Workers))*policy.TimePerWorker, func() {
+		w.engine.Advised(a.Channel, a.Step, a.Workers, good, policy.ValidFor, true)
 	})
 }
 
@@ -403,7 +403,7 @@
 	})
 }
 
-func (w *world) orderHold(h order.Hold) {
+func (w *world) orderHold(h order.Poll) {
 	m, fence := w.named(h.Worker), w.fence
 	lost, delay := w.isLost()
 	if m != nil && m.refuses {
@@ -418,7 +418,7 @@
 		})
 	}
 	if m == nil || m.isDead || m.isCut || lost {
-		w.later(h.Wait+h.Patience, func() { w.engine.HoldFailed(&h) })
+		w.later(h.Wait+h.Timeout, func() { w.engine.HoldFailed(&h) })
 		return
 	}
 	w.held[h.Worker]++
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -26,10 +26,10 @@
 	Capacity leverdyke.Resources
 	// IsDraining means that it is leaving: it finishes what it has.
 	IsDraining bool
-	// IsUnclear means that its newest entry may come from another writer: it gets
+	// IsUncertain means that its newest entry may come from another writer: it gets
 	// nothing new, and what it runs goes on. The other fields are those of its last good
 	// entry; where there is none, all but ID and Addr are empty, Addr perhaps too.
-	IsUnclear bool
+	IsUncertain bool
 	// HeartbeatAt is when a heartbeat of it was seen last; zero when none was.
 	HeartbeatAt time.Time
 	// IsRemoved means that its entry has been taken out of the list since the list
@@ -45,21 +45,21 @@
 	// Priority 0 goes first.
 	Priority    int
 	MaxAttempts int
-	// Advice is set when only some workers may run a step; nil means all may.
-	Advice *AdvicePolicy
+	// Permission is set when only some workers may run a step; nil means all may.
+	Permission *PermissionPolicy
 	// Stretch and Latency make the time that a job should take: its longest
 	// chain times Stretch, and Latency.
-	Stretch float64
-	Latency time.Duration
+	Stretch       float64
+	TargetLatency time.Duration
 }
 
-// AdvicePolicy says what it costs to ask which workers may run a step.
-type AdvicePolicy struct {
-	// Base and Each are the time of a call: Base and Each for every worker named.
-	Base time.Duration
-	Each time.Duration
-	// Valid is how long a permission holds.
-	Valid time.Duration
+// PermissionPolicy says what it costs to ask which workers may run a step.
+type PermissionPolicy struct {
+	// BaseTime and Each are the time of a call: BaseTime and Each for every worker named.
+	BaseTime      time.Duration
+	TimePerWorker time.Duration
+	// ValidFor is how long a permission holds.
+	ValidFor time.Duration
 }
 
 // WorkerTime is a time on a worker's own steady clock.
@@ -70,46 +70,46 @@
 
 // The kinds of end.
 const (
-	EndDone    EndKind = "done"
-	EndFailed  EndKind = "failed"
-	EndStopped EndKind = "stopped"
-	EndLapsed  EndKind = "lapsed"
-	// EndBroken means that another member of the gang ended.
-	EndBroken EndKind = "broken"
-	// EndAlone means that the other members of the gang did not come.
-	EndAlone EndKind = "alone"
+	EndSucceeded    EndKind = "done"
+	EndFailed       EndKind = "failed"
+	EndStopped      EndKind = "stopped"
+	EndLeaseExpired EndKind = "lapsed"
+	// EndGangBroken means that another member of the gang ended.
+	EndGangBroken EndKind = "broken"
+	// EndGangIncomplete means that the other members of the gang did not come.
+	EndGangIncomplete EndKind = "alone"
 )
 
 // Running is an attempt that a worker says it runs.
 type Running struct {
-	Task  work.TaskID
-	Run   uint64
-	Saved string
+	Task       work.TaskID
+	Run        uint64
+	Checkpoint string
 	// Percent is how far it is; for a lasting task 100 means at work.
 	Percent int
-	// Figure is the tail latency in ms of a task that serves users, else its use
+	// LoadMetric is the tail latency in ms of a task that serves users, else its use
 	// of processors in thousandths.
-	Figure int
+	LoadMetric int
 }
 
 // End is an attempt that a worker says has ended.
 type End struct {
 	// Number rises by one with each end of a worker's life.
-	Number uint64
-	Task   work.TaskID
-	Run    uint64
-	Kind   EndKind
-	Saved  string
+	Number     uint64
+	Task       work.TaskID
+	Run        uint64
+	Kind       EndKind
+	Checkpoint string
 }
 
 // Listing is a worker's word on all that it runs.
 type Listing struct {
 	// At is the worker's clock when it answered.
 	At WorkerTime
-	// Worker is the start that tells it, where that is another one than was asked; else empty.
-	Worker   WorkerID
-	Running  []Running
-	Finished []End
+	// OtherIncarnation is the start that tells it, where that is another one than was asked; else empty.
+	OtherIncarnation WorkerID
+	Running          []Running
+	Finished         []End
 }
 
 // StartOutcome is what became of an order to start.
@@ -117,37 +117,37 @@
 
 // The outcomes.
 const (
-	// StartDone means that the attempt runs.
-	StartDone StartOutcome = "started"
+	// StartSucceeded means that the attempt runs.
+	StartSucceeded StartOutcome = "started"
 	// StartRefused means that it does not run and never will by this order.
 	StartRefused StartOutcome = "refused"
-	// StartNoRoom and StartNoTicket are refusals with these reasons.
-	StartNoRoom   StartOutcome = "no-room"
-	StartNoTicket StartOutcome = "no-ticket"
+	// StartNoCapacity and StartNoTicket are refusals with these reasons.
+	StartNoCapacity StartOutcome = "no-room"
+	StartNoPermit   StartOutcome = "no-ticket"
 	// StartUnhealthy means that the worker takes nothing now.
 	StartUnhealthy StartOutcome = "unhealthy"
 	// StartFenced means that the worker obeys a later owner.
 	StartFenced StartOutcome = "fenced"
 	// StartUnknown means that the order may be carried out, also later.
 	StartUnknown StartOutcome = "unknown"
-	// StartLifeOver means that this life of the worker is over.
-	StartLifeOver StartOutcome = "life-over"
+	// StartIncarnationEnded means that this life of the worker is over.
+	StartIncarnationEnded StartOutcome = "life-over"
 )
 
-// HoldOutcome is what became of asking a worker for a listing.
-type HoldOutcome string
+// PollOutcome is what became of asking a worker for a listing.
+type PollOutcome string
 
 // The outcomes.
 const (
-	HoldListed HoldOutcome = "listed"
-	// HoldSilent means that no usable answer came.
-	HoldSilent HoldOutcome = "silent"
-	// HoldLifeOver means that this life of the worker is over.
-	HoldLifeOver HoldOutcome = "life-over"
+	PollAnswered PollOutcome = "listed"
+	// PollUnanswered means that no usable answer came.
+	PollUnanswered PollOutcome = "silent"
+	// PollIncarnationEnded means that this life of the worker is over.
+	PollIncarnationEnded PollOutcome = "life-over"
 )
 
-// Ticket permits a worker to run the tasks of one step.
-type Ticket struct {
+// Permit permits a worker to run the tasks of one step.
+type Permit struct {
 	Worker WorkerID
 	Text   string
 }
@@ -157,13 +157,13 @@
 
 // Start orders a worker to start an attempt.
 type Start struct {
-	Worker  WorkerID
-	Addr    netip.AddrPort
-	Task    work.TaskID
-	Run     uint64
-	Payload string
-	Saved   string
-	Ticket  string
+	Worker     WorkerID
+	Addr       netip.AddrPort
+	Task       work.TaskID
+	Run        uint64
+	Payload    string
+	Checkpoint string
+	Permit     string
 	// Deadline is when everything on the worker ends unless it is renewed.
 	Deadline WorkerTime
 	// Generation rises when the worker may have started again: what was sent before does not
@@ -193,29 +193,29 @@
 	Generation uint64
 }
 
-// Advise asks which of the workers may run a step, by one lane.
-type Advise struct {
-	Lane    string
+// QueryPermission asks which of the workers may run a step, by one lane.
+type QueryPermission struct {
+	Channel string
 	Step    work.StepID
 	Workers []WorkerID
-	// Patience is how long the answer may take.
-	Patience time.Duration
+	// Timeout is how long the answer may take.
+	Timeout time.Duration
 }
 
-// Hold asks a worker for a listing and renews its lease. Each is answered by a
+// Poll asks a worker for a listing and renews its lease. Each is answered by a
 // call of Listed or HoldFailed.
-type Hold struct {
+type Poll struct {
 	Worker WorkerID
 	Addr   netip.AddrPort
 	// Deadline is the new end of the lease; 0 renews nothing.
 	Deadline WorkerTime
 	// Confirmed is the number up to which the worker may forget ends.
 	Confirmed uint64
-	// Wait is how long the worker may wait for an end before it answers, Patience
+	// Wait is how long the worker may wait for an end before it answers, Timeout
 	// how much longer the answer may take.
-	Wait, Patience time.Duration
-	// IsLook marks a listing at once, beside the one that waits.
-	IsLook bool
+	Wait, Timeout time.Duration
+	// IsImmediate marks a listing at once, beside the one that waits.
+	IsImmediate bool
 	// AskedAt is when the engine asked, by its time: a listing tells nothing of an
 	// attempt that was confirmed later.
 	AskedAt time.Time
@@ -223,8 +223,8 @@
 	Generation uint64
 }
 
-func (Start) isAction()  {}
-func (Stop) isAction()   {}
-func (Pace) isAction()   {}
-func (Advise) isAction() {}
-func (Hold) isAction()   {}
+func (Start) isAction()           {}
+func (Stop) isAction()            {}
+func (Pace) isAction()            {}
+func (QueryPermission) isAction() {}
+func (Poll) isAction()            {}
--- a/internal/order/token_test.go
+++ b/internal/order/token_test.go
@@ -9,10 +9,10 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-func TestTokensRiseWithTheOwnerAndThenWithTheGeneration(t *testing.T) {
-	const tooMany = 1 << 40
+func TestTokensRiseWithEpochThenGeneration(t *testing.T) {
+	const beyondLimit = 1 << 40
 	tokens := []uint64{
-		order.Token(1, 0), order.Token(1, 1), order.Token(1, tooMany), order.Token(2, 0), order.Token(2, 1), order.Token(8_000_000_000, tooMany),
+		order.Token(1, 0), order.Token(1, 1), order.Token(1, beyondLimit), order.Token(2, 0), order.Token(2, 1), order.Token(8_000_000_000, beyondLimit),
 	}
 	for i := 1; i < len(tokens); i++ {
 		if tokens[i] <= tokens[i-1] {
--- a/internal/order/workerid.go
+++ b/internal/order/workerid.go
@@ -18,20 +18,20 @@
 const (
 	// startMark is before the time of the start, which is empty where it is not known and
 	// the name has a mark itself.
-	startMark = "@"
+	incarnationSeparator = "@"
 	// startBase is the base in which the time is written, to take few bytes in the store.
-	startBase = 36
+	incarnationBase = 36
 )
 
 // NewWorkerID returns the ID of the start of a worker that began at bornAt, by the worker's
 // own time of day; zero when it does not tell. Times that differ are different starts; which
 // of them is the newer one they do not tell, as clocks are set back.
-func NewWorkerID(name string, bornAt time.Time) WorkerID {
-	if !bornAt.IsZero() {
-		return WorkerID(name + startMark + strconv.FormatInt(bornAt.UnixMilli(), startBase))
+func NewWorkerID(name string, startedAt time.Time) WorkerID {
+	if !startedAt.IsZero() {
+		return WorkerID(name + incarnationSeparator + strconv.FormatInt(startedAt.UnixMilli(), incarnationBase))
 	}
-	if strings.Contains(name, startMark) {
-		return WorkerID(name + startMark)
+	if strings.Contains(name, incarnationSeparator) {
+		return WorkerID(name + incarnationSeparator)
 	}
 	return WorkerID(name)
 }
@@ -42,25 +42,25 @@
 	return name
 }
 
-// HasStart reports whether it is known which start of the worker is meant.
-func (id WorkerID) HasStart() bool {
-	_, start := id.split()
-	return start != ""
+// HasIncarnation reports whether it is known which start of the worker is meant.
+func (id WorkerID) HasIncarnation() bool {
+	_, incarnation := id.split()
+	return incarnation != ""
 }
 
 // IsSameWorker reports whether both are starts of one worker, or may be the same start.
 func (id WorkerID) IsSameWorker(other WorkerID) bool { return id.Name() == other.Name() }
 
-// IsOtherStart reports whether the two are known to be different starts of one worker: when
+// IsOtherIncarnation reports whether the two are known to be different starts of one worker: when
 // one was there after the other, nothing of that one is left.
-func (id WorkerID) IsOtherStart(other WorkerID) bool {
-	return id != other && id.IsSameWorker(other) && id.HasStart() && other.HasStart()
+func (id WorkerID) IsOtherIncarnation(other WorkerID) bool {
+	return id != other && id.IsSameWorker(other) && id.HasIncarnation() && other.HasIncarnation()
 }
 
-func (id WorkerID) split() (name, start string) {
-	i := strings.LastIndex(string(id), startMark)
+func (id WorkerID) split() (name, incarnation string) {
+	i := strings.LastIndex(string(id), incarnationSeparator)
 	if i < 0 {
 		return string(id), ""
 	}
-	return string(id[:i]), string(id[i+len(startMark):])
+	return string(id[:i]), string(id[i+len(incarnationSeparator):])
 }
--- a/internal/order/workerid_test.go
+++ b/internal/order/workerid_test.go
@@ -10,35 +10,35 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-func TestAWorkerIDHasTheNameAndTheStart(t *testing.T) {
-	born := time.UnixMilli(1791916135672)
+func TestWorkerIDHasNameAndIncarnation(t *testing.T) {
+	startedAt := time.UnixMilli(1791916135672)
 	for name, tc := range map[string]struct {
-		name     string
-		bornAt   time.Time
-		hasStart bool
+		name           string
+		startedAt      time.Time
+		hasIncarnation bool
 	}{
-		"start":                       {"i-92de3f55d3", born, true},
+		"start":                       {"i-92de3f55d3", startedAt, true},
 		"no start":                    {"i-92de3f55d3", time.Time{}, false},
 		"a mark in the name":          {"i@92", time.Time{}, false},
-		"a mark in the name, a start": {"i@92@", born, true},
-		"no name":                     {"", born, true},
+		"a mark in the name, a start": {"i@92@", startedAt, true},
+		"no name":                     {"", startedAt, true},
 	} {
-		id := order.NewWorkerID(tc.name, tc.bornAt)
-		if id.Name() != tc.name || id.HasStart() != tc.hasStart {
-			t.Errorf("%s: got: %q, %v of %s, want: %q, %v", name, id.Name(), id.HasStart(), id, tc.name, tc.hasStart)
+		id := order.NewWorkerID(tc.name, tc.startedAt)
+		if id.Name() != tc.name || id.HasIncarnation() != tc.hasIncarnation {
+			t.Errorf("%s: got: %q, %v of %s, want: %q, %v", name, id.Name(), id.HasIncarnation(), id, tc.name, tc.hasIncarnation)
 		}
 	}
 }
 
-func TestStartsOfAWorkerAreToldApart(t *testing.T) {
-	born := time.UnixMilli(1791916135672)
-	first, second := order.NewWorkerID("w", born), order.NewWorkerID("w", born.Add(-time.Millisecond))
-	other, unknown := order.NewWorkerID("v", born), order.NewWorkerID("w", time.Time{})
+func TestIncarnationsOfAWorkerAreDistinguished(t *testing.T) {
+	startedAt := time.UnixMilli(1791916135672)
+	first, second := order.NewWorkerID("w", startedAt), order.NewWorkerID("w", startedAt.Add(-time.Millisecond))
+	other, unknown := order.NewWorkerID("v", startedAt), order.NewWorkerID("w", time.Time{})
 	for name, tc := range map[string]struct {
 		a, b                order.WorkerID
 		isSame, isDifferent bool
 	}{
-		"the same start":  {first, order.NewWorkerID("w", born), true, false},
+		"the same start":  {first, order.NewWorkerID("w", startedAt), true, false},
 		"another start":   {first, second, true, true},
 		"another worker":  {first, other, false, false},
 		"may be the same": {first, unknown, true, false},
@@ -46,7 +46,7 @@
 		if got := tc.a.IsSameWorker(tc.b); got != tc.isSame {
 			t.Errorf("%s: same worker: got: %v, want: %v", name, got, tc.isSame)
 		}
-		if got := tc.a.IsOtherStart(tc.b); got != tc.isDifferent || tc.b.IsOtherStart(tc.a) != got {
+		if got := tc.a.IsOtherIncarnation(tc.b); got != tc.isDifferent || tc.b.IsOtherIncarnation(tc.a) != got {
 			t.Errorf("%s: other start: got: %v, want: %v", name, got, tc.isDifferent)
 		}
 	}
--- a/internal/owner/carried.go
+++ b/internal/owner/carried.go
@@ -75,8 +75,8 @@
 		return o.router.Add(a, a.Worker, carrier.StartTimeout, o.now)
 	case order.Stop:
 		return o.router.Add(a, a.Worker, carrier.StopTimeout, o.now)
-	case order.Hold:
-		return o.router.Add(a, a.Worker, a.Wait+a.Patience, o.now)
+	case order.Poll:
+		return o.router.Add(a, a.Worker, a.Wait+a.Timeout, o.now)
 	case order.Pace:
 		return o.router.Add(a, a.Worker, carrier.StopTimeout, o.now)
 	}
@@ -105,7 +105,7 @@
 			startEvent{a, order.StartUnknown, 0}.apply(o)
 		case order.Stop:
 			stopEvent{stop: a}.apply(o)
-		case order.Hold:
+		case order.Poll:
 			// The worker may have started again since this was decided.
 			a.Wait, a.Confirmed = 0, 0
 			go o.runHold(a)
@@ -127,7 +127,7 @@
 		case order.Stop:
 			o.options.Metrics.OrderAnswered("stop", stopOutcome(r.Outcome.IsStopKnown), r.Took)
 			stopEvent{a, r.Outcome.At, r.Outcome.IsStopKnown}.apply(o)
-		case order.Hold:
+		case order.Poll:
 			holdEvent{a, r.Outcome.Listing, r.Outcome.Hold}.apply(o)
 		}
 	}
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -122,31 +122,31 @@
 }
 
 type holdEvent struct {
-	hold    order.Hold
+	hold    order.Poll
 	listing *order.Listing
-	outcome order.HoldOutcome
+	outcome order.PollOutcome
 }
 
 func (ev holdEvent) apply(o *Owner) {
 	switch ev.outcome {
-	case order.HoldListed:
+	case order.PollAnswered:
 		o.engine.Listed(&ev.hold, ev.listing)
-	case order.HoldSilent:
+	case order.PollUnanswered:
 		o.engine.HoldFailed(&ev.hold)
-	case order.HoldLifeOver:
+	case order.PollIncarnationEnded:
 		o.engine.LifeOver(ev.hold.Worker)
 	}
 }
 
 type adviceEvent struct {
-	advise order.Advise
-	good   []order.Ticket
+	advise order.QueryPermission
+	good   []order.Permit
 	valid  time.Duration
 	err    error
 }
 
 func (ev adviceEvent) apply(o *Owner) {
-	o.engine.Advised(ev.advise.Lane, ev.advise.Step, ev.advise.Workers, ev.good, ev.valid, ev.err == nil)
+	o.engine.Advised(ev.advise.Channel, ev.advise.Step, ev.advise.Workers, ev.good, ev.valid, ev.err == nil)
 }
 
 type handOverEvent struct{ done chan bool }
--- a/internal/owner/fakes_test.go
+++ b/internal/owner/fakes_test.go
@@ -41,10 +41,10 @@
 	if w.gate != nil {
 		w.running[s.Task] = s.Run
 		go w.runGate(s)
-		return order.StartDone, w.at()
+		return order.StartSucceeded, w.at()
 	}
 	w.end(s)
-	return order.StartDone, w.at()
+	return order.StartSucceeded, w.at()
 }
 
 // runGate ends a task once the gate is open.
@@ -57,7 +57,7 @@
 }
 
 func (w *fakeWorkers) end(s *order.Start) {
-	w.ends = append(w.ends, order.End{Number: uint64(len(w.ends) + 1), Task: s.Task, Run: s.Run, Kind: order.EndDone})
+	w.ends = append(w.ends, order.End{Number: uint64(len(w.ends) + 1), Task: s.Task, Run: s.Run, Kind: order.EndSucceeded})
 	select {
 	case w.told <- struct{}{}:
 	default:
@@ -72,7 +72,7 @@
 
 func (w *fakeWorkers) Pace(context.Context, uint64, *order.Pace) error { return nil }
 
-func (w *fakeWorkers) Hold(ctx context.Context, _ uint64, h *order.Hold) (*order.Listing, order.HoldOutcome) {
+func (w *fakeWorkers) Hold(ctx context.Context, _ uint64, h *order.Poll) (*order.Listing, order.PollOutcome) {
 	for {
 		w.mu.Lock()
 		l := &order.Listing{At: w.at()}
@@ -86,12 +86,12 @@
 		}
 		w.mu.Unlock()
 		if h.Wait == 0 || len(l.Finished) > 0 {
-			return l, order.HoldListed
+			return l, order.PollAnswered
 		}
 		select {
 		case <-w.told:
 		case <-ctx.Done():
-			return nil, order.HoldSilent
+			return nil, order.PollUnanswered
 		}
 	}
 }
@@ -106,7 +106,7 @@
 
 func (noLanes) Names() []string { return nil }
 
-func (noLanes) Ask(context.Context, string, work.StepID, []order.WorkerID) ([]order.Ticket, time.Duration, error) {
+func (noLanes) Ask(context.Context, string, work.StepID, []order.WorkerID) ([]order.Permit, time.Duration, error) {
 	return nil, 0, errors.New("not used here")
 }
 
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -145,7 +145,7 @@
 		w := l.worker(o.Start.Worker)
 		w.running[o.Start.Task] = &order.Running{Task: o.Start.Task, Run: o.Start.Run}
 		time.AfterFunc(l.spans[o.Start.Task.Job], func() { l.end(w, o.Start.Task) })
-		return &carrier.Outcome{ID: o.ID, Start: order.StartDone, At: l.at()}
+		return &carrier.Outcome{ID: o.ID, Start: order.StartSucceeded, At: l.at()}
 	case o.Hold != nil:
 		w := l.worker(o.Hold.Worker)
 		for len(w.finished) > 0 && w.finished[0].Number <= o.Hold.Confirmed {
@@ -169,7 +169,7 @@
 		r.Percent = min(r.Percent+7, 99)
 		listing.Running = append(listing.Running, *r)
 	}
-	return &carrier.Outcome{ID: o.ID, Hold: order.HoldListed, Listing: listing}
+	return &carrier.Outcome{ID: o.ID, Hold: order.PollAnswered, Listing: listing}
 }
 
 func (l *loadWorkers) wake(w *loadWorker, o *carrier.Order) {
@@ -185,7 +185,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w.last++
-	w.finished = append(w.finished, order.End{Number: w.last, Task: id, Run: w.running[id].Run, Kind: order.EndDone})
+	w.finished = append(w.finished, order.End{Number: w.last, Task: id, Run: w.running[id].Run, Kind: order.EndSucceeded})
 	delete(w.running, id)
 	l.done.Add(1)
 	if o := w.waiting; o != nil {
@@ -205,12 +205,12 @@
 	return out
 }
 
-func (openLanes) Ask(_ context.Context, _ string, _ work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error) {
+func (openLanes) Ask(_ context.Context, _ string, _ work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error) {
 	time.Sleep(33 * time.Millisecond)
-	out := []order.Ticket{}
+	out := []order.Permit{}
 	for i, w := range workers {
 		if i%10 < 7 {
-			out = append(out, order.Ticket{Worker: w, Text: "0123456789abcdef"})
+			out = append(out, order.Permit{Worker: w, Text: "0123456789abcdef"})
 		}
 	}
 	return out, 2500 * time.Millisecond, nil
@@ -239,8 +239,8 @@
 	})
 	workers.owner = o
 	o.SetPolicy(1, order.Policy{Queues: []order.Queue{
-		{Name: "short", Service: "pool", MaxAttempts: 3, Stretch: 1.5, Latency: 250 * time.Millisecond, Advice: &order.AdvicePolicy{Base: 33 * time.Millisecond, Each: time.Millisecond / 2, Valid: 2500 * time.Millisecond}},
-		{Name: "long", Service: "pool", Priority: 2, MaxAttempts: 3, Stretch: 2.2, Latency: 1200 * time.Millisecond, Advice: &order.AdvicePolicy{Base: 33 * time.Millisecond, Each: time.Millisecond / 2, Valid: 2500 * time.Millisecond}},
+		{Name: "short", Service: "pool", MaxAttempts: 3, Stretch: 1.5, TargetLatency: 250 * time.Millisecond, Permission: &order.PermissionPolicy{BaseTime: 33 * time.Millisecond, TimePerWorker: time.Millisecond / 2, ValidFor: 2500 * time.Millisecond}},
+		{Name: "long", Service: "pool", Priority: 2, MaxAttempts: 3, Stretch: 2.2, TargetLatency: 1200 * time.Millisecond, Permission: &order.PermissionPolicy{BaseTime: 33 * time.Millisecond, TimePerWorker: time.Millisecond / 2, ValidFor: 2500 * time.Millisecond}},
 	}})
 	done := make(chan error, 1)
 	go func() { done <- o.Run(b.Context()) }()
--- a/internal/owner/options.go
+++ b/internal/owner/options.go
@@ -37,7 +37,7 @@
 type Lanes interface {
 	// Names returns the lanes that can be used now.
 	Names() []string
-	Ask(ctx context.Context, lane string, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error)
+	Ask(ctx context.Context, lane string, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error)
 }
 
 // Metrics takes the figures of an owner. Implementations are safe for concurrent
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -18,7 +18,7 @@
 	if _, ok := a.(order.Start); ok {
 		o.orders++
 	}
-	if h, ok := a.(order.Hold); ok && o.awaitsCarriers() {
+	if h, ok := a.(order.Poll); ok && o.awaitsCarriers() {
 		o.awaiting = append(o.awaiting, h)
 		return
 	}
@@ -30,11 +30,11 @@
 		go o.runStart(a)
 	case order.Stop:
 		go o.runStop(a)
-	case order.Hold:
+	case order.Poll:
 		go o.runHold(a)
 	case order.Pace:
 		go o.runPace(a)
-	case order.Advise:
+	case order.QueryPermission:
 		go o.runAsk(a)
 	}
 }
@@ -82,8 +82,8 @@
 	return "unknown"
 }
 
-func (o *Owner) runHold(h order.Hold) {
-	ctx, cancel := o.bound(h.Wait + h.Patience)
+func (o *Owner) runHold(h order.Poll) {
+	ctx, cancel := o.bound(h.Wait + h.Timeout)
 	defer cancel()
 	listing, outcome := o.options.Workers.Hold(ctx, o.Epoch(), &h)
 	o.put(holdEvent{h, listing, outcome})
@@ -97,10 +97,10 @@
 	}
 }
 
-func (o *Owner) runAsk(a order.Advise) {
-	ctx, cancel := o.bound(a.Patience)
+func (o *Owner) runAsk(a order.QueryPermission) {
+	ctx, cancel := o.bound(a.Timeout)
 	defer cancel()
-	good, valid, err := o.options.Lanes.Ask(ctx, a.Lane, a.Step, a.Workers)
+	good, valid, err := o.options.Lanes.Ask(ctx, a.Channel, a.Step, a.Workers)
 	o.put(adviceEvent{a, good, valid, err})
 }
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -87,7 +87,7 @@
 	nextNodes time.Time
 	// beganAt is when the loop began; awaiting are listings that wait for carriers.
 	beganAt  time.Time
-	awaiting []order.Hold
+	awaiting []order.Poll
 }
 
 // event is something that happened, for the loop.
--- a/internal/permit/channels.go
+++ b/internal/permit/channels.go
@@ -33,7 +33,7 @@
 )
 
 // isCheap reports whether a call takes so little that all workers are asked about.
-func isCheap(policy *order.AdvicePolicy) bool { return policy.Base <= cheapCall }
+func isCheap(policy *order.PermissionPolicy) bool { return policy.BaseTime <= cheapCall }
 
 // lane is a way to the service: a node, which asks one thing at a time.
 type lane struct {
@@ -81,7 +81,7 @@
 
 // Free returns a way by which a call may be made now, or "". Calls that take long leave
 // some ways to the others.
-func (l *Lanes) Free(policy *order.AdvicePolicy) string {
+func (l *Lanes) Free(policy *order.PermissionPolicy) string {
 	free := 0
 	found := ""
 	for i := range l.lanes {
@@ -110,10 +110,10 @@
 
 // Take notes that a call about so many workers is made by a way, and returns how long
 // it may take.
-func (l *Lanes) Take(name string, step work.StepID, policy *order.AdvicePolicy, workers int, now time.Time) time.Duration {
+func (l *Lanes) Take(name string, step work.StepID, policy *order.PermissionPolicy, workers int, now time.Time) time.Duration {
 	lane := l.find(name)
 	lane.busySince, lane.step = now, step
-	lane.patience = askRatio*(policy.Base+time.Duration(workers)*policy.Each) + AskMargin
+	lane.patience = askRatio*(policy.BaseTime+time.Duration(workers)*policy.TimePerWorker) + AskMargin
 	return lane.patience
 }
 
--- a/internal/permit/choose.go
+++ b/internal/permit/choose.go
@@ -41,7 +41,7 @@
 
 // Choose picks the workers that are likely to take the missing tasks. Those with room come
 // before those where some may become free, and among either those known to be permitted.
-func Choose(found []Candidate, policy *order.AdvicePolicy, missing int) []order.WorkerID {
+func Choose(found []Candidate, policy *order.PermissionPolicy, missing int) []order.WorkerID {
 	found = best(found, considered)
 	out := []order.WorkerID{}
 	expected := 0.0
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -16,8 +16,8 @@
 const ms = time.Millisecond
 
 var (
-	cheap  = &order.AdvicePolicy{Base: 13 * ms, Each: ms / 5, Valid: 2 * time.Second}
-	costly = &order.AdvicePolicy{Base: 490 * ms, Each: 7 * ms, Valid: 2 * time.Second}
+	cheap  = &order.PermissionPolicy{BaseTime: 13 * ms, TimePerWorker: ms / 5, ValidFor: 2 * time.Second}
+	costly = &order.PermissionPolicy{BaseTime: 490 * ms, TimePerWorker: 7 * ms, ValidFor: 2 * time.Second}
 	now    = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
@@ -28,7 +28,7 @@
 	}
 	for name, c := range map[string]struct {
 		found   []permit.Candidate
-		policy  *order.AdvicePolicy
+		policy  *order.PermissionPolicy
 		missing int
 		want    []order.WorkerID
 	}{
@@ -110,7 +110,7 @@
 	if s.MayAsk(now) {
 		t.Error("while a call is on its way: got: may ask, want: not")
 	}
-	s.Answered([]order.WorkerID{"a", "b"}, []order.Ticket{{Worker: "b", Text: "t"}}, 2*time.Second, now)
+	s.Answered([]order.WorkerID{"a", "b"}, []order.Permit{{Worker: "b", Text: "t"}}, 2*time.Second, now)
 	if isGood, isKnown := s.Verdict("a"); isGood || !isKnown {
 		t.Errorf("a worker that may not: got: %v, %v, want: known as such", isGood, isKnown)
 	}
--- a/internal/permit/step.go
+++ b/internal/permit/step.go
@@ -63,7 +63,7 @@
 
 // Answered takes an answer: of the workers that were asked about, those in good may,
 // for as long as valid.
-func (s *Step) Answered(asked []order.WorkerID, good []order.Ticket, valid time.Duration, now time.Time) {
+func (s *Step) Answered(asked []order.WorkerID, good []order.Permit, valid time.Duration, now time.Time) {
 	s.isAsking = false
 	if s.verdicts == nil {
 		s.verdicts, s.tickets = map[order.WorkerID]bool{}, map[order.WorkerID]ticket{}
