--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -132,7 +132,7 @@
 // ran returns how long the worker is known to have had the attempt. Of one that an earlier
 // owner started that is not known, but it was there to be listed.
 func (a *attempt) ran() time.Duration {
-	ran := max(a.worker.session.HeardAt().Sub(a.orderedAt), 0)
+	ran := max(a.worker.session.LastHeardAt().Sub(a.orderedAt), 0)
 	if a.isAdopted {
 		return ran + crash.FreshTime
 	}
@@ -154,7 +154,7 @@
 		return nil
 	}
 	tasks := []work.TaskID{}
-	others := e.silences.Beside(w.ID, w.session.HeardAt(), e.now)
+	others := e.silences.Beside(w.ID, w.session.LastHeardAt(), e.now)
 	suspect := w.lastSuspect()
 	for id, a := range w.attempts.All() {
 		if a.step == nil || !a.mayHaveRun() {
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -41,14 +41,14 @@
 
 // hold asks for the next listing of a worker.
 func (e *Engine) hold(w *worker) {
-	if w.session.IsWaiting() {
+	if w.session.IsLongPolling() {
 		return
 	}
-	w.session.Wait(e.now)
-	h := order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), Wait: e.holdWait(w), Timeout: e.holdPatience(), AskedAt: e.now}
+	w.session.BeginLongPoll(e.now)
+	h := order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.ConfirmableEnd(e.now), Wait: e.holdWait(w), Timeout: e.holdPatience(), AskedAt: e.now}
 	// The lease of a worker that does not answer is left to end: where its tasks
 	// may run is known the sooner.
-	if !w.session.HeardAt().IsZero() && e.isTrusted && !w.session.HasMissed() {
+	if !w.session.LastHeardAt().IsZero() && e.isTrusted && !w.session.HasMissed() {
 		h.Deadline = w.session.Renew(e.now)
 	}
 	e.do(h)
@@ -57,11 +57,11 @@
 // look asks for a listing at once, or as soon as the last such question is
 // answered or overdue: an answer may be lost.
 func (e *Engine) look(w *worker) {
-	if !w.session.Look(e.now) {
+	if !w.session.TryImmediatePoll(e.now) {
 		w.isRestless = true
 		return
 	}
-	e.do(order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), IsImmediate: true, Timeout: e.holdPatience(), AskedAt: e.now})
+	e.do(order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.ConfirmableEnd(e.now), IsImmediate: true, Timeout: e.holdPatience(), AskedAt: e.now})
 }
 
 // holdPatience returns how much longer than it waits a listing may take.
@@ -103,10 +103,10 @@
 	}
 	if !h.IsImmediate {
 		if !w.session.HasMissed() {
-			e.silences.Began(w.ID, w.session.HeardAt(), e.now)
+			e.silences.Began(w.ID, w.session.LastHeardAt(), e.now)
 		}
 		e.strays.NextGeneration(w.ID)
-		w.session.Missed(e.now)
+		w.session.CountMiss(e.now)
 		e.refuseStrays(w)
 	}
 	e.answeredHold(w, h.IsImmediate)
@@ -114,20 +114,20 @@
 
 func (e *Engine) answeredHold(w *worker, isLook bool) {
 	if isLook {
-		w.session.LookAnswered()
-		if w.session.WantsLook() {
+		w.session.EndImmediatePoll()
+		if w.session.WantsImmediatePoll() {
 			e.look(w)
 		}
 		return
 	}
-	w.session.Answered()
+	w.session.EndLongPoll()
 	w.isRestless = true
 	if w.session.IsSilent() {
 		return
 	}
-	if !w.session.AreConfirmed() {
+	if !w.session.AreEndsStored() {
 		// Until the ends are confirmed the worker would tell them again at once.
-		w.session.RestUntil(e.now.Add(confirmWait))
+		w.session.DelayLongPollUntil(e.now.Add(confirmWait))
 		return
 	}
 	e.hold(w)
@@ -135,8 +135,8 @@
 
 // confirm lets a worker forget ends, and asks it for the next.
 func (e *Engine) confirm(w *worker, number uint64) {
-	w.session.Confirm(number)
-	if !w.session.IsSilent() && w.session.AreConfirmed() && e.workers.Get(w.ID) == w {
+	w.session.MarkEndsStored(number)
+	if !w.session.IsSilent() && w.session.AreEndsStored() && e.workers.Get(w.ID) == w {
 		e.hold(w)
 	}
 }
--- a/internal/dispatch/inherit.go
+++ b/internal/dispatch/inherit.go
@@ -61,7 +61,7 @@
 	if e.inherited == nil || w.session.IsListed() || w.IsDraining {
 		return
 	}
-	e.inherited.lostUntil = e.now.Add(session.OwnBound - (heartbeatsMissed-1)*e.options.Heartbeat)
+	e.inherited.lostUntil = e.now.Add(session.OwnLeaseBound - (heartbeatsMissed-1)*e.options.Heartbeat)
 }
 
 // isDoubtOver reports whether all workers have told what they run, or nothing of the
@@ -147,7 +147,7 @@
 		return
 	}
 	for id := range e.unsettled.All() {
-		if w := e.workers.Get(id); w == nil || e.now.After(w.session.Until()) {
+		if w := e.workers.Get(id); w == nil || e.now.After(w.session.ExpiresAt()) {
 			e.settle(id, settledByTime)
 		}
 	}
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -26,8 +26,8 @@
 		return
 	}
 	a := w.attempts.Get(task)
-	isOfThisStart := a != nil && w.session.MayShow(at, a.orderedAt)
-	isOfThisStart = w.session.ReadAnswer(at, e.now) && isOfThisStart
+	isOfThisStart := a != nil && w.session.IsPlausibleClock(at, a.orderedAt)
+	isOfThisStart = w.session.ObserveAnswerClock(at, e.now) && isOfThisStart
 	if a == nil || a.run != run {
 		return
 	}
@@ -87,7 +87,7 @@
 	if w == nil || !isKnown {
 		return
 	}
-	w.session.ReadAnswer(at, e.now)
+	w.session.ObserveAnswerClock(at, e.now)
 	w.refusals.Refused(task, run)
 	a := w.attempts.Get(task)
 	if a == nil || a.run != run {
@@ -113,8 +113,8 @@
 	if w.session.HasMissed() {
 		e.silences.Ended(w.ID)
 	}
-	w.session.Heard(l.At, e.now)
-	w.session.Forgot(h.Confirmed)
+	w.session.NoteAnswer(l.At, e.now)
+	w.session.MarkEndsForgotten(h.Confirmed)
 	e.takeListing(w, l, h.AskedAt)
 	e.answeredHold(w, h.IsImmediate)
 	e.dropIfEmpty(w)
@@ -127,7 +127,7 @@
 	for i := range l.Finished {
 		e.ended(w, &l.Finished[i])
 	}
-	if !w.session.List(l.At, e.now) {
+	if !w.session.AcceptListing(l.At, e.now) {
 		return
 	}
 	clear(w.foreign)
@@ -202,7 +202,7 @@
 		id: r.Task, step: s, run: r.Run, worker: w, charge: s.spec.Charge(), phase: phaseRunning,
 		orderedAt: e.now, startedAt: w.session.Clock(), startedOn: e.now, percentAt: e.now, pace: fullPace, isAdopted: true,
 	}
-	w.session.WaitFor(e.inheritedUntil)
+	w.session.NoteOtherLeases(e.inheritedUntil)
 	e.charge(a)
 	if slices.Contains(t.heldBy, w.ID) {
 		a.isKept = true
@@ -242,7 +242,7 @@
 
 // ended takes an end, once.
 func (e *Engine) ended(w *worker, end *order.End) {
-	if !w.session.Take(end.Number) {
+	if !w.session.AcceptEnd(end.Number) {
 		return
 	}
 	e.batchNow().seen.Set(w, end.Number)
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -49,7 +49,7 @@
 	if old == nil {
 		return
 	}
-	e.options.Log(events.WorkerRestarted, "worker", newer, "before", id, "attempts", old.attempts.Len(), "handled", old.session.Taken(), "clockBefore", time.Duration(old.session.Clock()))
+	e.options.Log(events.WorkerRestarted, "worker", newer, "before", id, "attempts", old.attempts.Len(), "handled", old.session.LastAcceptedEnd(), "clockBefore", time.Duration(old.session.Clock()))
 	next := e.workers.Get(newer)
 	if next == nil && !e.over[newer] {
 		entry := old.Worker
@@ -67,15 +67,15 @@
 	for id, a := range old.attempts.All() {
 		if a.mayBeOnItsWay() && next.attempts.Get(id) == nil {
 			e.move(a, next)
-			next.session.WaitFor(a.orderedAt.Add(abandoned.Time + session.AnyBound))
+			next.session.NoteOtherLeases(a.orderedAt.Add(abandoned.Time + session.AnyLeaseBound))
 		}
 	}
 	for _, o := range e.strays.Of(next.ID, e.now) {
-		next.session.WaitFor(o.Until.Add(session.AnyBound))
+		next.session.NoteOtherLeases(o.Until.Add(session.AnyLeaseBound))
 	}
-	if old.session.IsWaiting() && !old.session.HasMissed() {
+	if old.session.IsLongPolling() && !old.session.HasMissed() {
 		// So may a question that is on its way: the owner did not know of the newer start.
-		next.session.WaitFor(e.now.Add(session.AnyBound))
+		next.session.NoteOtherLeases(e.now.Add(session.AnyLeaseBound))
 	}
 }
 
@@ -115,7 +115,7 @@
 func (e *Engine) waitForOthers(w *worker) {
 	for id := range e.unsettled.All() {
 		if id.IsOtherIncarnation(w.ID) {
-			w.session.WaitFor(e.now.Add(session.AnyBound))
+			w.session.NoteOtherLeases(e.now.Add(session.AnyLeaseBound))
 		}
 	}
 }
--- a/internal/dispatch/usable.go
+++ b/internal/dispatch/usable.go
@@ -31,7 +31,7 @@
 
 // isReachable reports whether the worker takes orders, whatever its health.
 func (e *Engine) isReachable(w *worker) bool {
-	return w.session.IsListed() && !w.isGone && !w.IsDraining && !w.IsUncertain && !w.session.IsSilent() && e.now.Sub(w.session.HeardAt()) <= overdueAfter
+	return w.session.IsListed() && !w.isGone && !w.IsDraining && !w.IsUncertain && !w.session.IsSilent() && e.now.Sub(w.session.LastHeardAt()) <= overdueAfter
 }
 
 // trials returns how many attempts the worker is on trial with.
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -155,7 +155,7 @@
 		w.isLeaving = !w.session.HasMissed()
 		e.lost(w)
 	}
-	e.options.Log(events.WorkerUnlisted, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.HeardAt()))
+	e.options.Log(events.WorkerUnlisted, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.LastHeardAt()))
 	e.dropIfEmpty(w)
 }
 
@@ -293,12 +293,12 @@
 func (e *Engine) tickWorker(w *worker) {
 	w.tickedAt = e.now
 	polls := &w.session.Polls
-	w.isRestless = w.refusals.HasAny() || !w.session.IsListed() || !polls.IsWaiting() || polls.WantsLook() || w.isGone || w.IsDraining
-	if polls.MayWait(e.now) {
+	w.isRestless = w.refusals.HasAny() || !w.session.IsListed() || !polls.IsLongPolling() || polls.WantsImmediatePoll() || w.isGone || w.IsDraining
+	if polls.MayLongPoll(e.now) {
 		e.hold(w)
 	}
-	isOverdue := !w.session.IsListed() && polls.WaitsFor(e.now) > firstPatience
-	if polls.WantsLook() || isOverdue {
+	isOverdue := !w.session.IsListed() && polls.LongPollAge(e.now) > firstPatience
+	if polls.WantsImmediatePoll() || isOverdue {
 		e.look(w)
 	}
 	e.stopStrays(w)
@@ -306,8 +306,8 @@
 	if w.attempts.Len() == 0 {
 		return
 	}
-	if w.session.IsOver(e.now) {
-		e.options.Log(events.WorkerLost, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.HeardAt()))
+	if w.session.HasExpired(e.now) {
+		e.options.Log(events.WorkerLost, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.LastHeardAt()))
 		under := e.noteCrashes(w, false)
 		e.lapseAll(w, cutByTime)
 		e.judgeCrash(w.ID, under)
@@ -392,7 +392,7 @@
 		if n++; n > maxCutLogged {
 			return
 		}
-		e.options.Log(events.AttemptCut, "task", a.id, "run", a.run, "worker", w.ID, "why", why, "phase", a.phase, "ran", max(w.session.HeardAt().Sub(a.orderedAt), 0))
+		e.options.Log(events.AttemptCut, "task", a.id, "run", a.run, "worker", w.ID, "why", why, "phase", a.phase, "ran", max(w.session.LastHeardAt().Sub(a.orderedAt), 0))
 	}
 }
 
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -14,7 +14,7 @@
 )
 
 // shortestRestart is less than a worker takes to start again.
-const shortestRestart = 200 * time.Millisecond
+const minRestartTime = 200 * time.Millisecond
 
 // Session is what is known of a start of a worker. The zero value is one of which nothing was
 // heard.
@@ -30,15 +30,15 @@
 	listedAt    time.Time
 }
 
-// Heard takes that a listing has come now.
-func (s *Session) Heard(clock order.WorkerTime, now time.Time) {
-	s.ReadClock(clock, now)
-	s.heard()
+// NoteAnswer takes that a listing has come now.
+func (s *Session) NoteAnswer(clock order.WorkerTime, now time.Time) {
+	s.ObserveClock(clock, now)
+	s.resetMisses()
 }
 
-// List takes the listing with that clock as the newest. It reports false when a newer one has
+// AcceptListing takes the listing with that clock as the newest. It reports false when a newer one has
 // come before.
-func (s *Session) List(clock order.WorkerTime, now time.Time) bool {
+func (s *Session) AcceptListing(clock order.WorkerTime, now time.Time) bool {
 	if clock < s.listedClock {
 		return false
 	}
@@ -58,14 +58,14 @@
 // SetListed says whether it is known what the worker runs.
 func (s *Session) SetListed(isListed bool) { s.isListed = isListed }
 
-// Confirmable returns the number up to which the worker is to be told now to forget ends. It is
+// ConfirmableEnd returns the number up to which the worker is to be told now to forget ends. It is
 // 0 where it has answered that it does, as a question may be held up and reach a newer start, and
 // where the worker may have started again since it was heard last: the numbers of its earlier
 // start would make it forget ends of this one that it has not told, and these tasks would run
 // twice.
-func (s *Session) Confirmable(now time.Time) uint64 {
-	if s.HasMissed() || now.Sub(s.listedAt) > shortestRestart || s.confirmed <= s.forgotten {
+func (s *Session) ConfirmableEnd(now time.Time) uint64 {
+	if s.HasMissed() || now.Sub(s.listedAt) > minRestartTime || s.stored <= s.forgotten {
 		return 0
 	}
-	return s.confirmed
+	return s.stored
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -19,44 +19,44 @@
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // A lease ends 6 s after its renewal by the worker's clock, which may run 2 % slow.
-func TestALeaseIsOverByTheSlowestClock(t *testing.T) {
+func TestLeaseExpiresByTheSlowestClock(t *testing.T) {
 	l := session.Lease{}
-	l.ReadClock(order.WorkerTime(100*sec), begin)
+	l.ObserveClock(order.WorkerTime(100*sec), begin)
 	if got, want := l.Renew(begin.Add(sec)), order.WorkerTime(107*sec); got != want {
 		t.Errorf("end of the lease: got: %v, want: %v", got, want)
 	}
 	for after, want := range map[time.Duration]bool{7 * sec: false, 7400 * ms: false, 7700 * ms: true} {
-		if got := l.IsOver(begin.Add(after)); got != want {
+		if got := l.HasExpired(begin.Add(after)); got != want {
 			t.Errorf("over %v after the clock was read: got: %v, want: %v", after, got, want)
 		}
 	}
 }
 
-func TestALeaseIsNeverShortenedAndAClockNeverGoesBack(t *testing.T) {
+func TestReorderedClocksDoNotShortenTheLease(t *testing.T) {
 	l := session.Lease{}
-	l.ReadClock(order.WorkerTime(100*sec), begin)
+	l.ObserveClock(order.WorkerTime(100*sec), begin)
 	first := l.Renew(begin.Add(3 * sec))
-	l.ReadClock(order.WorkerTime(101*sec), begin.Add(3*sec))
-	l.ReadClock(order.WorkerTime(50*sec), begin.Add(4*sec))
-	if got := l.Clock(); got != order.WorkerTime(101*sec) || !l.HeardAt().Equal(begin.Add(3*sec)) {
-		t.Errorf("clock: got: %v at %v, want: 1m41s at 3s", time.Duration(got), l.HeardAt().Sub(begin))
+	l.ObserveClock(order.WorkerTime(101*sec), begin.Add(3*sec))
+	l.ObserveClock(order.WorkerTime(50*sec), begin.Add(4*sec))
+	if got := l.Clock(); got != order.WorkerTime(101*sec) || !l.LastHeardAt().Equal(begin.Add(3*sec)) {
+		t.Errorf("clock: got: %v at %v, want: 1m41s at 3s", time.Duration(got), l.LastHeardAt().Sub(begin))
 	}
 	if got := l.Renew(begin.Add(3 * sec)); got < first {
 		t.Errorf("second renewal: got: %v, want: at least %v", got, first)
 	}
 }
 
-func TestLeasesOfOthersAreWaitedFor(t *testing.T) {
+func TestLeasesOfPreviousOwnersAreAwaited(t *testing.T) {
 	l := session.Lease{}
-	if l.IsOver(begin.Add(time.Hour)) {
+	if l.HasExpired(begin.Add(time.Hour)) {
 		t.Error("a worker that was never heard: got: its lease is over, want: there was none")
 	}
-	l.WaitFor(begin.Add(20 * sec))
-	l.WaitFor(begin.Add(10 * sec))
-	l.ReadClock(order.WorkerTime(sec), begin)
+	l.NoteOtherLeases(begin.Add(20 * sec))
+	l.NoteOtherLeases(begin.Add(10 * sec))
+	l.ObserveClock(order.WorkerTime(sec), begin)
 	l.Renew(begin)
 	for after, want := range map[time.Duration]bool{19 * sec: false, 21 * sec: true} {
-		if got := l.IsOver(begin.Add(after)); got != want {
+		if got := l.HasExpired(begin.Add(after)); got != want {
 			t.Errorf("over after %v: got: %v, want: %v", after, got, want)
 		}
 	}
@@ -64,15 +64,15 @@
 
 // The clock of a newer start is behind: by it the end of the lease that was sent lies far ahead,
 // and workers take 10 s at most.
-func TestALeaseByAClockThatHasGoneBackIsWaitedFor(t *testing.T) {
+func TestLeaseGivenByAnEarlierClockIsAwaited(t *testing.T) {
 	for clock, want := range map[order.WorkerTime]time.Duration{
 		0: 6540 * ms, order.WorkerTime(sec): 11700 * ms, order.WorkerTime(99800 * ms): 6540 * ms, order.WorkerTime(101 * sec): 7 * sec,
 	} {
 		l := session.Lease{}
-		l.ReadClock(order.WorkerTime(100*sec), begin)
+		l.ObserveClock(order.WorkerTime(100*sec), begin)
 		l.Renew(begin)
-		l.ReadAnswer(clock, begin.Add(sec))
-		if got := l.Until().Sub(begin); got < want-600*ms || got > want {
+		l.ObserveAnswerClock(clock, begin.Add(sec))
+		if got := l.ExpiresAt().Sub(begin); got < want-600*ms || got > want {
 			t.Errorf("clock of 100 s, then of %v: over after: got: %v, want: %v at most, and not much less", time.Duration(clock), got, want)
 		}
 	}
@@ -80,9 +80,9 @@
 
 // A worker that starts again soon after its start, each time with the clock at 0, is told apart
 // from its earlier start by the time for which it was away.
-func TestAClockTellsAnAnswerOfANewerStart(t *testing.T) {
+func TestClockOfANewerIncarnationIsImplausible(t *testing.T) {
 	l := session.Lease{}
-	l.ReadClock(order.WorkerTime(150*ms), begin)
+	l.ObserveClock(order.WorkerTime(150*ms), begin)
 	for name, tc := range map[string]struct {
 		clock  time.Duration
 		sentAt time.Duration
@@ -94,7 +94,7 @@
 		"a newer one, away for 0.3s": {870 * ms, sec, false},
 		"sent before it was heard":   {140 * ms, -20 * ms, true},
 	} {
-		if got := l.MayShow(order.WorkerTime(tc.clock), begin.Add(tc.sentAt)); got != tc.want {
+		if got := l.IsPlausibleClock(order.WorkerTime(tc.clock), begin.Add(tc.sentAt)); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
 		}
 	}
@@ -102,44 +102,44 @@
 
 // The clock of a newer start may be far ahead: taken for this one's, the worker would seem to
 // have been heard when it was over.
-func TestAClockThatIsTooFarAheadIsNotThisStarts(t *testing.T) {
+func TestClockTooFarAheadIsOfAnotherIncarnation(t *testing.T) {
 	for clock, want := range map[time.Duration]bool{102 * sec: true, 102500 * ms: true, 103 * sec: false, 500 * time.Hour: false} {
 		l := session.Lease{}
-		l.ReadClock(order.WorkerTime(100*sec), begin)
+		l.ObserveClock(order.WorkerTime(100*sec), begin)
 		now := begin.Add(2 * sec)
-		if got := l.ReadAnswer(order.WorkerTime(clock), now); got != want || l.HeardAt().Equal(now) != want {
-			t.Errorf("2 s after 100 s, %v: got: %v, heard at %v, want: %v", clock, got, l.HeardAt().Sub(begin), want)
+		if got := l.ObserveAnswerClock(order.WorkerTime(clock), now); got != want || l.LastHeardAt().Equal(now) != want {
+			t.Errorf("2 s after 100 s, %v: got: %v, heard at %v, want: %v", clock, got, l.LastHeardAt().Sub(begin), want)
 		}
 	}
 }
 
-func TestAnEndIsTakenOnce(t *testing.T) {
+func TestEndIsAcceptedOnce(t *testing.T) {
 	e := session.Ends{}
 	for i, tc := range []struct {
 		number uint64
 		want   bool
 	}{{1, true}, {1, false}, {3, true}, {2, false}} {
-		if got := e.Take(tc.number); got != tc.want {
+		if got := e.AcceptEnd(tc.number); got != tc.want {
 			t.Errorf("end %d, number %d: got: %v, want: %v", i, tc.number, got, tc.want)
 		}
 	}
-	e.Confirm(2)
-	if e.AreConfirmed() {
+	e.MarkEndsStored(2)
+	if e.AreEndsStored() {
 		t.Error("with 2 of 3 kept: got: all confirmed, want: not")
 	}
-	e.Confirm(3)
-	if !e.AreConfirmed() || e.Taken() != 3 {
-		t.Errorf("with 3 kept: got: %v of %d, want: all of 3", e.AreConfirmed(), e.Taken())
+	e.MarkEndsStored(3)
+	if !e.AreEndsStored() || e.LastAcceptedEnd() != 3 {
+		t.Errorf("with 3 kept: got: %v of %d, want: all of 3", e.AreEndsStored(), e.LastAcceptedEnd())
 	}
 }
 
-func TestAnOlderListingIsNotTaken(t *testing.T) {
+func TestOvertakenListingIsIgnored(t *testing.T) {
 	s := session.Session{}
 	for i, tc := range []struct {
 		clock order.WorkerTime
 		want  bool
 	}{{5, true}, {4, false}, {5, true}, {6, true}} {
-		if got := s.List(tc.clock, begin.Add(time.Duration(i)*sec)); got != tc.want {
+		if got := s.AcceptListing(tc.clock, begin.Add(time.Duration(i)*sec)); got != tc.want {
 			t.Errorf("listing %d: got: %v, want: %v", i, got, tc.want)
 		}
 	}
@@ -150,7 +150,7 @@
 
 // A worker that was not heard for a while may have started again: it is told to forget no
 // ends by numbers of before.
-func TestOnlyAWorkerThatWasJustHeardIsToldToForget(t *testing.T) {
+func TestEndsAreConfirmedOnlyRightAfterAnAnswer(t *testing.T) {
 	for name, tc := range map[string]struct {
 		after  time.Duration
 		misses int
@@ -162,68 +162,68 @@
 		"silent for a while": {sec, 3, 0},
 	} {
 		s := session.Session{}
-		s.Heard(1, begin)
-		s.List(1, begin)
-		s.Confirm(7)
+		s.NoteAnswer(1, begin)
+		s.AcceptListing(1, begin)
+		s.MarkEndsStored(7)
 		for range tc.misses {
-			s.Missed(begin)
+			s.CountMiss(begin)
 		}
-		if got := s.Confirmable(begin.Add(tc.after)); got != tc.want {
+		if got := s.ConfirmableEnd(begin.Add(tc.after)); got != tc.want {
 			t.Errorf("%s: got: %d, want: %d", name, got, tc.want)
 		}
 	}
 }
 
 // A question that confirms may be held up and reach a newer start: as few do as can be.
-func TestEndsAreConfirmedUntilTheWorkerForgetsThem(t *testing.T) {
+func TestAcknowledgedEndsAreNotConfirmedAgain(t *testing.T) {
 	s := session.Session{}
-	s.Heard(1, begin)
-	s.List(1, begin)
-	for i, tc := range []struct{ confirm, forgot, want uint64 }{{0, 0, 0}, {3, 0, 3}, {3, 3, 0}, {5, 3, 5}, {5, 5, 0}} {
-		s.Confirm(tc.confirm)
-		s.Forgot(tc.forgot)
-		if got := s.Confirmable(begin); got != tc.want {
+	s.NoteAnswer(1, begin)
+	s.AcceptListing(1, begin)
+	for i, tc := range []struct{ stored, forgotten, want uint64 }{{0, 0, 0}, {3, 0, 3}, {3, 3, 0}, {5, 3, 5}, {5, 5, 0}} {
+		s.MarkEndsStored(tc.stored)
+		s.MarkEndsForgotten(tc.forgotten)
+		if got := s.ConfirmableEnd(begin); got != tc.want {
 			t.Errorf("step %d: got: %d, want: %d", i, got, tc.want)
 		}
 	}
 }
 
-func TestAWorkerIsSilentAfterTwoMisses(t *testing.T) {
+func TestWorkerIsSilentAfterTwoMisses(t *testing.T) {
 	s := session.Session{}
 	pauses := []time.Duration{0, 200 * ms, 400 * ms, 800 * ms, sec, sec}
 	for i, want := range pauses {
-		s.Wait(begin)
-		if s.MayWait(begin) || !s.IsWaiting() || s.WaitsFor(begin.Add(ms)) != ms {
+		s.BeginLongPoll(begin)
+		if s.MayLongPoll(begin) || !s.IsLongPolling() || s.LongPollAge(begin.Add(ms)) != ms {
 			t.Errorf("listing %d: got: another may be asked for, want: one is on its way", i)
 		}
-		s.Answered()
-		s.Missed(begin)
+		s.EndLongPoll()
+		s.CountMiss(begin)
 		if got := s.IsSilent(); got != (i > 0) {
 			t.Errorf("silent after %d misses: got: %v, want: %v", i+1, got, i > 0)
 		}
-		if !s.MayWait(begin.Add(want)) || want > 0 && s.MayWait(begin.Add(want-ms)) {
+		if !s.MayLongPoll(begin.Add(want)) || want > 0 && s.MayLongPoll(begin.Add(want-ms)) {
 			t.Errorf("pause after %d misses: want: %v", i+1, want)
 		}
 	}
-	s.Heard(1, begin)
+	s.NoteAnswer(1, begin)
 	if s.IsSilent() || s.HasMissed() {
 		t.Error("when it answers: got: silent, want: not")
 	}
 }
 
-func TestFewListingsAtOnceAreAskedFor(t *testing.T) {
+func TestImmediatePollsInFlightAreBounded(t *testing.T) {
 	p := session.Polls{}
-	asked := 0
+	sent := 0
 	for i := range 20 {
-		if p.Look(begin.Add(time.Duration(i) * 50 * ms)) {
-			asked++
+		if p.TryImmediatePoll(begin.Add(time.Duration(i) * 50 * ms)) {
+			sent++
 		}
 	}
-	if asked != 4 || !p.WantsLook() {
-		t.Errorf("asked for in 1 s without answers: got: %d, want: 4, and one more wanted", asked)
+	if sent != 4 || !p.WantsImmediatePoll() {
+		t.Errorf("asked for in 1 s without answers: got: %d, want: 4, and one more wanted", sent)
 	}
-	p.LookAnswered()
-	if !p.Look(begin.Add(2*sec)) || p.WantsLook() {
+	p.EndImmediatePoll()
+	if !p.TryImmediatePoll(begin.Add(2*sec)) || p.WantsImmediatePoll() {
 		t.Error("after an answer: got: none asked for, want: one")
 	}
 }
