--- a/internal/abandoned/abandoned_test.go
+++ b/internal/abandoned/abandoned_test.go
@@ -19,41 +19,41 @@
 func task(i int) work.TaskID { return work.TaskID{Job: "a", Index: i} }
 
 // Both starts of a worker are reached by its name, and another worker by none of it.
-func TestWhatIsGivenUpMayReachEachStartOfAWorker(t *testing.T) {
-	o := abandoned.Orders{}
+func TestAbandonedStartMayReachAnyIncarnationOfItsWorker(t *testing.T) {
+	o := abandoned.Starts{}
 	first, second := order.NewWorkerID("w", begin), order.NewWorkerID("w", begin.Add(time.Minute))
-	o.Note(first, task(0), 1, begin, begin)
-	o.Note(second, task(1), 2, begin.Add(time.Second), begin.Add(time.Second))
-	o.Note(first, task(2), 3, begin, begin.Add(abandoned.Time+ms))
+	o.Add(first, task(0), 1, begin, begin)
+	o.Add(second, task(1), 2, begin.Add(time.Second), begin.Add(time.Second))
+	o.Add(first, task(2), 3, begin, begin.Add(abandoned.MaxDelay+ms))
 	for name, tc := range map[string]struct {
 		id   order.WorkerID
 		at   time.Duration
 		want int
 	}{
 		"at once":           {first, time.Second, 2},
-		"a newer start":     {second, abandoned.Time, 2},
-		"the first is late": {second, abandoned.Time + ms, 1},
-		"both are late":     {second, abandoned.Time + time.Second + ms, 0},
+		"a newer start":     {second, abandoned.MaxDelay, 2},
+		"the first is late": {second, abandoned.MaxDelay + ms, 1},
+		"both are late":     {second, abandoned.MaxDelay + time.Second + ms, 0},
 		"another worker":    {"other", time.Second, 0},
 	} {
-		if got := len(o.Of(tc.id, begin.Add(tc.at))); got != tc.want {
+		if got := len(o.ForWorker(tc.id, begin.Add(tc.at))); got != tc.want {
 			t.Errorf("%s: got: %d orders, want: %d", name, got, tc.want)
 		}
 	}
 	if got := o.Generation(second); got != 3 || o.Generation("other") != 0 {
 		t.Errorf("generations: got: %d and %d, want: 3 and 0", got, o.Generation("other"))
 	}
-	o.Forget(begin.Add(time.Hour))
-	if got := o.Generation(first); got != 3 || len(o.Of(first, begin)) != 0 {
-		t.Errorf("after an hour: got: generation %d, %d orders, want: 3, 0", got, len(o.Of(first, begin)))
+	o.DropExpired(begin.Add(time.Hour))
+	if got := o.Generation(first); got != 3 || len(o.ForWorker(first, begin)) != 0 {
+		t.Errorf("after an hour: got: generation %d, %d orders, want: 3, 0", got, len(o.ForWorker(first, begin)))
 	}
 }
 
-func TestAWorkerIsToldUntilItRefuses(t *testing.T) {
+func TestRefusalIsRepeatedUntilAcknowledged(t *testing.T) {
 	const retry = 120 * ms
-	orders := []abandoned.Order{}
+	starts := []abandoned.Start{}
 	for i := range 6 {
-		orders = append(orders, abandoned.Order{Task: task(i), Run: 1, Until: begin.Add(abandoned.Time)})
+		starts = append(starts, abandoned.Start{Task: task(i), Run: 1, Until: begin.Add(abandoned.MaxDelay)})
 	}
 	for name, tc := range map[string]struct {
 		isSilent bool
@@ -63,21 +63,21 @@
 		"it does not, a few at each tick": {true, []int{4, 4, 4, 4, 4, 4, 4, 4}},
 	} {
 		r := abandoned.Refusals{}
-		r.Add(orders)
-		r.Add(orders[:2])
+		r.Add(starts)
+		r.Add(starts[:2])
 		for i, want := range tc.want {
 			if got := len(r.Due(begin.Add(time.Duration(i)*20*ms), retry, tc.isSilent)); got != want {
 				t.Errorf("%s, after %d ticks of 20 ms: got: %d, want: %d", name, i, got, want)
 			}
 		}
 		for i := range 5 {
-			r.Refused(task(i), 1)
+			r.MarkRefused(task(i), 1)
 		}
-		r.Refused(task(5), 2)
-		if got := len(r.Due(begin.Add(time.Second), retry, false)); got != 1 || !r.HasAny() {
+		r.MarkRefused(task(5), 2)
+		if got := len(r.Due(begin.Add(time.Second), retry, false)); got != 1 || !r.HasPending() {
 			t.Errorf("%s, all but one are refused: got: %d, want: 1", name, got)
 		}
-		if got := len(r.Due(begin.Add(abandoned.Time+ms), retry, false)); got != 0 || r.HasAny() {
+		if got := len(r.Due(begin.Add(abandoned.MaxDelay+ms), retry, false)); got != 0 || r.HasPending() {
 			t.Errorf("%s, none can come any more: got: %d, want: 0", name, got)
 		}
 	}
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -103,7 +103,7 @@
 	// are not known yet, with these tasks.
 	unsettled ordered.Map[order.WorkerID, []work.TaskID]
 	// strays has what may still be on its way to workers and is not wanted any more.
-	strays abandoned.Orders
+	strays abandoned.Starts
 	// cutOff has workers that may have crashed, or only be cut off.
 	cutOff ordered.Map[order.WorkerID, *cutOff]
 	// silences are workers that fell silent lately, whether they live or not.
@@ -320,7 +320,7 @@
 	e.live = slices.DeleteFunc(e.live, func(j *job) bool { return j.state.IsFinal() && j.attempts == 0 })
 	e.forgetCutOff()
 	e.logAway()
-	e.strays.Forget(e.now)
+	e.strays.DropExpired(e.now)
 	for id, j := range e.jobs {
 		if j.state.IsFinal() && j.isShown && e.now.Sub(j.endedAt) > keepFinal && j.attempts == 0 {
 			delete(e.jobs, id)
--- a/internal/dispatch/inherit.go
+++ b/internal/dispatch/inherit.go
@@ -111,7 +111,7 @@
 			t.heldBy = slices.DeleteFunc(t.heldBy, func(w order.WorkerID) bool { return w == id })
 			e.releaseCustomer(s)
 			if w := e.workers.Get(id); w == nil || w.attempts.Get(task) == nil {
-				e.strays.Note(id, task, t.run, e.now, e.now)
+				e.strays.Add(id, task, t.run, e.now, e.now)
 			}
 		}
 	}
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -88,7 +88,7 @@
 		return
 	}
 	w.session.ObserveAnswerClock(at, e.now)
-	w.refusals.Refused(task, run)
+	w.refusals.MarkRefused(task, run)
 	a := w.attempts.Get(task)
 	if a == nil || a.run != run {
 		return
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -26,14 +26,14 @@
 // become known, or by one that may have begun since the worker was heard last: it is told so
 // before it is known, as such an order may be the first to reach it.
 func (e *Engine) refuseStrays(w *worker) {
-	w.refusals.Add(e.strays.Of(w.ID, e.now))
-	w.isRestless = w.isRestless || w.refusals.HasAny()
+	w.refusals.Add(e.strays.ForWorker(w.ID, e.now))
+	w.isRestless = w.isRestless || w.refusals.HasPending()
 	e.stopStrays(w)
 }
 
 // stopStrays tells a worker again to refuse the orders of which it has not said that it does.
 func (e *Engine) stopStrays(w *worker) {
-	if !w.refusals.HasAny() {
+	if !w.refusals.HasPending() {
 		return
 	}
 	for _, o := range w.refusals.Due(e.now, stopRetry, w.session.HasMissed()) {
@@ -67,10 +67,10 @@
 	for id, a := range old.attempts.All() {
 		if a.mayBeOnItsWay() && next.attempts.Get(id) == nil {
 			e.move(a, next)
-			next.session.NoteOtherLeases(a.orderedAt.Add(abandoned.Time + session.AnyLeaseBound))
+			next.session.NoteOtherLeases(a.orderedAt.Add(abandoned.MaxDelay + session.AnyLeaseBound))
 		}
 	}
-	for _, o := range e.strays.Of(next.ID, e.now) {
+	for _, o := range e.strays.ForWorker(next.ID, e.now) {
 		next.session.NoteOtherLeases(o.Until.Add(session.AnyLeaseBound))
 	}
 	if old.session.IsLongPolling() && !old.session.HasMissed() {
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -293,7 +293,7 @@
 func (e *Engine) tickWorker(w *worker) {
 	w.tickedAt = e.now
 	polls := &w.session.Polls
-	w.isRestless = w.refusals.HasAny() || !w.session.IsListed() || !polls.IsLongPolling() || polls.WantsImmediatePoll() || w.isGone || w.IsDraining
+	w.isRestless = w.refusals.HasPending() || !w.session.IsListed() || !polls.IsLongPolling() || polls.WantsImmediatePoll() || w.isGone || w.IsDraining
 	if polls.MayLongPoll(e.now) {
 		e.hold(w)
 	}
@@ -451,7 +451,7 @@
 	w.attempts.Delete(a.id)
 	w.used = w.used.Sub(a.charge)
 	if a.mayBeOnItsWay() {
-		e.strays.Note(w.ID, a.id, a.run, a.orderedAt, e.now)
+		e.strays.Add(w.ID, a.id, a.run, a.orderedAt, e.now)
 	}
 	if a.step != nil {
 		a.step.job.attempts--
