--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -139,7 +139,7 @@
 	defer func() { e.askFrom = (e.askFrom + looked) % max(e.workers.Len(), 1) }()
 	for id, w := range e.workers.AllFrom(e.askFrom) {
 		looked++
-		if !e.isUsable(w, s) || !e.mayRun(w, s, pool) || needsSound && !w.health.IsSound(e.now) || !charge.FitsIn(w.Capacity) {
+		if !e.isUsable(w, s) || !e.mayRun(w, s, pool) || needsSound && !w.health.IsHealthy(e.now) || !charge.FitsIn(w.Capacity) {
 			continue
 		}
 		fits := e.fitsBeside(w, s, e.claims.On(id))
@@ -153,7 +153,7 @@
 		if _, ok := s.permit.Holds(id, renewAt); ok {
 			continue
 		}
-		found = append(found, permit.Candidate{ID: id, Fits: fits, IsGood: isGood, IsSuspect: w.speed.IsSuspect || w.health.IsPaused(e.now)})
+		found = append(found, permit.Candidate{ID: id, Fits: fits, IsGood: isGood, IsSuspect: w.speed.IsSuspectedSlow || w.health.IsPaused(e.now)})
 		if fits == 0 {
 			withoutRoom++
 			continue
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -145,7 +145,7 @@
 	if len(t.failures) == 0 || s.spec.IsLasting {
 		return true
 	}
-	if e.needsSound(s, t) && !w.health.IsSound(e.now) {
+	if e.needsSound(s, t) && !w.health.IsHealthy(e.now) {
 		return false
 	}
 	failedHere := slices.ContainsFunc(t.failures, func(f work.Failure) bool { return f.Worker == string(w.ID) })
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -43,7 +43,7 @@
 		a.startedAt, a.startedOn = at, e.now
 		a.isTold = a.isTold || isOfThisStart
 		if at > 0 && !a.hasSaved {
-			a.progress.Take(at, 0, 0)
+			a.progress.Observe(at, 0, 0)
 		}
 		if a.phase != phaseRunning {
 			a.phase = phaseRunning
@@ -67,9 +67,9 @@
 	case order.StartNoPermit:
 		a.step.permit.Forget(w.ID)
 	case order.StartUnhealthy:
-		w.health.Refused(e.now)
+		w.health.NoteRefusal(e.now)
 	case order.StartNoCapacity, order.StartRefused:
-		w.health.Refused(e.now)
+		w.health.NoteRefusal(e.now)
 	case order.StartSucceeded, order.StartFenced, order.StartUnknown, order.StartIncarnationEnded:
 	}
 	a.isTold = true
@@ -175,7 +175,7 @@
 		a.percent, a.percentAt = r.Percent, e.now
 	}
 	a.figure = r.LoadMetric
-	a.progress.Take(w.session.ListedClock(), r.Percent, e.expected(a.step))
+	a.progress.Observe(w.session.ListedClock(), r.Percent, e.expected(a.step))
 	if a.step != nil {
 		a.step.job.hasBegun = true
 		if r.Checkpoint != "" {
@@ -282,7 +282,7 @@
 // endedDone takes a good end. a is the attempt that has ended, nil where it is not known.
 func (e *Engine) endedDone(w *worker, s *step, end *order.End, a *attempt) {
 	e.counts.Done++
-	w.health.Succeeded(e.now)
+	w.health.NoteSuccess(e.now)
 	if s.spec.IsLasting {
 		return
 	}
@@ -319,7 +319,7 @@
 		return
 	}
 	if e.has(MechanismHealth) {
-		w.health.Failed(e.now, s.job.spec.ID)
+		w.health.NoteFailure(e.now, s.job.spec.ID)
 	}
 	s.tasks[i].avoid, s.tasks[i].failedAt = w.ID, e.now
 	e.touch(s.job)
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -164,7 +164,7 @@
 // fitsBeside returns how many tasks of the step the worker could take if others took so much.
 func (e *Engine) fitsBeside(w *worker, s *step, others leverdyke.Resources) int {
 	n := e.roomBeside(w, s, others)
-	if w.health.OnTrial {
+	if w.health.IsOnProbation {
 		n = min(n, 1-w.trials())
 	}
 	return max(n, 0)
@@ -285,7 +285,7 @@
 	switch {
 	case w.speed.IsSlow(e.now):
 		score -= weightSlow
-	case w.speed.IsSuspect:
+	case w.speed.IsSuspectedSlow:
 		score -= weightSuspect
 	}
 	if w.health.IsPaused(e.now) {
@@ -383,7 +383,7 @@
 	}
 	e.charge(a)
 	if w.health.IsPaused(e.now) {
-		w.health.BeginTrial(e.now)
+		w.health.BeginProbation(e.now)
 	}
 	w.orderedAt = e.now
 	e.noteTrial(a)
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -65,7 +65,7 @@
 		return
 	}
 	took := e.now.Sub(a.orderedAt)
-	a.worker.speed.Ended(took, e.expected(s))
+	a.worker.speed.NoteRunTime(took, e.expected(s))
 	s.doneRuns++
 	s.doneTime += took
 	if s.spec.Estimate <= 0 || a.worker.speed.IsSlow(e.now) {
@@ -88,8 +88,8 @@
 func (e *Engine) checkTrial(a *attempt) {
 	health := &a.worker.health
 	isAtWork := a.phase == phaseRunning && !a.isStopping && a.step != nil && a.step.spec.IsLasting && a.percent >= 100
-	if isAtWork && health.IsTrial(a.orderedAt) && a.worker.session.ListedAt().Sub(a.percentAt) >= provenLasting {
-		health.Passed()
+	if isAtWork && health.IsProbe(a.orderedAt) && a.worker.session.ListedAt().Sub(a.percentAt) >= provenLasting {
+		health.Readmit()
 	}
 }
 
@@ -104,7 +104,7 @@
 	if still >= e.stuckLimit(a) && a.pace == fullPace {
 		e.options.Log(events.AttemptStuck, "task", a.id, "run", a.run, "worker", a.worker.ID, "percent", a.percent, "for", still, "expected", e.expected(a.step))
 		if !a.step.spec.IsFiller {
-			a.worker.health.SetAside(e.now)
+			a.worker.health.Eject(e.now)
 		}
 		e.replace(a, "stands still")
 		return
--- a/internal/dispatch/speed.go
+++ b/internal/dispatch/speed.go
@@ -67,6 +67,6 @@
 	if !w.speed.IsSlow(e.now) {
 		e.options.Log(events.WorkerSlow, "worker", w.ID, "slow", slow, "judged", judged)
 	}
-	w.speed.JudgedSlow(e.now)
+	w.speed.MarkSlow(e.now)
 	e.isDirty = true
 }
--- a/internal/dispatch/usable.go
+++ b/internal/dispatch/usable.go
@@ -7,13 +7,13 @@
 
 // isUsable reports whether the worker may get something new of the step.
 func (e *Engine) isUsable(w *worker, s *step) bool {
-	isEarly := s.mayTryEarly && w.health.MayTryEarly(e.now)
+	isEarly := s.mayTryEarly && w.health.MayProbeEarly(e.now)
 	switch {
 	case !e.isReachable(w), len(w.foreign) > 0, e.now.Before(w.trialUntil):
 		return false
 	case w.keptFor != s && e.now.Before(w.keptUntil):
 		return false
-	case w.health.IsPaused(e.now) && !isEarly, w.health.OnTrial && w.trials() > 0:
+	case w.health.IsPaused(e.now) && !isEarly, w.health.IsOnProbation && w.trials() > 0:
 		return false
 	}
 	return true
@@ -38,7 +38,7 @@
 func (w *worker) trials() int {
 	n := 0
 	for _, a := range w.attempts.All() {
-		if w.health.IsTrial(a.orderedAt) {
+		if w.health.IsProbe(a.orderedAt) {
 			n++
 		}
 	}
--- a/internal/outlier/speed.go
+++ b/internal/outlier/speed.go
@@ -21,32 +21,32 @@
 type Speed struct {
 	// slowUntil is until when it is left for the last choice.
 	slowUntil time.Time
-	// IsSuspect means that it was slow, and has ended no task in the usual time
+	// IsSuspectedSlow means that it was slow, and has ended no task in the usual time
 	// since. It gets what others have no room for.
-	IsSuspect bool
+	IsSuspectedSlow bool
 }
 
-// JudgedSlow takes that the worker is slow now.
-func (s *Speed) JudgedSlow(now time.Time) {
+// MarkSlow takes that the worker is slow now.
+func (s *Speed) MarkSlow(now time.Time) {
 	s.slowUntil = now.Add(slowPause)
-	s.IsSuspect = true
+	s.IsSuspectedSlow = true
 }
 
 // IsSlow reports whether it is left for the last choice.
 func (s *Speed) IsSlow(now time.Time) bool { return now.Before(s.slowUntil) }
 
-// Ended takes the time of a task that is done; expected is 0 when it is not known.
-func (s *Speed) Ended(took, expected time.Duration) {
+// NoteRunTime takes the time of a task that is done; expected is 0 when it is not known.
+func (s *Speed) NoteRunTime(took, expected time.Duration) {
 	if expected > 0 && float64(took) < SlowRatio*float64(expected) {
-		s.IsSuspect = false
+		s.IsSuspectedSlow = false
 	}
 }
 
 const (
 	// shortestSample and sampleShare are the least time between two percents that
 	// tell a rate: the least, and a share of the time that the task should take.
-	shortestSample = 150 * time.Millisecond
-	sampleShare    = 0.08
+	minSampleTime  = 150 * time.Millisecond
+	minSampleShare = 0.08
 )
 
 // Progress is how far an attempt is, by its worker's clock.
@@ -59,10 +59,10 @@
 	hasRate bool
 }
 
-// Take takes what a worker tells, no more often than the attempt's time asks for.
-func (p *Progress) Take(at order.WorkerTime, percent int, expected time.Duration) {
+// Observe takes what a worker tells, no more often than the attempt's time asks for.
+func (p *Progress) Observe(at order.WorkerTime, percent int, expected time.Duration) {
 	took := time.Duration(at - p.at)
-	if p.at > 0 && took < max(shortestSample, time.Duration(sampleShare*float64(expected))) {
+	if p.at > 0 && took < max(minSampleTime, time.Duration(minSampleShare*float64(expected))) {
 		return
 	}
 	if p.at > 0 {
