--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -20,42 +20,42 @@
 )
 
 const (
-	// FreshTime is the longest that a task may have been on its worker for one crash more to
+	// StrongWindow is the longest that a task may have been on its worker for one crash more to
 	// prove it guilty, as far as the worker's answers tell: long enough for a task that crashes
 	// its worker at its start, short enough that few others are under suspicion.
-	FreshTime = 300 * time.Millisecond
-	// SoonTime is the longest for a crash to count where several must agree, and the time from
+	StrongWindow = 300 * time.Millisecond
+	// WeakWindow is the longest for a crash to count where several must agree, and the time from
 	// one trial to the next on a worker: tasks tried right after each other would be given up
 	// for the next one's crash.
-	SoonTime = time.Second
-	// TrialTime is for how long nothing else starts beside a task that may crash its worker.
-	TrialTime = FreshTime
+	WeakWindow = time.Second
+	// IsolationTime is for how long nothing else starts beside a task that may crash its worker.
+	IsolationTime = StrongWindow
 	// proofs is how many workers of different machines must have crashed alone, right after a
 	// task's start, for it to be given up: fewer are met by chance where workers crash by
 	// themselves.
-	proofs = 3
+	strongNeeded = 3
 	// many is how many crashes are enough that each tell less. Callers are promised fewer than
 	// three starts after the third; one is left for what a new owner does not know.
-	many = 4
+	weakNeeded = 4
 	// soloAfter is the number of workers that must have crashed alone under tasks for these to be
 	// tried one after the other, so that their workers do not crash in the same moment.
-	soloAfter = 2
+	soleTrialAfter = 2
 	// likeTime is how far apart the times from a task's start to the crash may be for the
 	// crashes to be alike: a worker's listing, by which they are known, comes every 0.5 s.
-	likeTime = 600 * time.Millisecond
+	similarWithin = 600 * time.Millisecond
 	// maxNotes bounds the crashes that are kept of a task.
-	maxNotes = 8
+	maxKept = 8
 	// maxOthers is how many other workers may fall silent in the same moment: more have
 	// another cause than a task.
 	maxOthers = 2
 	// longestLasting is the longest that a lasting task may have been on its worker for the
 	// crash to count. One that ran for longer does not crash its workers, and starts anew:
 	// tasks that run for days see many crashes of others' doing.
-	longestLasting = 10 * time.Second
+	longRunningLimit = 10 * time.Second
 	// outlivedRatio and outlivedLeast are how much longer than until a crash a run must last to refute
 	// it: slow workers take several times as long.
-	outlivedRatio = 4
-	outlivedLeast = 3 * time.Second
+	refuteRatio = 4
+	refuteMin   = 3 * time.Second
 )
 
 // Suspect is a task that was on a worker when that crashed.
@@ -65,16 +65,16 @@
 	Unit work.TaskID
 	// Crashes are those under the task; the last one is this worker's.
 	Crashes []work.Crash
-	// MayHaveMore means that an earlier owner may have seen crashes that nobody knows of: it
+	// MayHaveUnknown means that an earlier owner may have seen crashes that nobody knows of: it
 	// had started tasks while the store was out. That counts as one proof more where the last crash
 	// is one, but not beside crashes that tell less: after a loss of all nodes most of these are
 	// workers that left.
-	MayHaveMore bool
+	MayHaveUnknown bool
 }
 
-// Note adds a crash to those under a task, once, and returns those that count.
-func Note(crashes []work.Crash, c work.Crash, isLasting bool) []work.Crash {
-	if isLasting && HasOutlasted(c.Ran) {
+// Add adds a crash to those under a task, once, and returns those that count.
+func Add(crashes []work.Crash, c work.Crash, isLongRunning bool) []work.Crash {
+	if isLongRunning && IsCleared(c.Ran) {
 		return nil
 	}
 	isKnown := func(o work.Crash) bool { return o.Worker == c.Worker && o.Run == c.Run }
@@ -82,67 +82,67 @@
 		return crashes
 	}
 	crashes = append(crashes, c)
-	return crashes[max(len(crashes)-maxNotes, 0):]
+	return crashes[max(len(crashes)-maxKept, 0):]
 }
 
-// HasOutlasted reports whether a task that lasts has been on its worker for so long that it is none
+// IsCleared reports whether a task that lasts has been on its worker for so long that it is none
 // that crashes workers.
-func HasOutlasted(ran time.Duration) bool { return ran > longestLasting }
+func IsCleared(ran time.Duration) bool { return ran > longRunningLimit }
 
-// Outlived returns the crashes under a task that lasts which still tell against it when it has been on
+// Unrefuted returns the crashes under a task that lasts which still tell against it when it has been on
 // a worker for so long. A task that crashes workers does so as long after each start: by then it would
 // have, also on a slow one.
-func Outlived(crashes []work.Crash, ran time.Duration) []work.Crash {
-	if HasOutlasted(ran) {
+func Unrefuted(crashes []work.Crash, ran time.Duration) []work.Crash {
+	if IsCleared(ran) {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(crashes), func(c work.Crash) bool { return ran >= max(outlivedRatio*c.Ran, outlivedLeast) })
+	return slices.DeleteFunc(slices.Clone(crashes), func(c work.Crash) bool { return ran >= max(refuteRatio*c.Ran, refuteMin) })
 }
 
 // IsSuspect reports whether a task may be one that crashes workers. One crash that tells
 // little does not make it so: hundreds of tasks would have to be tried apart.
 func IsSuspect(crashes []work.Crash) bool {
-	return proofsOf(crashes) > 0 || signsOf(crashes) > 1
+	return countStrong(crashes) > 0 || countEvidence(crashes) > 1
 }
 
-// NeedsSolo reports whether a task is tried while no other such one is. Crashes of many workers at once
+// NeedsSoleTrial reports whether a task is tried while no other such one is. Crashes of many workers at once
 // do not make it so: hundreds of tasks would wait for each other.
-func NeedsSolo(crashes []work.Crash) bool { return proofsOf(crashes) >= soloAfter }
+func NeedsSoleTrial(crashes []work.Crash) bool { return countStrong(crashes) >= soleTrialAfter }
 
-// Tells reports whether anything tells against a task.
-func Tells(crashes []work.Crash) bool { return signsOf(crashes) > 0 }
+// HasEvidence reports whether anything tells against a task.
+func HasEvidence(crashes []work.Crash) bool { return countEvidence(crashes) > 0 }
 
-// Guilty returns the numbers of those, of all tasks on a worker that crashed, that are to
+// Culprits returns the numbers of those, of all tasks on a worker that crashed, that are to
 // be given up.
-func Guilty(suspects []Suspect) []int {
-	guilty := []int{}
+func Culprits(suspects []Suspect) []int {
+	culprits := []int{}
 	for i := range suspects {
 		s := &suspects[i]
-		more := 0
-		if s.MayHaveMore && isProof(&s.Crashes[len(s.Crashes)-1]) {
-			more = 1
+		unknown := 0
+		if s.MayHaveUnknown && isStrong(&s.Crashes[len(s.Crashes)-1]) {
+			unknown = 1
 		}
-		isProven := proofsOf(s.Crashes)+more >= proofs && !hasRival(s, suspects)
-		if isProven || signsOf(s.Crashes) >= many || areAlike(s.Crashes) {
-			guilty = append(guilty, i)
+		isProven := countStrong(s.Crashes)+unknown >= strongNeeded && !hasRival(s, suspects)
+		if isProven || countEvidence(s.Crashes) >= weakNeeded || areSimilar(s.Crashes) {
+			culprits = append(culprits, i)
 		}
 	}
-	return guilty
+	return culprits
 }
 
 // hasRival reports whether as much tells against another task that had just started there.
 func hasRival(s *Suspect, suspects []Suspect) bool {
 	return slices.ContainsFunc(suspects, func(o Suspect) bool {
 		last := &o.Crashes[len(o.Crashes)-1]
-		return o.Unit != s.Unit && last.Ran < FreshTime && proofsOf(o.Crashes) >= proofsOf(s.Crashes)
+		return o.Unit != s.Unit && last.Ran < StrongWindow && countStrong(o.Crashes) >= countStrong(s.Crashes)
 	})
 }
 
 // signsOf counts the crashes that tell anything against the task.
-func signsOf(crashes []work.Crash) int {
+func countEvidence(crashes []work.Crash) int {
 	n := 0
 	for i := range crashes {
-		if isSign(&crashes[i]) {
+		if isEvidence(&crashes[i]) {
 			n++
 		}
 	}
@@ -151,26 +151,26 @@
 
 // isSign reports whether the worker crashed, or went silent for good, soon after the task's
 // start, or may have.
-func isSign(c *work.Crash) bool {
+func isEvidence(c *work.Crash) bool {
 	switch {
 	case c.IsInherited:
 		return true
 	case c.IsExplained:
 		return false
 	case c.Others > maxOthers:
-		return c.Ran < FreshTime
+		return c.Ran < StrongWindow
 	}
-	return c.Ran < SoonTime
+	return c.Ran < WeakWindow
 }
 
 // proofsOf counts the machines on which a worker crashed alone under the task, right after
 // its start: one that crashes whatever it runs proves nothing twice.
-func proofsOf(crashes []work.Crash) int {
+func countStrong(crashes []work.Crash) int {
 	n := 0
 	for i := range crashes {
 		c := &crashes[i]
-		isAgain := func(o work.Crash) bool { return o.Machine == c.Machine && c.Machine != "" && isProof(&o) }
-		if isProof(c) && !slices.ContainsFunc(crashes[:i], isAgain) {
+		isRepeated := func(o work.Crash) bool { return o.Machine == c.Machine && c.Machine != "" && isStrong(&o) }
+		if isStrong(c) && !slices.ContainsFunc(crashes[:i], isRepeated) {
 			n++
 		}
 	}
@@ -178,7 +178,7 @@
 }
 
 // isProof reports whether the worker crashed alone, right after the task's start.
-func isProof(c *work.Crash) bool { return isAlone(c) && c.Ran < FreshTime }
+func isStrong(c *work.Crash) bool { return isAlone(c) && c.Ran < StrongWindow }
 
 // isAlone reports whether the worker is known to have crashed, and no other with it.
 func isAlone(c *work.Crash) bool {
@@ -187,7 +187,7 @@
 
 // areAlike reports whether many workers crashed alone under the task, as long after its
 // start.
-func areAlike(crashes []work.Crash) bool {
+func areSimilar(crashes []work.Crash) bool {
 	rans := []time.Duration{}
 	for i := range crashes {
 		if isAlone(&crashes[i]) {
@@ -195,8 +195,8 @@
 		}
 	}
 	slices.Sort(rans)
-	for i := many - 1; i < len(rans); i++ {
-		if rans[i]-rans[i-many+1] <= likeTime {
+	for i := weakNeeded - 1; i < len(rans); i++ {
+		if rans[i]-rans[i-weakNeeded+1] <= similarWithin {
 			return true
 		}
 	}
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -13,7 +13,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-const soon = 10 * time.Millisecond
+const shortRun = 10 * time.Millisecond
 
 // known is a crash of a worker on machine n, that long after the start of the task.
 func known(n int, ran time.Duration) work.Crash {
@@ -21,7 +21,7 @@
 }
 
 // with is a crash of as many other workers besides.
-func with(others int, c work.Crash) work.Crash {
+func withOthers(others int, c work.Crash) work.Crash {
 	c.Others = others
 	return c
 }
@@ -45,13 +45,13 @@
 }
 
 // three are as many proofs as it takes.
-var three = []work.Crash{known(1, soon), known(2, soon), known(3, soon)}
+var three = []work.Crash{known(1, shortRun), known(2, shortRun), known(3, shortRun)}
 
 // crowd is n crashes, each of eight workers at once.
-func crowd(n int) []work.Crash {
+func ofMany(n int) []work.Crash {
 	crashes := []work.Crash{}
 	for i := range n {
-		crashes = append(crashes, with(7, known(100+i, soon)))
+		crashes = append(crashes, withOthers(7, known(100+i, shortRun)))
 	}
 	return crashes
 }
@@ -62,64 +62,64 @@
 	return crash.Suspect{Unit: work.TaskID{Job: job}, Crashes: crashes}
 }
 
-func TestWhichTasksAreGuiltyOfACrash(t *testing.T) {
+func TestOnlyTasksThatCrashWorkersAreCulprits(t *testing.T) {
 	for name, c := range map[string]struct {
 		on   []crash.Suspect
 		want []int
 	}{
-		"one crash proves nothing":               {on(suspect("a", known(1, soon))), nil},
-		"two crashes prove nothing":              {on(suspect("a", known(1, soon), known(2, soon))), nil},
+		"one crash proves nothing":               {on(suspect("a", known(1, shortRun))), nil},
+		"two crashes prove nothing":              {on(suspect("a", known(1, shortRun), known(2, shortRun))), nil},
 		"three, each alone":                      {on(suspect("a", three...)), []int{0}},
-		"two of them on one machine":             {on(suspect("a", known(1, soon), known(1, soon), known(2, soon))), nil},
-		"beside one that is less so":             {on(suspect("a", known(3, soon)), suspect("b", three...)), []int{1}},
+		"two of them on one machine":             {on(suspect("a", known(1, shortRun), known(1, shortRun), known(2, shortRun))), nil},
+		"beside one that is less so":             {on(suspect("a", known(3, shortRun)), suspect("b", three...)), []int{1}},
 		"two that were on all":                   {on(suspect("a", three...), suspect("b", three...)), nil},
 		"two of a gang that were":                {on(suspect("a", three...), suspect("a", three...)), []int{0, 1}},
-		"had run for long on the last":           {on(suspect("a", known(1, soon), known(2, soon), known(3, 3*time.Second))), nil},
-		"had run for long on the first":          {on(suspect("a", known(1, 3*time.Second), known(2, soon), known(3, soon))), nil},
-		"the last may only be cut off":           {on(suspect("a", known(1, soon), known(2, soon), possible(3, soon))), nil},
-		"another crashed with the last":          {on(suspect("a", known(1, soon), known(2, soon), with(1, known(3, soon)))), nil},
-		"beside one that had run there":          {on(suspect("a", three...), suspect("b", known(1, soon), known(2, soon), known(3, 2*time.Second))), []int{0}},
-		"four soon, of any kind":                 {on(suspect("a", possible(1, time.Second/2), with(1, known(2, soon)), possible(3, soon), possible(4, soon))), []int{0}},
-		"three of many at once":                  {on(suspect("a", crowd(3)...)), nil},
-		"four of many at once":                   {on(suspect("a", crowd(4)...)), []int{0}},
-		"one of many, then alone":                {on(suspect("a", append(crowd(1), known(2, soon), known(3, soon))...)), nil},
-		"one of many, then all alone":            {on(suspect("a", append(crowd(1), known(2, soon), known(3, soon), known(4, soon))...)), []int{0}},
-		"another one's crash thrice":             {on(suspect("a", known(1, soon), explained(2), explained(3), explained(4), explained(5))), nil},
+		"had run for long on the last":           {on(suspect("a", known(1, shortRun), known(2, shortRun), known(3, 3*time.Second))), nil},
+		"had run for long on the first":          {on(suspect("a", known(1, 3*time.Second), known(2, shortRun), known(3, shortRun))), nil},
+		"the last may only be cut off":           {on(suspect("a", known(1, shortRun), known(2, shortRun), possible(3, shortRun))), nil},
+		"another crashed with the last":          {on(suspect("a", known(1, shortRun), known(2, shortRun), withOthers(1, known(3, shortRun)))), nil},
+		"beside one that had run there":          {on(suspect("a", three...), suspect("b", known(1, shortRun), known(2, shortRun), known(3, 2*time.Second))), []int{0}},
+		"four soon, of any kind":                 {on(suspect("a", possible(1, time.Second/2), withOthers(1, known(2, shortRun)), possible(3, shortRun), possible(4, shortRun))), []int{0}},
+		"three of many at once":                  {on(suspect("a", ofMany(3)...)), nil},
+		"four of many at once":                   {on(suspect("a", ofMany(4)...)), []int{0}},
+		"one of many, then alone":                {on(suspect("a", append(ofMany(1), known(2, shortRun), known(3, shortRun))...)), nil},
+		"one of many, then all alone":            {on(suspect("a", append(ofMany(1), known(2, shortRun), known(3, shortRun), known(4, shortRun))...)), []int{0}},
+		"another one's crash thrice":             {on(suspect("a", known(1, shortRun), explained(2), explained(3), explained(4), explained(5))), nil},
 		"three that were inherited":              {on(suspect("a", inherited(1), inherited(2), inherited(3))), nil},
 		"four that were inherited":               {on(suspect("a", inherited(1), inherited(2), inherited(3), inherited(4))), []int{0}},
-		"two, and perhaps more":                  {on(crash.Suspect{Crashes: three[:2], MayHaveMore: true}), []int{0}},
-		"three that tell less, and perhaps more": {on(crash.Suspect{Crashes: []work.Crash{inherited(1), known(2, soon), inherited(3)}, MayHaveMore: true}), nil},
-		"two, then one that was inherited":       {on(crash.Suspect{Crashes: []work.Crash{known(1, soon), known(2, soon), inherited(3)}, MayHaveMore: true}), nil},
-		"one, and perhaps more":                  {on(crash.Suspect{Crashes: three[:1], MayHaveMore: true}), nil},
+		"two, and perhaps more":                  {on(crash.Suspect{Crashes: three[:2], MayHaveUnknown: true}), []int{0}},
+		"three that tell less, and perhaps more": {on(crash.Suspect{Crashes: []work.Crash{inherited(1), known(2, shortRun), inherited(3)}, MayHaveUnknown: true}), nil},
+		"two, then one that was inherited":       {on(crash.Suspect{Crashes: []work.Crash{known(1, shortRun), known(2, shortRun), inherited(3)}, MayHaveUnknown: true}), nil},
+		"one, and perhaps more":                  {on(crash.Suspect{Crashes: three[:1], MayHaveUnknown: true}), nil},
 		"four alone, alike":                      {on(suspect("a", known(1, 5*time.Second), known(2, 5200*time.Millisecond), known(3, 5*time.Second), known(4, 4900*time.Millisecond))), []int{0}},
 		"four alone, not alike":                  {on(suspect("a", known(1, 4*time.Second), known(2, 6*time.Second), known(3, 5*time.Second), known(4, 7*time.Second))), nil},
-		"four with others, alike":                {on(suspect("a", known(1, 5*time.Second), with(1, known(2, 5*time.Second)), known(3, 5*time.Second), known(4, 5*time.Second))), nil},
+		"four with others, alike":                {on(suspect("a", known(1, 5*time.Second), withOthers(1, known(2, 5*time.Second)), known(3, 5*time.Second), known(4, 5*time.Second))), nil},
 	} {
-		got := crash.Guilty(c.on)
+		got := crash.Culprits(c.on)
 		if !slices.Equal(got, c.want) {
 			t.Errorf("%s: got: %v, want: %v", name, got, c.want)
 		}
 	}
 }
 
-func TestACrashIsNotedOnce(t *testing.T) {
-	crashes := crash.Note(nil, known(1, soon), false)
-	crashes = crash.Note(crashes, known(1, soon), false)
+func TestCrashIsAddedOnce(t *testing.T) {
+	crashes := crash.Add(nil, known(1, shortRun), false)
+	crashes = crash.Add(crashes, known(1, shortRun), false)
 	if len(crashes) != 1 {
 		t.Errorf("crashes: got: %d, want: 1", len(crashes))
 	}
 }
 
-func TestOnlySoonCrashesCountForALastingTask(t *testing.T) {
-	if got := crash.Note(crash.Note(nil, known(1, soon), true), known(2, time.Minute), true); len(got) != 0 {
+func TestLateCrashClearsALongRunningTask(t *testing.T) {
+	if got := crash.Add(crash.Add(nil, known(1, shortRun), true), known(2, time.Minute), true); len(got) != 0 {
 		t.Errorf("a minute after the start of a lasting task: got: %d, want: 0", len(got))
 	}
-	if got := crash.Note(nil, known(1, time.Second), true); len(got) != 1 {
+	if got := crash.Add(nil, known(1, time.Second), true); len(got) != 1 {
 		t.Errorf("a second after the start of a lasting task: got: %d, want: 1", len(got))
 	}
 }
 
-func TestALongerRunRefutesCrashes(t *testing.T) {
+func TestLongerRunRefutesCrashes(t *testing.T) {
 	early, late := known(1, 500*time.Millisecond), known(2, 2*time.Second)
 	for name, c := range map[string]struct {
 		ran  time.Duration
@@ -130,7 +130,7 @@
 		"longer than the late one, too": {8 * time.Second, 0},
 		"long enough for any":           {11 * time.Second, 0},
 	} {
-		if got := len(crash.Outlived([]work.Crash{early, late, inherited(3)}, c.ran)); got != c.want {
+		if got := len(crash.Unrefuted([]work.Crash{early, late, inherited(3)}, c.ran)); got != c.want {
 			t.Errorf("%s: got: %d that tell against it, want: %d", name, got, c.want)
 		}
 	}
--- a/internal/crash/silences.go
+++ b/internal/crash/silences.go
@@ -10,9 +10,9 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// Silences are the workers that fell silent lately, whether they live or not. The zero value has
+// SilentWorkers are the workers that fell silent lately, whether they live or not. The zero value has
 // none.
-type Silences struct{ all []silence }
+type SilentWorkers struct{ all []silence }
 
 // silence is that of a worker that was heard last at heardAt, and gave no answer at silentAt. What
 // befell it came between.
@@ -23,24 +23,24 @@
 
 func (s *silence) isOf(worker order.WorkerID) bool { return s.worker == worker }
 
-// Began takes that a worker has not answered now, after it had.
-func (s *Silences) Began(worker order.WorkerID, heardAt, now time.Time) {
+// Add takes that a worker has not answered now, after it had.
+func (s *SilentWorkers) Add(worker order.WorkerID, heardAt, now time.Time) {
 	s.all = append(s.all, silence{worker, heardAt, now})
 }
 
-// Ended takes that a worker answers again.
-func (s *Silences) Ended(worker order.WorkerID) {
+// Remove takes that a worker answers again.
+func (s *SilentWorkers) Remove(worker order.WorkerID) {
 	s.all = slices.DeleteFunc(s.all, func(x silence) bool { return x.isOf(worker) })
 }
 
-// Forget forgets those that fell silent before then.
-func (s *Silences) Forget(then time.Time) {
+// DropBefore forgets those that fell silent before then.
+func (s *SilentWorkers) DropBefore(then time.Time) {
 	s.all = slices.DeleteFunc(s.all, func(x silence) bool { return x.silentAt.Before(then) })
 }
 
-// Beside returns how many other workers may have fallen silent in the same moment as this one,
+// CountOverlapping returns how many other workers may have fallen silent in the same moment as this one,
 // which was heard last at heardAt and may not have been found silent before now.
-func (s *Silences) Beside(worker order.WorkerID, heardAt, now time.Time) int {
+func (s *SilentWorkers) CountOverlapping(worker order.WorkerID, heardAt, now time.Time) int {
 	own := silence{worker, heardAt, now}
 	if i := slices.IndexFunc(s.all, func(x silence) bool { return x.isOf(worker) }); i >= 0 {
 		own = s.all[i]
--- a/internal/crash/silences_test.go
+++ b/internal/crash/silences_test.go
@@ -12,29 +12,29 @@
 )
 
 // Each worker fell silent at some time between its last answer and the one that stayed away.
-func TestWorkersFellInTheSameMomentWhereTheirTimesOverlap(t *testing.T) {
+func TestWorkersWithOverlappingSilencesCountAsOneMoment(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
-	s := crash.Silences{}
-	s.Began("a", at(100), at(300))
-	s.Began("b", at(200), at(500))
-	s.Began("c", at(400), at(600))
+	s := crash.SilentWorkers{}
+	s.Add("a", at(100), at(300))
+	s.Add("b", at(200), at(500))
+	s.Add("c", at(400), at(600))
 	for name, tc := range map[string]struct {
 		worker order.WorkerID
 		want   int
 	}{"a, beside b": {"a", 1}, "b, beside both": {"b", 2}, "c, beside b": {"c", 1}} {
-		if got := s.Beside(tc.worker, at(0), at(1000)); got != tc.want {
+		if got := s.CountOverlapping(tc.worker, at(0), at(1000)); got != tc.want {
 			t.Errorf("%s: got: %d, want: %d", name, got, tc.want)
 		}
 	}
-	if got := s.Beside("d", at(550), at(700)); got != 1 {
+	if got := s.CountOverlapping("d", at(550), at(700)); got != 1 {
 		t.Errorf("one that was not found silent yet, beside c: got: %d, want: 1", got)
 	}
-	s.Ended("b")
-	if got := s.Beside("a", at(0), at(1000)); got != 0 {
+	s.Remove("b")
+	if got := s.CountOverlapping("a", at(0), at(1000)); got != 0 {
 		t.Errorf("a, when b answers again: got: %d, want: 0", got)
 	}
-	s.Forget(at(400))
-	if got := s.Beside("d", at(0), at(1000)); got != 1 {
+	s.DropBefore(at(400))
+	if got := s.CountOverlapping("d", at(0), at(1000)); got != 1 {
 		t.Errorf("those that fell 400 ms after the start or later: got: %d, want: 1", got)
 	}
 }
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -37,7 +37,7 @@
 		return true
 	}
 	a := t.attempt
-	return a != nil && a.worker.session.IsSilent() && a.ran() < crash.FreshTime
+	return a != nil && a.worker.session.IsSilent() && a.ran() < crash.StrongWindow
 }
 
 // isChoosy reports whether a worker that suits other tasks of the step may not suit this
@@ -51,7 +51,7 @@
 
 // isQuiet reports whether a task that may crash the worker can be tried there: nothing else
 // has just started, of which a crash could be the doing.
-func (w *worker) isQuiet(now time.Time) bool { return now.Sub(w.orderedAt) >= crash.TrialTime }
+func (w *worker) isQuiet(now time.Time) bool { return now.Sub(w.orderedAt) >= crash.IsolationTime }
 
 // mayTryNow reports whether a task that may crash the worker can be tried there now.
 func (e *Engine) mayTryNow(w *worker, t *task) bool {
@@ -62,15 +62,15 @@
 		// A second crash there would prove nothing more.
 		return false
 	}
-	isTurn := !crash.NeedsSolo(t.crashes) || !e.now.Before(e.soloUntil)
-	return isTurn && w.isQuiet(e.now) && e.now.Sub(w.triedAt) >= crash.SoonTime
+	isTurn := !crash.NeedsSoleTrial(t.crashes) || !e.now.Before(e.soloUntil)
+	return isTurn && w.isQuiet(e.now) && e.now.Sub(w.triedAt) >= crash.WeakWindow
 }
 
 // mayStartUnkept reports whether an attempt may be ordered before its place is in the store.
 // A task against which anything tells waits for that, also where the store is slow or out:
 // the next owner would start it as if nothing had happened.
 func (e *Engine) mayStartUnkept(a *attempt) bool {
-	return e.isUnlogged && !crash.Tells(a.step.tasks[a.id.Index].crashes)
+	return e.isUnlogged && !crash.HasEvidence(a.step.tasks[a.id.Index].crashes)
 }
 
 // clearOutlived forgets the crashes under a task that lasts which its run has outlived: it has no good
@@ -83,7 +83,7 @@
 	if len(t.crashes) == 0 {
 		return
 	}
-	left := crash.Outlived(t.crashes, a.ran())
+	left := crash.Unrefuted(t.crashes, a.ran())
 	if len(left) < len(t.crashes) {
 		t.crashes = left
 		e.touch(a.step.job)
@@ -100,7 +100,7 @@
 	var best *worker
 	bestScore := 0.0
 	for _, w := range e.permitted(s, q) {
-		if w.attempts.Get(s.taskID(i)) != nil || e.fits(w, s) == 0 || e.now.Sub(w.triedAt) < crash.SoonTime {
+		if w.attempts.Get(s.taskID(i)) != nil || e.fits(w, s) == 0 || e.now.Sub(w.triedAt) < crash.WeakWindow {
 			continue
 		}
 		if score := e.score(w, s, t); best == nil || score > bestScore {
@@ -114,7 +114,7 @@
 }
 
 // keptTime is how long a worker is kept for a trial: until it is quiet, and the next look.
-const keptTime = 2 * crash.TrialTime
+const keptTime = 2 * crash.IsolationTime
 
 // noteTrial keeps other tasks off a worker for a while that is told to start one that may
 // crash it.
@@ -123,8 +123,8 @@
 	if !isSuspect(t) {
 		return
 	}
-	a.worker.triedAt, a.worker.trialUntil = e.now, e.now.Add(crash.TrialTime)
-	if crash.NeedsSolo(t.crashes) {
+	a.worker.triedAt, a.worker.trialUntil = e.now, e.now.Add(crash.IsolationTime)
+	if crash.NeedsSoleTrial(t.crashes) {
 		e.soloUntil = a.worker.trialUntil
 	}
 }
@@ -134,7 +134,7 @@
 func (a *attempt) ran() time.Duration {
 	ran := max(a.worker.session.LastHeardAt().Sub(a.orderedAt), 0)
 	if a.isAdopted {
-		return ran + crash.FreshTime
+		return ran + crash.StrongWindow
 	}
 	return ran
 }
@@ -154,7 +154,7 @@
 		return nil
 	}
 	tasks := []work.TaskID{}
-	others := e.silences.Beside(w.ID, w.session.LastHeardAt(), e.now)
+	others := e.silences.CountOverlapping(w.ID, w.session.LastHeardAt(), e.now)
 	suspect := w.lastSuspect()
 	for id, a := range w.attempts.All() {
 		if a.step == nil || !a.mayHaveRun() {
@@ -181,7 +181,7 @@
 func (w *worker) lastSuspect() *attempt {
 	var last *attempt
 	for id, a := range w.attempts.All() {
-		if a.step == nil || !a.mayHaveRun() || a.ran() >= crash.FreshTime || !crash.IsSuspect(a.step.tasks[id.Index].crashes) {
+		if a.step == nil || !a.mayHaveRun() || a.ran() >= crash.StrongWindow || !crash.IsSuspect(a.step.tasks[id.Index].crashes) {
 			continue
 		}
 		if last == nil || a.orderedAt.After(last.orderedAt) {
@@ -196,7 +196,7 @@
 	if t.state == taskDone || s.job.state.IsFinal() {
 		return
 	}
-	t.crashes, t.crashedAt = crash.Note(t.crashes, c, s.spec.IsLasting), e.now
+	t.crashes, t.crashedAt = crash.Add(t.crashes, c, s.spec.IsLasting), e.now
 	e.touch(s.job)
 }
 
@@ -248,9 +248,9 @@
 			task.Index = 0
 		}
 		steps = append(steps, s)
-		suspects = append(suspects, crash.Suspect{Unit: task, Crashes: t.crashes, MayHaveMore: s.job.isInexact})
+		suspects = append(suspects, crash.Suspect{Unit: task, Crashes: t.crashes, MayHaveUnknown: s.job.isInexact})
 	}
-	for _, i := range crash.Guilty(suspects) {
+	for _, i := range crash.Culprits(suspects) {
 		crashes := suspects[i].Crashes
 		e.options.Log(events.TaskCrashes, "task", suspects[i].Unit, "worker", id, "crashes", len(crashes), "ran", crashes[len(crashes)-1].Ran, "others", crashes[len(crashes)-1].Others, "beside", len(suspects)-1)
 		e.endJob(steps[i].job, work.JobFailed, "workers crash under a task")
@@ -308,7 +308,7 @@
 
 // forgetCutOff forgets workers that were cut off, or fell silent, long ago.
 func (e *Engine) forgetCutOff() {
-	e.silences.Forget(e.now.Add(-keepCutOff))
+	e.silences.DropBefore(e.now.Add(-keepCutOff))
 	for id, c := range e.cutOff.All() {
 		if e.now.Sub(c.since) > keepCutOff {
 			e.cutOff.Delete(id)
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -107,7 +107,7 @@
 	// cutOff has workers that may have crashed, or only be cut off.
 	cutOff ordered.Map[order.WorkerID, *cutOff]
 	// silences are workers that fell silent lately, whether they live or not.
-	silences crash.Silences
+	silences crash.SilentWorkers
 	// soloUntil is until when a task under which several workers have crashed is tried, and
 	// no other such one.
 	soloUntil time.Time
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -103,7 +103,7 @@
 	}
 	if !h.IsImmediate {
 		if !w.session.HasMissed() {
-			e.silences.Began(w.ID, w.session.LastHeardAt(), e.now)
+			e.silences.Add(w.ID, w.session.LastHeardAt(), e.now)
 		}
 		e.strays.NextGeneration(w.ID)
 		w.session.CountMiss(e.now)
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -111,7 +111,7 @@
 		e.lossyUntil = e.now.Add(lossyTime)
 	}
 	if w.session.HasMissed() {
-		e.silences.Ended(w.ID)
+		e.silences.Remove(w.ID)
 	}
 	w.session.NoteAnswer(l.At, e.now)
 	w.session.MarkEndsForgotten(h.Confirmed)
