--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -26,7 +26,7 @@
 	for _, id := range lost {
 		e.claims.Drop(id)
 		if s := e.findStep(id); s != nil {
-			s.permit.Lost()
+			s.permit.NoteLost()
 			e.isDirty = true
 		}
 	}
@@ -39,7 +39,7 @@
 
 // Advised takes the answer to a call. isKnown is false when there was none.
 func (e *Engine) Advised(laneName string, id work.StepID, asked []order.WorkerID, good []order.Permit, valid time.Duration, isKnown bool) {
-	e.lanes.Answered(laneName, id)
+	e.lanes.EndCall(laneName, id)
 	e.claims.Drop(id)
 	e.isDirty = true
 	s := e.findStep(id)
@@ -47,11 +47,11 @@
 		return
 	}
 	if !isKnown {
-		s.permit.Failed(e.now)
+		s.permit.NoteFailure(e.now)
 		e.options.Log(events.AdviceFailed, "step", id, "lane", laneName, "asked", len(asked))
 		return
 	}
-	s.permit.Answered(asked, good, valid, e.now)
+	s.permit.NoteAnswer(asked, good, valid, e.now)
 }
 
 // maxAsks bounds the calls that one look at all that waits prepares, the most urgent
@@ -63,11 +63,11 @@
 
 // askAdvice asks for the step, if it helps and a lane is free.
 func (e *Engine) askAdvice(s *step, policy *order.PermissionPolicy, missing int) {
-	if e.asksLeft <= 0 || !s.permit.MayAsk(e.now) {
+	if e.asksLeft <= 0 || !s.permit.MayQuery(e.now) {
 		return
 	}
 	hasRoomyPool := e.inUse[e.queues[s.job.spec.Queue].Service] < roomyShare
-	lane := e.lanes.Free(policy)
+	lane := e.lanes.FreeChannel(policy)
 	if lane == "" {
 		if hasRoomyPool {
 			e.lanesMissedAt = e.now
@@ -79,20 +79,20 @@
 	isMissed := !e.lanesMissedAt.IsZero() && e.now.Sub(e.lanesMissedAt) < lanesMissedFor
 	if isMissed && !hasRoomyPool && !hasRoomNow(s, found) && !e.lanes.HasSpare() {
 		// Nothing could start on the answer, and what has room waits for a lane.
-		s.permit.PutOff(e.now)
+		s.permit.Defer(e.now)
 		if e.putOffsLeft > 0 {
 			e.putOffsLeft--
 			e.asksLeft++
 		}
 		return
 	}
-	asked := permit.Choose(found, policy, missing)
+	asked := permit.ChooseWorkers(found, policy, missing)
 	if len(asked) == 0 {
-		s.permit.NobodyToAsk(e.now)
+		s.permit.NoteNoCandidates(e.now)
 		return
 	}
-	patience := e.lanes.Take(lane, s.id, policy, len(asked), e.now)
-	s.permit.Asked()
+	patience := e.lanes.BeginCall(lane, s.id, policy, len(asked), e.now)
+	s.permit.BeginQuery()
 	if e.has(MechanismClaims) {
 		e.claims.Add(s.id, asked, missing, s.spec.Charge())
 	}
@@ -131,7 +131,7 @@
 	pool := e.queues[s.job.spec.Queue].Service
 	needsSound := slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.needsSound(s, &t) })
 	charge := s.spec.Charge()
-	renewAt := e.now.Add(policy.BaseTime + permit.AskMargin)
+	renewAt := e.now.Add(policy.BaseTime + permit.RoundTripMargin)
 	if !e.has(MechanismAdviceAhead) {
 		renewAt = e.now
 	}
@@ -142,23 +142,23 @@
 		if !e.isUsable(w, s) || !e.mayRun(w, s, pool) || needsSound && !w.health.IsHealthy(e.now) || !charge.FitsIn(w.Capacity) {
 			continue
 		}
-		fits := e.fitsBeside(w, s, e.claims.On(id))
-		if fits == 0 && (withoutRoom >= permit.MaxAsked || !e.has(MechanismAdviceAhead) || !mayFree(w, s)) {
+		fits := e.fitsBeside(w, s, e.claims.OnWorker(id))
+		if fits == 0 && (withoutRoom >= permit.MaxWorkersPerCall || !e.has(MechanismAdviceAhead) || !mayFree(w, s)) {
 			continue
 		}
-		isGood, isKnown := s.permit.Verdict(id)
+		isGood, isKnown := s.permit.IsAllowed(id)
 		if isKnown && !isGood {
 			continue
 		}
-		if _, ok := s.permit.Holds(id, renewAt); ok {
+		if _, ok := s.permit.ValidPermit(id, renewAt); ok {
 			continue
 		}
-		found = append(found, permit.Candidate{ID: id, Fits: fits, IsGood: isGood, IsSuspect: w.speed.IsSuspectedSlow || w.health.IsPaused(e.now)})
+		found = append(found, permit.Candidate{ID: id, Fits: fits, IsPermitted: isGood, IsDegraded: w.speed.IsSuspectedSlow || w.health.IsPaused(e.now)})
 		if fits == 0 {
 			withoutRoom++
 			continue
 		}
-		if withRoom++; withRoom >= enoughRoom*permit.MaxAsked {
+		if withRoom++; withRoom >= enoughRoom*permit.MaxWorkersPerCall {
 			break
 		}
 	}
--- a/internal/dispatch/away.go
+++ b/internal/dispatch/away.go
@@ -99,8 +99,8 @@
 			continue
 		}
 		has.roomy++
-		isGood, isKnown := s.permit.Verdict(id)
-		_, hasTicket := s.permit.Holds(id, e.now)
+		isGood, isKnown := s.permit.IsAllowed(id)
+		_, hasTicket := s.permit.ValidPermit(id, e.now)
 		switch {
 		case isKnown && !isGood:
 			has.denied++
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -96,7 +96,7 @@
 	heldLogAt time.Time
 	// awayLogAt is when it is told next of which tasks that last nothing runs.
 	awayLogAt time.Time
-	lanes     permit.Lanes
+	lanes     permit.Channels
 	// claims has the room that calls for permission are likely to use.
 	claims permit.Claims
 	// unsettled are workers on which an earlier owner may have started tasks that
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -65,7 +65,7 @@
 	e.options.Log(events.StartRefused, "task", a.id, "run", a.run, "worker", w.ID, "why", outcome)
 	switch outcome {
 	case order.StartNoPermit:
-		a.step.permit.Forget(w.ID)
+		a.step.permit.DropPermit(w.ID)
 	case order.StartUnhealthy:
 		w.health.NoteRefusal(e.now)
 	case order.StartNoCapacity, order.StartRefused:
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -247,7 +247,7 @@
 			}
 		}
 	}
-	s.permit.Permitted(e.now, func(id order.WorkerID) {
+	s.permit.EachPermitted(e.now, func(id order.WorkerID) {
 		if w := e.workers.Get(id); w != nil && q.Permission != nil && e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
 			found = append(found, w)
 		}
@@ -448,7 +448,7 @@
 		return
 	}
 	q := e.queues[a.step.job.spec.Queue]
-	text, hasTicket := a.step.permit.Holds(a.worker.ID, e.now)
+	text, hasTicket := a.step.permit.ValidPermit(a.worker.ID, e.now)
 	isHeldBack := e.isPaused && !e.isGangUnderWay(a)
 	isOverLimit := e.quota.IsOver(a.step.customer()) && !e.isGangUnderWay(a)
 	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Permission != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -177,7 +177,7 @@
 			add(w)
 		}
 	}
-	s.permit.Good(func(id order.WorkerID) {
+	s.permit.EachAllowed(func(id order.WorkerID) {
 		if q.Permission != nil {
 			add(e.workers.Get(id))
 		}
--- a/internal/dispatch/waits.go
+++ b/internal/dispatch/waits.go
@@ -31,9 +31,9 @@
 		return waits.Limit
 	case q.Permission == nil || len(e.permitted(s, q)) > 0:
 		return waits.Room
-	case s.permit.IsAsking():
+	case s.permit.IsQuerying():
 		return waits.Permission
-	case e.lanes.Free(q.Permission) == "":
+	case e.lanes.FreeChannel(q.Permission) == "":
 		return waits.Lane
 	}
 	return waits.Room
--- a/internal/permit/bench_test.go
+++ b/internal/permit/bench_test.go
@@ -19,30 +19,30 @@
 	for i := range out {
 		out[i] = permit.Candidate{
 			ID: order.WorkerID(fmt.Sprintf("i-%010x", rng.Uint32())), Fits: rng.IntN(5),
-			IsGood: rng.IntN(20) == 0, IsSuspect: rng.IntN(20) == 0,
+			IsPermitted: rng.IntN(20) == 0, IsDegraded: rng.IntN(20) == 0,
 		}
 	}
 	return out
 }
 
 // BenchmarkChoose is what choosing whom to ask about takes of 1,100 workers.
-func BenchmarkChoose(b *testing.B) {
+func BenchmarkChooseWorkers(b *testing.B) {
 	all := candidatesOf(1100)
 	buf := make([]permit.Candidate, len(all))
 	for b.Loop() {
 		copy(buf, all)
-		permit.Choose(buf, cheap, 20)
+		permit.ChooseWorkers(buf, fast, 20)
 	}
 }
 
 // Who is asked about does not depend on the order in which the workers come.
-func TestChooseDoesNotDependOnTheOrder(t *testing.T) {
+func TestChoiceDoesNotDependOnTheOrderOfCandidates(t *testing.T) {
 	all := candidatesOf(1100)
-	want := permit.Choose(slices.Clone(all), cheap, 20)
+	want := permit.ChooseWorkers(slices.Clone(all), fast, 20)
 	rng := rand.New(rand.NewPCG(2, 2))
 	for range 20 {
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-		if got := permit.Choose(slices.Clone(all), cheap, 20); !slices.Equal(got, want) {
+		if got := permit.ChooseWorkers(slices.Clone(all), fast, 20); !slices.Equal(got, want) {
 			t.Fatalf("got: %v, want: %v", got, want)
 		}
 	}
--- a/internal/permit/choose.go
+++ b/internal/permit/choose.go
@@ -14,18 +14,18 @@
 const (
 	// goodShare is the part of the workers that is expected to be permitted, where
 	// nothing is known yet.
-	goodShare = 0.35
+	permittedShare = 0.35
 	// enough is how many times the room that is needed a call should bring.
-	enough = 1.2
-	// MaxAsked is the most workers that one call may name.
-	MaxAsked = 100
+	capacityFactor = 1.2
+	// MaxWorkersPerCall is the most workers that one call may name.
+	MaxWorkersPerCall = 100
 	// considered is how many workers are looked at in order, some of which are not named.
-	considered = 2 * MaxAsked
+	maxConsidered = 2 * MaxWorkersPerCall
 	// minAsked is the least that a call names, if there are so many.
-	minAsked = 6
+	minWorkersPerCall = 6
 	// freedShare is how many tasks a worker without room is expected to have room for while
 	// a permission holds, where it is permitted.
-	freedShare = 0.4
+	freedTasks = 0.4
 )
 
 // Candidate is a worker that could be asked about.
@@ -33,21 +33,21 @@
 	ID order.WorkerID
 	// Fits is how many tasks fit now; 0 means that some would on an empty worker.
 	Fits int
-	// IsGood means that it is known to be permitted.
-	IsGood bool
-	// IsSuspect means that it is or was slow.
-	IsSuspect bool
+	// IsPermitted means that it is known to be permitted.
+	IsPermitted bool
+	// IsDegraded means that it is or was slow.
+	IsDegraded bool
 }
 
-// Choose picks the workers that are likely to take the missing tasks. Those with room come
+// ChooseWorkers picks the workers that are likely to take the missing tasks. Those with room come
 // before those where some may become free, and among either those known to be permitted.
-func Choose(found []Candidate, policy *order.PermissionPolicy, missing int) []order.WorkerID {
-	found = best(found, considered)
+func ChooseWorkers(candidates []Candidate, policy *order.PermissionPolicy, missing int) []order.WorkerID {
+	candidates = best(candidates, maxConsidered)
 	out := []order.WorkerID{}
 	expected := 0.0
-	for _, c := range found {
-		isEnough := expected >= enough*float64(missing) && (len(out) >= minAsked || c.IsGood)
-		if len(out) >= MaxAsked || isEnough && !isCheap(policy) {
+	for _, c := range candidates {
+		isEnough := expected >= capacityFactor*float64(missing) && (len(out) >= minWorkersPerCall || c.IsPermitted)
+		if len(out) >= MaxWorkersPerCall || isEnough && !isFast(policy) {
 			break
 		}
 		out = append(out, c.ID)
@@ -58,22 +58,22 @@
 
 // expected returns how many tasks the worker is likely to take once it was asked about.
 func (c *Candidate) expected() float64 {
-	tasks := max(float64(c.Fits), freedShare)
-	if c.IsGood {
+	tasks := max(float64(c.Fits), freedTasks)
+	if c.IsPermitted {
 		return tasks
 	}
-	return goodShare * tasks
+	return permittedShare * tasks
 }
 
 // compare is negative when a is to be asked about before b.
 func compare(a, b *Candidate) int {
 	switch {
 	case a.Fits == 0 != (b.Fits == 0):
-		return first(a.Fits > 0)
-	case a.IsGood != b.IsGood:
-		return first(a.IsGood)
-	case a.IsSuspect != b.IsSuspect:
-		return first(b.IsSuspect)
+		return prefer(a.Fits > 0)
+	case a.IsPermitted != b.IsPermitted:
+		return prefer(a.IsPermitted)
+	case a.IsDegraded != b.IsDegraded:
+		return prefer(b.IsDegraded)
 	case a.Fits != b.Fits:
 		return b.Fits - a.Fits
 	}
@@ -81,7 +81,7 @@
 }
 
 // first is negative when the first of two is the one with the property.
-func first(isFirst bool) int {
+func prefer(isFirst bool) int {
 	if isFirst {
 		return -1
 	}
@@ -90,20 +90,20 @@
 
 // best returns the n candidates to be asked about first, in order, and reorders found. A
 // heap of n takes less time than to sort them all (BenchmarkChoose).
-func best(found []Candidate, n int) []Candidate {
-	if len(found) > n {
-		h := worstFirst(found[:n])
+func best(candidates []Candidate, n int) []Candidate {
+	if len(candidates) > n {
+		h := worstFirst(candidates[:n])
 		heap.Init(h)
-		for i := n; i < len(found); i++ {
-			if compare(&found[i], &h[0]) < 0 {
-				h[0], found[i] = found[i], h[0]
+		for i := n; i < len(candidates); i++ {
+			if compare(&candidates[i], &h[0]) < 0 {
+				h[0], candidates[i] = candidates[i], h[0]
 				heap.Fix(h, 0)
 			}
 		}
-		found = found[:n]
+		candidates = candidates[:n]
 	}
-	slices.SortFunc(found, func(a, b Candidate) int { return compare(&a, &b) })
-	return found
+	slices.SortFunc(candidates, func(a, b Candidate) int { return compare(&a, &b) })
+	return candidates
 }
 
 // worstFirst is a heap of candidates with the last to be asked about on top. It keeps its
--- a/internal/permit/claims.go
+++ b/internal/permit/claims.go
@@ -19,8 +19,8 @@
 
 // claim is what the call of a step is likely to use of each worker that it names.
 type claim struct {
-	workers []order.WorkerID
-	each    leverdyke.Resources
+	workers   []order.WorkerID
+	perWorker leverdyke.Resources
 }
 
 // Add notes a call of a step for so many tasks that take need each.
@@ -32,15 +32,15 @@
 	if len(asked) == 0 {
 		return
 	}
-	each := part(need, tasks, len(asked))
-	c.byStep[id] = claim{asked, each}
+	perWorker := scale(need, tasks, len(asked))
+	c.byStep[id] = claim{asked, perWorker}
 	for _, w := range asked {
-		c.byWorker[w] = c.byWorker[w].Add(each)
+		c.byWorker[w] = c.byWorker[w].Add(perWorker)
 	}
 }
 
 // part returns tasks/workers times need.
-func part(need leverdyke.Resources, tasks, workers int) leverdyke.Resources {
+func scale(need leverdyke.Resources, tasks, workers int) leverdyke.Resources {
 	n, d := int64(min(tasks, workers)), int64(workers)
 	return leverdyke.Resources{MilliCPU: need.MilliCPU * n / d, MemoryMiB: need.MemoryMiB * n / d, Accelerators: need.Accelerators * n / d}
 }
@@ -53,7 +53,7 @@
 	}
 	delete(c.byStep, id)
 	for _, w := range old.workers {
-		if left := c.byWorker[w].Sub(old.each); left != (leverdyke.Resources{}) {
+		if left := c.byWorker[w].Sub(old.perWorker); left != (leverdyke.Resources{}) {
 			c.byWorker[w] = left
 		} else {
 			delete(c.byWorker, w)
@@ -61,5 +61,5 @@
 	}
 }
 
-// On returns the room of a worker that is likely to be used.
-func (c *Claims) On(id order.WorkerID) leverdyke.Resources { return c.byWorker[id] }
+// OnWorker returns the room of a worker that is likely to be used.
+func (c *Claims) OnWorker(id order.WorkerID) leverdyke.Resources { return c.byWorker[id] }
--- a/internal/permit/claims_test.go
+++ b/internal/permit/claims_test.go
@@ -12,7 +12,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-func TestClaims(t *testing.T) {
+func TestClaimsOfCallsInFlightAddUp(t *testing.T) {
 	c := permit.Claims{}
 	need := leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 10}
 	first, second := work.StepID{Job: "a"}, work.StepID{Job: "b"}
@@ -21,7 +21,7 @@
 	c.Add(work.StepID{Job: "c"}, nil, 9, need)
 	expect := func(when string, id order.WorkerID, milliCPU int64) {
 		t.Helper()
-		if got := c.On(id).MilliCPU; got != milliCPU {
+		if got := c.OnWorker(id).MilliCPU; got != milliCPU {
 			t.Errorf("%s, on %s: got: %d, want: %d", when, id, got, milliCPU)
 		}
 	}
