--- a/internal/order/customer.go
+++ b/internal/order/customer.go
@@ -12,15 +12,16 @@
 type Customer struct {
 	// Name is never empty.
 	Name work.CustomerName
-	// Weight makes its share of all room while others wait, beside their weights; never
-	// negative. One of 0 is not held to a share.
+	// Weight sets the customer's share of all capacity while other customers have tasks
+	// waiting: its weight divided by the sum of their weights and its own. It is never negative.
+	// A customer of weight 0 is not held to a share.
 	Weight float64
-	// Limit is what its tasks may take over all workers. A dimension that is 0 has no limit;
-	// none is negative.
+	// Limit is what the customer's tasks may use over all workers. A dimension of 0 has no
+	// limit; none is negative.
 	Limit leverdyke.Resources
 }
 
-// Policy is what a configuration tells the owner.
+// Policy is the part of a configuration that the owner applies.
 type Policy struct {
 	Queues    []Queue
 	Customers []Customer
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package order has what the engine and those who carry out its decisions tell
-// each other: workers and their words, orders and what became of them.
+// Package order has the data that the scheduling engine exchanges with the code that carries out
+// its decisions: workers and their listings, orders to workers and the outcomes of these orders.
 package order
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Worker is what the platform's list says of a worker.
+// Worker is the entry of a worker in the platform's list.
 type Worker struct {
 	ID      WorkerID
 	Addr    netip.AddrPort
@@ -21,48 +21,50 @@
 	Zone    string
 	Rack    string
 	Labels  []string
-	// Service names the pool that it serves.
+	// Service names the pool that the worker belongs to.
 	Service  string
 	Capacity leverdyke.Resources
-	// IsDraining means that it is leaving: it finishes what it has.
+	// IsDraining means that the worker is leaving: it finishes the tasks that it has and gets
+	// no new ones.
 	IsDraining bool
-	// IsUncertain means that its newest entry may come from another writer: it gets
-	// nothing new, and what it runs goes on. The other fields are those of its last good
-	// entry; where there is none, all but ID and Addr are empty, Addr perhaps too.
+	// IsUncertain means that the worker's newest entry is invalid, so that it may come from
+	// another writer: the worker gets no new tasks, and those that it runs go on. The other
+	// fields are those of its last valid entry. Where there is none, all but ID and Addr are
+	// empty, and Addr may be empty too.
 	IsUncertain bool
-	// HeartbeatAt is when a heartbeat of it was seen last; zero when none was.
+	// HeartbeatAt is when the worker's last heartbeat was seen; zero when none was.
 	HeartbeatAt time.Time
-	// IsRemoved means that its entry has been taken out of the list since the list
-	// was told last.
+	// IsRemoved means that the worker's entry has been removed since the list was last passed
+	// to the engine.
 	IsRemoved bool
 }
 
 // Queue is the policy of a queue, from the configuration.
 type Queue struct {
 	Name string
-	// Service names the pool whose workers run its tasks.
+	// Service names the pool whose workers run the queue's tasks.
 	Service string
-	// Priority 0 goes first.
+	// Priority orders the queues; 0 is served first.
 	Priority    int
 	MaxAttempts int
-	// Permission is set when only some workers may run a step; nil means all may.
+	// Permission is set when only some workers may run a step; nil means that all may.
 	Permission *PermissionPolicy
-	// Stretch and Latency make the time that a job should take: its longest
-	// chain times Stretch, and Latency.
+	// Stretch and TargetLatency make up the time within which a job should end: the duration of
+	// its longest chain of steps times Stretch, plus TargetLatency.
 	Stretch       float64
 	TargetLatency time.Duration
 }
 
-// PermissionPolicy says what it costs to ask which workers may run a step.
+// PermissionPolicy describes the permission service, which answers which workers may run a step.
 type PermissionPolicy struct {
-	// BaseTime and Each are the time of a call: BaseTime and Each for every worker named.
+	// A call takes BaseTime, plus TimePerWorker for each worker that it names.
 	BaseTime      time.Duration
 	TimePerWorker time.Duration
-	// ValidFor is how long a permission holds.
+	// ValidFor is how long a permit is valid.
 	ValidFor time.Duration
 }
 
-// WorkerTime is a time on a worker's own steady clock.
+// WorkerTime is a time on a worker's own monotonic clock.
 type WorkerTime time.Duration
 
 // EndKind is how an attempt ended.
@@ -70,31 +72,33 @@
 
 // The kinds of end.
 const (
-	EndSucceeded    EndKind = "done"
-	EndFailed       EndKind = "failed"
-	EndStopped      EndKind = "stopped"
+	EndSucceeded EndKind = "done"
+	EndFailed    EndKind = "failed"
+	EndStopped   EndKind = "stopped"
+	// EndLeaseExpired means that the worker ended the attempt because its lease was not renewed.
 	EndLeaseExpired EndKind = "lapsed"
 	// EndGangBroken means that another member of the gang ended.
 	EndGangBroken EndKind = "broken"
-	// EndGangIncomplete means that the other members of the gang did not come.
+	// EndGangIncomplete means that the other members of the gang did not start in time.
 	EndGangIncomplete EndKind = "alone"
 )
 
-// Running is an attempt that a worker says it runs.
+// Running is an attempt that a worker reports as running.
 type Running struct {
 	Task       work.TaskID
 	Run        uint64
 	Checkpoint string
-	// Percent is how far it is; for a lasting task 100 means at work.
+	// Percent is the progress of the attempt. For a long-running task 100 means that it has
+	// started up and is working.
 	Percent int
-	// LoadMetric is the tail latency in ms of a task that serves users, else its use
-	// of processors in thousandths.
+	// LoadMetric is the tail latency in ms of a task that serves users. For other tasks it is
+	// the CPU usage in thousandths.
 	LoadMetric int
 }
 
-// End is an attempt that a worker says has ended.
+// End is an attempt that a worker reports as ended.
 type End struct {
-	// Number rises by one with each end of a worker's life.
+	// Number is a sequence number: it rises by one with each end of a worker's incarnation.
 	Number     uint64
 	Task       work.TaskID
 	Run        uint64
@@ -102,57 +106,59 @@
 	Checkpoint string
 }
 
-// Listing is a worker's word on all that it runs.
+// Listing is a worker's report of all that it runs and of the attempts that have ended.
 type Listing struct {
 	// At is the worker's clock when it answered.
 	At WorkerTime
-	// OtherIncarnation is the start that tells it, where that is another one than was asked; else empty.
+	// OtherIncarnation is the incarnation that sent the listing, where that is not the one that
+	// the poll was addressed to; otherwise it is empty.
 	OtherIncarnation WorkerID
 	Running          []Running
 	Finished         []End
 }
 
-// StartOutcome is what became of an order to start.
+// StartOutcome is the outcome of an order to start.
 type StartOutcome string
 
 // The outcomes.
 const (
 	// StartSucceeded means that the attempt runs.
 	StartSucceeded StartOutcome = "started"
-	// StartRefused means that it does not run and never will by this order.
+	// StartRefused means that the attempt does not run and that this order will never start it.
 	StartRefused StartOutcome = "refused"
-	// StartNoCapacity and StartNoTicket are refusals with these reasons.
+	// StartNoCapacity and StartNoPermit are refusals with these reasons.
 	StartNoCapacity StartOutcome = "no-room"
 	StartNoPermit   StartOutcome = "no-ticket"
-	// StartUnhealthy means that the worker takes nothing now.
+	// StartUnhealthy means that the worker accepts no orders at present.
 	StartUnhealthy StartOutcome = "unhealthy"
-	// StartFenced means that the worker obeys a later owner.
+	// StartFenced means that the worker has seen the fencing token of a later owner and refuses
+	// this one's.
 	StartFenced StartOutcome = "fenced"
-	// StartUnknown means that the order may be carried out, also later.
+	// StartUnknown means that the order may have been carried out, or may still be.
 	StartUnknown StartOutcome = "unknown"
-	// StartIncarnationEnded means that this life of the worker is over.
+	// StartIncarnationEnded means that this incarnation of the worker has ended.
 	StartIncarnationEnded StartOutcome = "life-over"
 )
 
-// PollOutcome is what became of asking a worker for a listing.
+// PollOutcome is the outcome of polling a worker for a listing.
 type PollOutcome string
 
 // The outcomes.
 const (
 	PollAnswered PollOutcome = "listed"
-	// PollUnanswered means that no usable answer came.
+	// PollUnanswered means that no usable answer arrived.
 	PollUnanswered PollOutcome = "silent"
-	// PollIncarnationEnded means that this life of the worker is over.
+	// PollIncarnationEnded means that this incarnation of the worker has ended.
 	PollIncarnationEnded PollOutcome = "life-over"
 )
 
-// Permit permits a worker to run the tasks of one step.
+// Permit allows a worker to run the tasks of one step. The worker verifies Text.
 type Permit struct {
 	Worker WorkerID
 	Text   string
 }
 
-// Action is something that the caller of the engine has to do.
+// Action is something that the caller of the engine has to carry out.
 type Action interface{ isAction() }
 
 // Start orders a worker to start an attempt.
@@ -164,11 +170,13 @@
 	Payload    string
 	Checkpoint string
 	Permit     string
-	// Deadline is when everything on the worker ends unless it is renewed.
+	// Deadline is the end of the worker's lease: the worker ends all its attempts then, unless
+	// the lease is renewed before.
 	Deadline WorkerTime
-	// Generation rises when the worker may have started again: what was sent before does not
-	// count any more. Token makes the fencing token of it and the owner's epoch. In messages
-	// between nodes it is the last field, as it came later than the others.
+	// Generation rises whenever the worker may have restarted, and whenever an order is
+	// abandoned: orders of a lower generation are no longer valid. Token combines it with the
+	// owner's epoch into the fencing token. Messages between nodes encode structs as arrays, so
+	// the field has to stay the last one: it was added after the others.
 	Generation uint64
 }
 
@@ -182,7 +190,7 @@
 	Generation uint64
 }
 
-// Pace sets the share at which an attempt works.
+// Pace sets the CPU share with which an attempt works.
 type Pace struct {
 	Worker  WorkerID
 	Addr    netip.AddrPort
@@ -193,31 +201,32 @@
 	Generation uint64
 }
 
-// QueryPermission asks which of the workers may run a step, by one lane.
+// QueryPermission asks the permission service, through one channel, which of the workers may run
+// a step.
 type QueryPermission struct {
 	Channel string
 	Step    work.StepID
 	Workers []WorkerID
-	// Timeout is how long the answer may take.
 	Timeout time.Duration
 }
 
-// Poll asks a worker for a listing and renews its lease. Each is answered by a
-// call of Listed or HoldFailed.
+// Poll asks a worker for a listing and renews its lease. The engine expects one answer to each
+// poll: either the listing or the report that the poll failed.
 type Poll struct {
 	Worker WorkerID
 	Addr   netip.AddrPort
 	// Deadline is the new end of the lease; 0 renews nothing.
 	Deadline WorkerTime
-	// Confirmed is the number up to which the worker may forget ends.
+	// Confirmed is the number of the last end that is stored: the worker may forget the ends up
+	// to it.
 	Confirmed uint64
-	// Wait is how long the worker may wait for an end before it answers, Timeout
-	// how much longer the answer may take.
+	// Wait is how long the worker may wait for an attempt to end before it answers. The answer
+	// may take Timeout longer than that.
 	Wait, Timeout time.Duration
-	// IsImmediate marks a listing at once, beside the one that waits.
+	// IsImmediate marks an immediate poll, which is sent beside the worker's long poll.
 	IsImmediate bool
-	// AskedAt is when the engine asked, by its time: a listing tells nothing of an
-	// attempt that was confirmed later.
+	// AskedAt is when the engine created the poll, by the engine's clock: the listing proves
+	// nothing about an attempt that was confirmed later.
 	AskedAt time.Time
 	// Generation is as in Start.
 	Generation uint64
--- a/internal/order/token.go
+++ b/internal/order/token.go
@@ -3,13 +3,14 @@
 
 package order
 
-// generationBits is how many bits of a fencing token are the generation's. The rest is the
-// owner's epoch; together they stay below 2^53, which JSON numbers carry exactly, for more
+// generationBits is how many bits of a fencing token hold the generation; the bits above them
+// hold the owner's epoch. Tokens stay below 2^53, up to which JSON numbers are exact, for more
 // than 8,000 million epochs.
 const generationBits = 20
 
-// Token returns the fencing token of an order: a worker does nothing for a lower one than it
-// has seen. A later owner's is higher. Of one owner's, that of a later generation is.
+// Token returns the fencing token of an order. A worker rejects orders whose token is lower than
+// the highest that it has seen. The token rises with the owner's epoch, and within an epoch with
+// the generation.
 func Token(epoch, generation uint64) uint64 {
 	return epoch<<generationBits | min(generation, 1<<generationBits-1)
 }
--- a/internal/order/token_test.go
+++ b/internal/order/token_test.go
@@ -9,6 +9,9 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
+// A worker rejects orders with a token lower than the highest that it has seen. So each owner's
+// tokens have to be higher than those of all earlier owners, however high their generations were,
+// and all tokens have to be exact as JSON numbers.
 func TestTokensRiseWithEpochThenGeneration(t *testing.T) {
 	const beyondLimit = 1 << 40
 	tokens := []uint64{
--- a/internal/order/workerid.go
+++ b/internal/order/workerid.go
@@ -9,23 +9,25 @@
 	"time"
 )
 
-// WorkerID names one start of a worker: what the platform calls the worker, and when that
-// start began. A worker that crashes may start again under its name. It then holds and knows
-// nothing of before, and counts and clock begin anew, so that nothing that is known of one
-// start holds for another. Two IDs are equal when they name the same start.
+// WorkerID identifies one incarnation of a worker: the worker's name on the platform, and the
+// time at which that incarnation started. A worker that crashes may restart under its name. The
+// new incarnation has none of the tasks and no memory of the former, and its counters and its
+// clock begin anew, so that nothing known of one incarnation applies to another. Two IDs are
+// equal when they identify the same incarnation.
 type WorkerID string
 
 const (
-	// startMark is before the time of the start, which is empty where it is not known and
-	// the name has a mark itself.
+	// incarnationSeparator stands between the name and the start time. The start time is left
+	// empty where it is not known and the name contains the separator itself.
 	incarnationSeparator = "@"
-	// startBase is the base in which the time is written, to take few bytes in the store.
+	// incarnationBase is the number base of the start time, chosen to take few bytes in the
+	// store.
 	incarnationBase = 36
 )
 
-// NewWorkerID returns the ID of the start of a worker that began at bornAt, by the worker's
-// own time of day; zero when it does not tell. Times that differ are different starts; which
-// of them is the newer one they do not tell, as clocks are set back.
+// NewWorkerID returns the ID of the incarnation of a worker that started at startedAt by the
+// worker's own wall clock; zero when the worker does not report it. Different times are different
+// incarnations. They do not tell which is the newer one, as wall clocks may be set back.
 func NewWorkerID(name string, startedAt time.Time) WorkerID {
 	if !startedAt.IsZero() {
 		return WorkerID(name + incarnationSeparator + strconv.FormatInt(startedAt.UnixMilli(), incarnationBase))
@@ -36,23 +38,24 @@
 	return WorkerID(name)
 }
 
-// Name returns what the platform calls the worker.
+// Name returns the worker's name on the platform.
 func (id WorkerID) Name() string {
 	name, _ := id.split()
 	return name
 }
 
-// HasIncarnation reports whether it is known which start of the worker is meant.
+// HasIncarnation reports whether the ID says which incarnation of the worker it identifies.
 func (id WorkerID) HasIncarnation() bool {
 	_, incarnation := id.split()
 	return incarnation != ""
 }
 
-// IsSameWorker reports whether both are starts of one worker, or may be the same start.
+// IsSameWorker reports whether both IDs have the same worker's name. They may then identify the
+// same incarnation or different ones.
 func (id WorkerID) IsSameWorker(other WorkerID) bool { return id.Name() == other.Name() }
 
-// IsOtherIncarnation reports whether the two are known to be different starts of one worker: when
-// one was there after the other, nothing of that one is left.
+// IsOtherIncarnation reports whether the two are known to be different incarnations of one
+// worker: when one was seen after the other, nothing of the earlier one runs any more.
 func (id WorkerID) IsOtherIncarnation(other WorkerID) bool {
 	return id != other && id.IsSameWorker(other) && id.HasIncarnation() && other.HasIncarnation()
 }
