--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -10,61 +10,69 @@
 )
 
 const (
-	// leaseLength is how long a worker goes on without a renewal: longer than a
+	// leaseDuration is how long a worker goes on without a renewal: longer than a
 	// takeover takes with a slow store (about 3 s), short enough that the tasks of
-	// a worker that is cut off come back soon.
+	// a worker that is cut off can soon be started elsewhere.
 	leaseDuration = 6 * time.Second
-	// clockSkew is how much slower than ours a worker's clock may run, doubled.
+	// clockSkew is twice the share by which a worker's clock may be slower than the
+	// owner's.
 	clockSkew = 0.04
-	// lapseSlack covers the granularity of the worker's clock and its own end.
+	// expirySlack covers the granularity of the worker's clock, and the time that the worker
+	// takes to end its tasks when the lease expires.
 	expirySlack = 300 * time.Millisecond
-	// overtaken is how much later an answer may come than one that was given after it, and how
-	// much of an answer's way this node may have been kept from counting.
+	// reorderSlack is how much later than a newer answer an answer may arrive. It is also by how
+	// much the time since the last answer may be underestimated: a busy node may have processed
+	// that answer late.
 	reorderSlack = 500 * time.Millisecond
-	// maxLease is the longest lease that workers take, by whatever clock it was given.
+	// maxLeaseDuration is the longest lease that workers accept, however far ahead of their clock
+	// the end lies that they are sent.
 	maxLeaseDuration = 10 * time.Second
 )
 
 var (
-	// OwnLeaseBound is how long after a renewal all that runs on a worker is over, if nothing
-	// renews its lease again.
+	// OwnLeaseBound is how long after a renewal, by the owner's clock, all that runs on a worker
+	// has ended, if nothing renews the worker's lease again.
 	OwnLeaseBound = localBound(leaseDuration)
-	// AnyLeaseBound is that of a lease which somebody else may have given, or which went by
-	// another clock.
+	// AnyLeaseBound is the same for a lease that somebody else may have given, or whose end was
+	// given by another incarnation's clock.
 	AnyLeaseBound = localBound(maxLeaseDuration)
 )
 
-// boundOf returns how long a lease lasts at most by our clock.
+// localBound returns how long a lease lasts at most by the owner's clock.
 func localBound(lease time.Duration) time.Duration {
 	return lease + time.Duration(float64(lease)*clockSkew) + expirySlack
 }
 
-// Lease is until when a start of a worker may go on with what it runs, by its own clock. The
-// zero value is a lease that was never renewed, of a worker that was never heard.
+// Lease is until when one incarnation of a worker may go on with what it runs, by its own clock.
+// The zero value is a lease that was never renewed, of a worker that never answered.
 type Lease struct {
-	// heardAt is when the worker's clock was last read, clock what it showed.
+	// lastHeardAt is when the worker's clock was last read, by the owner's clock. clock is what
+	// the worker's clock showed then.
 	lastHeardAt time.Time
 	clock       order.WorkerTime
-	// deadline is the latest that was ever sent; a worker never shortens it.
+	// deadline is the latest end that was ever sent; a worker never shortens its lease.
 	deadline order.WorkerTime
-	// othersUntil is when the leases are over that an earlier owner gave, or that were given to
-	// an earlier start.
+	// othersExpireAt is when the leases have expired that a previous owner gave, or that were
+	// given to an earlier incarnation.
 	othersExpireAt time.Time
 }
 
-// ObserveClock takes what the worker's clock showed in a listing, which tells the start that it is
-// of. Listings may overtake one another.
+// ObserveClock records what the worker's clock showed in an answer that is known to be of this
+// incarnation, such as a listing. An earlier value than the last is ignored, as an answer may be
+// overtaken by a later one.
 func (l *Lease) ObserveClock(clock order.WorkerTime, now time.Time) {
 	if clock > l.clock {
 		l.clock, l.lastHeardAt = clock, now
 	}
 }
 
-// ObserveAnswerClock takes what the clock showed in an answer that does not tell which start gave it; 0
-// where it told nothing. It reports whether it can be this one's clock. One that has gone back is
-// of a newer start, which has taken the end of a lease that went by the earlier clock. One that
-// is too far ahead is, too: taken for this start's, a worker would seem to have run its tasks
-// longer than it did, and tasks that crash workers would be given up too late.
+// ObserveAnswerClock records what the worker's clock showed in an answer that does not say which
+// incarnation gave it; 0 where it had no clock. It reports whether the value can be of this
+// incarnation's clock, and ignores it otherwise. A clock that has gone back is that of a newer
+// incarnation, which has received the end of a lease by the earlier clock: its lease may last as
+// long as workers accept. A clock that is too far ahead is that of a newer incarnation, too.
+// Were it recorded, the worker would seem to have run its tasks for longer than it did, and
+// tasks that crash their workers would be found out too late.
 func (l *Lease) ObserveAnswerClock(clock order.WorkerTime, now time.Time) bool {
 	elapsed := now.Sub(l.lastHeardAt)
 	latest := l.clock + order.WorkerTime(elapsed+time.Duration(float64(elapsed)*clockSkew/2)+reorderSlack)
@@ -81,9 +89,10 @@
 	return true
 }
 
-// IsPlausibleClock reports whether the worker's clock may show that in an answer to what was sent at
-// sentAt. That of a newer start is behind, by the time for which the worker was away at least,
-// also where all starts begin with the same clock.
+// IsPlausibleClock reports whether this incarnation's clock may show that value in an answer to
+// what was sent at sentAt. The clock of a newer incarnation is too far back for that, at least
+// by the time for which the worker was down, also where the clocks of all incarnations begin at
+// the same value.
 func (l *Lease) IsPlausibleClock(clock order.WorkerTime, sentAt time.Time) bool {
 	since := sentAt.Sub(l.lastHeardAt)
 	if since > 0 {
@@ -105,14 +114,14 @@
 	return l.deadline
 }
 
-// NoteOtherLeases takes that leases which others gave may last until then.
+// NoteOtherLeases records that leases which others gave may last until then.
 func (l *Lease) NoteOtherLeases(until time.Time) {
 	if until.After(l.othersExpireAt) {
 		l.othersExpireAt = until
 	}
 }
 
-// ExpiresAt returns when all leases of the worker are over.
+// ExpiresAt returns when all leases of the worker have expired.
 func (l *Lease) ExpiresAt() time.Time {
 	left := max(time.Duration(l.deadline-l.clock), 0)
 	until := l.lastHeardAt.Add(localBound(left))
@@ -122,7 +131,7 @@
 	return until
 }
 
-// HasExpired reports whether there was a lease and all that it let run is over.
+// HasExpired reports whether there was a lease, and all attempts that ran under it have ended.
 func (l *Lease) HasExpired(now time.Time) bool {
 	wasGiven := !l.lastHeardAt.IsZero() || !l.othersExpireAt.IsZero()
 	return wasGiven && now.After(l.ExpiresAt())
--- a/internal/session/polls.go
+++ b/internal/session/polls.go
@@ -6,46 +6,48 @@
 import "time"
 
 const (
-	// missesAllowed is how many listings in a row may stay away until the worker
-	// counts as silent: an answer may be lost.
+	// missesAllowed is how many long polls in a row may stay unanswered before the worker
+	// counts as silent: a single answer may be lost.
 	missesAllowed = 1
-	// firstRetry is the pause after a listing that did not come; it doubles up to
-	// longestRetry.
+	// initialBackoff is the pause after a long poll that was not answered; it doubles up to
+	// maxBackoff.
 	initialBackoff = 100 * time.Millisecond
 	maxBackoff     = time.Second
 	// maxDoublings is how often the pause doubles.
 	maxDoublings = 4
-	// lookPatience is how long a listing at once may take until another one is
-	// asked for beside it, maxLooks how many may be on their way to a worker.
+	// immediatePollTimeout is how long an immediate poll may stay unanswered before another one
+	// is sent beside it. maxImmediatePolls bounds how many of a worker may be in flight.
 	immediatePollTimeout = 100 * time.Millisecond
 	maxImmediatePolls    = 4
 )
 
-// Polls is which questions for a listing are on their way to a worker: one that waits for an
-// end to tell, and beside it some that are answered at once. The zero value has none.
+// Polls tracks the polls of a worker that are in flight: at most one long poll, which the worker
+// answers when an attempt ends, and beside it some immediate polls, which it answers at once. The
+// zero value has none.
 type Polls struct {
-	// isWaiting means that one that waits is on its way since askedAt; the next is not asked
-	// for before nextAt.
+	// isLongPolling means that a long poll is in flight; it was sent at longPolledAt. The next
+	// one is not sent before nextLongPollAt.
 	isLongPolling                bool
 	longPolledAt, nextLongPollAt time.Time
-	// misses counts those in a row that did not come.
+	// misses counts the last long polls in a row that were not answered.
 	misses int
-	// looks counts those at once, lookedAt is when the last of these was asked for. wantsLook
-	// asks for another one when an answer is there or overdue.
+	// immediatePolls counts the immediate polls in flight; the last one was sent at polledAt.
+	// wantsImmediatePoll means that another one is to be sent as soon as one of them is answered
+	// or overdue.
 	immediatePolls     int
 	polledAt           time.Time
 	wantsImmediatePoll bool
 }
 
-// MayLongPoll reports whether the next listing that waits may be asked for.
+// MayLongPoll reports whether the next long poll may be sent.
 func (p *Polls) MayLongPoll(now time.Time) bool {
 	return !p.isLongPolling && !now.Before(p.nextLongPollAt)
 }
 
-// IsLongPolling reports whether one is on its way.
+// IsLongPolling reports whether a long poll is in flight.
 func (p *Polls) IsLongPolling() bool { return p.isLongPolling }
 
-// LongPollAge returns for how long one is on its way; 0 when none is.
+// LongPollAge returns for how long the long poll has been in flight; 0 when none is.
 func (p *Polls) LongPollAge(now time.Time) time.Duration {
 	if !p.isLongPolling {
 		return 0
@@ -53,16 +55,17 @@
 	return now.Sub(p.longPolledAt)
 }
 
-// BeginLongPoll takes that one is asked for.
+// BeginLongPoll records that a long poll is sent now.
 func (p *Polls) BeginLongPoll(now time.Time) { p.isLongPolling, p.longPolledAt = true, now }
 
-// DelayLongPollUntil takes that the next one is not to be asked for before then.
+// DelayLongPollUntil keeps the next long poll from being sent before t.
 func (p *Polls) DelayLongPollUntil(t time.Time) { p.nextLongPollAt = t }
 
-// EndLongPoll takes that the one that waits has come, or that it will not.
+// EndLongPoll records that the long poll was answered, or that it failed.
 func (p *Polls) EndLongPoll() { p.isLongPolling = false }
 
-// CountMiss takes that it did not come.
+// CountMiss records that the long poll was not answered, and delays the next one where that is
+// not the first one in a row.
 func (p *Polls) CountMiss(now time.Time) {
 	if p.misses >= missesAllowed {
 		p.nextLongPollAt = now.Add(min(initialBackoff<<min(p.misses, maxDoublings), maxBackoff))
@@ -70,17 +73,19 @@
 	p.misses++
 }
 
-// HasMissed reports whether the last one did not come.
+// HasMissed reports whether the last long poll was not answered.
 func (p *Polls) HasMissed() bool { return p.misses > 0 }
 
-// IsSilent reports whether the worker does not answer.
+// IsSilent reports whether the worker counts as silent: more long polls in a row than
+// missesAllowed were not answered.
 func (p *Polls) IsSilent() bool { return p.misses > missesAllowed }
 
-// heard takes that the worker answers.
+// resetMisses records that the worker answers.
 func (p *Polls) resetMisses() { p.misses = 0 }
 
-// TryImmediatePoll reports whether a listing at once is to be asked for now. It is wanted later where
-// enough are on their way, of which none is overdue.
+// TryImmediatePoll reports whether an immediate poll may be sent now, and if so counts it as
+// sent. It may not while enough are in flight of which the last is not overdue: then
+// WantsImmediatePoll asks for it later.
 func (p *Polls) TryImmediatePoll(now time.Time) bool {
 	isInTime := p.immediatePolls > 0 && now.Sub(p.polledAt) < immediatePollTimeout
 	if p.immediatePolls >= maxImmediatePolls || isInTime {
@@ -92,8 +97,8 @@
 	return true
 }
 
-// WantsImmediatePoll reports whether another listing at once is wanted.
+// WantsImmediatePoll reports whether an immediate poll could not be sent and is still wanted.
 func (p *Polls) WantsImmediatePoll() bool { return p.wantsImmediatePoll }
 
-// EndImmediatePoll takes that one at once has come, or will not.
+// EndImmediatePoll records that an immediate poll was answered, or that it failed.
 func (p *Polls) EndImmediatePoll() { p.immediatePolls-- }
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package session has what an owner knows of one start of a worker by the worker's own word:
-// its clock and its lease, the listings and ends that it has told, and the questions to it that
-// are on their way. It is pure. A worker that starts again gets a new Session: nothing of this
-// outlasts the start that it is of.
+// Package session has what an owner knows of one incarnation of a worker from the worker's own
+// answers: its clock and its lease, which listings and ends were received, and which polls are
+// in flight. A worker that restarts gets a new Session, as none of this applies to another
+// incarnation. The package does no I/O and reads no clock; the caller passes the current time.
 package session
 
 import (
@@ -13,31 +13,31 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// shortestRestart is less than a worker takes to start again.
+// minRestartTime is less than a worker takes to restart.
 const minRestartTime = 200 * time.Millisecond
 
-// Session is what is known of a start of a worker. The zero value is one of which nothing was
-// heard.
+// Session is what is known of an incarnation of a worker. The zero value is one that has not
+// answered yet.
 type Session struct {
 	Lease
 	Ends
 	Polls
-	// isListed means that it has told all that it runs since this session began, or was
-	// forgotten.
+	// isListed means that it is known what the worker runs: it has sent a listing since the
+	// session began, or since all that it ran was last counted as ended.
 	isListed bool
-	// listedClock is the worker's clock in the newest listing, listedAt when that came.
+	// listedClock is the worker's clock in the newest listing, listedAt when that arrived.
 	listedClock order.WorkerTime
 	listedAt    time.Time
 }
 
-// NoteAnswer takes that a listing has come now.
+// NoteAnswer records that a poll was answered now, when the worker's clock showed clock.
 func (s *Session) NoteAnswer(clock order.WorkerTime, now time.Time) {
 	s.ObserveClock(clock, now)
 	s.resetMisses()
 }
 
-// AcceptListing takes the listing with that clock as the newest. It reports false when a newer one has
-// come before.
+// AcceptListing records a listing with that clock as the newest one. It reports false for a
+// listing that is older than the newest one: answers may overtake one another.
 func (s *Session) AcceptListing(clock order.WorkerTime, now time.Time) bool {
 	if clock < s.listedClock {
 		return false
@@ -46,7 +46,7 @@
 	return true
 }
 
-// ListedAt returns when the newest listing came; zero when none has.
+// ListedAt returns when the newest listing arrived; zero when none has.
 func (s *Session) ListedAt() time.Time { return s.listedAt }
 
 // ListedClock returns the worker's clock in the newest listing.
@@ -55,14 +55,14 @@
 // IsListed reports whether it is known what the worker runs.
 func (s *Session) IsListed() bool { return s.isListed }
 
-// SetListed says whether it is known what the worker runs.
+// SetListed sets whether it is known what the worker runs.
 func (s *Session) SetListed(isListed bool) { s.isListed = isListed }
 
-// ConfirmableEnd returns the number up to which the worker is to be told now to forget ends. It is
-// 0 where it has answered that it does, as a question may be held up and reach a newer start, and
-// where the worker may have started again since it was heard last: the numbers of its earlier
-// start would make it forget ends of this one that it has not told, and these tasks would run
-// twice.
+// ConfirmableEnd returns the number up to which the worker may now be asked to forget ends; 0
+// for none. It is 0 where the worker has already acknowledged that number, as another poll with
+// it may be delayed and reach a newer incarnation. It is also 0 where the worker may have
+// restarted since its last answer: the numbers of its earlier incarnation would make it forget
+// ends that it has not reported, and these tasks would run twice.
 func (s *Session) ConfirmableEnd(now time.Time) uint64 {
 	if s.HasMissed() || now.Sub(s.listedAt) > minRestartTime || s.stored <= s.forgotten {
 		return 0
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -18,7 +18,8 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// A lease ends 6 s after its renewal by the worker's clock, which may run 2 % slow.
+// A lease ends 6 s after its renewal by the worker's clock, which may be 2 % slow. The owner
+// must not count it as expired before that, or a task would run twice.
 func TestLeaseExpiresByTheSlowestClock(t *testing.T) {
 	l := session.Lease{}
 	l.ObserveClock(order.WorkerTime(100*sec), begin)
@@ -27,11 +28,14 @@
 	}
 	for after, want := range map[time.Duration]bool{7 * sec: false, 7400 * ms: false, 7700 * ms: true} {
 		if got := l.HasExpired(begin.Add(after)); got != want {
-			t.Errorf("over %v after the clock was read: got: %v, want: %v", after, got, want)
+			t.Errorf("expired %v after the clock was read: got: %v, want: %v", after, got, want)
 		}
 	}
 }
 
+// Answers may overtake one another, so that an older clock arrives after a newer one. It must
+// not turn the clock back, and no renewal may end before an earlier one: workers do not shorten
+// leases.
 func TestReorderedClocksDoNotShortenTheLease(t *testing.T) {
 	l := session.Lease{}
 	l.ObserveClock(order.WorkerTime(100*sec), begin)
@@ -46,10 +50,12 @@
 	}
 }
 
+// A previous owner may have renewed the worker's lease for longer than this owner did. What it
+// started there may run until that lease has expired, too.
 func TestLeasesOfPreviousOwnersAreAwaited(t *testing.T) {
 	l := session.Lease{}
 	if l.HasExpired(begin.Add(time.Hour)) {
-		t.Error("a worker that was never heard: got: its lease is over, want: there was none")
+		t.Error("a worker that never answered: got: its lease has expired, want: there was none")
 	}
 	l.NoteOtherLeases(begin.Add(20 * sec))
 	l.NoteOtherLeases(begin.Add(10 * sec))
@@ -57,13 +63,13 @@
 	l.Renew(begin)
 	for after, want := range map[time.Duration]bool{19 * sec: false, 21 * sec: true} {
 		if got := l.HasExpired(begin.Add(after)); got != want {
-			t.Errorf("over after %v: got: %v, want: %v", after, got, want)
+			t.Errorf("expired after %v: got: %v, want: %v", after, got, want)
 		}
 	}
 }
 
-// The clock of a newer start is behind: by it the end of the lease that was sent lies far ahead,
-// and workers take 10 s at most.
+// A clock that has gone back is that of a newer incarnation. The end of the lease that was sent
+// lies far ahead of it, so that its lease may last for 10 s, the longest that workers accept.
 func TestLeaseGivenByAnEarlierClockIsAwaited(t *testing.T) {
 	for clock, want := range map[order.WorkerTime]time.Duration{
 		0: 6540 * ms, order.WorkerTime(sec): 11700 * ms, order.WorkerTime(99800 * ms): 6540 * ms, order.WorkerTime(101 * sec): 7 * sec,
@@ -73,13 +79,14 @@
 		l.Renew(begin)
 		l.ObserveAnswerClock(clock, begin.Add(sec))
 		if got := l.ExpiresAt().Sub(begin); got < want-600*ms || got > want {
-			t.Errorf("clock of 100 s, then of %v: over after: got: %v, want: %v at most, and not much less", time.Duration(clock), got, want)
+			t.Errorf("clock of 100 s, then of %v: expired after: got: %v, want: %v at most, and not much less", time.Duration(clock), got, want)
 		}
 	}
 }
 
-// A worker that starts again soon after its start, each time with the clock at 0, is told apart
-// from its earlier start by the time for which it was away.
+// A worker whose clock begins at 0 with each incarnation may restart soon after its last start.
+// Its answers must not be taken for those of the earlier incarnation: its clock is behind by the
+// time for which the worker was down.
 func TestClockOfANewerIncarnationIsImplausible(t *testing.T) {
 	l := session.Lease{}
 	l.ObserveClock(order.WorkerTime(150*ms), begin)
@@ -88,11 +95,11 @@
 		sentAt time.Duration
 		want   bool
 	}{
-		"none":                       {0, sec, false},
-		"the same start":             {1160 * ms, sec, true},
-		"the same start, 2 % slow":   {1135 * ms, sec, true},
-		"a newer one, away for 0.3s": {870 * ms, sec, false},
-		"sent before it was heard":   {140 * ms, -20 * ms, true},
+		"none":                           {0, sec, false},
+		"the same incarnation":           {1160 * ms, sec, true},
+		"the same incarnation, 2 % slow": {1135 * ms, sec, true},
+		"a newer one, down for 0.3s":     {870 * ms, sec, false},
+		"sent before the last answer":    {140 * ms, -20 * ms, true},
 	} {
 		if got := l.IsPlausibleClock(order.WorkerTime(tc.clock), begin.Add(tc.sentAt)); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
@@ -100,19 +107,21 @@
 	}
 }
 
-// The clock of a newer start may be far ahead: taken for this one's, the worker would seem to
-// have been heard when it was over.
+// The clock of a newer incarnation may be far ahead. Taken for this incarnation's, it would make
+// this one seem to have answered after it had ended.
 func TestClockTooFarAheadIsOfAnotherIncarnation(t *testing.T) {
 	for clock, want := range map[time.Duration]bool{102 * sec: true, 102500 * ms: true, 103 * sec: false, 500 * time.Hour: false} {
 		l := session.Lease{}
 		l.ObserveClock(order.WorkerTime(100*sec), begin)
 		now := begin.Add(2 * sec)
 		if got := l.ObserveAnswerClock(order.WorkerTime(clock), now); got != want || l.LastHeardAt().Equal(now) != want {
-			t.Errorf("2 s after 100 s, %v: got: %v, heard at %v, want: %v", clock, got, l.LastHeardAt().Sub(begin), want)
+			t.Errorf("2 s after 100 s, %v: got: %v, last answer at %v, want: %v", clock, got, l.LastHeardAt().Sub(begin), want)
 		}
 	}
 }
 
+// A worker reports an end again until it is confirmed. Accepted twice, it would be
+// handled twice.
 func TestEndIsAcceptedOnce(t *testing.T) {
 	e := session.Ends{}
 	for i, tc := range []struct {
@@ -125,14 +134,15 @@
 	}
 	e.MarkEndsStored(2)
 	if e.AreEndsStored() {
-		t.Error("with 2 of 3 kept: got: all confirmed, want: not")
+		t.Error("with 2 of 3 stored: got: all stored, want: not")
 	}
 	e.MarkEndsStored(3)
 	if !e.AreEndsStored() || e.LastAcceptedEnd() != 3 {
-		t.Errorf("with 3 kept: got: %v of %d, want: all of 3", e.AreEndsStored(), e.LastAcceptedEnd())
+		t.Errorf("with 3 stored: got: %v of %d, want: all of 3", e.AreEndsStored(), e.LastAcceptedEnd())
 	}
 }
 
+// A listing that was overtaken by a newer one tells of a state that has passed.
 func TestOvertakenListingIsIgnored(t *testing.T) {
 	s := session.Session{}
 	for i, tc := range []struct {
@@ -148,18 +158,18 @@
 	}
 }
 
-// A worker that was not heard for a while may have started again: it is told to forget no
-// ends by numbers of before.
+// A worker that has not answered for a while may have restarted. By the numbers of its earlier
+// incarnation it would forget ends that it has not reported, and these tasks would run twice.
 func TestEndsAreConfirmedOnlyRightAfterAnAnswer(t *testing.T) {
 	for name, tc := range map[string]struct {
 		after  time.Duration
 		misses int
 		want   uint64
 	}{
-		"just heard":         {10 * ms, 0, 7},
-		"heard a while ago":  {300 * ms, 0, 0},
-		"it did not answer":  {10 * ms, 1, 0},
-		"silent for a while": {sec, 3, 0},
+		"just answered":        {10 * ms, 0, 7},
+		"answered a while ago": {300 * ms, 0, 0},
+		"it did not answer":    {10 * ms, 1, 0},
+		"silent for a while":   {sec, 3, 0},
 	} {
 		s := session.Session{}
 		s.NoteAnswer(1, begin)
@@ -174,7 +184,8 @@
 	}
 }
 
-// A question that confirms may be held up and reach a newer start: as few do as can be.
+// A poll that confirms ends may be delayed and reach a newer incarnation, which would forget
+// ends that it has not reported. So no more polls confirm than are needed.
 func TestAcknowledgedEndsAreNotConfirmedAgain(t *testing.T) {
 	s := session.Session{}
 	s.NoteAnswer(1, begin)
@@ -188,13 +199,15 @@
 	}
 }
 
+// A single lost answer must not make a worker silent, and a silent worker must not be polled
+// without a pause.
 func TestWorkerIsSilentAfterTwoMisses(t *testing.T) {
 	s := session.Session{}
 	pauses := []time.Duration{0, 200 * ms, 400 * ms, 800 * ms, sec, sec}
 	for i, want := range pauses {
 		s.BeginLongPoll(begin)
 		if s.MayLongPoll(begin) || !s.IsLongPolling() || s.LongPollAge(begin.Add(ms)) != ms {
-			t.Errorf("listing %d: got: another may be asked for, want: one is on its way", i)
+			t.Errorf("long poll %d: got: another may be sent, want: one is in flight", i)
 		}
 		s.EndLongPoll()
 		s.CountMiss(begin)
@@ -211,6 +224,8 @@
 	}
 }
 
+// Answers may be lost, so that an immediate poll is repeated. A worker that answers none must
+// not be flooded with them.
 func TestImmediatePollsInFlightAreBounded(t *testing.T) {
 	p := session.Polls{}
 	sent := 0
@@ -220,10 +235,10 @@
 		}
 	}
 	if sent != 4 || !p.WantsImmediatePoll() {
-		t.Errorf("asked for in 1 s without answers: got: %d, want: 4, and one more wanted", sent)
+		t.Errorf("sent in 1 s without answers: got: %d, want: 4, and one more wanted", sent)
 	}
 	p.EndImmediatePoll()
 	if !p.TryImmediatePoll(begin.Add(2*sec)) || p.WantsImmediatePoll() {
-		t.Error("after an answer: got: none asked for, want: one")
+		t.Error("after an answer: got: none sent, want: one")
 	}
 }
