--- a/internal/abandoned/abandoned_test.go
+++ b/internal/abandoned/abandoned_test.go
@@ -18,7 +18,9 @@
 
 func task(i int) work.TaskID { return work.TaskID{Job: "a", Index: i} }
 
-// Both starts of a worker are reached by its name, and another worker by none of it.
+// An abandoned start may reach any incarnation of its worker, as they share its name and
+// address. It must be known for each of them until it cannot arrive any more, and for no other
+// worker.
 func TestAbandonedStartMayReachAnyIncarnationOfItsWorker(t *testing.T) {
 	o := abandoned.Starts{}
 	first, second := order.NewWorkerID("w", begin), order.NewWorkerID("w", begin.Add(time.Minute))
@@ -30,14 +32,14 @@
 		at   time.Duration
 		want int
 	}{
-		"at once":           {first, time.Second, 2},
-		"a newer start":     {second, abandoned.MaxDelay, 2},
-		"the first is late": {second, abandoned.MaxDelay + ms, 1},
-		"both are late":     {second, abandoned.MaxDelay + time.Second + ms, 0},
-		"another worker":    {"other", time.Second, 0},
+		"at once":               {first, time.Second, 2},
+		"a newer incarnation":   {second, abandoned.MaxDelay, 2},
+		"the first has expired": {second, abandoned.MaxDelay + ms, 1},
+		"all have expired":      {second, abandoned.MaxDelay + time.Second + ms, 0},
+		"another worker":        {"other", time.Second, 0},
 	} {
 		if got := len(o.ForWorker(tc.id, begin.Add(tc.at))); got != tc.want {
-			t.Errorf("%s: got: %d orders, want: %d", name, got, tc.want)
+			t.Errorf("%s: got: %d starts, want: %d", name, got, tc.want)
 		}
 	}
 	if got := o.Generation(second); got != 3 || o.Generation("other") != 0 {
@@ -45,10 +47,13 @@
 	}
 	o.DropExpired(begin.Add(time.Hour))
 	if got := o.Generation(first); got != 3 || len(o.ForWorker(first, begin)) != 0 {
-		t.Errorf("after an hour: got: generation %d, %d orders, want: 3, 0", got, len(o.ForWorker(first, begin)))
+		t.Errorf("after an hour: got: generation %d, %d starts, want: 3, 0", got, len(o.ForWorker(first, begin)))
 	}
 }
 
+// Orders to refuse may be lost as well, so that they are repeated until the worker acknowledges
+// them. A silent worker must not get all of them at each tick: it may owe answers to a hundred
+// starts.
 func TestRefusalIsRepeatedUntilAcknowledged(t *testing.T) {
 	const retry = 120 * ms
 	starts := []abandoned.Start{}
@@ -59,8 +64,8 @@
 		isSilent bool
 		want     []int
 	}{
-		"it answers":                      {false, []int{6, 0, 0, 0, 0, 0, 0, 6}},
-		"it does not, a few at each tick": {true, []int{4, 4, 4, 4, 4, 4, 4, 4}},
+		"it answers":                       {false, []int{6, 0, 0, 0, 0, 0, 0, 6}},
+		"it is silent, a few at each tick": {true, []int{4, 4, 4, 4, 4, 4, 4, 4}},
 	} {
 		r := abandoned.Refusals{}
 		r.Add(starts)
@@ -75,10 +80,10 @@
 		}
 		r.MarkRefused(task(5), 2)
 		if got := len(r.Due(begin.Add(time.Second), retry, false)); got != 1 || !r.HasPending() {
-			t.Errorf("%s, all but one are refused: got: %d, want: 1", name, got)
+			t.Errorf("%s, all but one are acknowledged: got: %d, want: 1", name, got)
 		}
 		if got := len(r.Due(begin.Add(abandoned.MaxDelay+ms), retry, false)); got != 0 || r.HasPending() {
-			t.Errorf("%s, none can come any more: got: %d, want: 0", name, got)
+			t.Errorf("%s, none can arrive any more: got: %d, want: 0", name, got)
 		}
 	}
 }
--- a/internal/abandoned/refusals.go
+++ b/internal/abandoned/refusals.go
@@ -11,25 +11,28 @@
 )
 
 const (
-	// probePause is the pause before a worker that does not answer is told again to refuse an
-	// order, less than the owner's tick of 20 ms: what reaches its newer start first counts.
+	// silentRetry is the pause before a worker that does not answer is asked again to refuse a
+	// start. It is less than the owner's tick of 20 ms, because the order has to reach the
+	// worker's newer incarnation before the abandoned start does.
 	silentRetry = 15 * time.Millisecond
-	// maxProbes bounds the orders that such a worker is told to refuse at once: one may have left
-	// a hundred orders without an answer before it ended.
+	// maxSilentOrders bounds the starts that such a worker is asked to refuse at once: an
+	// incarnation may have left a hundred orders unanswered when it ended.
 	maxSilentOrders = 4
 )
 
-// Refusals are the orders that one start of a worker is told to refuse and does not yet, by its
-// word. One that has come is stopped by that. The zero value has none.
+// Refusals tracks the abandoned starts that one incarnation of a worker was asked to refuse and
+// has not acknowledged yet. The order to refuse is an order to stop: it also stops a start that
+// has arrived already. The zero value has none.
 type Refusals struct{ pending []refusal }
 
 type refusal struct {
 	Start
-	// toldAt is when the worker was told last.
+	// sentAt is when the worker was last asked to refuse the start.
 	sentAt time.Time
 }
 
-// Add adds orders that the worker is to refuse; those that it is told to already stay as they are.
+// Add adds starts that the worker has to refuse. Those that are pending already are left
+// unchanged.
 func (r *Refusals) Add(starts []Start) {
 	for _, o := range starts {
 		if !slices.ContainsFunc(r.pending, func(x refusal) bool { return x.Task == o.Task && x.Run == o.Run }) {
@@ -38,11 +41,13 @@
 	}
 }
 
-// HasPending reports whether there are orders that the worker does not refuse yet.
+// HasPending reports whether there are starts of which the worker has not acknowledged that it
+// refuses them.
 func (r *Refusals) HasPending() bool { return len(r.pending) > 0 }
 
-// Due returns the orders that the worker is to be told now to refuse, again after retry. One that
-// is silent is told more often, and few at a time, those first that it was told longest ago.
+// Due returns the starts that the worker is to be asked now to refuse, and counts them as sent.
+// Each start is due again after retry. A silent worker is asked more often, for a few starts at
+// a time, beginning with those for which it was asked longest ago.
 func (r *Refusals) Due(now time.Time, retry time.Duration, isSilent bool) []Start {
 	r.pending = slices.DeleteFunc(r.pending, func(x refusal) bool { return !x.mayArrive(now) })
 	limit := len(r.pending)
@@ -61,7 +66,7 @@
 	return due
 }
 
-// MarkRefused takes that the worker refuses a run from now on.
+// MarkRefused records that the worker has acknowledged that it refuses a run from now on.
 func (r *Refusals) MarkRefused(task work.TaskID, run uint64) {
 	r.pending = slices.DeleteFunc(r.pending, func(x refusal) bool { return x.Task == task && x.Run == run })
 }
