--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -13,6 +13,8 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
+// Without an ejection a degraded worker would fail one task after the other. A job whose tasks
+// fail by their own fault must not eject the workers that run them.
 func TestFailuresOfTwoJobsInARowEjectAWorker(t *testing.T) {
 	h := outlier.Health{}
 	h.NoteFailure(now, "a")
@@ -22,45 +24,49 @@
 	}
 	h.NoteFailure(now, "b")
 	if !h.IsPaused(now) || !h.IsOnProbation {
-		t.Error("after failures of two jobs: got: in use, want: set aside")
+		t.Error("after failures of two jobs: got: in use, want: ejected")
 	}
 	later := now.Add(3 * time.Second)
 	if h.IsPaused(later) {
-		t.Error("3s later: got: paused, want: on trial")
+		t.Error("3s later: got: paused, want: on probation")
 	}
 	h.NoteFailure(later, "c")
 	if !h.IsPaused(later.Add(5 * time.Second)) {
-		t.Error("after a failed trial: got: in use after 5s, want: aside for longer")
+		t.Error("after a failed probe: got: in use after 5s, want: ejected for longer")
 	}
 	h.NoteSuccess(later)
 	if h.IsOnProbation {
-		t.Error("after a success: got: on trial, want: in use")
+		t.Error("after a success: got: on probation, want: in use")
 	}
 }
 
+// The ejection gets longer with each failed probe. A worker that is healthy again long before it
+// ends would stay unused while tasks wait that no other worker can run.
 func TestEjectedWorkerMayBeProbedEarly(t *testing.T) {
 	h := outlier.Health{}
 	h.NoteRefusal(now)
 	if h.MayProbeEarly(now) {
-		t.Error("a worker that takes nothing: got: tried early, want: not")
+		t.Error("a worker that refuses tasks: got: probed early, want: not")
 	}
 	h.NoteFailure(now, "a")
 	h.NoteFailure(now, "b")
 	h.NoteFailure(now, "c")
 	early := now.Add(3 * time.Second)
 	if !h.IsPaused(early) || h.MayProbeEarly(early.Add(-time.Millisecond)) || !h.MayProbeEarly(early) {
-		t.Error("a pause of 6 s: got: no early trial from 3 s on, want: one")
+		t.Error("an ejection of 6 s: got: no early probe from 3 s on, want: one")
 	}
 	h.BeginProbation(early)
 	if h.IsPaused(early) || h.IsProbe(early.Add(-time.Millisecond)) || !h.IsProbe(early) {
-		t.Error("tried early: got: no trial, want: one with what is ordered from then on")
+		t.Error("probed early: got: no probation, want: one with the tasks that are ordered from then on")
 	}
 	h.Readmit()
 	if h.IsOnProbation || h.IsProbe(early) {
-		t.Error("passed: got: on trial, want: in use")
+		t.Error("after a probe that succeeded: got: on probation, want: in use")
 	}
 }
 
+// A worker that fails a third of its tasks may never fail two in a row, and must still get fewer
+// tasks than a healthy one.
 func TestRiskRisesWithTheFailureRate(t *testing.T) {
 	good, bad := outlier.Health{}, outlier.Health{}
 	for range 10 {
@@ -74,10 +80,12 @@
 		t.Errorf("risks: got: %.2f and %.2f, want: less for the one that fails nothing", good.Risk(now), bad.Risk(now))
 	}
 	if !good.IsHealthy(now) || bad.IsHealthy(now) {
-		t.Errorf("sound: got: %v and %v, want: only the first", good.IsHealthy(now), bad.IsHealthy(now))
+		t.Errorf("healthy: got: %v and %v, want: only the first", good.IsHealthy(now), bad.IsHealthy(now))
 	}
 }
 
+// A worker stays suspected after slowPause: only a task that ends within the expected time
+// clears it.
 func TestSlowWorkerIsClearedByATaskInTime(t *testing.T) {
 	s := outlier.Speed{}
 	s.MarkSlow(now)
@@ -91,6 +99,8 @@
 	}
 }
 
+// Listings may follow each other within milliseconds. A rate between samples that near would be
+// meaningless, as progress is reported in whole percents.
 func TestProgressRateIgnoresSamplesTooNear(t *testing.T) {
 	p := outlier.Progress{}
 	at := order.WorkerTime(time.Hour)
@@ -101,6 +111,6 @@
 	p.Observe(at+order.WorkerTime(500*time.Millisecond), 50, time.Second)
 	p.Observe(at+order.WorkerTime(550*time.Millisecond), 51, time.Second)
 	if rate, ok := p.Rate(); !ok || rate != 100 {
-		t.Errorf("rate: got: %v, %v, want: 100 %% a second, not of samples too near", rate, ok)
+		t.Errorf("rate: got: %v, %v, want: 100 %% a second, not that of samples too near", rate, ok)
 	}
 }
--- a/internal/outlier/speed.go
+++ b/internal/outlier/speed.go
@@ -10,32 +10,34 @@
 )
 
 const (
-	// SlowRatio is how much longer than expected a task may seem to take. Slow
-	// workers take four times as long and more; sizes of like tasks differ by less.
+	// SlowRatio is how much longer than expected a task may seem to take before its worker
+	// counts as slow. Slow workers take four times as long and more; tasks of one kind differ
+	// in size by less.
 	SlowRatio = 2.5
-	// slowPause is how long a slow worker is left for the last choice.
+	// slowPause is for how long a slow worker gets only tasks that no other worker can take.
 	slowPause = 4 * time.Second
 )
 
 // Speed is what is known of how fast a worker works.
 type Speed struct {
-	// slowUntil is until when it is left for the last choice.
+	// slowUntil is until when the worker gets only tasks that no other worker can take.
 	slowUntil time.Time
-	// IsSuspectedSlow means that it was slow, and has ended no task in the usual time
-	// since. It gets what others have no room for.
+	// IsSuspectedSlow means that the worker was slow, and has ended no task within the expected
+	// time since. It gets only tasks for which other workers have no free capacity.
 	IsSuspectedSlow bool
 }
 
-// MarkSlow takes that the worker is slow now.
+// MarkSlow records that the worker is slow now.
 func (s *Speed) MarkSlow(now time.Time) {
 	s.slowUntil = now.Add(slowPause)
 	s.IsSuspectedSlow = true
 }
 
-// IsSlow reports whether it is left for the last choice.
+// IsSlow reports whether the worker has been slow within the last slowPause.
 func (s *Speed) IsSlow(now time.Time) bool { return now.Before(s.slowUntil) }
 
-// NoteRunTime takes the time of a task that is done; expected is 0 when it is not known.
+// NoteRunTime records how long a task took that has succeeded; expected is 0 when it is not
+// known.
 func (s *Speed) NoteRunTime(took, expected time.Duration) {
 	if expected > 0 && float64(took) < SlowRatio*float64(expected) {
 		s.IsSuspectedSlow = false
@@ -43,23 +45,24 @@
 }
 
 const (
-	// shortestSample and sampleShare are the least time between two percents that
-	// tell a rate: the least, and a share of the time that the task should take.
+	// minSampleTime and minSampleShare are the least time between two samples of an attempt's
+	// progress from which a rate is computed: an absolute minimum, and a share of the time that
+	// the task is expected to take.
 	minSampleTime  = 150 * time.Millisecond
 	minSampleShare = 0.08
 )
 
-// Progress is how far an attempt is, by its worker's clock.
+// Progress is the progress of an attempt, by its worker's clock.
 type Progress struct {
-	// at and percent are of the last sample; at is 0 before the first.
+	// at and percent are those of the last sample; at is 0 before the first.
 	at      order.WorkerTime
 	percent int
-	// rate is that between the last two samples, in percent a second.
+	// rate is the rate between the last two samples, in percent a second.
 	rate    float64
 	hasRate bool
 }
 
-// Observe takes what a worker tells, no more often than the attempt's time asks for.
+// Observe records a sample of the progress. It ignores samples that follow the last one too soon.
 func (p *Progress) Observe(at order.WorkerTime, percent int, expected time.Duration) {
 	took := time.Duration(at - p.at)
 	if p.at > 0 && took < max(minSampleTime, time.Duration(minSampleShare*float64(expected))) {
@@ -71,6 +74,6 @@
 	p.at, p.percent = at, percent
 }
 
-// Rate returns that between the last two samples, in percent a second, and false before
+// Rate returns the rate between the last two samples, in percent a second, and false before
 // there are two.
 func (p *Progress) Rate() (float64, bool) { return p.rate, p.hasRate }
