--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -1,15 +1,16 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package crash tells tasks that crash their workers from those that were only beside
-// them. It is pure.
+// Package crash distinguishes tasks that crash their workers (poison pills) from those that only
+// ran beside them. It does no I/O and reads no clock; the caller passes the current time.
 //
-// A worker that crashes names no culprit, and most crashes have none: the power goes, a
-// rack is lost. What is known is which tasks were on it and for how long, and which other
-// workers fell silent in the same moment. A task that crashes workers is there each time,
-// as long after its start, and takes one worker at a time. So a task under which a worker
-// has crashed is tried where nothing else starts, and is given up when that tells three
-// times against it. Each start more costs a worker for some seconds, and all that runs there.
+// A worker that crashes does not say which task was the cause, and most crashes have none: the
+// power fails, or a rack is lost. What is known is which tasks were on the worker and for how
+// long, and which other workers became silent at the same moment. A task that crashes its
+// workers was on each of them, crashes them after a similar run time, and crashes one worker at
+// a time. So a task under which a worker has crashed is tried where nothing else starts, and its
+// job fails when three such trials are evidence against it. Each further start costs a worker
+// for some seconds, and all that runs there.
 package crash
 
 import (
@@ -20,59 +21,60 @@
 )
 
 const (
-	// StrongWindow is the longest that a task may have been on its worker for one crash more to
-	// prove it guilty, as far as the worker's answers tell: long enough for a task that crashes
-	// its worker at its start, short enough that few others are under suspicion.
+	// StrongWindow is the longest that a task may have been on its worker, as far as the worker's
+	// answers tell, for the crash to be strong evidence against the task: long enough for a task
+	// that crashes its worker at its start, short enough that few others are suspected.
 	StrongWindow = 300 * time.Millisecond
-	// WeakWindow is the longest for a crash to count where several must agree, and the time from
-	// one trial to the next on a worker: tasks tried right after each other would be given up
-	// for the next one's crash.
+	// WeakWindow is the longest for a crash to be weak evidence, of which several must agree. It
+	// is also the time from one trial to the next on a worker: of tasks that are tried right
+	// after each other, one would be blamed for a crash that the next one causes.
 	WeakWindow = time.Second
 	// IsolationTime is for how long nothing else starts beside a task that may crash its worker.
 	IsolationTime = StrongWindow
-	// proofs is how many workers of different machines must have crashed alone, right after a
-	// task's start, for it to be given up: fewer are met by chance where workers crash by
-	// themselves.
+	// strongNeeded is on how many machines a worker must have crashed alone, right after a task's
+	// start, for the task to be the culprit. Where workers crash by themselves, fewer are reached
+	// by chance.
 	strongNeeded = 3
-	// many is how many crashes are enough that each tell less. Callers are promised fewer than
-	// three starts after the third; one is left for what a new owner does not know.
+	// weakNeeded is how many crashes are enough that are weak evidence each. Callers are
+	// promised fewer than three starts after the third crash; one of them is reserved for
+	// crashes that a new owner does not know of.
 	weakNeeded = 4
-	// soloAfter is the number of workers that must have crashed alone under tasks for these to be
-	// tried one after the other, so that their workers do not crash in the same moment.
+	// soleTrialAfter is under how many crashes of a single worker a task is tried only while no
+	// other such task is, so that their workers do not crash at the same moment.
 	soleTrialAfter = 2
-	// likeTime is how far apart the times from a task's start to the crash may be for the
-	// crashes to be alike: a worker's listing, by which they are known, comes every 0.5 s.
+	// similarWithin is how far apart the times from a task's start to the crash may be for the
+	// crashes to be similar: they are known from a worker's listings, which arrive every 0.5 s.
 	similarWithin = 600 * time.Millisecond
-	// maxNotes bounds the crashes that are kept of a task.
+	// maxKept bounds the crashes that are kept of a task.
 	maxKept = 8
-	// maxOthers is how many other workers may fall silent in the same moment: more have
-	// another cause than a task.
+	// maxOthers is how many other workers may become silent at the same moment for a crash to
+	// count within WeakWindow: if more do, the cause is something else than a task.
 	maxOthers = 2
-	// longestLasting is the longest that a lasting task may have been on its worker for the
-	// crash to count. One that ran for longer does not crash its workers, and starts anew:
-	// tasks that run for days see many crashes of others' doing.
+	// longRunningLimit is the longest that a long-running task may have been on its worker for
+	// the crash to count. A task that ran for longer does not crash its workers, and its
+	// evidence is dropped: tasks that run for days see many crashes that others cause.
 	longRunningLimit = 10 * time.Second
-	// outlivedRatio and outlivedLeast are how much longer than until a crash a run must last to refute
-	// it: slow workers take several times as long.
+	// A run refutes a crash when it lasts refuteRatio times as long as the run until the crash,
+	// and at least refuteMin: slow workers take several times as long.
 	refuteRatio = 4
 	refuteMin   = 3 * time.Second
 )
 
 // Suspect is a task that was on a worker when that crashed.
 type Suspect struct {
-	// Unit is the task, or the first one of its gang: members of a gang are not told apart
-	// from each other, as they start together.
+	// Unit is the task, or the first task of its gang: members of a gang cannot be told apart, as
+	// they start together.
 	Unit work.TaskID
 	// Crashes are those under the task; the last one is this worker's.
 	Crashes []work.Crash
-	// MayHaveUnknown means that an earlier owner may have seen crashes that nobody knows of: it
-	// had started tasks while the store was out. That counts as one proof more where the last crash
-	// is one, but not beside crashes that tell less: after a loss of all nodes most of these are
-	// workers that left.
+	// MayHaveUnknown means that a previous owner may have seen crashes that are not known: it
+	// started tasks while the store was unavailable. That counts as one more piece of strong
+	// evidence where the last crash is strong evidence itself. It does not count beside weaker
+	// evidence: after a loss of all nodes most crashes are workers that left meanwhile.
 	MayHaveUnknown bool
 }
 
-// Add adds a crash to those under a task, once, and returns those that count.
+// Add adds a crash to those under a task, unless it is among them, and returns those that count.
 func Add(crashes []work.Crash, c work.Crash, isLongRunning bool) []work.Crash {
 	if isLongRunning && IsCleared(c.Ran) {
 		return nil
@@ -85,13 +87,13 @@
 	return crashes[max(len(crashes)-maxKept, 0):]
 }
 
-// IsCleared reports whether a task that lasts has been on its worker for so long that it is none
-// that crashes workers.
+// IsCleared reports whether a long-running task has been on its worker for so long that it does
+// not crash its workers.
 func IsCleared(ran time.Duration) bool { return ran > longRunningLimit }
 
-// Unrefuted returns the crashes under a task that lasts which still tell against it when it has been on
-// a worker for so long. A task that crashes workers does so as long after each start: by then it would
-// have, also on a slow one.
+// Unrefuted returns the crashes under a long-running task that are still evidence against it
+// when it has been on a worker for that long. A task that crashes its workers does so after a
+// similar run time each time: by then it would have crashed this worker too, even a slow one.
 func Unrefuted(crashes []work.Crash, ran time.Duration) []work.Crash {
 	if IsCleared(ran) {
 		return nil
@@ -99,21 +101,21 @@
 	return slices.DeleteFunc(slices.Clone(crashes), func(c work.Crash) bool { return ran >= max(refuteRatio*c.Ran, refuteMin) })
 }
 
-// IsSuspect reports whether a task may be one that crashes workers. One crash that tells
-// little does not make it so: hundreds of tasks would have to be tried apart.
+// IsSuspect reports whether a task may be one that crashes its workers. One crash that is weak
+// evidence is not enough: hundreds of tasks would have to be tried in isolation.
 func IsSuspect(crashes []work.Crash) bool {
 	return countStrong(crashes) > 0 || countEvidence(crashes) > 1
 }
 
-// NeedsSoleTrial reports whether a task is tried while no other such one is. Crashes of many workers at once
-// do not make it so: hundreds of tasks would wait for each other.
+// NeedsSoleTrial reports whether a task is tried only while no other such task is. Crashes of
+// many workers at once do not count: hundreds of tasks would wait for each other.
 func NeedsSoleTrial(crashes []work.Crash) bool { return countStrong(crashes) >= soleTrialAfter }
 
-// HasEvidence reports whether anything tells against a task.
+// HasEvidence reports whether there is any evidence against a task.
 func HasEvidence(crashes []work.Crash) bool { return countEvidence(crashes) > 0 }
 
-// Culprits returns the numbers of those, of all tasks on a worker that crashed, that are to
-// be given up.
+// Culprits returns the indexes of the suspects that crash their workers, so that their jobs have
+// to fail. The suspects are all tasks on a worker that crashed.
 func Culprits(suspects []Suspect) []int {
 	culprits := []int{}
 	for i := range suspects {
@@ -130,7 +132,8 @@
 	return culprits
 }
 
-// hasRival reports whether as much tells against another task that had just started there.
+// hasRival reports whether there is as much strong evidence against another task that had just
+// been started on the worker.
 func hasRival(s *Suspect, suspects []Suspect) bool {
 	return slices.ContainsFunc(suspects, func(o Suspect) bool {
 		last := &o.Crashes[len(o.Crashes)-1]
@@ -138,7 +141,7 @@
 	})
 }
 
-// signsOf counts the crashes that tell anything against the task.
+// countEvidence counts the crashes that are any evidence against the task.
 func countEvidence(crashes []work.Crash) int {
 	n := 0
 	for i := range crashes {
@@ -149,7 +152,7 @@
 	return n
 }
 
-// isSign reports whether the worker crashed, or went silent for good, soon after the task's
+// isEvidence reports whether the worker crashed, or became silent for good, soon after the task's
 // start, or may have.
 func isEvidence(c *work.Crash) bool {
 	switch {
@@ -163,8 +166,8 @@
 	return c.Ran < WeakWindow
 }
 
-// proofsOf counts the machines on which a worker crashed alone under the task, right after
-// its start: one that crashes whatever it runs proves nothing twice.
+// countStrong counts the machines on which a worker crashed alone under the task, right after
+// its start. A machine counts once, as its workers may crash whatever they run.
 func countStrong(crashes []work.Crash) int {
 	n := 0
 	for i := range crashes {
@@ -177,16 +180,17 @@
 	return n
 }
 
-// isProof reports whether the worker crashed alone, right after the task's start.
+// isStrong reports whether the worker crashed alone, right after the task's start.
 func isStrong(c *work.Crash) bool { return isAlone(c) && c.Ran < StrongWindow }
 
-// isAlone reports whether the worker is known to have crashed, and no other with it.
+// isAlone reports whether the worker is known to have crashed, and no other one at the same
+// moment.
 func isAlone(c *work.Crash) bool {
 	return c.IsKnown && c.Others == 0 && !c.IsExplained && !c.IsInherited
 }
 
-// areAlike reports whether many workers crashed alone under the task, as long after its
-// start.
+// areSimilar reports whether at least weakNeeded workers crashed alone under the task, each
+// after a similar run time of it.
 func areSimilar(crashes []work.Crash) bool {
 	rans := []time.Duration{}
 	for i := range crashes {
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -15,39 +15,41 @@
 
 const shortRun = 10 * time.Millisecond
 
-// known is a crash of a worker on machine n, that long after the start of the task.
+// known is a known crash of a worker on machine n, that long after the start of the task.
 func known(n int, ran time.Duration) work.Crash {
 	return work.Crash{Worker: fmt.Sprintf("w%d", n), Machine: fmt.Sprintf("m%d", n), Run: uint64(n), Ran: ran, IsKnown: true}
 }
 
-// with is a crash of as many other workers besides.
+// withOthers is the crash with as many other workers that became silent at the same moment.
 func withOthers(others int, c work.Crash) work.Crash {
 	c.Others = others
 	return c
 }
 
-// explained is a crash soon after another suspect was started there.
+// explained is a crash that another suspect explains, which was started on the worker right
+// before it.
 func explained(n int) work.Crash {
 	c := known(n, 400*time.Millisecond)
 	c.IsExplained = true
 	return c
 }
 
-// inherited is a crash under a task that an earlier owner had started.
+// inherited is a crash under a task that a previous owner had started.
 func inherited(n int) work.Crash {
 	return work.Crash{Worker: fmt.Sprintf("w%d", n), Run: uint64(n), IsInherited: true}
 }
 
+// possible is a crash of a worker that may only have been cut off.
 func possible(n int, ran time.Duration) work.Crash {
 	c := known(n, ran)
 	c.IsKnown = false
 	return c
 }
 
-// three are as many proofs as it takes.
+// three is as much strong evidence as is needed.
 var three = []work.Crash{known(1, shortRun), known(2, shortRun), known(3, shortRun)}
 
-// crowd is n crashes, each of eight workers at once.
+// ofMany returns n crashes, each of eight workers at once.
 func ofMany(n int) []work.Crash {
 	crashes := []work.Crash{}
 	for i := range n {
@@ -56,44 +58,48 @@
 	return crashes
 }
 
+// on returns the suspects that were on a worker which crashed.
 func on(suspects ...crash.Suspect) []crash.Suspect { return suspects }
 
 func suspect(job work.JobID, crashes ...work.Crash) crash.Suspect {
 	return crash.Suspect{Unit: work.TaskID{Job: job}, Crashes: crashes}
 }
 
+// A task that crashes its workers must be found after few crashes, as each costs a worker and
+// all that runs there. A task that was only beside such crashes must not be blamed, or its job
+// fails without a fault of its own.
 func TestOnlyTasksThatCrashWorkersAreCulprits(t *testing.T) {
 	for name, c := range map[string]struct {
 		on   []crash.Suspect
 		want []int
 	}{
-		"one crash proves nothing":               {on(suspect("a", known(1, shortRun))), nil},
-		"two crashes prove nothing":              {on(suspect("a", known(1, shortRun), known(2, shortRun))), nil},
-		"three, each alone":                      {on(suspect("a", three...)), []int{0}},
-		"two of them on one machine":             {on(suspect("a", known(1, shortRun), known(1, shortRun), known(2, shortRun))), nil},
-		"beside one that is less so":             {on(suspect("a", known(3, shortRun)), suspect("b", three...)), []int{1}},
-		"two that were on all":                   {on(suspect("a", three...), suspect("b", three...)), nil},
-		"two of a gang that were":                {on(suspect("a", three...), suspect("a", three...)), []int{0, 1}},
-		"had run for long on the last":           {on(suspect("a", known(1, shortRun), known(2, shortRun), known(3, 3*time.Second))), nil},
-		"had run for long on the first":          {on(suspect("a", known(1, 3*time.Second), known(2, shortRun), known(3, shortRun))), nil},
-		"the last may only be cut off":           {on(suspect("a", known(1, shortRun), known(2, shortRun), possible(3, shortRun))), nil},
-		"another crashed with the last":          {on(suspect("a", known(1, shortRun), known(2, shortRun), withOthers(1, known(3, shortRun)))), nil},
-		"beside one that had run there":          {on(suspect("a", three...), suspect("b", known(1, shortRun), known(2, shortRun), known(3, 2*time.Second))), []int{0}},
-		"four soon, of any kind":                 {on(suspect("a", possible(1, time.Second/2), withOthers(1, known(2, shortRun)), possible(3, shortRun), possible(4, shortRun))), []int{0}},
-		"three of many at once":                  {on(suspect("a", ofMany(3)...)), nil},
-		"four of many at once":                   {on(suspect("a", ofMany(4)...)), []int{0}},
-		"one of many, then alone":                {on(suspect("a", append(ofMany(1), known(2, shortRun), known(3, shortRun))...)), nil},
-		"one of many, then all alone":            {on(suspect("a", append(ofMany(1), known(2, shortRun), known(3, shortRun), known(4, shortRun))...)), []int{0}},
-		"another one's crash thrice":             {on(suspect("a", known(1, shortRun), explained(2), explained(3), explained(4), explained(5))), nil},
-		"three that were inherited":              {on(suspect("a", inherited(1), inherited(2), inherited(3))), nil},
-		"four that were inherited":               {on(suspect("a", inherited(1), inherited(2), inherited(3), inherited(4))), []int{0}},
-		"two, and perhaps more":                  {on(crash.Suspect{Crashes: three[:2], MayHaveUnknown: true}), []int{0}},
-		"three that tell less, and perhaps more": {on(crash.Suspect{Crashes: []work.Crash{inherited(1), known(2, shortRun), inherited(3)}, MayHaveUnknown: true}), nil},
-		"two, then one that was inherited":       {on(crash.Suspect{Crashes: []work.Crash{known(1, shortRun), known(2, shortRun), inherited(3)}, MayHaveUnknown: true}), nil},
-		"one, and perhaps more":                  {on(crash.Suspect{Crashes: three[:1], MayHaveUnknown: true}), nil},
-		"four alone, alike":                      {on(suspect("a", known(1, 5*time.Second), known(2, 5200*time.Millisecond), known(3, 5*time.Second), known(4, 4900*time.Millisecond))), []int{0}},
-		"four alone, not alike":                  {on(suspect("a", known(1, 4*time.Second), known(2, 6*time.Second), known(3, 5*time.Second), known(4, 7*time.Second))), nil},
-		"four with others, alike":                {on(suspect("a", known(1, 5*time.Second), withOthers(1, known(2, 5*time.Second)), known(3, 5*time.Second), known(4, 5*time.Second))), nil},
+		"one crash proves nothing":             {on(suspect("a", known(1, shortRun))), nil},
+		"two crashes prove nothing":            {on(suspect("a", known(1, shortRun), known(2, shortRun))), nil},
+		"three, each alone":                    {on(suspect("a", three...)), []int{0}},
+		"two of them on one machine":           {on(suspect("a", known(1, shortRun), known(1, shortRun), known(2, shortRun))), nil},
+		"beside one with less evidence":        {on(suspect("a", known(3, shortRun)), suspect("b", three...)), []int{1}},
+		"two that were on all workers":         {on(suspect("a", three...), suspect("b", three...)), nil},
+		"two of a gang on all workers":         {on(suspect("a", three...), suspect("a", three...)), []int{0, 1}},
+		"had run for long on the last":         {on(suspect("a", known(1, shortRun), known(2, shortRun), known(3, 3*time.Second))), nil},
+		"had run for long on the first":        {on(suspect("a", known(1, 3*time.Second), known(2, shortRun), known(3, shortRun))), nil},
+		"the last may only be cut off":         {on(suspect("a", known(1, shortRun), known(2, shortRun), possible(3, shortRun))), nil},
+		"another crashed with the last":        {on(suspect("a", known(1, shortRun), known(2, shortRun), withOthers(1, known(3, shortRun)))), nil},
+		"beside one that had run for long":     {on(suspect("a", three...), suspect("b", known(1, shortRun), known(2, shortRun), known(3, 2*time.Second))), []int{0}},
+		"four after short runs, of any kind":   {on(suspect("a", possible(1, time.Second/2), withOthers(1, known(2, shortRun)), possible(3, shortRun), possible(4, shortRun))), []int{0}},
+		"three of many at once":                {on(suspect("a", ofMany(3)...)), nil},
+		"four of many at once":                 {on(suspect("a", ofMany(4)...)), []int{0}},
+		"one of many, then alone":              {on(suspect("a", append(ofMany(1), known(2, shortRun), known(3, shortRun))...)), nil},
+		"one of many, then all alone":          {on(suspect("a", append(ofMany(1), known(2, shortRun), known(3, shortRun), known(4, shortRun))...)), []int{0}},
+		"explained by another suspect":         {on(suspect("a", known(1, shortRun), explained(2), explained(3), explained(4), explained(5))), nil},
+		"three that were inherited":            {on(suspect("a", inherited(1), inherited(2), inherited(3))), nil},
+		"four that were inherited":             {on(suspect("a", inherited(1), inherited(2), inherited(3), inherited(4))), []int{0}},
+		"two, and perhaps more":                {on(crash.Suspect{Crashes: three[:2], MayHaveUnknown: true}), []int{0}},
+		"three of weak evidence, perhaps more": {on(crash.Suspect{Crashes: []work.Crash{inherited(1), known(2, shortRun), inherited(3)}, MayHaveUnknown: true}), nil},
+		"two, then one that was inherited":     {on(crash.Suspect{Crashes: []work.Crash{known(1, shortRun), known(2, shortRun), inherited(3)}, MayHaveUnknown: true}), nil},
+		"one, and perhaps more":                {on(crash.Suspect{Crashes: three[:1], MayHaveUnknown: true}), nil},
+		"four alone, similar run times":        {on(suspect("a", known(1, 5*time.Second), known(2, 5200*time.Millisecond), known(3, 5*time.Second), known(4, 4900*time.Millisecond))), []int{0}},
+		"four alone, different run times":      {on(suspect("a", known(1, 4*time.Second), known(2, 6*time.Second), known(3, 5*time.Second), known(4, 7*time.Second))), nil},
+		"four with others, similar run times":  {on(suspect("a", known(1, 5*time.Second), withOthers(1, known(2, 5*time.Second)), known(3, 5*time.Second), known(4, 5*time.Second))), nil},
 	} {
 		got := crash.Culprits(c.on)
 		if !slices.Equal(got, c.want) {
@@ -102,6 +108,7 @@
 	}
 }
 
+// The same crash may be noted more than once. It is evidence only once.
 func TestCrashIsAddedOnce(t *testing.T) {
 	crashes := crash.Add(nil, known(1, shortRun), false)
 	crashes = crash.Add(crashes, known(1, shortRun), false)
@@ -110,15 +117,19 @@
 	}
 }
 
+// A long-running task sees many crashes in days, which others cause. Those after a long run must
+// not add up against it.
 func TestLateCrashClearsALongRunningTask(t *testing.T) {
 	if got := crash.Add(crash.Add(nil, known(1, shortRun), true), known(2, time.Minute), true); len(got) != 0 {
-		t.Errorf("a minute after the start of a lasting task: got: %d, want: 0", len(got))
+		t.Errorf("a minute after the start of a long-running task: got: %d, want: 0", len(got))
 	}
 	if got := crash.Add(nil, known(1, time.Second), true); len(got) != 1 {
-		t.Errorf("a second after the start of a lasting task: got: %d, want: 1", len(got))
+		t.Errorf("a second after the start of a long-running task: got: %d, want: 1", len(got))
 	}
 }
 
+// A long-running task has no successful end that would clear it. Unless a longer run does,
+// crashes that it did not cause add up until its job fails.
 func TestLongerRunRefutesCrashes(t *testing.T) {
 	early, late := known(1, 500*time.Millisecond), known(2, 2*time.Second)
 	for name, c := range map[string]struct {
@@ -131,7 +142,7 @@
 		"long enough for any":           {11 * time.Second, 0},
 	} {
 		if got := len(crash.Unrefuted([]work.Crash{early, late, inherited(3)}, c.ran)); got != c.want {
-			t.Errorf("%s: got: %d that tell against it, want: %d", name, got, c.want)
+			t.Errorf("%s: got: %d that are evidence, want: %d", name, got, c.want)
 		}
 	}
 }
--- a/internal/crash/silences.go
+++ b/internal/crash/silences.go
@@ -10,12 +10,12 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// SilentWorkers are the workers that fell silent lately, whether they live or not. The zero value has
-// none.
+// SilentWorkers tracks the workers that became silent recently, whether they crashed or not. The
+// zero value has none.
 type SilentWorkers struct{ all []silence }
 
-// silence is that of a worker that was heard last at heardAt, and gave no answer at silentAt. What
-// befell it came between.
+// silence is that of a worker whose last answer came at heardAt, and which was found silent at
+// silentAt. It crashed, or was cut off, at some time between the two.
 type silence struct {
 	worker            order.WorkerID
 	heardAt, silentAt time.Time
@@ -23,23 +23,24 @@
 
 func (s *silence) isOf(worker order.WorkerID) bool { return s.worker == worker }
 
-// Add takes that a worker has not answered now, after it had.
+// Add records that a worker which had answered before was found silent now.
 func (s *SilentWorkers) Add(worker order.WorkerID, heardAt, now time.Time) {
 	s.all = append(s.all, silence{worker, heardAt, now})
 }
 
-// Remove takes that a worker answers again.
+// Remove records that a worker answers again.
 func (s *SilentWorkers) Remove(worker order.WorkerID) {
 	s.all = slices.DeleteFunc(s.all, func(x silence) bool { return x.isOf(worker) })
 }
 
-// DropBefore forgets those that fell silent before then.
+// DropBefore drops the workers that were found silent before then.
 func (s *SilentWorkers) DropBefore(then time.Time) {
 	s.all = slices.DeleteFunc(s.all, func(x silence) bool { return x.silentAt.Before(then) })
 }
 
-// CountOverlapping returns how many other workers may have fallen silent in the same moment as this one,
-// which was heard last at heardAt and may not have been found silent before now.
+// CountOverlapping returns how many other workers may have become silent at the same moment as
+// this one: their intervals between last answer and silence overlap with its own. Where the
+// worker was not found silent before, its interval is from heardAt, its last answer, to now.
 func (s *SilentWorkers) CountOverlapping(worker order.WorkerID, heardAt, now time.Time) int {
 	own := silence{worker, heardAt, now}
 	if i := slices.IndexFunc(s.all, func(x silence) bool { return x.isOf(worker) }); i >= 0 {
--- a/internal/crash/silences_test.go
+++ b/internal/crash/silences_test.go
@@ -11,7 +11,10 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// Each worker fell silent at some time between its last answer and the one that stayed away.
+// A worker crashed at some time between its last answer and the first one that was missing.
+// Workers whose intervals overlap may have crashed at the same moment, which no single task
+// causes. If they were not counted, each crash would be strong evidence against the tasks on its
+// worker.
 func TestWorkersWithOverlappingSilencesCountAsOneMoment(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(0, 0).Add(time.Duration(ms) * time.Millisecond) }
 	s := crash.SilentWorkers{}
@@ -21,13 +24,13 @@
 	for name, tc := range map[string]struct {
 		worker order.WorkerID
 		want   int
-	}{"a, beside b": {"a", 1}, "b, beside both": {"b", 2}, "c, beside b": {"c", 1}} {
+	}{"a overlaps b": {"a", 1}, "b overlaps both": {"b", 2}, "c overlaps b": {"c", 1}} {
 		if got := s.CountOverlapping(tc.worker, at(0), at(1000)); got != tc.want {
 			t.Errorf("%s: got: %d, want: %d", name, got, tc.want)
 		}
 	}
 	if got := s.CountOverlapping("d", at(550), at(700)); got != 1 {
-		t.Errorf("one that was not found silent yet, beside c: got: %d, want: 1", got)
+		t.Errorf("one that was not found silent yet, overlaps c: got: %d, want: 1", got)
 	}
 	s.Remove("b")
 	if got := s.CountOverlapping("a", at(0), at(1000)); got != 0 {
@@ -35,6 +38,6 @@
 	}
 	s.DropBefore(at(400))
 	if got := s.CountOverlapping("d", at(0), at(1000)); got != 1 {
-		t.Errorf("those that fell 400 ms after the start or later: got: %d, want: 1", got)
+		t.Errorf("those that were found silent at 400 ms or later: got: %d, want: 1", got)
 	}
 }
