--- a/internal/permit/bench_test.go
+++ b/internal/permit/bench_test.go
@@ -25,7 +25,7 @@
 	return out
 }
 
-// BenchmarkChoose is what choosing whom to ask about takes of 1,100 workers.
+// BenchmarkChooseWorkers measures choosing the workers that a call names out of 1,100 candidates.
 func BenchmarkChooseWorkers(b *testing.B) {
 	all := candidatesOf(1100)
 	buf := make([]permit.Candidate, len(all))
@@ -35,7 +35,8 @@
 	}
 }
 
-// Who is asked about does not depend on the order in which the workers come.
+// The candidates may come in any order. The choice must not depend on it, or the same state
+// would lead to different calls.
 func TestChoiceDoesNotDependOnTheOrderOfCandidates(t *testing.T) {
 	all := candidatesOf(1100)
 	want := permit.ChooseWorkers(slices.Clone(all), fast, 20)
--- a/internal/permit/channels.go
+++ b/internal/permit/channels.go
@@ -1,11 +1,12 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package permit keeps what is known of which workers may run a step, and decides
-// about whom and by which way the service that permits them is asked. It is pure.
+// Package permit tracks which workers may run a step, and decides which workers the permission
+// service is asked about and through which channel. It does no I/O and reads no clock; the
+// caller passes the current time.
 //
-// It answers the load in which many steps wait at once: a call takes up to half a
-// second, a permission lasts for two, and there are as many ways as nodes.
+// It is built for the load of many steps that wait at once: a call takes up to half a second, a
+// permit is valid for two, and there are only as many channels as nodes.
 package permit
 
 import (
@@ -16,40 +17,40 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// RoundTripMargin is what the ways there and back take on a busy node.
+// RoundTripMargin is what the transport of a call and its answer takes on a busy node.
 const RoundTripMargin = 250 * time.Millisecond
 
 const (
-	// cheapCall is the time of a call up to which all workers are asked at once.
+	// maxFastCall is the base time of a call up to which all workers are asked about at once.
 	maxFastCall = 40 * time.Millisecond
-	// askRatio is how many times the time that the policy tells a call may take, besides
-	// AskMargin: the lane may be busy with one that was given up.
+	// timeoutFactor is how many times as long as its expected time a call may take, besides
+	// RoundTripMargin: the channel may be busy with a call that was abandoned.
 	timeoutFactor = 2
-	// laneMargin is how much later than that a call counts as lost that the owner of
-	// the lane has not given up.
+	// expiryMargin is how long after its timeout a call counts as lost whose channel has not
+	// reported it as failed.
 	expiryMargin = 300 * time.Millisecond
-	// cheapLanes are the lanes that calls that take long leave to the others.
+	// fastChannels is how many free channels slow calls leave to fast ones.
 	fastChannels = 2
 )
 
-// isCheap reports whether a call takes so little that all workers are asked about.
+// isFast reports whether a call takes so little time that all workers are asked about.
 func isFast(policy *order.PermissionPolicy) bool { return policy.BaseTime <= maxFastCall }
 
-// lane is a way to the service: a node, which asks one thing at a time.
+// channel is a route to the permission service: a node, which makes one call at a time.
 type channel struct {
 	name string
-	// busySince is when the call on it was sent; zero when it is free.
+	// busySince is when the call in flight was sent; zero when there is none.
 	busySince time.Time
 	step      work.StepID
-	// patience is how long that call may take.
+	// timeout is how long that call may take.
 	timeout time.Duration
 }
 
-// Channels are the ways to the service. The zero value has none.
+// Channels are the routes to the permission service. The zero value has none.
 type Channels struct{ channels []channel }
 
-// SetNames names the ways. It reports whether they have changed, and the steps whose
-// calls are lost with ways that are gone.
+// SetNames sets the names of the channels. It reports whether they have changed, and returns the
+// steps whose calls are lost with channels that were removed.
 func (l *Channels) SetNames(names []string) (lost []work.StepID, isChanged bool) {
 	if slices.EqualFunc(l.channels, names, func(l channel, name string) bool { return l.name == name }) {
 		return nil, false
@@ -79,8 +80,8 @@
 	return &l.channels[i]
 }
 
-// FreeChannel returns a way by which a call may be made now, or "". Calls that take long leave
-// some ways to the others.
+// FreeChannel returns a channel through which a call may be made now, or "". Slow calls leave
+// some channels to fast ones.
 func (l *Channels) FreeChannel(policy *order.PermissionPolicy) string {
 	free := 0
 	found := ""
@@ -96,8 +97,8 @@
 	return found
 }
 
-// HasSpare reports whether so many ways are free that a call may be made of which it is not known
-// that it serves anything now.
+// HasSpare reports whether more than half of the channels are free, so that a call may be made
+// even if nothing could start on its answer now.
 func (l *Channels) HasSpare() bool {
 	free := 0
 	for i := range l.channels {
@@ -108,8 +109,8 @@
 	return 2*free > len(l.channels)
 }
 
-// BeginCall notes that a call about so many workers is made by a way, and returns how long
-// it may take.
+// BeginCall records that a call about that many workers is made through a channel, and returns
+// how long it may take.
 func (l *Channels) BeginCall(name string, step work.StepID, policy *order.PermissionPolicy, workers int, now time.Time) time.Duration {
 	c := l.find(name)
 	c.busySince, c.step = now, step
@@ -117,14 +118,15 @@
 	return c.timeout
 }
 
-// EndCall notes that the call of a step by a way is over.
+// EndCall records that the call of a step through a channel has ended.
 func (l *Channels) EndCall(name string, step work.StepID) {
 	if c := l.find(name); c != nil && c.step == step {
 		c.busySince = time.Time{}
 	}
 }
 
-// Expire frees the ways that do not answer, and returns the steps whose calls are lost.
+// Expire frees the channels whose calls were not answered in time, and returns the steps of
+// these calls.
 func (l *Channels) Expire(now time.Time) []work.StepID {
 	lost := []work.StepID{}
 	for i := range l.channels {
--- a/internal/permit/choose.go
+++ b/internal/permit/choose.go
@@ -12,35 +12,39 @@
 )
 
 const (
-	// goodShare is the part of the workers that is expected to be permitted, where
+	// permittedShare is the share of the workers that is expected to be permitted, where
 	// nothing is known yet.
 	permittedShare = 0.35
-	// enough is how many times the room that is needed a call should bring.
+	// capacityFactor is how many times the capacity that is needed the workers of a call should
+	// be expected to have.
 	capacityFactor = 1.2
 	// MaxWorkersPerCall is the most workers that one call may name.
 	MaxWorkersPerCall = 100
-	// considered is how many workers are looked at in order, some of which are not named.
+	// maxConsidered is how many candidates are sorted; some of them are not named.
 	maxConsidered = 2 * MaxWorkersPerCall
-	// minAsked is the least that a call names, if there are so many.
+	// minWorkersPerCall is the least workers that a call names, if there are that many
+	// candidates.
 	minWorkersPerCall = 6
-	// freedShare is how many tasks a worker without room is expected to have room for while
-	// a permission holds, where it is permitted.
+	// freedTasks is for how many tasks a worker without free capacity is expected to get some
+	// while a permit is valid, where it is permitted.
 	freedTasks = 0.4
 )
 
-// Candidate is a worker that could be asked about.
+// Candidate is a worker that a call could name.
 type Candidate struct {
 	ID order.WorkerID
-	// Fits is how many tasks fit now; 0 means that some would on an empty worker.
+	// Fits is how many tasks fit on the worker now; 0 means that some would fit if it were empty.
 	Fits int
-	// IsPermitted means that it is known to be permitted.
+	// IsPermitted means that the worker is known to be permitted.
 	IsPermitted bool
-	// IsDegraded means that it is or was slow.
+	// IsDegraded means that the worker is or was slow, or gets no tasks now because of its
+	// health.
 	IsDegraded bool
 }
 
-// ChooseWorkers picks the workers that are likely to take the missing tasks. Those with room come
-// before those where some may become free, and among either those known to be permitted.
+// ChooseWorkers picks the workers that are likely to run the missing tasks. Workers with free
+// capacity come before those that may get some, and among either those that are known to be
+// permitted.
 func ChooseWorkers(candidates []Candidate, policy *order.PermissionPolicy, missing int) []order.WorkerID {
 	candidates = best(candidates, maxConsidered)
 	out := []order.WorkerID{}
@@ -56,7 +60,7 @@
 	return out
 }
 
-// expected returns how many tasks the worker is likely to take once it was asked about.
+// expected returns how many tasks the worker is likely to run when a call has named it.
 func (c *Candidate) expected() float64 {
 	tasks := max(float64(c.Fits), freedTasks)
 	if c.IsPermitted {
@@ -65,7 +69,7 @@
 	return permittedShare * tasks
 }
 
-// compare is negative when a is to be asked about before b.
+// compare is negative when a is to be named before b.
 func compare(a, b *Candidate) int {
 	switch {
 	case a.Fits == 0 != (b.Fits == 0):
@@ -80,7 +84,8 @@
 	return cmp.Compare(a.ID, b.ID)
 }
 
-// first is negative when the first of two is the one with the property.
+// prefer is the result of compare: negative when the first of two candidates is preferred, else
+// positive.
 func prefer(isFirst bool) int {
 	if isFirst {
 		return -1
@@ -88,8 +93,8 @@
 	return 1
 }
 
-// best returns the n candidates to be asked about first, in order, and reorders found. A
-// heap of n takes less time than to sort them all (BenchmarkChoose).
+// best returns the n candidates to be named first, sorted, and reorders its argument. Keeping a
+// heap of n takes less time than sorting them all (BenchmarkChooseWorkers).
 func best(candidates []Candidate, n int) []Candidate {
 	if len(candidates) > n {
 		h := worstFirst(candidates[:n])
@@ -106,21 +111,20 @@
 	return candidates
 }
 
-// worstFirst is a heap of candidates with the last to be asked about on top. It keeps its
-// length.
+// worstFirst is a heap of candidates with the one to be named last on top. Its length is fixed.
 type worstFirst []Candidate
 
-// Len, Less and Swap are those of a heap.
+// Len returns the number of candidates.
 func (h worstFirst) Len() int { return len(h) }
 
-// Less puts the candidate on top that is asked about last.
+// Less puts the candidate on top that is to be named last.
 func (h worstFirst) Less(i, j int) bool { return compare(&h[i], &h[j]) > 0 }
 
 // Swap swaps two candidates.
 func (h worstFirst) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push is not used.
-func (worstFirst) Push(any) { panic("permit: the heap keeps its length") }
+func (worstFirst) Push(any) { panic("permit: Push on a heap of fixed length") }
 
 // Pop is not used.
-func (worstFirst) Pop() any { panic("permit: the heap keeps its length") }
+func (worstFirst) Pop() any { panic("permit: Pop on a heap of fixed length") }
--- a/internal/permit/claims.go
+++ b/internal/permit/claims.go
@@ -9,21 +9,23 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Claims keeps the room of workers that calls on their way are likely to use. Steps that ask at
-// the same time about the same workers, those with the most room, find that room taken by the
-// first of them, and have asked in vain. The zero value has none.
+// Claims tracks the capacity of workers that is likely to be used by the steps whose calls are
+// in flight. Without it, steps that ask at the same time would all name the workers with the
+// most free capacity. The first of them would use that up, and the calls of the others would be
+// in vain. The zero value has none.
 type Claims struct {
 	byStep   map[work.StepID]claim
 	byWorker map[order.WorkerID]leverdyke.Resources
 }
 
-// claim is what the call of a step is likely to use of each worker that it names.
+// claim is what a step is likely to use of each worker that its call names.
 type claim struct {
 	workers   []order.WorkerID
 	perWorker leverdyke.Resources
 }
 
-// Add notes a call of a step for so many tasks that take need each.
+// Add records a call of a step that names the workers asked, for a number of tasks that use need
+// each. It replaces the step's former claim.
 func (c *Claims) Add(id work.StepID, asked []order.WorkerID, tasks int, need leverdyke.Resources) {
 	if c.byStep == nil {
 		c.byStep, c.byWorker = map[work.StepID]claim{}, map[order.WorkerID]leverdyke.Resources{}
@@ -39,13 +41,13 @@
 	}
 }
 
-// part returns tasks/workers times need.
+// scale returns tasks/workers times need, and need at most.
 func scale(need leverdyke.Resources, tasks, workers int) leverdyke.Resources {
 	n, d := int64(min(tasks, workers)), int64(workers)
 	return leverdyke.Resources{MilliCPU: need.MilliCPU * n / d, MemoryMiB: need.MemoryMiB * n / d, Accelerators: need.Accelerators * n / d}
 }
 
-// Drop notes that the call of a step is over.
+// Drop removes the claim of a step whose call has ended.
 func (c *Claims) Drop(id work.StepID) {
 	old, ok := c.byStep[id]
 	if !ok {
@@ -61,5 +63,5 @@
 	}
 }
 
-// OnWorker returns the room of a worker that is likely to be used.
+// OnWorker returns the capacity of a worker that is likely to be used.
 func (c *Claims) OnWorker(id order.WorkerID) leverdyke.Resources { return c.byWorker[id] }
--- a/internal/permit/claims_test.go
+++ b/internal/permit/claims_test.go
@@ -12,6 +12,9 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
+// Steps that ask at the same time about the same workers would find the capacity used by the
+// first of them. So the claims of all calls in flight add up on a worker, and a call that is
+// repeated or answered leaves nothing behind.
 func TestClaimsOfCallsInFlightAddUp(t *testing.T) {
 	c := permit.Claims{}
 	need := leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 10}
@@ -25,7 +28,7 @@
 			t.Errorf("%s, on %s: got: %d, want: %d", when, id, got, milliCPU)
 		}
 	}
-	expect("half a task for each of two, and one", "w", 1500)
+	expect("half a task of the first step and a whole one of the second", "w", 1500)
 	expect("half a task", "v", 500)
 	expect("not named", "u", 0)
 	c.Add(first, []order.WorkerID{"v"}, 1, need)
--- a/internal/permit/step.go
+++ b/internal/permit/step.go
@@ -10,59 +10,63 @@
 )
 
 const (
-	// ticketMargin is taken off a ticket's time: the order must arrive in it.
+	// permitMargin is taken off a permit's time: the order to start must arrive at the worker
+	// while the permit is valid.
 	permitMargin = 250 * time.Millisecond
-	// retryPause is the time after a call without an answer until the next.
+	// retryPause is the time from a call that was not answered to the next.
 	retryPause = 100 * time.Millisecond
-	// idlePause is the time after which it is looked again whether there is anybody to
-	// ask about: a look takes all workers, and jobs by the hundred may wait.
+	// noCandidatePause is the time from one search for candidates that finds none to the next: a
+	// search goes over all workers, and hundreds of jobs may wait.
 	noCandidatePause = 50 * time.Millisecond
-	// putOffPause is the time for which a step leaves the ways to those that have room.
+	// deferPause is for how long a step leaves the channels to steps for which there is free
+	// capacity.
 	deferPause = 400 * time.Millisecond
 )
 
 // Step is what is known of the workers that may run a step. The zero value knows
 // nothing.
 type Step struct {
-	// verdicts has the workers that were asked about, and whether they may. That never
-	// changes.
+	// verdicts has the workers that were asked about, and whether they may run the step. That
+	// never changes.
 	verdicts   map[order.WorkerID]bool
 	permits    map[order.WorkerID]grant
 	isQuerying bool
 	retryAt    time.Time
 }
 
+// grant is a permit, and until when it can be used.
 type grant struct {
 	text    string
 	expires time.Time
 }
 
-// MayQuery reports whether a call may be made: none is on its way, or has just failed.
+// MayQuery reports whether a call may be made: none is in flight, and no pause after the last
+// one is under way.
 func (s *Step) MayQuery(now time.Time) bool { return !s.isQuerying && !now.Before(s.retryAt) }
 
-// IsQuerying reports whether a call is on its way.
+// IsQuerying reports whether a call is in flight.
 func (s *Step) IsQuerying() bool { return s.isQuerying }
 
-// BeginQuery notes that a call is on its way.
+// BeginQuery records that a call is in flight.
 func (s *Step) BeginQuery() { s.isQuerying = true }
 
-// NoteNoCandidates notes that there is no worker to ask about for now.
+// NoteNoCandidates records that there is no worker to ask about for now.
 func (s *Step) NoteNoCandidates(now time.Time) { s.retryAt = now.Add(noCandidatePause) }
 
-// Defer notes that the step leaves the ways to others for a while.
+// Defer makes the step leave the channels to other steps for a while.
 func (s *Step) Defer(now time.Time) { s.retryAt = now.Add(deferPause) }
 
-// NoteLost notes that no answer will come.
+// NoteLost records that the call was lost with its channel, so that the next may be made at once.
 func (s *Step) NoteLost() { s.isQuerying = false }
 
-// NoteFailure notes that a call had no answer.
+// NoteFailure records that the call was not answered, so that the next is made after a pause.
 func (s *Step) NoteFailure(now time.Time) {
 	s.isQuerying = false
 	s.retryAt = now.Add(retryPause)
 }
 
-// NoteAnswer takes an answer: of the workers that were asked about, those in good may,
-// for as long as valid.
+// NoteAnswer records an answer: of the workers that were asked about, those in permits may run
+// the step, each with its permit, which is valid for as long as valid.
 func (s *Step) NoteAnswer(asked []order.WorkerID, permits []order.Permit, valid time.Duration, now time.Time) {
 	s.isQuerying = false
 	if s.verdicts == nil {
@@ -83,16 +87,16 @@
 	return isAllowed, isKnown
 }
 
-// ValidPermit returns the ticket of a worker, if it still holds then.
+// ValidPermit returns the permit of a worker, and whether it can still be used at that time.
 func (s *Step) ValidPermit(id order.WorkerID, at time.Time) (string, bool) {
 	g, ok := s.permits[id]
 	return g.text, ok && at.Before(g.expires)
 }
 
-// DropPermit drops the ticket of a worker that does not take it.
+// DropPermit drops the permit of a worker that has refused it.
 func (s *Step) DropPermit(id order.WorkerID) { delete(s.permits, id) }
 
-// EachPermitted calls do with each worker that has a ticket now.
+// EachPermitted calls do with each worker that has a permit now, and drops expired permits.
 func (s *Step) EachPermitted(now time.Time, do func(order.WorkerID)) {
 	for id, g := range s.permits {
 		if !now.Before(g.expires) {
