--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -14,9 +14,9 @@
 	// takeover takes with a slow store (about 3 s), short enough that the tasks of
 	// a worker that is cut off can soon be started elsewhere.
 	leaseDuration = 6 * time.Second
-	// clockSkew is twice the share by which a worker's clock may be slower than the
+	// doubleClockSkew is twice the share by which a worker's clock may be slower than the
 	// owner's.
-	clockSkew = 0.04
+	doubleClockSkew = 0.04
 	// expirySlack covers the granularity of the worker's clock, and the time that the worker
 	// takes to end its tasks when the lease expires.
 	expirySlack = 300 * time.Millisecond
@@ -40,7 +40,7 @@
 
 // localBound returns how long a lease lasts at most by the owner's clock.
 func localBound(lease time.Duration) time.Duration {
-	return lease + time.Duration(float64(lease)*clockSkew) + expirySlack
+	return lease + time.Duration(float64(lease)*doubleClockSkew) + expirySlack
 }
 
 // Lease is until when one incarnation of a worker may go on with what it runs, by its own clock.
@@ -75,7 +75,7 @@
 // tasks that crash their workers would be found out too late.
 func (l *Lease) ObserveAnswerClock(clock order.WorkerTime, now time.Time) bool {
 	elapsed := now.Sub(l.lastHeardAt)
-	latest := l.clock + order.WorkerTime(elapsed+time.Duration(float64(elapsed)*clockSkew/2)+reorderSlack)
+	latest := l.clock + order.WorkerTime(elapsed+time.Duration(float64(elapsed)*doubleClockSkew/2)+reorderSlack)
 	switch {
 	case clock <= 0:
 		return false
@@ -96,7 +96,7 @@
 func (l *Lease) IsPlausibleClock(clock order.WorkerTime, sentAt time.Time) bool {
 	since := sentAt.Sub(l.lastHeardAt)
 	if since > 0 {
-		since -= time.Duration(float64(since) * clockSkew / 2)
+		since -= time.Duration(float64(since) * doubleClockSkew / 2)
 	}
 	return clock > 0 && clock >= l.clock+order.WorkerTime(since)
 }
