--- a/internal/crash/silences.go
+++ b/internal/crash/silences.go
@@ -14,8 +14,8 @@
 // zero value has none.
 type SilentWorkers struct{ all []silence }
 
-// silence is that of a worker whose last answer came at heardAt, and which was found silent at
-// silentAt. It crashed, or was cut off, at some time between the two.
+// silence is the silence of a worker whose last answer came at heardAt, and which was found
+// silent at silentAt. It crashed, or was cut off, at some time between the two.
 type silence struct {
 	worker            order.WorkerID
 	heardAt, silentAt time.Time
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -152,7 +152,8 @@
 	PollIncarnationEnded PollOutcome = "life-over"
 )
 
-// Permit allows a worker to run the tasks of one step. The worker verifies Text.
+// Permit allows a worker to run the tasks of one step. Text is sent to the worker with each order
+// to start one of them.
 type Permit struct {
 	Worker WorkerID
 	Text   string
--- a/internal/order/workerid_test.go
+++ b/internal/order/workerid_test.go
@@ -19,11 +19,11 @@
 		startedAt      time.Time
 		hasIncarnation bool
 	}{
-		"start":                   {"i-92de3f55d3", startedAt, true},
-		"no start time":           {"i-92de3f55d3", time.Time{}, false},
-		"a separator in the name": {"i@92", time.Time{}, false},
-		"a separator in the name, and start time": {"i@92@", startedAt, true},
-		"no name": {"", startedAt, true},
+		"start":                    {"i-92de3f55d3", startedAt, true},
+		"no start time":            {"i-92de3f55d3", time.Time{}, false},
+		"a separator in the name":  {"i@92", time.Time{}, false},
+		"a separator, and a start": {"i@92@", startedAt, true},
+		"no name":                  {"", startedAt, true},
 	} {
 		id := order.NewWorkerID(tc.name, tc.startedAt)
 		if id.Name() != tc.name || id.HasIncarnation() != tc.hasIncarnation {
@@ -42,10 +42,10 @@
 		a, b                order.WorkerID
 		isSame, isDifferent bool
 	}{
-		"the same incarnation":            {first, order.NewWorkerID("w", startedAt), true, false},
-		"another incarnation":             {first, second, true, true},
-		"another worker":                  {first, other, false, false},
-		"may be the same incarnation too": {first, unknown, true, false},
+		"the same incarnation": {first, order.NewWorkerID("w", startedAt), true, false},
+		"another incarnation":  {first, second, true, true},
+		"another worker":       {first, other, false, false},
+		"may be the same":      {first, unknown, true, false},
 	} {
 		if got := tc.a.IsSameWorker(tc.b); got != tc.isSame {
 			t.Errorf("%s: same worker: got: %v, want: %v", name, got, tc.isSame)
--- a/internal/outlier/health.go
+++ b/internal/outlier/health.go
@@ -30,7 +30,8 @@
 // too often is ejected: it gets no tasks for a while. After that it is on probation, with one
 // task at a time as a probe, until one succeeds.
 type Health struct {
-	// consecutiveFailures counts the failures since the last success.
+	// consecutiveFailures counts the failures since the last success. Unless the worker is on
+	// probation, further failures of lastJob, the job of the last failure, do not count.
 	consecutiveFailures int
 	lastJob             work.JobID
 	// pausedUntil is when the worker may get tasks again. IsOnProbation means that it gets one
@@ -42,7 +43,7 @@
 	ejection      time.Duration
 	IsOnProbation bool
 	// successes and failures count the tasks that succeeded and that failed, with weights that
-	// decay over time; decayedAt is as of when.
+	// decay over time. They are as of decayedAt.
 	successes, failures float64
 	decayedAt           time.Time
 }
--- a/internal/permit/step.go
+++ b/internal/permit/step.go
@@ -23,8 +23,8 @@
 	deferPause = 400 * time.Millisecond
 )
 
-// Step is what is known of the workers that may run a step. The zero value knows
-// nothing.
+// Step tracks which workers are known to be allowed to run a step, and their permits. The zero
+// value knows of none.
 type Step struct {
 	// verdicts has the workers that were asked about, and whether they may run the step. That
 	// never changes.
@@ -40,8 +40,8 @@
 	expires time.Time
 }
 
-// MayQuery reports whether a call may be made: none is in flight, and no pause after the last
-// one is under way.
+// MayQuery reports whether a call may be made: none is in flight, and the pause after the last
+// one has passed.
 func (s *Step) MayQuery(now time.Time) bool { return !s.isQuerying && !now.Before(s.retryAt) }
 
 // IsQuerying reports whether a call is in flight.
--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -43,8 +43,8 @@
 	return lease + time.Duration(float64(lease)*doubleClockSkew) + expirySlack
 }
 
-// Lease is until when one incarnation of a worker may go on with what it runs, by its own clock.
-// The zero value is a lease that was never renewed, of a worker that never answered.
+// Lease tracks until when one incarnation of a worker may go on with what it runs, by its own
+// clock. The zero value is a lease that was never renewed, of a worker that never answered.
 type Lease struct {
 	// lastHeardAt is when the worker's clock was last read, by the owner's clock. clock is what
 	// the worker's clock showed then.
@@ -67,7 +67,7 @@
 }
 
 // ObserveAnswerClock records what the worker's clock showed in an answer that does not say which
-// incarnation gave it; 0 where it had no clock. It reports whether the value can be of this
+// incarnation gave it; 0 where the answer had none. It reports whether the value can be of this
 // incarnation's clock, and ignores it otherwise. A clock that has gone back is that of a newer
 // incarnation, which has received the end of a lease by the earlier clock: its lease may last as
 // long as workers accept. A clock that is too far ahead is that of a newer incarnation, too.
--- a/internal/session/polls.go
+++ b/internal/session/polls.go
@@ -84,8 +84,8 @@
 func (p *Polls) resetMisses() { p.misses = 0 }
 
 // TryImmediatePoll reports whether an immediate poll may be sent now, and if so counts it as
-// sent. It may not while enough are in flight of which the last is not overdue: then
-// WantsImmediatePoll asks for it later.
+// sent. It may not be sent while maxImmediatePolls are in flight, or while the last one is in
+// flight and not overdue. In these cases WantsImmediatePoll reports true until it is sent later.
 func (p *Polls) TryImmediatePoll(now time.Time) bool {
 	isInTime := p.immediatePolls > 0 && now.Sub(p.polledAt) < immediatePollTimeout
 	if p.immediatePolls >= maxImmediatePolls || isInTime {
