--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -55,9 +55,9 @@
 	// evidence is dropped: tasks that run for days see many crashes that others cause.
 	longRunningLimit = 10 * time.Second
 	// A run refutes a crash when it lasts refuteRatio times as long as the run until the crash,
-	// and at least refuteMin: slow workers take several times as long.
-	refuteRatio = 4
-	refuteMin   = 3 * time.Second
+	// and at least minRefutingRun: slow workers take several times as long.
+	refuteRatio    = 4
+	minRefutingRun = 3 * time.Second
 )
 
 // Suspect is a task that was on a worker when that crashed.
@@ -98,7 +98,7 @@
 	if IsCleared(ran) {
 		return nil
 	}
-	return slices.DeleteFunc(slices.Clone(crashes), func(c work.Crash) bool { return ran >= max(refuteRatio*c.Ran, refuteMin) })
+	return slices.DeleteFunc(slices.Clone(crashes), func(c work.Crash) bool { return ran >= max(refuteRatio*c.Ran, minRefutingRun) })
 }
 
 // IsSuspect reports whether a task may be one that crashes its workers. One crash that is weak
