--- a/internal/dispatch/advice.go
+++ b/internal/dispatch/advice.go
@@ -26,7 +26,7 @@
 	for _, id := range lost {
 		e.claims.Drop(id)
 		if s := e.findStep(id); s != nil {
-			s.permissions.Lost()
+			s.permissions.NoteLost()
 			e.isDirty = true
 		}
 	}
@@ -38,8 +38,8 @@
 }
 
 // Advised takes the answer to a call. isKnown is false when there was none.
-func (e *Engine) Advised(laneName string, id work.StepID, asked []order.WorkerID, good []order.Ticket, valid time.Duration, isKnown bool) {
-	e.lanes.Answered(laneName, id)
+func (e *Engine) Advised(laneName string, id work.StepID, asked []order.WorkerID, good []order.Permit, valid time.Duration, isKnown bool) {
+	e.lanes.EndCall(laneName, id)
 	e.claims.Drop(id)
 	e.isDirty = true
 	s := e.findStep(id)
@@ -47,11 +47,11 @@
 		return
 	}
 	if !isKnown {
-		s.permissions.Failed(e.now)
+		s.permissions.NoteFailure(e.now)
 		e.options.Log(events.AdviceFailed, "step", id, "lane", laneName, "asked", len(asked))
 		return
 	}
-	s.permissions.Answered(asked, good, valid, e.now)
+	s.permissions.NoteAnswer(asked, good, valid, e.now)
 }
 
 // maxAsks bounds the calls that one look at all that waits prepares, the most urgent
@@ -62,12 +62,12 @@
 const maxPutOffs = 16
 
 // askAdvice asks for the step, if it helps and a lane is free.
-func (e *Engine) askAdvice(s *step, policy *order.AdvicePolicy, missing int) {
-	if e.asksLeft <= 0 || !s.permissions.MayAsk(e.now) {
+func (e *Engine) askAdvice(s *step, policy *order.PermissionPolicy, missing int) {
+	if e.asksLeft <= 0 || !s.permissions.MayQuery(e.now) {
 		return
 	}
 	hasRoomyPool := e.inUse[e.queues[s.job.spec.Queue].Service] < roomyShare
-	lane := e.lanes.Free(policy)
+	lane := e.lanes.FreeChannel(policy)
 	if lane == "" {
 		if hasRoomyPool {
 			e.lanesMissedAt = e.now
@@ -79,25 +79,25 @@
 	isMissed := !e.lanesMissedAt.IsZero() && e.now.Sub(e.lanesMissedAt) < lanesMissedFor
 	if isMissed && !hasRoomyPool && !hasRoomNow(s, found) && !e.lanes.HasSpare() {
 		// Nothing could start on the answer, and what has room waits for a lane.
-		s.permissions.PutOff(e.now)
+		s.permissions.Defer(e.now)
 		if e.putOffsLeft > 0 {
 			e.putOffsLeft--
 			e.asksLeft++
 		}
 		return
 	}
-	asked := permit.Choose(found, policy, missing)
+	asked := permit.ChooseWorkers(found, policy, missing)
 	if len(asked) == 0 {
-		s.permissions.NobodyToAsk(e.now)
+		s.permissions.NoteNoCandidates(e.now)
 		return
 	}
-	patience := e.lanes.Take(lane, s.id, policy, len(asked), e.now)
-	s.permissions.Asked()
+	patience := e.lanes.BeginCall(lane, s.id, policy, len(asked), e.now)
+	s.permissions.BeginQuery()
 	if e.has(MechanismClaims) {
 		e.claims.Add(s.id, asked, missing, s.spec.Charge())
 	}
 	e.counts.Asks++
-	e.do(order.Advise{Lane: lane, Step: s.id, Workers: asked, Patience: patience})
+	e.do(order.QueryPermission{Channel: lane, Step: s.id, Workers: asked, Timeout: patience})
 }
 
 // lanesMissedFor is how long lanes are left to steps of a pool with room after one found none free.
@@ -126,12 +126,12 @@
 // step, and whose ticket, if there is one, ends before the next could be there. Those
 // without room are among them where some may become free: who is permitted is then known when
 // there is room.
-func (e *Engine) askable(s *step, policy *order.AdvicePolicy) []permit.Candidate {
+func (e *Engine) askable(s *step, policy *order.PermissionPolicy) []permit.Candidate {
 	found := []permit.Candidate{}
 	pool := e.queues[s.job.spec.Queue].Service
 	needsSound := slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.needsHealthyWorker(s, &t) })
 	charge := s.spec.Charge()
-	renewAt := e.now.Add(policy.Base + permit.AskMargin)
+	renewAt := e.now.Add(policy.BaseTime + permit.RoundTripMargin)
 	if !e.has(MechanismAdviceAhead) {
 		renewAt = e.now
 	}
@@ -139,26 +139,26 @@
 	defer func() { e.askFrom = (e.askFrom + looked) % max(e.workers.Len(), 1) }()
 	for id, w := range e.workers.AllFrom(e.askFrom) {
 		looked++
-		if !e.isUsable(w, s) || !e.mayRun(w, s, pool) || needsSound && !w.health.IsSound(e.now) || !charge.FitsIn(w.Capacity) {
+		if !e.isUsable(w, s) || !e.mayRun(w, s, pool) || needsSound && !w.health.IsHealthy(e.now) || !charge.FitsIn(w.Capacity) {
 			continue
 		}
-		fits := e.fitsBeside(w, s, e.claims.On(id))
-		if fits == 0 && (withoutRoom >= permit.MaxAsked || !e.has(MechanismAdviceAhead) || !mayFree(w, s)) {
+		fits := e.fitsBeside(w, s, e.claims.OnWorker(id))
+		if fits == 0 && (withoutRoom >= permit.MaxWorkersPerCall || !e.has(MechanismAdviceAhead) || !mayFree(w, s)) {
 			continue
 		}
-		isGood, isKnown := s.permissions.Verdict(id)
+		isGood, isKnown := s.permissions.IsAllowed(id)
 		if isKnown && !isGood {
 			continue
 		}
-		if _, ok := s.permissions.Holds(id, renewAt); ok {
+		if _, ok := s.permissions.ValidPermit(id, renewAt); ok {
 			continue
 		}
-		found = append(found, permit.Candidate{ID: id, Fits: fits, IsGood: isGood, IsSuspect: w.speed.IsSuspect || w.health.IsPaused(e.now)})
+		found = append(found, permit.Candidate{ID: id, Fits: fits, IsPermitted: isGood, IsDegraded: w.speed.IsSuspectedSlow || w.health.IsPaused(e.now)})
 		if fits == 0 {
 			withoutRoom++
 			continue
 		}
-		if withRoom++; withRoom >= enoughRoom*permit.MaxAsked {
+		if withRoom++; withRoom >= enoughRoom*permit.MaxWorkersPerCall {
 			break
 		}
 	}
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -38,7 +38,7 @@
 		return true
 	}
 	a := t.attempt
-	return a != nil && a.worker.session.IsSilent() && a.observedRunTime() < crash.FreshTime
+	return a != nil && a.worker.session.IsSilent() && a.observedRunTime() < crash.StrongWindow
 }
 
 // needsIndividualPlacement reports whether a worker that suits other tasks of the step may not
@@ -55,7 +55,7 @@
 // hasNoRecentStart reports whether a suspect can be run on the worker: nothing else has just
 // started there that could be the cause of a crash instead.
 func (w *worker) hasNoRecentStart(now time.Time) bool {
-	return now.Sub(w.lastStartAt) >= crash.TrialTime
+	return now.Sub(w.lastStartAt) >= crash.IsolationTime
 }
 
 // mayRunSuspect reports whether the task may start on the worker now as far as crashes are
@@ -68,8 +68,8 @@
 		// A second crash on the same machine would be no further evidence.
 		return false
 	}
-	isAllowedNow := !crash.NeedsSolo(t.crashes) || !e.now.Before(e.soloUntil)
-	return isAllowedNow && w.hasNoRecentStart(e.now) && e.now.Sub(w.lastSuspectAt) >= crash.SoonTime
+	isAllowedNow := !crash.NeedsSoleTrial(t.crashes) || !e.now.Before(e.soloUntil)
+	return isAllowedNow && w.hasNoRecentStart(e.now) && e.now.Sub(w.lastSuspectAt) >= crash.WeakWindow
 }
 
 // mayStartUnpersisted reports whether an attempt may be ordered before its placement is in the
@@ -77,7 +77,7 @@
 // while the store is slow or unavailable: the next owner would otherwise not know of the start,
 // and would run the task again as if nothing had happened.
 func (e *Engine) mayStartUnpersisted(a *attempt) bool {
-	return e.isUnlogged && !crash.Tells(a.step.tasks[a.id.Index].crashes)
+	return e.isUnlogged && !crash.HasEvidence(a.step.tasks[a.id.Index].crashes)
 }
 
 // clearRefutedCrashes clears the crashes recorded for a long-running task that its current run has
@@ -90,7 +90,7 @@
 	if len(t.crashes) == 0 {
 		return
 	}
-	remaining := crash.Outlived(t.crashes, a.observedRunTime())
+	remaining := crash.Unrefuted(t.crashes, a.observedRunTime())
 	if len(remaining) < len(t.crashes) {
 		t.crashes = remaining
 		e.markDirty(a.step.job)
@@ -108,7 +108,7 @@
 	var best *worker
 	bestScore := 0.0
 	for _, w := range e.permitted(s, q) {
-		if w.attempts.Get(s.taskID(i)) != nil || e.fits(w, s) == 0 || e.now.Sub(w.lastSuspectAt) < crash.SoonTime {
+		if w.attempts.Get(s.taskID(i)) != nil || e.fits(w, s) == 0 || e.now.Sub(w.lastSuspectAt) < crash.WeakWindow {
 			continue
 		}
 		if score := e.score(w, s, t); best == nil || score > bestScore {
@@ -123,7 +123,7 @@
 
 // suspectReservationTime is how long a worker is reserved for a suspect: long enough for it to
 // have no recent start, and for the next scheduling pass to follow.
-const suspectReservationTime = 2 * crash.TrialTime
+const suspectReservationTime = 2 * crash.IsolationTime
 
 // isolateSuspect keeps other tasks off a worker for a while when it is ordered to start a suspect.
 func (e *Engine) isolateSuspect(a *attempt) {
@@ -131,8 +131,8 @@
 	if !isSuspect(t) {
 		return
 	}
-	a.worker.lastSuspectAt, a.worker.isolatedUntil = e.now, e.now.Add(crash.TrialTime)
-	if crash.NeedsSolo(t.crashes) {
+	a.worker.lastSuspectAt, a.worker.isolatedUntil = e.now, e.now.Add(crash.IsolationTime)
+	if crash.NeedsSoleTrial(t.crashes) {
 		e.soloUntil = a.worker.isolatedUntil
 	}
 }
@@ -141,9 +141,9 @@
 // that a previous owner started that is not known; it had run before it was first listed, so that
 // crash.FreshTime is added.
 func (a *attempt) observedRunTime() time.Duration {
-	ran := max(a.worker.session.HeardAt().Sub(a.orderedAt), 0)
+	ran := max(a.worker.session.LastHeardAt().Sub(a.orderedAt), 0)
 	if a.isAdopted {
-		return ran + crash.FreshTime
+		return ran + crash.StrongWindow
 	}
 	return ran
 }
@@ -163,7 +163,7 @@
 		return nil
 	}
 	tasks := []work.TaskID{}
-	others := e.silences.Beside(w.ID, w.session.HeardAt(), e.now)
+	others := e.silences.CountOverlapping(w.ID, w.session.LastHeardAt(), e.now)
 	suspect := w.latestSuspect()
 	for id, a := range w.attempts.All() {
 		if a.step == nil || !a.mayHaveRun() {
@@ -190,7 +190,7 @@
 func (w *worker) latestSuspect() *attempt {
 	var latest *attempt
 	for id, a := range w.attempts.All() {
-		if a.step == nil || !a.mayHaveRun() || a.observedRunTime() >= crash.FreshTime || !crash.IsSuspect(a.step.tasks[id.Index].crashes) {
+		if a.step == nil || !a.mayHaveRun() || a.observedRunTime() >= crash.StrongWindow || !crash.IsSuspect(a.step.tasks[id.Index].crashes) {
 			continue
 		}
 		if latest == nil || a.orderedAt.After(latest.orderedAt) {
@@ -206,7 +206,7 @@
 	if t.state == taskDone || s.job.state.IsFinal() {
 		return
 	}
-	t.crashes, t.lastCrashAt = crash.Note(t.crashes, c, s.spec.IsLongRunning), e.now
+	t.crashes, t.lastCrashAt = crash.Add(t.crashes, c, s.spec.IsLongRunning), e.now
 	e.markDirty(s.job)
 }
 
@@ -259,9 +259,9 @@
 			task.Index = 0
 		}
 		steps = append(steps, s)
-		suspects = append(suspects, crash.Suspect{Unit: task, Crashes: t.crashes, MayHaveMore: s.job.mayHaveUnpersistedStarts})
+		suspects = append(suspects, crash.Suspect{Unit: task, Crashes: t.crashes, MayHaveUnknown: s.job.mayHaveUnpersistedStarts})
 	}
-	for _, i := range crash.Guilty(suspects) {
+	for _, i := range crash.Culprits(suspects) {
 		crashes := suspects[i].Crashes
 		e.options.Log(events.TaskCrashes, "task", suspects[i].Unit, "worker", id, "crashes", len(crashes), "ran", crashes[len(crashes)-1].RunTime, "others", crashes[len(crashes)-1].OthersSilent, "beside", len(suspects)-1)
 		e.endJob(steps[i].job, work.JobFailed, "workers crash under a task")
@@ -277,7 +277,7 @@
 // confirmed.
 func (e *Engine) confirmCrashes(w *worker) {
 	for id, c := range e.cutOff.All() {
-		isPrevious := c.machine == w.Machine && w.Machine != "" && id != w.ID || w.ID.IsOtherStart(id)
+		isPrevious := c.machine == w.Machine && w.Machine != "" && id != w.ID || w.ID.IsOtherIncarnation(id)
 		if !isPrevious {
 			continue
 		}
@@ -321,7 +321,7 @@
 
 // expirePossibleCrashes forgets workers that possibly crashed, or became silent, too long ago.
 func (e *Engine) expirePossibleCrashes() {
-	e.silences.Forget(e.now.Add(-possibleCrashRetention))
+	e.silences.DropBefore(e.now.Add(-possibleCrashRetention))
 	for id, c := range e.cutOff.All() {
 		if e.now.Sub(c.since) > possibleCrashRetention {
 			e.cutOff.Delete(id)
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
+	"github.com/leverdyke/leverdyke/internal/abandoned"
 	"github.com/leverdyke/leverdyke/internal/crash"
 	"github.com/leverdyke/leverdyke/internal/estimate"
 	"github.com/leverdyke/leverdyke/internal/events"
@@ -24,7 +25,6 @@
 	"github.com/leverdyke/leverdyke/internal/permit"
 	"github.com/leverdyke/leverdyke/internal/quota"
 	"github.com/leverdyke/leverdyke/internal/rotation"
-	"github.com/leverdyke/leverdyke/internal/stray"
 	"github.com/leverdyke/leverdyke/internal/waits"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
@@ -96,18 +96,18 @@
 	heldLogAt time.Time
 	// awayLogAt is when it is told next of which tasks that last nothing runs.
 	awayLogAt time.Time
-	lanes     permit.Lanes
+	lanes     permit.Channels
 	// claims has the room that calls for permission are likely to use.
 	claims permit.Claims
 	// unsettled are workers on which an earlier owner may have started tasks that
 	// are not known yet, with these tasks.
 	unsettled ordered.Map[order.WorkerID, []work.TaskID]
 	// strays has what may still be on its way to workers and is not wanted any more.
-	strays stray.Orders
+	strays abandoned.Starts
 	// cutOff has workers that may have crashed, or only be cut off.
 	cutOff ordered.Map[order.WorkerID, *possibleCrash]
 	// silences are workers that fell silent lately, whether they live or not.
-	silences crash.Silences
+	silences crash.SilentWorkers
 	// soloUntil is until when a task under which several workers have crashed is tried, and
 	// no other such one.
 	soloUntil time.Time
@@ -320,7 +320,7 @@
 	e.live = slices.DeleteFunc(e.live, func(j *job) bool { return j.state.IsFinal() && j.attempts == 0 })
 	e.expirePossibleCrashes()
 	e.logNotRunning()
-	e.strays.Forget(e.now)
+	e.strays.DropExpired(e.now)
 	for id, j := range e.jobs {
 		if j.state.IsFinal() && j.isFinalPersisted && e.now.Sub(j.endedAt) > keepFinal && j.attempts == 0 {
 			delete(e.jobs, id)
--- a/internal/dispatch/inherit.go
+++ b/internal/dispatch/inherit.go
@@ -63,7 +63,7 @@
 	if e.inherited == nil || w.session.IsListed() || w.IsDraining {
 		return
 	}
-	e.inherited.unlistedLeasesUntil = e.now.Add(session.OwnBound - (heartbeatsUntilRemoval-1)*e.options.Heartbeat)
+	e.inherited.unlistedLeasesUntil = e.now.Add(session.OwnLeaseBound - (heartbeatsUntilRemoval-1)*e.options.Heartbeat)
 }
 
 // isUncertaintyResolved reports whether all workers have sent their listings, or nothing that the
@@ -114,7 +114,7 @@
 			t.mayRunOn = slices.DeleteFunc(t.mayRunOn, func(w order.WorkerID) bool { return w == id })
 			e.releaseCustomer(s)
 			if w := e.workers.Get(id); w == nil || w.attempts.Get(task) == nil {
-				e.strays.Note(id, task, t.run, e.now, e.now)
+				e.strays.Add(id, task, t.run, e.now, e.now)
 			}
 		}
 	}
@@ -151,7 +151,7 @@
 		return
 	}
 	for id := range e.unsettled.All() {
-		if w := e.workers.Get(id); w == nil || e.now.After(w.session.Until()) {
+		if w := e.workers.Get(id); w == nil || e.now.After(w.session.ExpiresAt()) {
 			e.resolveInherited(id, resolvedByLeaseExpiry)
 		}
 	}
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -156,7 +156,7 @@
 	if len(t.failures) == 0 || s.spec.IsLongRunning {
 		return true
 	}
-	if e.needsHealthyWorker(s, t) && !w.health.IsSound(e.now) {
+	if e.needsHealthyWorker(s, t) && !w.health.IsHealthy(e.now) {
 		return false
 	}
 	failedHere := slices.ContainsFunc(t.failures, func(f work.Failure) bool { return f.Worker == string(w.ID) })
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -17,7 +17,7 @@
 func (e *Engine) StartAnswered(id order.WorkerID, task work.TaskID, run uint64, outcome order.StartOutcome, clock order.WorkerTime) {
 	e.unanswered--
 	defer e.sendReady()
-	if outcome == order.StartLifeOver {
+	if outcome == order.StartIncarnationEnded {
 		e.IncarnationEnded(id)
 		return
 	}
@@ -26,8 +26,8 @@
 		return
 	}
 	a := w.attempts.Get(task)
-	isFromThisIncarnation := a != nil && w.session.MayShow(clock, a.orderedAt)
-	isFromThisIncarnation = w.session.ReadAnswer(clock, e.now) && isFromThisIncarnation
+	isFromThisIncarnation := a != nil && w.session.IsPlausibleClock(clock, a.orderedAt)
+	isFromThisIncarnation = w.session.ObserveAnswerClock(clock, e.now) && isFromThisIncarnation
 	if a == nil || a.run != run {
 		return
 	}
@@ -39,11 +39,11 @@
 		e.window.Observe(e.now.Sub(a.orderedAt), e.now)
 	}
 	switch outcome {
-	case order.StartDone:
+	case order.StartSucceeded:
 		a.startConfirmedClock, a.startConfirmedAt = clock, e.now
 		a.isAcknowledged = a.isAcknowledged || isFromThisIncarnation
 		if clock > 0 && !a.isResumed {
-			a.progress.Take(clock, 0, 0)
+			a.progress.Observe(clock, 0, 0)
 		}
 		if a.phase != phaseRunning {
 			a.phase = phaseRunning
@@ -53,7 +53,7 @@
 		if a.phase == phaseOrdered {
 			e.markUnacknowledged(a)
 		}
-	case order.StartRefused, order.StartNoRoom, order.StartNoTicket, order.StartUnhealthy, order.StartFenced, order.StartLifeOver:
+	case order.StartRefused, order.StartNoCapacity, order.StartNoPermit, order.StartUnhealthy, order.StartFenced, order.StartIncarnationEnded:
 		e.handleRefusedStart(w, a, outcome)
 	}
 }
@@ -65,13 +65,13 @@
 	}
 	e.options.Log(events.StartRefused, "task", a.id, "run", a.run, "worker", w.ID, "why", outcome)
 	switch outcome {
-	case order.StartNoTicket:
-		a.step.permissions.Forget(w.ID)
+	case order.StartNoPermit:
+		a.step.permissions.DropPermit(w.ID)
 	case order.StartUnhealthy:
-		w.health.Refused(e.now)
-	case order.StartNoRoom, order.StartRefused:
-		w.health.Refused(e.now)
-	case order.StartDone, order.StartFenced, order.StartUnknown, order.StartLifeOver:
+		w.health.NoteRefusal(e.now)
+	case order.StartNoCapacity, order.StartRefused:
+		w.health.NoteRefusal(e.now)
+	case order.StartSucceeded, order.StartFenced, order.StartUnknown, order.StartIncarnationEnded:
 	}
 	a.isAcknowledged = true
 	e.release(a)
@@ -87,8 +87,8 @@
 	if w == nil || !isAnswered {
 		return
 	}
-	w.session.ReadAnswer(clock, e.now)
-	w.refusals.Refused(task, run)
+	w.session.ObserveAnswerClock(clock, e.now)
+	w.refusals.MarkRefused(task, run)
 	a := w.attempts.Get(task)
 	if a == nil || a.run != run {
 		return
@@ -99,9 +99,9 @@
 
 // PollAnswered handles the answer to a poll: the worker's listing of all that it runs. If another
 // incarnation of the worker answered than was polled, the polled one has ended.
-func (e *Engine) PollAnswered(poll *order.Hold, listing *order.Listing) {
-	if listing.Worker != "" {
-		e.handleRestart(poll.Worker, listing.Worker)
+func (e *Engine) PollAnswered(poll *order.Poll, listing *order.Listing) {
+	if listing.OtherIncarnation != "" {
+		e.handleRestart(poll.Worker, listing.OtherIncarnation)
 		return
 	}
 	w := e.workers.Get(poll.Worker)
@@ -112,12 +112,12 @@
 		e.lossyUntil = e.now.Add(lossyPeriod)
 	}
 	if w.session.HasMissed() {
-		e.silences.Ended(w.ID)
+		e.silences.Remove(w.ID)
 	}
-	w.session.Heard(listing.At, e.now)
-	w.session.Forgot(poll.Confirmed)
+	w.session.NoteAnswer(listing.At, e.now)
+	w.session.MarkEndsForgotten(poll.Confirmed)
 	e.handleListing(w, listing, poll.AskedAt)
-	e.finishPoll(w, poll.IsLook)
+	e.finishPoll(w, poll.IsImmediate)
 	e.dropIfEmpty(w)
 }
 
@@ -128,7 +128,7 @@
 	for i := range listing.Finished {
 		e.handleEnd(w, &listing.Finished[i])
 	}
-	if !w.session.List(listing.At, e.now) {
+	if !w.session.AcceptListing(listing.At, e.now) {
 		return
 	}
 	clear(w.unknownRuns)
@@ -175,12 +175,12 @@
 	if running.Percent != a.percent {
 		a.percent, a.percentChangedAt = running.Percent, e.now
 	}
-	a.metric = running.Figure
-	a.progress.Take(w.session.ListedClock(), running.Percent, e.expectedDuration(a.step))
+	a.metric = running.LoadMetric
+	a.progress.Observe(w.session.ListedClock(), running.Percent, e.expectedDuration(a.step))
 	if a.step != nil {
 		a.step.job.hasBegun = true
-		if running.Saved != "" {
-			a.step.tasks[a.id.Index].checkpoint = running.Saved
+		if running.Checkpoint != "" {
+			a.step.tasks[a.id.Index].checkpoint = running.Checkpoint
 		}
 	}
 }
@@ -203,7 +203,7 @@
 		id: running.Task, step: s, run: running.Run, worker: w, charge: s.spec.Charge(), phase: phaseRunning,
 		orderedAt: e.now, startConfirmedClock: w.session.Clock(), startConfirmedAt: e.now, percentChangedAt: e.now, pace: fullPace, isAdopted: true,
 	}
-	w.session.WaitFor(e.inheritedUntil)
+	w.session.NoteOtherLeases(e.inheritedUntil)
 	e.charge(a)
 	if slices.Contains(t.mayRunOn, w.ID) {
 		a.isPersisted = true
@@ -244,7 +244,7 @@
 
 // handleEnd handles the end of an attempt that a worker reports, once for each end.
 func (e *Engine) handleEnd(w *worker, end *order.End) {
-	if !w.session.Take(end.Number) {
+	if !w.session.AcceptEnd(end.Number) {
 		return
 	}
 	e.batchNow().seen.Set(w, end.Number)
@@ -260,18 +260,18 @@
 		return
 	}
 	t.run = max(t.run, end.Run)
-	if end.Saved != "" && (a != nil || t.checkpoint == "") {
-		t.checkpoint = end.Saved
+	if end.Checkpoint != "" && (a != nil || t.checkpoint == "") {
+		t.checkpoint = end.Checkpoint
 	}
 	switch end.Kind {
-	case order.EndDone:
+	case order.EndSucceeded:
 		if a != nil {
 			e.learnDuration(a)
 		}
 		e.handleSuccess(w, s, end, a)
 	case order.EndFailed:
 		e.handleFailure(w, s, end)
-	case order.EndStopped, order.EndLapsed, order.EndBroken, order.EndAlone:
+	case order.EndStopped, order.EndLeaseExpired, order.EndGangBroken, order.EndGangIncomplete:
 		if a == nil || a.stopReason == "" {
 			e.options.Log(events.AttemptEnded, "task", end.Task, "run", end.Run, "worker", w.ID, "how", end.Kind)
 		}
@@ -284,7 +284,7 @@
 // handleSuccess handles a successful end. a is the attempt that has ended, nil if it is not known.
 func (e *Engine) handleSuccess(w *worker, s *step, end *order.End, a *attempt) {
 	e.counts.Done++
-	w.health.Succeeded(e.now)
+	w.health.NoteSuccess(e.now)
 	if s.spec.IsLongRunning {
 		return
 	}
@@ -322,7 +322,7 @@
 		return
 	}
 	if e.has(MechanismHealth) {
-		w.health.Failed(e.now, s.job.spec.ID)
+		w.health.NoteFailure(e.now, s.job.spec.ID)
 	}
 	s.tasks[i].avoidWorker, s.tasks[i].lastFailedAt = w.ID, e.now
 	e.markDirty(s.job)
--- a/internal/dispatch/not_running.go
+++ b/internal/dispatch/not_running.go
@@ -104,16 +104,16 @@
 			continue
 		}
 		counts.withCapacity++
-		isPermitted, isKnown := s.permissions.Verdict(id)
-		_, hasPermit := s.permissions.Holds(id, e.now)
+		isPermitted, isKnown := s.permissions.IsAllowed(id)
+		_, hasPermit := s.permissions.ValidPermit(id, e.now)
 		switch {
 		case isKnown && !isPermitted:
 			counts.denied++
 		case !e.isUsable(w, s):
 			counts.ejected++
-		case q.Advice != nil && !isKnown:
+		case q.Permission != nil && !isKnown:
 			counts.unqueried++
-		case q.Advice == nil || hasPermit:
+		case q.Permission == nil || hasPermit:
 			counts.permitted++
 		}
 	}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -128,8 +128,8 @@
 		e.placeCopies(s, q)
 	}
 	mayStart = e.quotaRoom(s)
-	if missing := min(s.waiting+s.copiesWanted, mayStart); missing > 0 && q.Advice != nil {
-		e.askAdvice(s, q.Advice, missing)
+	if missing := min(s.waiting+s.copiesWanted, mayStart); missing > 0 && q.Permission != nil {
+		e.askAdvice(s, q.Permission, missing)
 	}
 	if missing := min(s.waiting, mayStart); missing > 0 {
 		e.reserveFor(s, q, missing)
@@ -164,7 +164,7 @@
 // fitsBeside returns how many tasks of the step the worker could take if others took so much.
 func (e *Engine) fitsBeside(w *worker, s *step, others leverdyke.Resources) int {
 	n := e.roomBeside(w, s, others)
-	if w.health.OnTrial {
+	if w.health.IsOnProbation {
 		n = min(n, 1-w.trials())
 	}
 	return max(n, 0)
@@ -240,15 +240,15 @@
 // slice is reused by the next call.
 func (e *Engine) permitted(s *step, q *order.Queue) []*worker {
 	found := e.found[:0]
-	if q.Advice == nil {
+	if q.Permission == nil {
 		for _, w := range e.workers.All() {
 			if e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
 				found = append(found, w)
 			}
 		}
 	}
-	s.permissions.Permitted(e.now, func(id order.WorkerID) {
-		if w := e.workers.Get(id); w != nil && q.Advice != nil && e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
+	s.permissions.EachPermitted(e.now, func(id order.WorkerID) {
+		if w := e.workers.Get(id); w != nil && q.Permission != nil && e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
 			found = append(found, w)
 		}
 	})
@@ -285,7 +285,7 @@
 	switch {
 	case w.speed.IsSlow(e.now):
 		score -= weightSlow
-	case w.speed.IsSuspect:
+	case w.speed.IsSuspectedSlow:
 		score -= weightSuspect
 	}
 	if w.health.IsPaused(e.now) {
@@ -383,7 +383,7 @@
 	}
 	e.charge(a)
 	if w.health.IsPaused(e.now) {
-		w.health.BeginTrial(e.now)
+		w.health.BeginProbation(e.now)
 	}
 	w.lastStartAt = e.now
 	e.isolateSuspect(a)
@@ -448,10 +448,10 @@
 		return
 	}
 	q := e.queues[a.step.job.spec.Queue]
-	text, hasTicket := a.step.permissions.Holds(a.worker.ID, e.now)
+	text, hasTicket := a.step.permissions.ValidPermit(a.worker.ID, e.now)
 	isHeldBack := e.isPaused && !e.isGangUnderWay(a)
 	isOverLimit := e.quota.IsOverLimit(a.step.customer()) && !e.isGangUnderWay(a)
-	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Advice != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
+	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Permission != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
 		e.dropPlanned(a, "a member was not ordered")
 		return
 	}
@@ -465,7 +465,7 @@
 	e.fresh = append(e.fresh, a)
 	e.do(order.Start{
 		Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.strays.Generation(a.worker.ID), Task: a.id, Run: a.run, Payload: a.step.job.spec.Payload,
-		Saved: a.step.savedFor(a.id.Index), Ticket: text, Deadline: a.worker.session.Renew(e.now),
+		Checkpoint: a.step.savedFor(a.id.Index), Permit: text, Deadline: a.worker.session.Renew(e.now),
 	})
 }
 
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -42,14 +42,14 @@
 
 // longPoll sends the next long poll to a worker, unless one is outstanding.
 func (e *Engine) longPoll(w *worker) {
-	if w.session.IsWaiting() {
+	if w.session.IsLongPolling() {
 		return
 	}
-	w.session.Wait(e.now)
-	poll := order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), Wait: e.longPollWait(w), Patience: e.pollTimeout(), AskedAt: e.now}
+	w.session.BeginLongPoll(e.now)
+	poll := order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.ConfirmableEnd(e.now), Wait: e.longPollWait(w), Timeout: e.pollTimeout(), AskedAt: e.now}
 	// The lease of a worker that does not answer is not renewed: the sooner it expires, the sooner
 	// it is certain that its tasks have ended.
-	if !w.session.HeardAt().IsZero() && e.isTrusted && !w.session.HasMissed() {
+	if !w.session.LastHeardAt().IsZero() && e.isTrusted && !w.session.HasMissed() {
 		poll.Deadline = w.session.Renew(e.now)
 	}
 	e.do(poll)
@@ -58,11 +58,11 @@
 // pollNow polls a worker for an immediate answer. If such a poll is outstanding, this waits until
 // that one is answered or overdue: an answer may be lost.
 func (e *Engine) pollNow(w *worker) {
-	if !w.session.Look(e.now) {
+	if !w.session.TryImmediatePoll(e.now) {
 		w.needsTick = true
 		return
 	}
-	e.do(order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), IsLook: true, Patience: e.pollTimeout(), AskedAt: e.now})
+	e.do(order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.ConfirmableEnd(e.now), IsImmediate: true, Timeout: e.pollTimeout(), AskedAt: e.now})
 }
 
 // pollTimeout returns how much longer than its wait a poll may take.
@@ -94,7 +94,7 @@
 }
 
 // PollFailed handles a poll that was not answered.
-func (e *Engine) PollFailed(poll *order.Hold) {
+func (e *Engine) PollFailed(poll *order.Poll) {
 	w := e.workers.Get(poll.Worker)
 	if w == nil {
 		return
@@ -103,35 +103,35 @@
 		e.IncarnationEnded(w.ID)
 		return
 	}
-	if !poll.IsLook {
+	if !poll.IsImmediate {
 		if !w.session.HasMissed() {
-			e.silences.Began(w.ID, w.session.HeardAt(), e.now)
+			e.silences.Add(w.ID, w.session.LastHeardAt(), e.now)
 		}
 		e.strays.NextGeneration(w.ID)
-		w.session.Missed(e.now)
+		w.session.CountMiss(e.now)
 		e.refuseAbandoned(w)
 	}
-	e.finishPoll(w, poll.IsLook)
+	e.finishPoll(w, poll.IsImmediate)
 }
 
 // finishPoll records that a poll is no longer outstanding, and sends the next one where it is due.
 func (e *Engine) finishPoll(w *worker, isImmediate bool) {
 	if isImmediate {
-		w.session.LookAnswered()
-		if w.session.WantsLook() {
+		w.session.EndImmediatePoll()
+		if w.session.WantsImmediatePoll() {
 			e.pollNow(w)
 		}
 		return
 	}
-	w.session.Answered()
+	w.session.EndLongPoll()
 	w.needsTick = true
 	if w.session.IsSilent() {
 		return
 	}
-	if !w.session.AreConfirmed() {
+	if !w.session.AreEndsStored() {
 		// Until the ends are confirmed, the worker would answer the next poll at once with the
 		// same ends.
-		w.session.RestUntil(e.now.Add(maxConfirmWait))
+		w.session.DelayLongPollUntil(e.now.Add(maxConfirmWait))
 		return
 	}
 	e.longPoll(w)
@@ -140,8 +140,8 @@
 // confirmEnds confirms the ends up to a number, so that the worker can forget them, and sends it
 // the next poll.
 func (e *Engine) confirmEnds(w *worker, number uint64) {
-	w.session.Confirm(number)
-	if !w.session.IsSilent() && w.session.AreConfirmed() && e.workers.Get(w.ID) == w {
+	w.session.MarkEndsStored(number)
+	if !w.session.IsSilent() && w.session.AreEndsStored() && e.workers.Get(w.ID) == w {
 		e.longPoll(w)
 	}
 }
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -69,7 +69,7 @@
 		return
 	}
 	took := e.now.Sub(a.orderedAt)
-	a.worker.speed.Ended(took, e.expectedDuration(s))
+	a.worker.speed.NoteRunTime(took, e.expectedDuration(s))
 	s.doneTasks++
 	s.doneRunTime += took
 	if s.spec.Estimate <= 0 || a.worker.speed.IsSlow(e.now) {
@@ -92,8 +92,8 @@
 func (e *Engine) checkProbation(a *attempt) {
 	health := &a.worker.health
 	isAtWork := a.phase == phaseRunning && !a.isStopping && a.step != nil && a.step.spec.IsLongRunning && a.percent >= 100
-	if isAtWork && health.IsTrial(a.orderedAt) && a.worker.session.ListedAt().Sub(a.percentChangedAt) >= longRunningProbation {
-		health.Passed()
+	if isAtWork && health.IsProbe(a.orderedAt) && a.worker.session.ListedAt().Sub(a.percentChangedAt) >= longRunningProbation {
+		health.Readmit()
 	}
 }
 
@@ -109,7 +109,7 @@
 	if stalledFor >= e.stuckTimeout(a) && a.pace == fullPace {
 		e.options.Log(events.AttemptStuck, "task", a.id, "run", a.run, "worker", a.worker.ID, "percent", a.percent, "for", stalledFor, "expected", e.expectedDuration(a.step))
 		if !a.step.spec.IsBestEffort {
-			a.worker.health.SetAside(e.now)
+			a.worker.health.Eject(e.now)
 		}
 		e.replace(a, "no progress")
 		return
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -6,10 +6,10 @@
 import (
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/abandoned"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/session"
-	"github.com/leverdyke/leverdyke/internal/stray"
 )
 
 // A worker may restart under its name. Each incarnation is a worker of its own here (see
@@ -28,15 +28,15 @@
 // have begun. The refusals are sent before that one is known, as an abandoned order may be the
 // first message to reach it.
 func (e *Engine) refuseAbandoned(w *worker) {
-	w.refusals.Add(e.strays.Of(w.ID, e.now))
-	w.needsTick = w.needsTick || w.refusals.HasAny()
+	w.refusals.Add(e.strays.ForWorker(w.ID, e.now))
+	w.needsTick = w.needsTick || w.refusals.HasPending()
 	e.sendRefusals(w)
 }
 
 // sendRefusals tells the worker to refuse abandoned orders, again and again until it has confirmed
 // that it does.
 func (e *Engine) sendRefusals(w *worker) {
-	if !w.refusals.HasAny() {
+	if !w.refusals.HasPending() {
 		return
 	}
 	for _, o := range w.refusals.Due(e.now, stopRetry, w.session.HasMissed()) {
@@ -52,11 +52,11 @@
 	if old == nil {
 		return
 	}
-	e.options.Log(events.WorkerRestarted, "worker", newID, "before", id, "attempts", old.attempts.Len(), "handled", old.session.Taken(), "clockBefore", time.Duration(old.session.Clock()))
+	e.options.Log(events.WorkerRestarted, "worker", newID, "before", id, "attempts", old.attempts.Len(), "handled", old.session.LastAcceptedEnd(), "clockBefore", time.Duration(old.session.Clock()))
 	successor := e.workers.Get(newID)
 	if successor == nil && !e.over[newID] {
 		entry := old.Worker
-		entry.ID, entry.IsDraining, entry.IsUnclear = newID, false, true
+		entry.ID, entry.IsDraining, entry.IsUncertain = newID, false, true
 		successor = e.addWorker(&entry)
 	}
 	e.endIncarnation(id, successor)
@@ -71,16 +71,16 @@
 	for id, a := range old.attempts.All() {
 		if a.mayBeInFlight() && successor.attempts.Get(id) == nil {
 			e.transferAttempt(a, successor)
-			successor.session.WaitFor(a.orderedAt.Add(stray.Time + session.AnyBound))
+			successor.session.NoteOtherLeases(a.orderedAt.Add(abandoned.MaxDelay + session.AnyLeaseBound))
 		}
 	}
-	for _, o := range e.strays.Of(successor.ID, e.now) {
-		successor.session.WaitFor(o.Until.Add(session.AnyBound))
+	for _, o := range e.strays.ForWorker(successor.ID, e.now) {
+		successor.session.NoteOtherLeases(o.Until.Add(session.AnyLeaseBound))
 	}
-	if old.session.IsWaiting() && !old.session.HasMissed() {
+	if old.session.IsLongPolling() && !old.session.HasMissed() {
 		// A poll in flight may do so, too: the owner did not know of the newer incarnation when it
 		// sent the poll.
-		successor.session.WaitFor(e.now.Add(session.AnyBound))
+		successor.session.NoteOtherLeases(e.now.Add(session.AnyLeaseBound))
 	}
 }
 
@@ -107,7 +107,7 @@
 	for id := range e.unsettled.All() {
 		switch {
 		case !id.IsSameWorker(w.ID):
-		case id.IsOtherStart(w.ID):
+		case id.IsOtherIncarnation(w.ID):
 			e.resolveInherited(id, resolvedByIncarnationEnd)
 		default:
 			e.resolveInherited(id, resolvedByListing)
@@ -119,8 +119,8 @@
 // incarnation, on which it may have started tasks.
 func (e *Engine) waitForOtherLeases(w *worker) {
 	for id := range e.unsettled.All() {
-		if id.IsOtherStart(w.ID) {
-			w.session.WaitFor(e.now.Add(session.AnyBound))
+		if id.IsOtherIncarnation(w.ID) {
+			w.session.NoteOtherLeases(e.now.Add(session.AnyLeaseBound))
 		}
 	}
 }
@@ -140,7 +140,7 @@
 // none.
 func otherIncarnation(list []order.Worker, id order.WorkerID) *order.Worker {
 	for i := range list {
-		if !list[i].IsRemoved && list[i].ID.IsOtherStart(id) {
+		if !list[i].IsRemoved && list[i].ID.IsOtherIncarnation(id) {
 			return &list[i]
 		}
 	}
--- a/internal/dispatch/speed.go
+++ b/internal/dispatch/speed.go
@@ -66,6 +66,6 @@
 	if !w.speed.IsSlow(e.now) {
 		e.options.Log(events.WorkerSlow, "worker", w.ID, "slow", slow, "judged", judged)
 	}
-	w.speed.JudgedSlow(e.now)
+	w.speed.MarkSlow(e.now)
 	e.isDirty = true
 }
--- a/internal/dispatch/waits.go
+++ b/internal/dispatch/waits.go
@@ -29,11 +29,11 @@
 		return waits.Uncertainty
 	case e.quotaRoom(s) == 0:
 		return waits.Limit
-	case q.Advice == nil || len(e.permitted(s, q)) > 0:
+	case q.Permission == nil || len(e.permitted(s, q)) > 0:
 		return waits.Capacity
-	case s.permissions.IsAsking():
+	case s.permissions.IsQuerying():
 		return waits.Permission
-	case e.lanes.Free(q.Advice) == "":
+	case e.lanes.FreeChannel(q.Permission) == "":
 		return waits.Channel
 	}
 	return waits.Capacity
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
+	"github.com/leverdyke/leverdyke/internal/abandoned"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/ordered"
 	"github.com/leverdyke/leverdyke/internal/outlier"
 	"github.com/leverdyke/leverdyke/internal/session"
-	"github.com/leverdyke/leverdyke/internal/stray"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
@@ -42,7 +42,7 @@
 	isSuperseded bool
 	// refusals are abandoned orders to start that may still arrive and that the worker is told to
 	// refuse.
-	refusals stray.Refusals
+	refusals abandoned.Refusals
 	health   outlier.Health
 	// tickedAt is when tickWorker last ran for the worker. needsTick makes it run at the next
 	// tick, because something on the worker is in progress.
@@ -140,7 +140,7 @@
 		if !e.over[entry.ID] {
 			e.updateWorker(entry)
 		}
-		hasUnclear = hasUnclear || entry.IsUnclear && e.workers.Get(entry.ID) == nil
+		hasUnclear = hasUnclear || entry.IsUncertain && e.workers.Get(entry.ID) == nil
 	}
 	if !isComplete {
 		return
@@ -173,14 +173,14 @@
 		w.isShuttingDown = !w.session.HasMissed()
 		e.extendUncertainty(w)
 	}
-	e.options.Log(events.WorkerUnlisted, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.HeardAt()))
+	e.options.Log(events.WorkerUnlisted, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.LastHeardAt()))
 	e.dropIfEmpty(w)
 }
 
 // updateWorker applies the list's entry of a worker.
 func (e *Engine) updateWorker(entry order.Worker) {
 	w := e.workers.Get(entry.ID)
-	if w == nil && entry.IsUnclear && !e.mayRunInherited(&entry) {
+	if w == nil && entry.IsUncertain && !e.mayRunInherited(&entry) {
 		return
 	}
 	if w == nil {
@@ -190,11 +190,11 @@
 	if entry.IsDraining && !w.IsDraining {
 		e.options.Log(events.WorkerLeaving, "worker", entry.ID, "attempts", w.attempts.Len())
 	}
-	if w.Capacity != entry.Capacity && !entry.IsUnclear {
+	if w.Capacity != entry.Capacity && !entry.IsUncertain {
 		e.isDirty = true
 		e.options.Log(events.WorkerResized, "worker", entry.ID, "from", w.Capacity, "to", entry.Capacity, "used", w.used)
 	}
-	if w.isUnlisted || w.IsDraining != entry.IsDraining || w.IsUnclear != entry.IsUnclear {
+	if w.isUnlisted || w.IsDraining != entry.IsDraining || w.IsUncertain != entry.IsUncertain {
 		e.isDirty = true
 	}
 	if w.Machine != entry.Machine {
@@ -271,7 +271,7 @@
 // endIncarnation is IncarnationEnded with the worker that followed on the same machine or under
 // the same name; successor is nil if none is known.
 func (e *Engine) endIncarnation(id order.WorkerID, successor *worker) {
-	if successor == nil || !id.IsOtherStart(successor.ID) {
+	if successor == nil || !id.IsOtherIncarnation(successor.ID) {
 		// If the successor is another incarnation of the same worker, orders of a previous owner
 		// may have reached that one: its listing has to show it first.
 		e.resolveInherited(id, resolvedByIncarnationEnd)
@@ -283,7 +283,7 @@
 	}
 	e.options.Log(events.WorkerLifeOver, "worker", id, "attempts", w.attempts.Len())
 	tasks := e.recordCrashes(w, true)
-	if successor != nil && id.IsOtherStart(successor.ID) {
+	if successor != nil && id.IsOtherIncarnation(successor.ID) {
 		e.transferInFlight(w, successor)
 	}
 	e.endAllAttempts(w, endedWithIncarnation)
@@ -318,12 +318,12 @@
 func (e *Engine) tickWorker(w *worker) {
 	w.tickedAt = e.now
 	polls := &w.session.Polls
-	w.needsTick = w.refusals.HasAny() || !w.session.IsListed() || !polls.IsWaiting() || polls.WantsLook() || w.isUnlisted || w.IsDraining
-	if polls.MayWait(e.now) {
+	w.needsTick = w.refusals.HasPending() || !w.session.IsListed() || !polls.IsLongPolling() || polls.WantsImmediatePoll() || w.isUnlisted || w.IsDraining
+	if polls.MayLongPoll(e.now) {
 		e.longPoll(w)
 	}
-	isOverdue := !w.session.IsListed() && polls.WaitsFor(e.now) > firstListingTimeout
-	if polls.WantsLook() || isOverdue {
+	isOverdue := !w.session.IsListed() && polls.LongPollAge(e.now) > firstListingTimeout
+	if polls.WantsImmediatePoll() || isOverdue {
 		e.pollNow(w)
 	}
 	e.sendRefusals(w)
@@ -331,8 +331,8 @@
 	if w.attempts.Len() == 0 {
 		return
 	}
-	if w.session.IsOver(e.now) {
-		e.options.Log(events.WorkerLost, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.HeardAt()))
+	if w.session.HasExpired(e.now) {
+		e.options.Log(events.WorkerLost, "worker", w.ID, "attempts", w.attempts.Len(), "silent", e.now.Sub(w.session.LastHeardAt()))
 		tasks := e.recordCrashes(w, false)
 		e.endAllAttempts(w, endedByLeaseExpiry)
 		e.failCrashingJobs(w.ID, tasks)
@@ -418,7 +418,7 @@
 		if n++; n > maxEndedLogged {
 			return
 		}
-		e.options.Log(events.AttemptCut, "task", a.id, "run", a.run, "worker", w.ID, "why", reason, "phase", a.phase, "ran", max(w.session.HeardAt().Sub(a.orderedAt), 0))
+		e.options.Log(events.AttemptCut, "task", a.id, "run", a.run, "worker", w.ID, "why", reason, "phase", a.phase, "ran", max(w.session.LastHeardAt().Sub(a.orderedAt), 0))
 	}
 }
 
@@ -478,7 +478,7 @@
 	w.attempts.Delete(a.id)
 	w.used = w.used.Sub(a.charge)
 	if a.mayBeInFlight() {
-		e.strays.Note(w.ID, a.id, a.run, a.orderedAt, e.now)
+		e.strays.Add(w.ID, a.id, a.run, a.orderedAt, e.now)
 	}
 	if a.step != nil {
 		a.step.job.attempts--
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -122,31 +122,31 @@
 }
 
 type pollEvent struct {
-	poll    order.Hold
+	poll    order.Poll
 	listing *order.Listing
-	outcome order.HoldOutcome
+	outcome order.PollOutcome
 }
 
 func (ev pollEvent) apply(o *Owner) {
 	switch ev.outcome {
-	case order.HoldListed:
+	case order.PollAnswered:
 		o.engine.PollAnswered(&ev.poll, ev.listing)
-	case order.HoldSilent:
+	case order.PollUnanswered:
 		o.engine.PollFailed(&ev.poll)
-	case order.HoldLifeOver:
+	case order.PollIncarnationEnded:
 		o.engine.IncarnationEnded(ev.poll.Worker)
 	}
 }
 
 type permissionEvent struct {
-	query    order.Advise
-	permits  []order.Ticket
+	query    order.QueryPermission
+	permits  []order.Permit
 	validFor time.Duration
 	err      error
 }
 
 func (ev permissionEvent) apply(o *Owner) {
-	o.engine.Advised(ev.query.Lane, ev.query.Step, ev.query.Workers, ev.permits, ev.validFor, ev.err == nil)
+	o.engine.Advised(ev.query.Channel, ev.query.Step, ev.query.Workers, ev.permits, ev.validFor, ev.err == nil)
 }
 
 type handOverEvent struct{ done chan bool }
--- a/internal/owner/fakes_test.go
+++ b/internal/owner/fakes_test.go
@@ -42,10 +42,10 @@
 	if w.gate != nil {
 		w.running[s.Task] = s.Run
 		go w.runGate(s)
-		return order.StartDone, w.at()
+		return order.StartSucceeded, w.at()
 	}
 	w.end(s)
-	return order.StartDone, w.at()
+	return order.StartSucceeded, w.at()
 }
 
 // runGate ends a task once the gate is closed.
@@ -58,7 +58,7 @@
 }
 
 func (w *fakeWorkers) end(s *order.Start) {
-	w.ends = append(w.ends, order.End{Number: uint64(len(w.ends) + 1), Task: s.Task, Run: s.Run, Kind: order.EndDone})
+	w.ends = append(w.ends, order.End{Number: uint64(len(w.ends) + 1), Task: s.Task, Run: s.Run, Kind: order.EndSucceeded})
 	select {
 	case w.ended <- struct{}{}:
 	default:
@@ -73,7 +73,7 @@
 
 func (w *fakeWorkers) Pace(context.Context, uint64, *order.Pace) error { return nil }
 
-func (w *fakeWorkers) Hold(ctx context.Context, _ uint64, h *order.Hold) (*order.Listing, order.HoldOutcome) {
+func (w *fakeWorkers) Hold(ctx context.Context, _ uint64, h *order.Poll) (*order.Listing, order.PollOutcome) {
 	for {
 		w.mu.Lock()
 		l := &order.Listing{At: w.at()}
@@ -87,12 +87,12 @@
 		}
 		w.mu.Unlock()
 		if h.Wait == 0 || len(l.Finished) > 0 {
-			return l, order.HoldListed
+			return l, order.PollAnswered
 		}
 		select {
 		case <-w.ended:
 		case <-ctx.Done():
-			return nil, order.HoldSilent
+			return nil, order.PollUnanswered
 		}
 	}
 }
@@ -107,7 +107,7 @@
 
 func (noChannels) Names() []string { return nil }
 
-func (noChannels) Ask(context.Context, string, work.StepID, []order.WorkerID) ([]order.Ticket, time.Duration, error) {
+func (noChannels) Ask(context.Context, string, work.StepID, []order.WorkerID) ([]order.Permit, time.Duration, error) {
 	return nil, 0, errors.New("not used here")
 }
 
--- a/internal/owner/options.go
+++ b/internal/owner/options.go
@@ -38,7 +38,7 @@
 	Names() []string
 	// Ask queries through a channel which of the workers may run a step. It returns their permits
 	// and for how long these are valid.
-	Ask(ctx context.Context, channel string, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error)
+	Ask(ctx context.Context, channel string, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error)
 }
 
 // Metrics receives the measurements of an owner. Implementations are safe for concurrent use.
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -18,7 +18,7 @@
 	if _, ok := a.(order.Start); ok {
 		o.pendingStarts++
 	}
-	if poll, ok := a.(order.Hold); ok && o.awaitsDelegates() {
+	if poll, ok := a.(order.Poll); ok && o.awaitsDelegates() {
 		o.deferredPolls = append(o.deferredPolls, poll)
 		return
 	}
@@ -30,11 +30,11 @@
 		go o.runStart(a)
 	case order.Stop:
 		go o.runStop(a)
-	case order.Hold:
+	case order.Poll:
 		go o.runPoll(a)
 	case order.Pace:
 		go o.runPace(a)
-	case order.Advise:
+	case order.QueryPermission:
 		go o.runPermissionQuery(a)
 	}
 }
@@ -82,8 +82,8 @@
 	return "unknown"
 }
 
-func (o *Owner) runPoll(poll order.Hold) {
-	ctx, cancel := o.withTimeout(poll.Wait + poll.Patience)
+func (o *Owner) runPoll(poll order.Poll) {
+	ctx, cancel := o.withTimeout(poll.Wait + poll.Timeout)
 	defer cancel()
 	listing, outcome := o.options.Workers.Hold(ctx, o.Epoch(), &poll)
 	o.enqueue(pollEvent{poll, listing, outcome})
@@ -97,10 +97,10 @@
 	}
 }
 
-func (o *Owner) runPermissionQuery(a order.Advise) {
-	ctx, cancel := o.withTimeout(a.Patience)
+func (o *Owner) runPermissionQuery(a order.QueryPermission) {
+	ctx, cancel := o.withTimeout(a.Timeout)
 	defer cancel()
-	permits, validFor, err := o.options.PermissionChannels.Ask(ctx, a.Lane, a.Step, a.Workers)
+	permits, validFor, err := o.options.PermissionChannels.Ask(ctx, a.Channel, a.Step, a.Workers)
 	o.enqueue(permissionEvent{a, permits, validFor, err})
 }
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -92,7 +92,7 @@
 	nextNodeCheck time.Time
 	// loopStartedAt is when the loop started; deferredPolls are polls that wait for delegates.
 	loopStartedAt time.Time
-	deferredPolls []order.Hold
+	deferredPolls []order.Poll
 }
 
 // event is something that the loop handles.
--- /dev/null
+++ b/internal/permit/channels.go
@@ -0,0 +1,140 @@
+// Copyright 2026 The leverdyke Authors
+// SPDX-License-Identifier: Apache-2.0
+
+// Package permit tracks which workers may run a step, and decides which workers the permission
+// service is asked about and through which channel. It does no I/O and reads no clock; the
+// caller passes the current time.
+//
+// It is built for the load of many steps that wait at once: a call takes up to half a second, a
+// permit is valid for two, and there are only as many channels as nodes.
+package permit
+
+import (
+	"slices"
+	"time"
+
+	"github.com/leverdyke/leverdyke/internal/order"
+	"github.com/leverdyke/leverdyke/internal/work"
+)
+
+// RoundTripMargin is what the transport of a call and its answer takes on a busy node.
+const RoundTripMargin = 250 * time.Millisecond
+
+const (
+	// maxFastCall is the base time of a call up to which all workers are asked about at once.
+	maxFastCall = 40 * time.Millisecond
+	// timeoutFactor is how many times as long as its expected time a call may take, besides
+	// RoundTripMargin: the channel may be busy with a call that was abandoned.
+	timeoutFactor = 2
+	// expiryMargin is how long after its timeout a call counts as lost whose channel has not
+	// reported it as failed.
+	expiryMargin = 300 * time.Millisecond
+	// fastChannels is how many free channels slow calls leave to fast ones.
+	fastChannels = 2
+)
+
+// isFast reports whether a call takes so little time that all workers are asked about.
+func isFast(policy *order.PermissionPolicy) bool { return policy.BaseTime <= maxFastCall }
+
+// channel is a route to the permission service: a node, which makes one call at a time.
+type channel struct {
+	name string
+	// busySince is when the call in flight was sent; zero when there is none.
+	busySince time.Time
+	step      work.StepID
+	// timeout is how long that call may take.
+	timeout time.Duration
+}
+
+// Channels are the routes to the permission service. The zero value has none.
+type Channels struct{ channels []channel }
+
+// SetNames sets the names of the channels. It reports whether they have changed, and returns the
+// steps whose calls are lost with channels that were removed.
+func (l *Channels) SetNames(names []string) (lost []work.StepID, isChanged bool) {
+	if slices.EqualFunc(l.channels, names, func(l channel, name string) bool { return l.name == name }) {
+		return nil, false
+	}
+	channels := make([]channel, 0, len(names))
+	for _, name := range names {
+		if old := l.find(name); old != nil {
+			channels = append(channels, *old)
+		} else {
+			channels = append(channels, channel{name: name})
+		}
+	}
+	for _, old := range l.channels {
+		if !slices.Contains(names, old.name) && !old.busySince.IsZero() {
+			lost = append(lost, old.step)
+		}
+	}
+	l.channels = channels
+	return lost, true
+}
+
+func (l *Channels) find(name string) *channel {
+	i := slices.IndexFunc(l.channels, func(l channel) bool { return l.name == name })
+	if i < 0 {
+		return nil
+	}
+	return &l.channels[i]
+}
+
+// FreeChannel returns a channel through which a call may be made now, or "". Slow calls leave
+// some channels to fast ones.
+func (l *Channels) FreeChannel(policy *order.PermissionPolicy) string {
+	free := 0
+	found := ""
+	for i := range l.channels {
+		if l.channels[i].busySince.IsZero() {
+			free++
+			found = l.channels[i].name
+		}
+	}
+	if !isFast(policy) && free <= min(fastChannels, len(l.channels)-1) {
+		return ""
+	}
+	return found
+}
+
+// HasSpare reports whether more than half of the channels are free, so that a call may be made
+// even if nothing could start on its answer now.
+func (l *Channels) HasSpare() bool {
+	free := 0
+	for i := range l.channels {
+		if l.channels[i].busySince.IsZero() {
+			free++
+		}
+	}
+	return 2*free > len(l.channels)
+}
+
+// BeginCall records that a call about that many workers is made through a channel, and returns
+// how long it may take.
+func (l *Channels) BeginCall(name string, step work.StepID, policy *order.PermissionPolicy, workers int, now time.Time) time.Duration {
+	c := l.find(name)
+	c.busySince, c.step = now, step
+	c.timeout = timeoutFactor*(policy.BaseTime+time.Duration(workers)*policy.TimePerWorker) + RoundTripMargin
+	return c.timeout
+}
+
+// EndCall records that the call of a step through a channel has ended.
+func (l *Channels) EndCall(name string, step work.StepID) {
+	if c := l.find(name); c != nil && c.step == step {
+		c.busySince = time.Time{}
+	}
+}
+
+// Expire frees the channels whose calls were not answered in time, and returns the steps of
+// these calls.
+func (l *Channels) Expire(now time.Time) []work.StepID {
+	lost := []work.StepID{}
+	for i := range l.channels {
+		c := &l.channels[i]
+		if !c.busySince.IsZero() && now.Sub(c.busySince) > c.timeout+expiryMargin {
+			c.busySince = time.Time{}
+			lost = append(lost, c.step)
+		}
+	}
+	return lost
+}
--- a/internal/session/polls.go
+++ b/internal/session/polls.go
@@ -6,92 +6,99 @@
 import "time"
 
 const (
-	// missesAllowed is how many listings in a row may stay away until the worker
-	// counts as silent: an answer may be lost.
+	// missesAllowed is how many long polls in a row may stay unanswered before the worker
+	// counts as silent: a single answer may be lost.
 	missesAllowed = 1
-	// firstRetry is the pause after a listing that did not come; it doubles up to
-	// longestRetry.
-	firstRetry   = 100 * time.Millisecond
-	longestRetry = time.Second
+	// initialBackoff is the pause after a long poll that was not answered; it doubles up to
+	// maxBackoff.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = time.Second
 	// maxDoublings is how often the pause doubles.
 	maxDoublings = 4
-	// lookPatience is how long a listing at once may take until another one is
-	// asked for beside it, maxLooks how many may be on their way to a worker.
-	lookPatience = 100 * time.Millisecond
-	maxLooks     = 4
+	// immediatePollTimeout is how long an immediate poll may stay unanswered before another one
+	// is sent beside it. maxImmediatePolls bounds how many of a worker may be in flight.
+	immediatePollTimeout = 100 * time.Millisecond
+	maxImmediatePolls    = 4
 )
 
-// Polls is which questions for a listing are on their way to a worker: one that waits for an
-// end to tell, and beside it some that are answered at once. The zero value has none.
+// Polls tracks the polls of a worker that are in flight: at most one long poll, which the worker
+// answers when an attempt ends, and beside it some immediate polls, which it answers at once. The
+// zero value has none.
 type Polls struct {
-	// isWaiting means that one that waits is on its way since askedAt; the next is not asked
-	// for before nextAt.
-	isWaiting       bool
-	askedAt, nextAt time.Time
-	// misses counts those in a row that did not come.
+	// isLongPolling means that a long poll is in flight; it was sent at longPolledAt. The next
+	// one is not sent before nextLongPollAt.
+	isLongPolling                bool
+	longPolledAt, nextLongPollAt time.Time
+	// misses counts the last long polls in a row that were not answered.
 	misses int
-	// looks counts those at once, lookedAt is when the last of these was asked for. wantsLook
-	// asks for another one when an answer is there or overdue.
-	looks     int
-	lookedAt  time.Time
-	wantsLook bool
+	// immediatePolls counts the immediate polls in flight; the last one was sent at polledAt.
+	// wantsImmediatePoll means that another one is to be sent as soon as one of them is answered
+	// or overdue.
+	immediatePolls     int
+	polledAt           time.Time
+	wantsImmediatePoll bool
 }
 
-// MayWait reports whether the next listing that waits may be asked for.
-func (p *Polls) MayWait(now time.Time) bool { return !p.isWaiting && !now.Before(p.nextAt) }
+// MayLongPoll reports whether the next long poll may be sent.
+func (p *Polls) MayLongPoll(now time.Time) bool {
+	return !p.isLongPolling && !now.Before(p.nextLongPollAt)
+}
 
-// IsWaiting reports whether one is on its way.
-func (p *Polls) IsWaiting() bool { return p.isWaiting }
+// IsLongPolling reports whether a long poll is in flight.
+func (p *Polls) IsLongPolling() bool { return p.isLongPolling }
 
-// WaitsFor returns for how long one is on its way; 0 when none is.
-func (p *Polls) WaitsFor(now time.Time) time.Duration {
-	if !p.isWaiting {
+// LongPollAge returns for how long the long poll has been in flight; 0 when none is.
+func (p *Polls) LongPollAge(now time.Time) time.Duration {
+	if !p.isLongPolling {
 		return 0
 	}
-	return now.Sub(p.askedAt)
+	return now.Sub(p.longPolledAt)
 }
 
-// Wait takes that one is asked for.
-func (p *Polls) Wait(now time.Time) { p.isWaiting, p.askedAt = true, now }
+// BeginLongPoll records that a long poll is sent now.
+func (p *Polls) BeginLongPoll(now time.Time) { p.isLongPolling, p.longPolledAt = true, now }
 
-// RestUntil takes that the next one is not to be asked for before then.
-func (p *Polls) RestUntil(t time.Time) { p.nextAt = t }
+// DelayLongPollUntil keeps the next long poll from being sent before t.
+func (p *Polls) DelayLongPollUntil(t time.Time) { p.nextLongPollAt = t }
 
-// Answered takes that the one that waits has come, or that it will not.
-func (p *Polls) Answered() { p.isWaiting = false }
+// EndLongPoll records that the long poll was answered, or that it failed.
+func (p *Polls) EndLongPoll() { p.isLongPolling = false }
 
-// Missed takes that it did not come.
-func (p *Polls) Missed(now time.Time) {
+// CountMiss records that the long poll was not answered, and delays the next one where that is
+// not the first one in a row.
+func (p *Polls) CountMiss(now time.Time) {
 	if p.misses >= missesAllowed {
-		p.nextAt = now.Add(min(firstRetry<<min(p.misses, maxDoublings), longestRetry))
+		p.nextLongPollAt = now.Add(min(initialBackoff<<min(p.misses, maxDoublings), maxBackoff))
 	}
 	p.misses++
 }
 
-// HasMissed reports whether the last one did not come.
+// HasMissed reports whether the last long poll was not answered.
 func (p *Polls) HasMissed() bool { return p.misses > 0 }
 
-// IsSilent reports whether the worker does not answer.
+// IsSilent reports whether the worker counts as silent: more long polls in a row than
+// missesAllowed were not answered.
 func (p *Polls) IsSilent() bool { return p.misses > missesAllowed }
 
-// heard takes that the worker answers.
-func (p *Polls) heard() { p.misses = 0 }
+// resetMisses records that the worker answers.
+func (p *Polls) resetMisses() { p.misses = 0 }
 
-// Look reports whether a listing at once is to be asked for now. It is wanted later where
-// enough are on their way, of which none is overdue.
-func (p *Polls) Look(now time.Time) bool {
-	isPatient := p.looks > 0 && now.Sub(p.lookedAt) < lookPatience
-	if p.looks >= maxLooks || isPatient {
-		p.wantsLook = true
+// TryImmediatePoll reports whether an immediate poll may be sent now, and if so counts it as
+// sent. It may not be sent while maxImmediatePolls are in flight, or while the last one is in
+// flight and not overdue. In these cases WantsImmediatePoll reports true until it is sent later.
+func (p *Polls) TryImmediatePoll(now time.Time) bool {
+	isInTime := p.immediatePolls > 0 && now.Sub(p.polledAt) < immediatePollTimeout
+	if p.immediatePolls >= maxImmediatePolls || isInTime {
+		p.wantsImmediatePoll = true
 		return false
 	}
-	p.looks++
-	p.lookedAt, p.wantsLook = now, false
+	p.immediatePolls++
+	p.polledAt, p.wantsImmediatePoll = now, false
 	return true
 }
 
-// WantsLook reports whether another listing at once is wanted.
-func (p *Polls) WantsLook() bool { return p.wantsLook }
+// WantsImmediatePoll reports whether an immediate poll could not be sent and is still wanted.
+func (p *Polls) WantsImmediatePoll() bool { return p.wantsImmediatePoll }
 
-// LookAnswered takes that one at once has come, or will not.
-func (p *Polls) LookAnswered() { p.looks-- }
+// EndImmediatePoll records that an immediate poll was answered, or that it failed.
+func (p *Polls) EndImmediatePoll() { p.immediatePolls-- }
