--- a/internal/cell/handover_test.go
+++ b/internal/cluster/handover_test.go
@@ -1,20 +1,20 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package cell_test
+package cluster_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/cell"
+	"github.com/leverdyke/leverdyke/internal/cluster"
 )
 
 // A load that makes any owner late for half a second when it takes over, and now and
 // then after, went from node to node each second.
 func TestALoadIsNotHandedFromNodeToNode(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	nodes := make([]cell.Fitness, 8)
+	nodes := make([]cluster.Fitness, 8)
 	at, changes := 0, 0
 	nodes[at].Own(now)
 	for range 200 {
@@ -49,7 +49,7 @@
 		"slow, after a slow one":      {0.4, false, 4 * time.Second, 4 * time.Second, false},
 		"slow, long after a slow one": {0.4, false, 11 * time.Second, 11 * time.Second, true},
 	} {
-		f := cell.Fitness{}
+		f := cluster.Fitness{}
 		f.Own(begin)
 		now := begin.Add(tc.owned)
 		if tc.yielded > 0 {
--- a/internal/cell/messages.go
+++ b/internal/cluster/messages.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cell joins equal nodes: it finds out which of them owns the shard,
+// Package cluster joins equal nodes: it finds out which of them owns the shard,
 // becomes the owner when there is none, and passes callers' requests on.
-package cell
+package cluster
 
 import (
 	"errors"
--- a/internal/cell/node.go
+++ b/internal/cluster/node.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package cell
+package cluster
 
 import (
 	"context"
@@ -151,7 +151,7 @@
 func NewNode(options Options) (*Node, error) {
 	l, err := net.Listen("tcp", options.LinkAddr.String())
 	if err != nil {
-		return nil, fmt.Errorf("cell: %w", err)
+		return nil, fmt.Errorf("cluster: %w", err)
 	}
 	if !options.AdvertiseAddr.IsValid() {
 		options.AdvertiseAddr = options.LinkAddr
--- a/internal/cell/node_test.go
+++ b/internal/cluster/node_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package cell_test
+package cluster_test
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/await"
-	"github.com/leverdyke/leverdyke/internal/cell"
 	"github.com/leverdyke/leverdyke/internal/clock"
+	"github.com/leverdyke/leverdyke/internal/cluster"
 	"github.com/leverdyke/leverdyke/internal/detour"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/link"
@@ -97,13 +97,13 @@
 	c.changed <- struct{}{}
 }
 
-func (c *config) Parse(data []byte) (*cell.Configuration, error) {
+func (c *config) Parse(data []byte) (*cluster.Configuration, error) {
 	c.mu.Lock()
 	c.parses++
 	c.mu.Unlock()
 	version := uint64(0)
 	err := json.Unmarshal(data, &version)
-	return &cell.Configuration{Version: version, Policy: order.Policy{Queues: []order.Queue{{Name: "q", Service: "pool"}}}, Apply: func() { c.apply(version) }}, err
+	return &cluster.Configuration{Version: version, Policy: order.Policy{Queues: []order.Queue{{Name: "q", Service: "pool"}}}, Apply: func() { c.apply(version) }}, err
 }
 
 func (c *config) Wait(ctx context.Context, _ uint64) ([]byte, error) {
@@ -141,7 +141,7 @@
 
 // testNode is a node with its own configuration reader.
 type testNode struct {
-	*cell.Node
+	*cluster.Node
 	config *config
 }
 
@@ -150,7 +150,7 @@
 	return newNodeWith(t, log, name, life, clock.Real{})
 }
 
-func newNodeWith(t *testing.T, log *fakestore.Log, name, life string, clk clock.Service, change ...func(o *cell.Options)) *testNode {
+func newNodeWith(t *testing.T, log *fakestore.Log, name, life string, clk clock.Service, change ...func(o *cluster.Options)) *testNode {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	c := newConfig()
-	options := cell.Options{
+	options := cluster.Options{
 		Name: name, Zone: "z", LinkAddr: addr, Life: life, Clock: clk, Direct: idle{}, Adviser: idle{}, Config: c,
 		NewStore: func(detour.Doer) store.Log { return log },
 		NewOwner: func(detour.Doer) (owner.Workers, owner.List) { return idle{}, idle{} },
@@ -170,7 +170,7 @@
 	for _, f := range change {
 		f(&options)
 	}
-	n, err := cell.NewNode(options)
+	n, err := cluster.NewNode(options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -385,7 +385,7 @@
 func TestASilentLinkIsReplacedWhileTheOwnerLives(t *testing.T) {
 	log := fakestore.NewLog()
 	var way *relay.Relay
-	first := newNodeWith(t, log, "n0", "1", clock.Real{}, func(o *cell.Options) {
+	first := newNodeWith(t, log, "n0", "1", clock.Real{}, func(o *cluster.Options) {
 		var err error
 		if way, err = relay.NewRelay(o.LinkAddr); err != nil {
 			t.Fatal(err)
--- a/internal/cell/pack.go
+++ b/internal/cluster/pack.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package cell
+package cluster
 
 import (
 	"bytes"
@@ -31,14 +31,14 @@
 func unpack(packed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
-		return nil, fmt.Errorf("cell: packed configuration: %w", err)
+		return nil, fmt.Errorf("cluster: packed configuration: %w", err)
 	}
 	data, err := io.ReadAll(io.LimitReader(r, maxConfigBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("cell: packed configuration: %w", err)
+		return nil, fmt.Errorf("cluster: packed configuration: %w", err)
 	}
 	if len(data) > maxConfigBytes {
-		return nil, fmt.Errorf("cell: packed configuration: more than %d bytes", maxConfigBytes)
+		return nil, fmt.Errorf("cluster: packed configuration: more than %d bytes", maxConfigBytes)
 	}
 	return data, nil
 }
--- a/internal/cell/pack_test.go
+++ b/internal/cluster/pack_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package cell_test
+package cluster_test
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/leverdyke/leverdyke/internal/cell"
+	"github.com/leverdyke/leverdyke/internal/cluster"
 )
 
 // manyRoutes is a configuration with routes as the operators write them.
@@ -26,8 +26,8 @@
 
 func TestAConfigurationIsPacked(t *testing.T) {
 	data := manyRoutes(5600)
-	packed := cell.Pack(data)
-	got, err := cell.Unpack(packed)
+	packed := cluster.Pack(data)
+	got, err := cluster.Unpack(packed)
 	if err != nil || !bytes.Equal(got, data) {
 		t.Errorf("unpacked: got: %d bytes, %v, want: the %d packed", len(got), err, len(data))
 	}
@@ -48,9 +48,9 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	good := cell.Pack(manyRoutes(10))
+	good := cluster.Pack(manyRoutes(10))
 	for name, packed := range map[string][]byte{"foreign": []byte("{}"), "cut": good[:len(good)/2], "too large": bomb.Bytes()} {
-		if got, err := cell.Unpack(packed); err == nil {
+		if got, err := cluster.Unpack(packed); err == nil {
 			t.Errorf("%s: got: %d bytes, want: an error", name, len(got))
 		}
 	}
--- a/internal/cell/peers.go
+++ b/internal/cluster/peers.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package cell
+package cluster
 
 import (
 	"cmp"
@@ -193,7 +193,7 @@
 }
 
 // errNoPeer means that a peer is not linked.
-var errNoPeer = errors.New("cell: the peer is not linked")
+var errNoPeer = errors.New("cluster: the peer is not linked")
 
 // Via sends a request to the store through a peer.
 func (p *peers) Via(ctx context.Context, name string, r *detour.Request) (*detour.Response, error) {
--- a/internal/cell/serve.go
+++ b/internal/cluster/serve.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package cell
+package cluster
 
 import (
 	"context"
@@ -92,7 +92,7 @@
 		a.Count = count
 		return a, nil
 	}
-	return nil, fmt.Errorf("cell: unknown kind of message %q", kind)
+	return nil, fmt.Errorf("cluster: unknown kind of message %q", kind)
 }
 
 // configInForce returns the configuration in force here, without data before the
@@ -154,7 +154,7 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-tooLate:
-			return nil, errors.New("cell: the shard was not won in time")
+			return nil, errors.New("cluster: the shard was not won in time")
 		case <-ticks:
 		}
 	}
--- a/internal/cell/watch_test.go
+++ b/internal/cluster/watch_test.go
@@ -1,19 +1,19 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package cell_test
+package cluster_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/cell"
 	"github.com/leverdyke/leverdyke/internal/clock"
+	"github.com/leverdyke/leverdyke/internal/cluster"
 )
 
 func TestAnOwnerIsAskedAboutAfterThreeBeats(t *testing.T) {
 	now := clock.NewFake().Now()
-	w := &cell.OwnerWatch{}
+	w := &cluster.OwnerWatch{}
 	w.Follow(now)
 	w.Hear(now.Add(100*time.Millisecond), 4, 0)
 	for after, want := range map[time.Duration]bool{350 * time.Millisecond: false, 450 * time.Millisecond: true} {
@@ -39,14 +39,14 @@
 		"the store answers slowly":       {250 * ms, 300 * ms, 4, 370 * ms, 1380 * ms},
 		"a record after the last beat":   {250 * ms, 300 * ms, 5, 10 * ms, 490 * ms},
 	} {
-		w := &cell.OwnerWatch{}
+		w := &cluster.OwnerWatch{}
 		w.Follow(begin)
 		w.Hear(begin, 4, tc.age)
 		if got := w.Patience(begin.Add(tc.after), tc.newest, tc.answer); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
 		}
 	}
-	w := &cell.OwnerWatch{}
+	w := &cluster.OwnerWatch{}
 	w.Follow(begin)
 	if got := w.Patience(begin.Add(time.Second), 0, 0); got != 450*ms {
 		t.Errorf("before the first beat: got: %v, want: a whole period", got)
