--- a/internal/cluster/compress.go
+++ b/internal/cluster/compress.go
@@ -18,7 +18,7 @@
 
 // pack compresses a configuration: its routes are alike, so that it crosses the
 // weakest link (10 Mbit/s) in a fraction of the time, and holds up no beats.
-func pack(data []byte) []byte {
+func compress(data []byte) []byte {
 	out := &bytes.Buffer{}
 	// Neither a buffer nor this level can fail.
 	w, _ := gzip.NewWriterLevel(out, gzip.BestSpeed)
@@ -28,8 +28,8 @@
 }
 
 // unpack reads what pack wrote.
-func unpack(packed []byte) ([]byte, error) {
-	r, err := gzip.NewReader(bytes.NewReader(packed))
+func decompress(compressed []byte) ([]byte, error) {
+	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
 		return nil, fmt.Errorf("cluster: packed configuration: %w", err)
 	}
--- a/internal/cluster/compress_test.go
+++ b/internal/cluster/compress_test.go
@@ -13,7 +13,7 @@
 )
 
 // manyRoutes is a configuration with routes as the operators write them.
-func manyRoutes(count int) []byte {
+func configWithRoutes(count int) []byte {
 	out := &bytes.Buffer{}
 	out.WriteString(`{"version":7,"routes":[`)
 	for i := range count {
@@ -24,22 +24,22 @@
 	return out.Bytes()
 }
 
-func TestAConfigurationIsPacked(t *testing.T) {
-	data := manyRoutes(5600)
-	packed := cluster.Pack(data)
-	got, err := cluster.Unpack(packed)
+func TestAConfigurationIsCompressed(t *testing.T) {
+	data := configWithRoutes(5600)
+	compressed := cluster.Compress(data)
+	got, err := cluster.Decompress(compressed)
 	if err != nil || !bytes.Equal(got, data) {
 		t.Errorf("unpacked: got: %d bytes, %v, want: the %d packed", len(got), err, len(data))
 	}
 	// The names of routes do not shrink.
-	if want := len(data) / 5; len(packed) > want {
-		t.Errorf("packed: got: %d bytes of %d, want: %d at most", len(packed), len(data), want)
+	if want := len(data) / 5; len(compressed) > want {
+		t.Errorf("packed: got: %d bytes of %d, want: %d at most", len(compressed), len(data), want)
 	}
 }
 
-func TestUnpackRefusesWhatIsNoConfiguration(t *testing.T) {
-	bomb := &bytes.Buffer{}
-	w := gzip.NewWriter(bomb)
+func TestDecompressRefusesInvalidData(t *testing.T) {
+	oversized := &bytes.Buffer{}
+	w := gzip.NewWriter(oversized)
 	for range 17 {
 		if _, err := w.Write(make([]byte, 1<<20)); err != nil {
 			t.Fatal(err)
@@ -48,9 +48,9 @@
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	good := cluster.Pack(manyRoutes(10))
-	for name, packed := range map[string][]byte{"foreign": []byte("{}"), "cut": good[:len(good)/2], "too large": bomb.Bytes()} {
-		if got, err := cluster.Unpack(packed); err == nil {
+	intact := cluster.Compress(configWithRoutes(10))
+	for name, compressed := range map[string][]byte{"foreign": []byte("{}"), "cut": intact[:len(intact)/2], "too large": oversized.Bytes()} {
+		if got, err := cluster.Decompress(compressed); err == nil {
 			t.Errorf("%s: got: %d bytes, want: an error", name, len(got))
 		}
 	}
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -16,11 +16,11 @@
 const (
 	// beatPeriod is the time between two of the owner's beats over a link. A follower
 	// notices after three of them.
-	beatPeriod = 100 * time.Millisecond
+	ownerHeartbeatPeriod = 100 * time.Millisecond
 	// alivePeriod is the time between two signs of life of a follower.
-	alivePeriod = 200 * time.Millisecond
+	followerHeartbeatPeriod = 200 * time.Millisecond
 	// configPause is the pause after the configuration could not be read.
-	configPause = 150 * time.Millisecond
+	configRetryDelay = 150 * time.Millisecond
 	// maxFaultsLogged bounds what is told of a configuration with bad entries.
 	maxFaultsLogged = 10
 )
@@ -35,16 +35,16 @@
 		began := n.options.Clock.Now()
 		data, err := n.options.Config.Wait(n.ctx, version)
 		took := n.options.Clock.Now().Sub(began)
-		n.noteRead(fromStore, err, took)
+		n.recordConfigRead(fromStore, err, took)
 		n.mu.Lock()
-		n.isTurnedAway = err != nil
+		n.isStoreUnavailable = err != nil
 		n.mu.Unlock()
 		if err != nil {
-			n.sleep(configPause)
+			n.sleep(configRetryDelay)
 			continue
 		}
 		if data != nil {
-			n.takeConfig(data, fromStore, len(data), took)
+			n.installConfig(data, fromStore, len(data), took)
 		}
 	}
 }
@@ -60,13 +60,13 @@
 // failedReads are the reads of a configuration from one source that have failed
 // since one succeeded.
 type failedReads struct {
-	since time.Time
-	tries int
+	since    time.Time
+	attempts int
 }
 
 // noteRead tells when reads from a source begin to fail and when they succeed
 // again, not each try. Each source has one reader at a time.
-func (n *Node) noteRead(from configSource, err error, took time.Duration) {
+func (n *Node) recordConfigRead(from configSource, err error, took time.Duration) {
 	if n.ctx.Err() != nil {
 		return
 	}
@@ -78,7 +78,7 @@
 	case isFirst:
 		n.failedReads[from] = &failedReads{now, 1}
 	case err != nil:
-		failed.tries++
+		failed.attempts++
 	default:
 		delete(n.failedReads, from)
 	}
@@ -87,17 +87,17 @@
 	case isFirst:
 		n.options.Log(events.ConfigUnread, "from", from, "version", version, "took", took, "err", err)
 	case err == nil && failed != nil:
-		n.options.Log(events.ConfigReadAgain, "from", from, "version", version, "tries", failed.tries, "since", now.Sub(failed.since))
+		n.options.Log(events.ConfigReadAgain, "from", from, "version", version, "tries", failed.attempts, "since", now.Sub(failed.since))
 	}
 }
 
 // takeConfig puts a configuration in force unless a later one is. It came in so
 // many bytes, in the time took, which has the wait for a change.
-func (n *Node) takeConfig(data []byte, from configSource, came int, took time.Duration) {
+func (n *Node) installConfig(data []byte, from configSource, receivedBytes int, took time.Duration) {
 	n.mu.Lock()
-	isInForce := n.config != nil && bytes.Equal(data, n.config)
+	isActive := n.config != nil && bytes.Equal(data, n.config)
 	n.mu.Unlock()
-	if isInForce {
+	if isActive {
 		// It came from a peer before, and a weak node takes long to parse it.
 		return
 	}
@@ -113,8 +113,8 @@
 	}
 	c.Apply()
 	n.config, n.configVersion, n.policy = data, c.Version, c.Policy
-	n.configPacked = sync.OnceValue(func() []byte { return pack(data) })
-	n.options.Log(events.ConfigInForce, "version", c.Version, "from", from, "queues", len(c.Policy.Queues), "customers", len(c.Policy.Customers), "bytes", came, "took", took)
+	n.configCompressed = sync.OnceValue(func() []byte { return compress(data) })
+	n.options.Log(events.ConfigInForce, "version", c.Version, "from", from, "queues", len(c.Policy.Queues), "customers", len(c.Policy.Customers), "bytes", receivedBytes, "took", took)
 	if len(c.Faults) > 0 {
 		n.options.Log(events.ConfigFaulty, "version", c.Version, "faults", c.Faults[:min(len(c.Faults), maxFaultsLogged)], "all", len(c.Faults))
 	}
@@ -126,26 +126,26 @@
 const (
 	// fetchAfter is how long a node reads the store for a version that a peer has
 	// before it asks that peer: a small configuration has come by then.
-	fetchAfter = 200 * time.Millisecond
+	peerFetchDelay = 200 * time.Millisecond
 	// fetchTimeout bounds such a question until its answer begins. It may wait
 	// behind what else the link carries; an answer that comes goes on.
-	fetchTimeout = time.Second
+	peerFetchTimeout = time.Second
 )
 
 // notePeerVersion takes the version that a peer has in force, and asks for it
 // when this node cannot read it in the store. The caller holds mu.
-func (n *Node) notePeerVersion(from *link.Conn, version uint64) {
+func (n *Node) handlePeerVersion(from *link.Conn, version uint64) {
 	now := n.options.Clock.Now()
 	switch {
 	case version <= n.configVersion:
-		if from == n.behind {
-			n.behind = nil
+		if from == n.newerPeer {
+			n.newerPeer = nil
 		}
 		return
-	case n.behind == nil:
-		n.behind, n.behindSince = from, now
+	case n.newerPeer == nil:
+		n.newerPeer, n.newerPeerSince = from, now
 	}
-	if n.isFetching || now.Sub(n.behindSince) < fetchAfter {
+	if n.isFetching || now.Sub(n.newerPeerSince) < peerFetchDelay {
 		return
 	}
 	n.isFetching = true
@@ -157,52 +157,52 @@
 func (n *Node) runFetch(from *link.Conn) {
 	defer n.wg.Done()
 	began := n.options.Clock.Now()
-	data, came, err := n.fetch(from)
+	data, receivedBytes, err := n.fetchConfig(from)
 	took := n.options.Clock.Now().Sub(began)
-	n.noteRead(fromPeer, err, took)
+	n.recordConfigRead(fromPeer, err, took)
 	if err == nil && data != nil {
-		n.takeConfig(data, fromPeer, came, took)
+		n.installConfig(data, fromPeer, receivedBytes, took)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.isFetching, n.behind = false, nil
+	n.isFetching, n.newerPeer = false, nil
 }
 
 // fetch returns a peer's configuration, nil when it has none, and how many bytes
 // it took to come.
-func (n *Node) fetch(from *link.Conn) ([]byte, int, error) {
-	ctx, cancel := progress.With(n.ctx, fetchTimeout)
+func (n *Node) fetchConfig(from *link.Conn) ([]byte, int, error) {
+	ctx, cancel := progress.With(n.ctx, peerFetchTimeout)
 	defer cancel()
 	m := configMessage{}
 	if err := from.Call(ctx, kindConfig, empty{}, &m); err != nil {
 		return nil, 0, err
 	}
-	if len(m.Packed) == 0 {
+	if len(m.Compressed) == 0 {
 		return nil, 0, nil
 	}
-	data, err := unpack(m.Packed)
-	return data, len(m.Packed), err
+	data, err := decompress(m.Compressed)
+	return data, len(m.Compressed), err
 }
 
 // runBeats tells the followers that this node is the owner.
-func (n *Node) runBeats() {
+func (n *Node) runOwnerHeartbeats() {
 	defer n.wg.Done()
-	n.every(beatPeriod, n.sendBeats)
+	n.runPeriodically(ownerHeartbeatPeriod, n.sendOwnerHeartbeats)
 }
 
 // runAlive tells the owner that this node follows it.
-func (n *Node) runAlive() {
+func (n *Node) runFollowerHeartbeats() {
 	defer n.wg.Done()
-	n.every(alivePeriod, func() {
-		if n.carrier != nil {
-			n.carrier.Tick()
+	n.runPeriodically(followerHeartbeatPeriod, func() {
+		if n.delegate != nil {
+			n.delegate.Tick()
 		}
-		n.sendAlive()
+		n.sendFollowerHeartbeat()
 	})
 }
 
 // every does something again and again until the node is closed.
-func (n *Node) every(period time.Duration, do func()) {
+func (n *Node) runPeriodically(period time.Duration, action func()) {
 	ticks, stop := n.options.Clock.Subscribe(period)
 	defer stop()
 	for {
@@ -210,31 +210,31 @@
 		case <-n.ctx.Done():
 			return
 		case <-ticks:
-			do()
+			action()
 		}
 	}
 }
 
-func (n *Node) sendBeats() {
+func (n *Node) sendOwnerHeartbeats() {
 	n.mu.Lock()
 	o, version := n.owner, n.configVersion
 	n.mu.Unlock()
 	if o == nil {
 		return
 	}
-	n.yieldIfUnfit(o)
-	record, keptAt := o.LastRecord()
-	age := n.options.Clock.Now().Sub(keptAt)
-	plain, plainAge := o.LastUnflagged()
+	n.handOverIfUnfit(o)
+	record, persistedAt := o.LastRecord()
+	age := n.options.Clock.Now().Sub(persistedAt)
+	unflagged, unflaggedAge := o.LastUnflagged()
 	for _, p := range n.peers.all() {
-		p.conn.Notify(kindBeat, beat{o.Epoch(), record, age, plain, plainAge, version, o.MayHaveUnpersisted()})
+		p.conn.Notify(kindOwnerHeartbeat, ownerHeartbeat{o.Epoch(), record, age, unflagged, unflaggedAge, version, o.MayHaveUnpersisted()})
 	}
 }
 
-func (n *Node) sendAlive() {
+func (n *Node) sendFollowerHeartbeat() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ownerLink != nil {
-		n.ownerLink.Notify(kindAlive, alive{n.configVersion, n.isLeaving, n.isTurnedAway})
+		n.ownerLink.Notify(kindFollowerHeartbeat, followerHeartbeat{n.configVersion, n.isLeaving, n.isStoreUnavailable})
 	}
 }
--- a/internal/cluster/delegate.go
+++ b/internal/cluster/delegate.go
@@ -14,58 +14,58 @@
 
 // carrierSilence is how long a follower may be silent before it carries no more: two
 // signs of life and what a busy node is late.
-const carrierSilence = 600 * time.Millisecond
+const maxDelegateSilence = 600 * time.Millisecond
 
 // carriers are the followers as an owner sees them that leaves orders to them.
-type carriers struct{ n *Node }
+type delegates struct{ n *Node }
 
 // Usable returns the followers that are heard.
-func (c *carriers) Usable() []carrier.Node {
+func (c *delegates) Usable() []carrier.Node {
 	now := c.n.options.Clock.Now()
 	out := []carrier.Node{}
 	for _, p := range c.n.peers.usable() {
-		if p.hello.Workers > 0 && now.Sub(p.heardAt) <= carrierSilence {
-			out = append(out, carrier.Node{Name: p.hello.Name, Zone: p.hello.Zone, Link: p.number, Workers: p.hello.Workers})
+		if p.hello.Workers > 0 && now.Sub(p.heardAt) <= maxDelegateSilence {
+			out = append(out, carrier.Node{Name: p.hello.Name, Zone: p.hello.Zone, Link: p.linkID, Workers: p.hello.Workers})
 		}
 	}
 	return out
 }
 
 // Send sends orders to a follower.
-func (c *carriers) Send(node string, b *carrier.Batch) bool {
-	conn := c.n.peers.find(node)
-	return conn != nil && conn.Notify(kindCarry, b)
+func (c *delegates) Send(node string, b *carrier.Batch) bool {
+	conn := c.n.peers.linkTo(node)
+	return conn != nil && conn.Notify(kindDelegatedOrders, b)
 }
 
 // takeCarry carries out what the owner leaves to this node.
-func (n *Node) takeCarry(from *link.Conn, body []byte) {
-	if n.carrier == nil {
+func (n *Node) handleDelegatedOrders(from *link.Conn, body []byte) {
+	if n.delegate == nil {
 		return
 	}
 	b := &carrier.Batch{}
 	if err := codec.Unmarshal(body, b); err != nil {
-		n.options.Log(events.BadFrame, "kind", kindCarry, "err", err)
+		n.options.Log(events.BadFrame, "kind", kindDelegatedOrders, "err", err)
 		return
 	}
-	n.session(from).Take(n.ctx, b)
+	n.sessionFor(from).Take(n.ctx, b)
 }
 
 // session returns the session of a link.
-func (n *Node) session(from *link.Conn) *carrier.Session {
+func (n *Node) sessionFor(from *link.Conn) *carrier.Session {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.carrySession == nil || n.carryLink != from {
-		n.carryLink = from
-		n.carrySession = n.carrier.NewSession(func(o []carrier.Outcome) { from.Notify(kindCarried, o) })
+	if n.delegateSession == nil || n.delegateLink != from {
+		n.delegateLink = from
+		n.delegateSession = n.delegate.NewSession(func(o []carrier.Outcome) { from.Notify(kindOutcomes, o) })
 	}
-	return n.carrySession
+	return n.delegateSession
 }
 
 // takeCarried takes what became of orders that this owner left to others.
-func (n *Node) takeCarried(body []byte) {
+func (n *Node) handleOutcomes(body []byte) {
 	outcomes := []carrier.Outcome{}
 	if err := codec.Unmarshal(body, &outcomes); err != nil {
-		n.options.Log(events.BadFrame, "kind", kindCarried, "err", err)
+		n.options.Log(events.BadFrame, "kind", kindOutcomes, "err", err)
 		return
 	}
 	n.mu.Lock()
--- a/internal/cluster/election_test.go
+++ b/internal/cluster/election_test.go
@@ -12,37 +12,37 @@
 	"github.com/leverdyke/leverdyke/internal/store/fakestore"
 )
 
-func TestAnOwnerThatMayHaveRunAheadIsNotReliedOn(t *testing.T) {
-	clk := &steppedClock{}
+func TestPlacementsAreNotReliedOnAfterPossibleWriteBehind(t *testing.T) {
+	clk := &manualClock{}
 	n := newNodeWith(t, fakestore.NewLog(), "n0", "1", clk)
-	if !n.IsExact(nil) {
+	if !n.HasAllPlacements(nil) {
 		t.Error("no earlier owner: got: not exact, want: exact")
 	}
 	const ms = time.Millisecond
-	type heard struct {
-		epoch, plain uint64
-		age          time.Duration
+	type lastHeartbeat struct {
+		epoch, unflaggedSeq uint64
+		age                 time.Duration
 	}
 	for name, tc := range map[string]struct {
-		heard    heard
-		age      time.Duration
-		isMarked bool
-		want     bool
+		lastHeartbeat lastHeartbeat
+		age           time.Duration
+		isFlagged     bool
+		want          bool
 	}{
-		"young":                   {heard{7, 4, 800 * ms}, 800 * ms, false, true},
-		"old":                     {heard{7, 4, 1000 * ms}, 1000 * ms, false, false},
-		"marked":                  {heard{7, 4, 0}, 0, true, false},
-		"clock ahead":             {heard{7, 4, 0}, -2 * time.Second, false, false},
-		"clock set back":          {heard{7, 4, 1500 * ms}, 100 * ms, false, false},
-		"a beat that was held up": {heard{7, 4, 0}, 1500 * ms, false, false},
-		"a record since the beat": {heard{7, 3, 1100 * ms}, 800 * ms, false, true},
-		"two since the beat, old": {heard{7, 2, 1600 * ms}, 800 * ms, false, false},
-		"no beat of this owner":   {heard{6, 4, 0}, 800 * ms, false, false},
-		"no beat at all":          {heard{}, 800 * ms, false, false},
+		"young":                   {lastHeartbeat{7, 4, 800 * ms}, 800 * ms, false, true},
+		"old":                     {lastHeartbeat{7, 4, 1000 * ms}, 1000 * ms, false, false},
+		"marked":                  {lastHeartbeat{7, 4, 0}, 0, true, false},
+		"clock ahead":             {lastHeartbeat{7, 4, 0}, -2 * time.Second, false, false},
+		"clock set back":          {lastHeartbeat{7, 4, 1500 * ms}, 100 * ms, false, false},
+		"a beat that was held up": {lastHeartbeat{7, 4, 0}, 1500 * ms, false, false},
+		"a record since the beat": {lastHeartbeat{7, 3, 1100 * ms}, 800 * ms, false, true},
+		"two since the beat, old": {lastHeartbeat{7, 2, 1600 * ms}, 800 * ms, false, false},
+		"no beat of this owner":   {lastHeartbeat{6, 4, 0}, 800 * ms, false, false},
+		"no beat at all":          {lastHeartbeat{}, 800 * ms, false, false},
 	} {
-		n.HearBeat(tc.heard.epoch, tc.heard.plain, tc.heard.age)
-		r := &owner.Record{Epoch: 7, HeartbeatSeq: 4, SentAt: clk.Now().Add(-tc.age), MayHaveUnpersisted: tc.isMarked}
-		if got := n.IsExact(r); got != tc.want {
+		n.RecordOwnerHeartbeat(tc.lastHeartbeat.epoch, tc.lastHeartbeat.unflaggedSeq, tc.lastHeartbeat.age)
+		r := &owner.Record{Epoch: 7, HeartbeatSeq: 4, SentAt: clk.Now().Add(-tc.age), MayHaveUnpersisted: tc.isFlagged}
+		if got := n.HasAllPlacements(r); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
 		}
 	}
@@ -50,7 +50,7 @@
 
 // The call of an owner that handed over waited at a node that had not taken it up,
 // which then took the shard from the next owner, though that lived.
-func TestALateCallToClaimEndsNoLaterOwner(t *testing.T) {
+func TestALateClaimRequestDoesNotReplaceALaterOwner(t *testing.T) {
 	log := fakestore.NewLog()
 	n0 := newNode(t, log, "n0", "1")
 	n0.submit(t, "a")
@@ -60,11 +60,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := n1.TakeClaim(t.Context(), r.Epoch-1); err == nil {
+	if err := n1.HandleClaim(t.Context(), r.Epoch-1); err == nil {
 		t.Error("the call of an earlier owner: got: n1 owns the shard, want: an error")
 	}
-	wantOwner(t, log, "n0")
-	if err := n1.TakeClaim(t.Context(), r.Epoch); err != nil {
+	checkOwner(t, log, "n0")
+	if err := n1.HandleClaim(t.Context(), r.Epoch); err != nil {
 		t.Errorf("the call of this owner: got: %v, want: n1 owns the shard", err)
 	}
 }
--- a/internal/cluster/failure_detector_test.go
+++ b/internal/cluster/failure_detector_test.go
@@ -11,13 +11,13 @@
 	"github.com/leverdyke/leverdyke/internal/cluster"
 )
 
-func TestAnOwnerIsAskedAboutAfterThreeBeats(t *testing.T) {
+func TestAnOwnerIsSilentAfterThreeMissedHeartbeats(t *testing.T) {
 	now := clock.NewFake().Now()
-	w := &cluster.OwnerWatch{}
-	w.Follow(now)
-	w.Hear(now.Add(100*time.Millisecond), 4, 0)
+	detector := &cluster.FailureDetector{}
+	detector.Reset(now)
+	detector.RecordHeartbeat(now.Add(100*time.Millisecond), 4, 0)
 	for after, want := range map[time.Duration]bool{350 * time.Millisecond: false, 450 * time.Millisecond: true} {
-		if got := w.IsSilent(now.Add(after)); got != want {
+		if got := detector.IsSilent(now.Add(after)); got != want {
 			t.Errorf("silent after %v: got: %v, want: %v", after, got, want)
 		}
 	}
@@ -25,7 +25,7 @@
 
 // TestPatienceEndsWhenTheNextRecordIsOverdue: what the last beat told of the
 // owner's record in the store bounds how long to wait for the next one.
-func TestPatienceEndsWhenTheNextRecordIsOverdue(t *testing.T) {
+func TestTheWaitEndsWhenTheNextRecordIsOverdue(t *testing.T) {
 	const ms = time.Millisecond
 	begin := clock.NewFake().Now()
 	for name, tc := range map[string]struct {
@@ -39,16 +39,16 @@
 		"the store answers slowly":       {250 * ms, 300 * ms, 4, 370 * ms, 1380 * ms},
 		"a record after the last beat":   {250 * ms, 300 * ms, 5, 10 * ms, 490 * ms},
 	} {
-		w := &cluster.OwnerWatch{}
-		w.Follow(begin)
-		w.Hear(begin, 4, tc.age)
-		if got := w.Patience(begin.Add(tc.after), tc.newest, tc.answer); got != tc.want {
+		detector := &cluster.FailureDetector{}
+		detector.Reset(begin)
+		detector.RecordHeartbeat(begin, 4, tc.age)
+		if got := detector.RemainingWait(begin.Add(tc.after), tc.newest, tc.answer); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
 		}
 	}
-	w := &cluster.OwnerWatch{}
-	w.Follow(begin)
-	if got := w.Patience(begin.Add(time.Second), 0, 0); got != 450*ms {
+	detector := &cluster.FailureDetector{}
+	detector.Reset(begin)
+	if got := detector.RemainingWait(begin.Add(time.Second), 0, 0); got != 450*ms {
 		t.Errorf("before the first beat: got: %v, want: a whole period", got)
 	}
 }
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -15,53 +15,53 @@
 // linkSilence is how long the link to a silent owner is kept that lives by the
 // store's word: one that is out of processor time answers late, and requests on
 // their way need not be sent again.
-const linkSilence = 1200 * time.Millisecond
+const maxLinkSilence = 1200 * time.Millisecond
 
 // relinkTimeout bounds the try of a new link to an owner that is silent on the old
 // one: a stalled owner does not answer it either.
-const relinkTimeout = 250 * time.Millisecond
+const reconnectTimeout = 250 * time.Millisecond
 
 // following is the time for which a node follows an owner. One goroutine uses it.
-type following struct {
+type followSession struct {
 	node *Node
 	// record is the owner's, as it was when the following began.
 	record *owner.Record
 	// conn is the link to the owner; another takes its place when it is dead.
 	conn *link.Conn
 	// asked brings the store's word on a silent owner; nil while nobody asks.
-	asked chan ownerState
+	storeCheck chan ownerCheck
 }
 
 // stay passes requests on over the link while the owner's beats come.
-func (n *Node) stay(conn *link.Conn, r *owner.Record) {
-	f := &following{node: n, record: r, conn: conn}
+func (n *Node) followOverLink(conn *link.Conn, r *owner.Record) {
+	f := &followSession{node: n, record: r, conn: conn}
 	n.setOwnerLink(conn)
 	n.options.Log(events.OwnerFollowed, "owner", r.Node, "epoch", r.Epoch)
-	n.sendAlive()
+	n.sendFollowerHeartbeat()
 	defer func() { f.conn.Close() }()
 	defer n.setOwnerLink(nil)
-	ticks, stop := n.options.Clock.Subscribe(seekPause)
+	ticks, stop := n.options.Clock.Subscribe(electionInterval)
 	defer stop()
 	ctx, cancel := context.WithCancel(n.ctx)
 	defer cancel()
-	for f.step(ticks) && n.silence() <= linkSilence {
-		f.askIfSilent(ctx)
+	for f.step(ticks) && n.silentFor() <= maxLinkSilence {
+		f.checkIfSilent(ctx)
 	}
 }
 
 // step waits until something happens, and reports whether the owner is still
 // followed after it.
-func (f *following) step(ticks <-chan time.Time) bool {
+func (f *followSession) step(ticks <-chan time.Time) bool {
 	select {
 	case <-f.node.ctx.Done():
 		return false
 	case <-f.conn.Done():
 		return false
-	case epoch := <-f.node.takeOver:
-		return !f.takeOver(epoch)
-	case found := <-f.asked:
-		f.asked = nil
-		return f.heed(found)
+	case epoch := <-f.node.claimRequests:
+		return !f.handleClaimRequest(epoch)
+	case found := <-f.storeCheck:
+		f.storeCheck = nil
+		return f.applyCheck(found)
 	case <-ticks:
 		return true
 	}
@@ -69,18 +69,18 @@
 
 // takeOver claims the shard when it is this owner that has stopped; calls to take
 // over from an earlier one come late.
-func (f *following) takeOver(epoch uint64) bool {
+func (f *followSession) handleClaimRequest(epoch uint64) bool {
 	if epoch != f.record.Epoch {
 		return false
 	}
-	f.node.claimAfter(f.record)
+	f.node.claimAfterHandover(f.record)
 	return true
 }
 
 // heed does what the store's word asks for, and reports whether the owner is still
 // followed.
-func (f *following) heed(found ownerState) bool {
-	switch found.word {
+func (f *followSession) applyCheck(found ownerCheck) bool {
+	switch found.status {
 	case ownerReplaced:
 		return false
 	case ownerDead:
@@ -88,68 +88,68 @@
 		f.node.setOwnerLink(nil)
 		f.node.claim(found.record, found.end, false)
 		return false
-	case ownerRelinked:
-		f.relink(found.conn)
-	case ownerLives:
+	case ownerReconnected:
+		f.reconnect(found.conn)
+	case ownerAlive:
 	}
 	return true
 }
 
 // relink goes on over a new link.
-func (f *following) relink(conn *link.Conn) {
+func (f *followSession) reconnect(conn *link.Conn) {
 	n := f.node
-	n.options.Log(events.OwnerFollowed, "owner", f.record.Node, "epoch", f.record.Epoch, "silent", n.silence())
+	n.options.Log(events.OwnerFollowed, "owner", f.record.Node, "epoch", f.record.Epoch, "silent", n.silentFor())
 	f.conn.Close()
 	f.conn = conn
 	n.setOwnerLink(conn)
-	n.sendAlive()
+	n.sendFollowerHeartbeat()
 }
 
 // askIfSilent begins to ask the store about an owner that is silent; ctx ends that.
-func (f *following) askIfSilent(ctx context.Context) {
+func (f *followSession) checkIfSilent(ctx context.Context) {
 	n := f.node
-	if f.asked != nil || !n.isOwnerSilent() {
+	if f.storeCheck != nil || !n.isOwnerSilent() {
 		return
 	}
-	n.options.Log(events.PeerSuspected, "peer", f.record.Node, "epoch", f.record.Epoch, "silent", n.silence())
-	f.asked = make(chan ownerState)
+	n.options.Log(events.PeerSuspected, "peer", f.record.Node, "epoch", f.record.Epoch, "silent", n.silentFor())
+	f.storeCheck = make(chan ownerCheck)
 	n.wg.Add(1)
-	go n.runQuestion(ctx, f.record, f.asked)
+	go n.runOwnerCheck(ctx, f.record, f.storeCheck)
 }
 
 func (n *Node) setOwnerLink(c *link.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.ownerLink != nil {
-		n.lostAt = n.options.Clock.Now()
+		n.ownerLostAt = n.options.Clock.Now()
 	}
 	n.ownerLink = c
 	if c != nil {
-		n.watch.follow(n.options.Clock.Now())
+		n.detector.reset(n.options.Clock.Now())
 	}
-	n.signal()
+	n.notifyOwnerChange()
 }
 
 // signal wakes the requests that wait for an owner. The caller holds mu.
-func (n *Node) signal() {
-	close(n.changed)
-	n.changed = make(chan struct{})
+func (n *Node) notifyOwnerChange() {
+	close(n.ownerChanged)
+	n.ownerChanged = make(chan struct{})
 }
 
 func (n *Node) isOwnerSilent() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.watch.isSilent(n.options.Clock.Now())
+	return n.detector.isSilent(n.options.Clock.Now())
 }
 
-func (n *Node) silence() time.Duration {
+func (n *Node) silentFor() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.options.Clock.Now().Sub(n.watch.heardAt)
+	return n.options.Clock.Now().Sub(n.detector.heardAt)
 }
 
 // claimAfter claims the shard from an owner that has handed over.
-func (n *Node) claimAfter(r *owner.Record) {
+func (n *Node) claimAfterHandover(r *owner.Record) {
 	newest, at, err := owner.ReadRecord(n.ctx, n.log)
 	if err != nil || newest == nil || newest.Epoch != r.Epoch {
 		return
@@ -158,22 +158,22 @@
 }
 
 // ownerWord is what the store says of an owner.
-type ownerWord string
+type ownerStatus string
 
 const (
 	// ownerLives means that it still gets records of it, or does not answer.
-	ownerLives ownerWord = "lives"
+	ownerAlive ownerStatus = "lives"
 	// ownerDead means that its next record is overdue.
-	ownerDead ownerWord = "dead"
+	ownerDead ownerStatus = "dead"
 	// ownerRelinked means that it lives and took a new link: the old one is dead.
-	ownerRelinked ownerWord = "relinked"
+	ownerReconnected ownerStatus = "relinked"
 	// ownerReplaced means that a later owner has claimed the shard.
-	ownerReplaced ownerWord = "replaced"
+	ownerReplaced ownerStatus = "replaced"
 )
 
 // ownerState is the store's word on a silent owner.
-type ownerState struct {
-	word ownerWord
+type ownerCheck struct {
+	status ownerStatus
 	// record is the newest one of a dead owner, end the end of the topic at which the
 	// shard can be claimed after it.
 	record *owner.Record
@@ -185,13 +185,13 @@
 // runQuestion finds out by the store whether a silent owner lives. Requests on
 // their way over the link are left alone until that is known: a stalled owner
 // still answers them.
-func (n *Node) runQuestion(ctx context.Context, r *owner.Record, answer chan<- ownerState) {
+func (n *Node) runOwnerCheck(ctx context.Context, r *owner.Record, answer chan<- ownerCheck) {
 	defer n.wg.Done()
-	s := n.askStore(ctx, r)
-	if s.word == ownerLives && n.isOwnerSilent() {
+	s := n.checkOwnerInStore(ctx, r)
+	if s.status == ownerAlive && n.isOwnerSilent() {
 		// A connection may be dead without a word, while new ones work.
-		if conn, _ := n.reach(r, relinkTimeout); conn != nil {
-			s.word, s.conn = ownerRelinked, conn
+		if conn, _ := n.connect(r, reconnectTimeout); conn != nil {
+			s.status, s.conn = ownerReconnected, conn
 		}
 	}
 	select {
@@ -203,22 +203,22 @@
 	}
 }
 
-func (n *Node) askStore(ctx context.Context, r *owner.Record) ownerState {
+func (n *Node) checkOwnerInStore(ctx context.Context, r *owner.Record) ownerCheck {
 	began := n.options.Clock.Now()
 	newest, at, err := owner.ReadRecord(ctx, n.log)
 	if err != nil || newest == nil {
-		return ownerState{word: ownerLives}
+		return ownerCheck{status: ownerAlive}
 	}
 	if newest.Epoch != r.Epoch {
-		return ownerState{word: ownerReplaced}
+		return ownerCheck{status: ownerReplaced}
 	}
 	now := n.options.Clock.Now()
 	n.mu.Lock()
-	isSilent := n.watch.isSilent(now)
-	patience := n.watch.patience(now, newest.HeartbeatSeq, now.Sub(began))
+	isSilent := n.detector.isSilent(now)
+	timeout := n.detector.remainingWait(now, newest.HeartbeatSeq, now.Sub(began))
 	n.mu.Unlock()
-	if !isSilent || !n.isDeadByStore(ctx, newest, at, patience) {
-		return ownerState{word: ownerLives}
+	if !isSilent || !n.isNextRecordOverdue(ctx, newest, at, timeout) {
+		return ownerCheck{status: ownerAlive}
 	}
-	return ownerState{word: ownerDead, record: newest, end: at + 1}
+	return ownerCheck{status: ownerDead, record: newest, end: at + 1}
 }
--- a/internal/cluster/handover_test.go
+++ b/internal/cluster/handover_test.go
@@ -12,23 +12,23 @@
 
 // A load that makes any owner late for half a second when it takes over, and now and
 // then after, went from node to node each second.
-func TestALoadIsNotHandedFromNodeToNode(t *testing.T) {
+func TestOverloadDoesNotCauseRepeatedHandovers(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	nodes := make([]cluster.Fitness, 8)
-	at, changes := 0, 0
-	nodes[at].Own(now)
+	current, handovers := 0, 0
+	nodes[current].BecomeOwner(now)
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		if !nodes[at].IsUnfit(0.3, false, now) {
+		if !nodes[current].IsUnfit(0.3, false, now) {
 			continue
 		}
-		nodes[at].Yield(now)
-		at, changes = (at+1)%len(nodes), changes+1
-		nodes[at].Yield(now)
-		nodes[at].Own(now)
+		nodes[current].HandOver(now)
+		current, handovers = (current+1)%len(nodes), handovers+1
+		nodes[current].HandOver(now)
+		nodes[current].BecomeOwner(now)
 	}
-	if changes > 2 {
-		t.Errorf("owners in 20 s of a load that is too much for any: got: %d changes, want: at most 2", changes)
+	if handovers > 2 {
+		t.Errorf("owners in 20 s of a load that is too much for any: got: %d changes, want: at most 2", handovers)
 	}
 }
 
@@ -39,8 +39,8 @@
 		isWeak bool
 		// owned is for how long it owns the shard, yielded how long ago it was handed over
 		// for that reason; 0 means never.
-		owned, yielded time.Duration
-		want           bool
+		ownedFor, handedOverAgo time.Duration
+		want                    bool
 	}{
 		"fit":                         {0.1, false, time.Minute, 0, false},
 		"slow":                        {0.4, false, 4 * time.Second, 0, true},
@@ -50,10 +50,10 @@
 		"slow, long after a slow one": {0.4, false, 11 * time.Second, 11 * time.Second, true},
 	} {
 		f := cluster.Fitness{}
-		f.Own(begin)
-		now := begin.Add(tc.owned)
-		if tc.yielded > 0 {
-			f.Yield(now.Add(-tc.yielded))
+		f.BecomeOwner(begin)
+		now := begin.Add(tc.ownedFor)
+		if tc.handedOverAgo > 0 {
+			f.HandOver(now.Add(-tc.handedOverAgo))
 		}
 		if got := f.IsUnfit(tc.lag, tc.isWeak, now); got != tc.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, tc.want)
--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -23,9 +23,9 @@
 	// kindHello is the first call on a link: hello, welcome.
 	kindHello link.Kind = "hello"
 	// kindBeat is the owner's notification that it lives: beat.
-	kindBeat link.Kind = "beat"
+	kindOwnerHeartbeat link.Kind = "beat"
 	// kindAlive is a follower's: alive.
-	kindAlive link.Kind = "alive"
+	kindFollowerHeartbeat link.Kind = "alive"
 	// kindConfig asks for the configuration in force: empty, configMessage.
 	kindConfig link.Kind = "config"
 	// kindClaim asks a follower to become the owner: claimCall, empty.
@@ -37,13 +37,13 @@
 	kindCancel  link.Kind = "cancel"
 	kindPending link.Kind = "pending"
 	// kindAdvise asks which workers may run a step: adviseCall, adviseReply.
-	kindAdvise link.Kind = "advise"
+	kindPermission link.Kind = "advise"
 	// kindStore sends a request to the store: detour.Request, storeReply.
 	kindStore link.Kind = "store"
 	// kindCarry is the owner's notification of orders to workers: carrier.Batch.
-	kindCarry link.Kind = "carry"
+	kindDelegatedOrders link.Kind = "carry"
 	// kindCarried is the notification of what became of them: []carrier.Outcome.
-	kindCarried link.Kind = "carried"
+	kindOutcomes link.Kind = "carried"
 )
 
 type empty struct{}
@@ -54,7 +54,7 @@
 	Zone string
 	Addr netip.AddrPort
 	// Life tells the processes of one node apart.
-	Life string
+	Incarnation string
 	// Age is how long the process has run.
 	Age time.Duration
 	// Strength is how many processors the node has.
@@ -65,13 +65,13 @@
 
 // welcome is the answer to hello.
 type welcome struct {
-	Life    string
-	IsOwner bool
-	Epoch   uint64
+	Incarnation string
+	IsOwner     bool
+	Epoch       uint64
 }
 
 // beat is sent by the owner.
-type beat struct {
+type ownerHeartbeat struct {
 	Epoch uint64
 	// Record is the number of the owner's newest record in the store, RecordAge how
 	// long ago it was kept.
@@ -79,27 +79,27 @@
 	RecordAge time.Duration
 	// PlainRecord is the number of the owner's last record without a mark, on its way to
 	// the store or there, PlainAge how long ago it was sent; see owner.PlainAge.
-	PlainRecord uint64
-	PlainAge    time.Duration
+	UnflaggedSeq uint64
+	UnflaggedAge time.Duration
 	// ConfigVersion is that of the configuration in force at the owner.
 	ConfigVersion uint64
 	// IsUnlogged means that the owner has started tasks whose places the store does
 	// not have.
-	IsUnlogged bool
+	MayHaveUnpersisted bool
 }
 
 // alive is sent by followers.
-type alive struct {
+type followerHeartbeat struct {
 	ConfigVersion uint64
 	// IsLeaving means that the process is about to end.
 	IsLeaving bool
 	// IsTurnedAway means that the store does not serve this node itself.
-	IsTurnedAway bool
+	IsStoreUnavailable bool
 }
 
 // claimCall names the epoch of the owner that has stopped: a call that comes late
 // must not end a later one.
-type claimCall struct {
+type claimRequest struct {
 	Epoch uint64
 	// IsUnfit means that the owner stopped because it was unfit.
 	IsUnfit bool
@@ -109,10 +109,10 @@
 type configMessage struct {
 	Version uint64
 	// Packed is compressed; it is empty before the first.
-	Packed []byte
+	Compressed []byte
 }
 
-type question struct {
+type jobQuery struct {
 	Job work.JobID
 	// By is who asks for the job.
 	By    work.Caller
@@ -120,7 +120,7 @@
 }
 
 // answer is the owner's answer to a caller's request.
-type answer struct {
+type ownerReply struct {
 	State   work.JobState
 	IsKnown bool
 	Count   int
@@ -130,40 +130,40 @@
 	RetryAfter int
 	Refusal    leverdyke.Refusal
 	// IsAway means that the next owner can answer.
-	IsAway bool
+	IsOwnerChange bool
 }
 
 // failure returns the error that the answer tells, or nil.
-func (a *answer) failure() error {
+func (a *ownerReply) failure() error {
 	if a.Verdict == "" {
 		return nil
 	}
 	e := &leverdyke.Error{Verdict: a.Verdict, Reason: a.Reason, RetryAfterSeconds: a.RetryAfter, Refusal: a.Refusal}
-	if a.IsAway {
+	if a.IsOwnerChange {
 		return &owner.ChangeError{Failure: e}
 	}
 	return e
 }
 
 // answerOf returns an answer that tells the error, which may be nil.
-func answerOf(err error) *answer {
+func replyFor(err error) *ownerReply {
 	if err == nil {
-		return &answer{}
+		return &ownerReply{}
 	}
 	if e := (&leverdyke.Error{}); errors.As(err, &e) {
-		return &answer{Verdict: e.Verdict, Reason: e.Reason, RetryAfter: e.RetryAfterSeconds, Refusal: e.Refusal, IsAway: isAway(err)}
+		return &ownerReply{Verdict: e.Verdict, Reason: e.Reason, RetryAfter: e.RetryAfterSeconds, Refusal: e.Refusal, IsOwnerChange: isOwnerChange(err)}
 	}
-	return &answer{Verdict: leverdyke.VerdictMayHaveRun, Reason: err.Error()}
+	return &ownerReply{Verdict: leverdyke.VerdictMayHaveRun, Reason: err.Error()}
 }
 
-type adviseCall struct {
+type permissionQuery struct {
 	Step    work.StepID
 	Workers []order.WorkerID
 }
 
-type adviseReply struct {
-	Good  []order.Ticket
-	Valid time.Duration
+type permissionReply struct {
+	Permits  []order.Ticket
+	ValidFor time.Duration
 }
 
 // storeReply is a service's answer, or why there is none.
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -22,8 +22,8 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Adviser asks the service that permits workers, from this node.
-type Adviser interface {
+// PermissionService asks the service that permits workers, from this node.
+type PermissionService interface {
 	Ask(ctx context.Context, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error)
 }
 
@@ -53,12 +53,12 @@
 	// LinkAddr is where it listens for other nodes; AdvertiseAddr is where these
 	// reach it, if elsewhere.
 	LinkAddr, AdvertiseAddr netip.AddrPort
-	// Life tells this process from earlier ones of the node.
-	Life    string
-	Clock   clock.Service
-	Direct  detour.Doer
-	Adviser Adviser
-	Config  Config
+	// Incarnation tells this process from earlier ones of the node.
+	Incarnation       string
+	Clock             clock.Service
+	Direct            detour.Doer
+	PermissionService PermissionService
+	Config            Config
 	// NewStore returns the store as it is reached through d.
 	NewStore func(d detour.Doer) store.Log
 	// NewOwner returns what an owner needs, reaching the store through d.
@@ -69,18 +69,18 @@
 	StopTime time.Duration
 	// Heartbeat is the time between two heartbeats of a worker; 0 when not known.
 	Heartbeat time.Duration
-	// HolderPause is how long a former owner does not claim again.
-	HolderPause time.Duration
+	// ReclaimDelay is how long a former owner does not claim again.
+	ReclaimDelay time.Duration
 	// Workers talks to workers for an owner that leaves them to this node; nil means that
 	// this node does not. Carries is how many workers it can talk to so, and how many it
 	// talks to itself as the owner; 0 means all.
-	Workers owner.Workers
-	Carries int
+	Workers    owner.Workers
+	MaxWorkers int
 	// Strength is how many processors the node has: the strongest should own.
 	Strength float64
-	// Patience is how long a request waits for the next owner; 0 means half a
+	// RequestTimeout is how long a request waits for the next owner; 0 means half a
 	// second.
-	Patience time.Duration
+	RequestTimeout time.Duration
 }
 
 // Node is one of the equal nodes. It is safe for concurrent use.
@@ -95,7 +95,7 @@
 	startedAt time.Time
 	// takeOver asks the seeker to claim at once after the owner of that epoch, which
 	// has stopped.
-	takeOver chan uint64
+	claimRequests chan uint64
 
 	mu sync.Mutex
 	// owner is set while this node is the owner.
@@ -103,48 +103,48 @@
 	// ownerLink is the link to the owner while that is another node.
 	ownerLink *link.Conn
 	// watch judges whether that owner lives.
-	watch ownerWatch
+	detector failureDetector
 	// lostAt is when the last owner was lost, and changed is closed when there is
 	// another one or none.
-	lostAt  time.Time
-	changed chan struct{}
+	ownerLostAt  time.Time
+	ownerChanged chan struct{}
 	// config is the newest configuration that is known; its version never falls.
 	config        []byte
 	configVersion uint64
 	// configPacked compresses it, once; nil before the first.
-	configPacked func() []byte
-	policy       order.Policy
+	configCompressed func() []byte
+	policy           order.Policy
 	// behind is a peer that has a later version, since behindSince; isFetching means
 	// that one is asked for it.
-	behind      *link.Conn
-	behindSince time.Time
-	isFetching  bool
+	newerPeer      *link.Conn
+	newerPeerSince time.Time
+	isFetching     bool
 	// failedReads has the sources of the configuration that cannot be read now.
 	failedReads map[configSource]*failedReads
 	isLeaving   bool
 	// isTurnedAway means that the store did not answer this node's last read.
-	isTurnedAway bool
+	isStoreUnavailable bool
 	// isYielding means that this owner hands over to a fitter node.
-	isYielding   bool
-	fitness      fitness
-	noClaimUntil time.Time
+	isUnfitHandover bool
+	fitness         fitness
+	noClaimUntil    time.Time
 	// unloggedEpoch is that of the owner if it runs ahead of the store, by its last
 	// beat.
-	unloggedEpoch uint64
+	unpersistedEpoch uint64
 	// claimed has the epochs that this process has acted on.
-	claimed uint64
-	wg      sync.WaitGroup
+	lastOwnedEpoch uint64
+	wg             sync.WaitGroup
 	// carrySession is that of carryLink, over which the owner left orders to this node.
-	carryLink    *link.Conn
-	carrySession *carrier.Session
+	delegateLink    *link.Conn
+	delegateSession *carrier.Session
 
 	// carrier talks to workers for the owner; nil where Options.Workers is.
-	carrier *carrier.Carrier
+	delegate *carrier.Carrier
 
 	// last is the record of the owner that was read last; it belongs to the seeker.
-	last *owner.Record
+	lastRecord *owner.Record
 	// answerTime is how long the store took to tell it; it belongs to the seeker.
-	answerTime time.Duration
+	storeLatency time.Duration
 }
 
 // NewNode listens for other nodes and begins to look for the owner.
@@ -156,25 +156,25 @@
 	if !options.AdvertiseAddr.IsValid() {
 		options.AdvertiseAddr = options.LinkAddr
 	}
-	if options.Patience == 0 {
-		options.Patience = defaultPatience
+	if options.RequestTimeout == 0 {
+		options.RequestTimeout = defaultRequestTimeout
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		options: options, listener: l, ctx: ctx, cancel: cancel, startedAt: options.Clock.Now(),
-		log: options.NewStore(options.Direct), peers: newPeers(options.Clock), takeOver: make(chan uint64, 1),
-		changed: make(chan struct{}), failedReads: map[configSource]*failedReads{},
+		log: options.NewStore(options.Direct), peers: newPeers(options.Clock), claimRequests: make(chan uint64, 1),
+		ownerChanged: make(chan struct{}), failedReads: map[configSource]*failedReads{},
 	}
 	if options.Workers != nil {
-		n.carrier = carrier.New(options.Workers, options.Clock)
+		n.delegate = carrier.New(options.Workers, options.Clock)
 	}
 	n.detour = detour.New(options.Direct, n.peers, options.Clock)
 	n.wg.Add(5)
 	go n.runListener()
-	go n.runSeeker()
+	go n.runElection()
 	go n.runConfig()
-	go n.runBeats()
-	go n.runAlive()
+	go n.runOwnerHeartbeats()
+	go n.runFollowerHeartbeats()
 	return n, nil
 }
 
@@ -222,7 +222,7 @@
 
 // readySilence is how long a follower without beats still takes requests: the
 // platform counts a node out when two checks in a row, a second apart, fail.
-const readySilence = 1100 * time.Millisecond
+const maxReadySilence = 1100 * time.Millisecond
 
 // IsReady reports whether callers' requests can be served through this node.
 func (n *Node) IsReady() bool {
@@ -234,5 +234,5 @@
 	if n.owner != nil {
 		return n.owner.IsLoaded() && n.owner.MayActAsOwner()
 	}
-	return n.ownerLink != nil && n.options.Clock.Now().Sub(n.watch.heardAt) < readySilence
+	return n.ownerLink != nil && n.options.Clock.Now().Sub(n.detector.heardAt) < maxReadySilence
 }
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -33,56 +33,58 @@
 )
 
 // idle is what a node needs of the platform where nothing is started.
-type idle struct{}
+type inactivePlatform struct{}
 
-func (idle) Do(context.Context, *detour.Request) (*detour.Response, error) {
+func (inactivePlatform) Do(context.Context, *detour.Request) (*detour.Response, error) {
 	return nil, &detour.UnsentError{Err: errors.New("not used here")}
 }
 
-func (idle) Ask(context.Context, work.StepID, []order.WorkerID) ([]order.Ticket, time.Duration, error) {
+func (inactivePlatform) Ask(context.Context, work.StepID, []order.WorkerID) ([]order.Ticket, time.Duration, error) {
 	return nil, 0, errors.New("not used here")
 }
 
-func (idle) Start(context.Context, uint64, *order.Start) (order.StartOutcome, order.WorkerTime) {
+func (inactivePlatform) Start(context.Context, uint64, *order.Start) (order.StartOutcome, order.WorkerTime) {
 	return order.StartUnhealthy, 0
 }
 
-func (idle) Stop(context.Context, uint64, *order.Stop) (order.WorkerTime, bool) { return 0, false }
+func (inactivePlatform) Stop(context.Context, uint64, *order.Stop) (order.WorkerTime, bool) {
+	return 0, false
+}
 
-func (idle) Close() {}
+func (inactivePlatform) Close() {}
 
-func (idle) Pace(context.Context, uint64, *order.Pace) error { return nil }
+func (inactivePlatform) Pace(context.Context, uint64, *order.Pace) error { return nil }
 
-func (idle) Hold(context.Context, uint64, *order.Hold) (*order.Listing, order.HoldOutcome) {
+func (inactivePlatform) Hold(context.Context, uint64, *order.Hold) (*order.Listing, order.HoldOutcome) {
 	return nil, order.HoldSilent
 }
 
-func (idle) Workers(context.Context) ([]order.Worker, error) { return nil, nil }
+func (inactivePlatform) Workers(context.Context) ([]order.Worker, error) { return nil, nil }
 
-func (idle) OrderAnswered(string, string, time.Duration) {}
+func (inactivePlatform) OrderAnswered(string, string, time.Duration) {}
 
-func (idle) Appended(string, time.Duration) {}
+func (inactivePlatform) Appended(string, time.Duration) {}
 
 // config is the operators' configuration: a version as JSON.
 type config struct {
-	mu      sync.Mutex
-	data    []byte
-	changed chan struct{}
-	applied uint64
-	parses  int
+	mu             sync.Mutex
+	data           []byte
+	changed        chan struct{}
+	appliedVersion uint64
+	parseCalls     int
 	// isAway makes the store refuse to tell the configuration.
-	isAway bool
+	isReadRefused bool
 }
 
 // turnAway makes the store refuse this node from now on.
-func (c *config) turnAway() {
+func (c *config) refuseReads() {
 	c.mu.Lock()
-	c.isAway = true
+	c.isReadRefused = true
 	c.mu.Unlock()
 	c.changed <- struct{}{}
 }
 
-var errTurnedAway = errors.New("turned away")
+var errReadRefused = errors.New("turned away")
 
 func newConfig() *config { return &config{changed: make(chan struct{}, 8)} }
 
@@ -99,7 +101,7 @@
 
 func (c *config) Parse(data []byte) (*cluster.Configuration, error) {
 	c.mu.Lock()
-	c.parses++
+	c.parseCalls++
 	c.mu.Unlock()
 	version := uint64(0)
 	err := json.Unmarshal(data, &version)
@@ -114,9 +116,9 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isAway {
+	if c.isReadRefused {
 		c.changed <- struct{}{}
-		return nil, errTurnedAway
+		return nil, errReadRefused
 	}
 	return c.data, nil
 }
@@ -124,19 +126,19 @@
 func (c *config) apply(version uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.applied = version
+	c.appliedVersion = version
 }
 
-func (c *config) parsed() int {
+func (c *config) parseCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.parses
+	return c.parseCalls
 }
 
-func (c *config) inForce() uint64 {
+func (c *config) applied() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.applied
+	return c.appliedVersion
 }
 
 // testNode is a node with its own configuration reader.
@@ -145,12 +147,12 @@
 	config *config
 }
 
-func newNode(t *testing.T, log *fakestore.Log, name, life string) *testNode {
+func newNode(t *testing.T, log *fakestore.Log, name, incarnation string) *testNode {
 	t.Helper()
-	return newNodeWith(t, log, name, life, clock.Real{})
+	return newNodeWith(t, log, name, incarnation, clock.Real{})
 }
 
-func newNodeWith(t *testing.T, log *fakestore.Log, name, life string, clk clock.Service, change ...func(o *cluster.Options)) *testNode {
+func newNodeWith(t *testing.T, log *fakestore.Log, name, incarnation string, clk clock.Service, modify ...func(o *cluster.Options)) *testNode {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -162,12 +164,12 @@
 	}
 	c := newConfig()
 	options := cluster.Options{
-		Name: name, Zone: "z", LinkAddr: addr, Life: life, Clock: clk, Direct: idle{}, Adviser: idle{}, Config: c,
+		Name: name, Zone: "z", LinkAddr: addr, Incarnation: incarnation, Clock: clk, Direct: inactivePlatform{}, PermissionService: inactivePlatform{}, Config: c,
 		NewStore: func(detour.Doer) store.Log { return log },
-		NewOwner: func(detour.Doer) (owner.Workers, owner.List) { return idle{}, idle{} },
-		Log:      func(events.Event, ...any) {}, Metrics: idle{}, Strength: 1, Patience: patience,
+		NewOwner: func(detour.Doer) (owner.Workers, owner.List) { return inactivePlatform{}, inactivePlatform{} },
+		Log:      func(events.Event, ...any) {}, Metrics: inactivePlatform{}, Strength: 1, RequestTimeout: requestTimeout,
 	}
-	for _, f := range change {
+	for _, f := range modify {
 		f(&options)
 	}
 	n, err := cluster.NewNode(options)
@@ -179,7 +181,7 @@
 }
 
 // patience is so long that no request is given up on a busy machine.
-const patience = time.Hour
+const requestTimeout = time.Hour
 
 func job(id string) *work.Spec {
 	return &work.Spec{ID: work.JobID(id), Queue: "q", Steps: []work.Step{{Count: 1, MayMiss: -1}}}
@@ -234,14 +236,14 @@
 }
 
 // wantOwner checks which node owns the shard by the store's word.
-func wantOwner(t *testing.T, log *fakestore.Log, want string) {
+func checkOwner(t *testing.T, log *fakestore.Log, want string) {
 	t.Helper()
 	if r, _, err := owner.ReadRecord(t.Context(), log); err != nil || r == nil || r.Node != want {
 		t.Errorf("owner: got: %+v, %v, want: %s", r, err, want)
 	}
 }
 
-func TestAnotherNodeGoesOnAfterTheOwnersEnd(t *testing.T) {
+func TestAnotherNodeTakesOverWhenTheOwnerEnds(t *testing.T) {
 	log := fakestore.NewLog()
 	first, second := newPair(t, log)
 	first.Close()
@@ -249,7 +251,7 @@
 	second.submit(t, "b")
 }
 
-func TestAPlannedStopLeavesNoGap(t *testing.T) {
+func TestRequestsAreServedDuringAPlannedStop(t *testing.T) {
 	log := fakestore.NewLog()
 	first, second := newPair(t, log)
 	first.Leave(t.Context())
@@ -288,9 +290,9 @@
 
 // slowClock ticks five times too rarely where ticks are close, as a process sees
 // it that is kept from running now and then.
-type slowClock struct{ clock.Real }
+type delayedTickClock struct{ clock.Real }
 
-func (c slowClock) Subscribe(period time.Duration) (<-chan time.Time, func()) {
+func (c delayedTickClock) Subscribe(period time.Duration) (<-chan time.Time, func()) {
 	if period < 50*time.Millisecond {
 		period *= 5
 	}
@@ -298,29 +300,29 @@
 }
 
 // stillClock shows the same time always: no node takes long to read the store.
-type stillClock struct{ clock.Real }
+type stoppedClock struct{ clock.Real }
 
-func (stillClock) Now() time.Time { return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) }
+func (stoppedClock) Now() time.Time { return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) }
 
 // A configuration of 1,500 routes went over the owner's link to each follower and
 // back from each, so that its beats came late.
-func TestAConfigurationInTheStoreCrossesNoLink(t *testing.T) {
+func TestAConfigurationReadFromTheStoreIsNotFetchedFromAPeer(t *testing.T) {
 	log := fakestore.NewLog()
-	first, second := newNodeWith(t, log, "n0", "1", stillClock{}), newNodeWith(t, log, "n1", "1", stillClock{})
+	first, second := newNodeWith(t, log, "n0", "1", stoppedClock{}), newNodeWith(t, log, "n1", "1", stoppedClock{})
 	first.submit(t, "a")
 	second.submit(t, "b")
 	first.config.set(7)
-	await.True(t, "the second node hears of it", second.IsBehind)
+	await.True(t, "the second node hears of it", second.HasNewerPeer)
 	second.config.set(7)
-	await.True(t, "both have read it", func() bool { return first.config.inForce() == 7 && second.config.inForce() == 7 })
-	if got := first.config.parsed() + second.config.parsed(); got != 2 {
+	await.True(t, "both have read it", func() bool { return first.config.applied() == 7 && second.config.applied() == 7 })
+	if got := first.config.parseCount() + second.config.parseCount(); got != 2 {
 		t.Errorf("configurations read: got: %d, want: 2, one at each node", got)
 	}
 }
 
 // An owner that hands over to nodes that the store turns away leaves the shard
 // without an owner for seconds.
-func TestNothingIsHandedToANodeThatTheStoreTurnsAway(t *testing.T) {
+func TestTheShardIsNotHandedToANodeThatCannotReadTheStore(t *testing.T) {
 	log := fakestore.NewLog()
 	first := newNode(t, log, "n0", "1")
 	first.submit(t, "a")
@@ -328,24 +330,24 @@
 	for _, n := range []*testNode{second, third} {
 		await.True(t, "the others serve", func() bool { return n.knows(t, "a") })
 	}
-	second.config.turnAway()
-	await.True(t, "the owner knows who is turned away", func() bool { return slices.Equal(first.Heirs(), []string{"n2"}) })
+	second.config.refuseReads()
+	await.True(t, "the owner knows who is turned away", func() bool { return slices.Equal(first.Successors(), []string{"n2"}) })
 	first.Leave(t.Context())
-	wantOwner(t, log, "n2")
+	checkOwner(t, log, "n2")
 }
 
 // steppedClock shows the time that it was set to, and ticks as the machine's.
-type steppedClock struct {
+type manualClock struct {
 	clock.Real
-	ahead atomic.Int64
+	offset atomic.Int64
 }
 
-func (c *steppedClock) Now() time.Time {
-	return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(c.ahead.Load()))
+func (c *manualClock) Now() time.Time {
+	return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(c.offset.Load()))
 }
 
 // TimeOfDay goes with Now.
-func (c *steppedClock) TimeOfDay() time.Time { return c.Now() }
+func (c *manualClock) TimeOfDay() time.Time { return c.Now() }
 
 // Followers of an owner that had been replaced asked the store about it without a
 // pause until the link was given up, and served nobody for 0.9 s.
@@ -357,22 +359,22 @@
 			t.Fatal(err)
 		}
 	}
-	clk := &steppedClock{}
+	clk := &manualClock{}
 	n := newNodeWith(t, log, "n0", "1", clk)
-	near, far := net.Pipe()
-	t.Cleanup(func() { _ = far.Close() })
-	go func() { _, _ = io.Copy(io.Discard, far) }()
-	left := make(chan struct{})
+	localEnd, remoteEnd := net.Pipe()
+	t.Cleanup(func() { _ = remoteEnd.Close() })
+	go func() { _, _ = io.Copy(io.Discard, remoteEnd) }()
+	returned := make(chan struct{})
 	go func() {
-		defer close(left)
-		n.Stay(link.NewConn(near, n), &claims[0])
+		defer close(returned)
+		n.FollowOverLink(link.NewConn(localEnd, n), &claims[0])
 	}()
 	await.True(t, "the follower has a link", n.IsFollowing)
 	// Longer than three beats, shorter than the time after which a link is given up.
-	clk.ahead.Store(int64(800 * time.Millisecond))
+	clk.offset.Store(int64(800 * time.Millisecond))
 	await.True(t, "the follower looks for the next owner", func() bool {
 		select {
-		case <-left:
+		case <-returned:
 			return true
 		default:
 			return false
@@ -384,23 +386,23 @@
 // without a reset.
 func TestASilentLinkIsReplacedWhileTheOwnerLives(t *testing.T) {
 	log := fakestore.NewLog()
-	var way *relay.Relay
+	var ownerRelay *relay.Relay
 	first := newNodeWith(t, log, "n0", "1", clock.Real{}, func(o *cluster.Options) {
 		var err error
-		if way, err = relay.NewRelay(o.LinkAddr); err != nil {
+		if ownerRelay, err = relay.NewRelay(o.LinkAddr); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(way.Close)
-		o.AdvertiseAddr = way.Addr()
+		t.Cleanup(ownerRelay.Close)
+		o.AdvertiseAddr = ownerRelay.Addr()
 	})
 	first.submit(t, "a")
-	clk := &steppedClock{}
+	clk := &manualClock{}
 	second := newNodeWith(t, log, "n1", "1", clk)
 	await.True(t, "the second node serves", func() bool { return second.knows(t, "a") })
-	way.Silence()
-	await.True(t, "beats are dropped", func() bool { return way.Dropped() >= 3 })
+	ownerRelay.Silence()
+	await.True(t, "beats are dropped", func() bool { return ownerRelay.Dropped() >= 3 })
 	// Longer than three beats, shorter than the time after which a link is given up.
-	clk.ahead.Store(int64(800 * time.Millisecond))
+	clk.offset.Store(int64(800 * time.Millisecond))
 	served := make(chan error, 1)
 	go func() { served <- second.Submit(t.Context(), job("b")) }()
 	await.True(t, "a request is served", func() bool {
@@ -411,12 +413,12 @@
 			return false
 		}
 	})
-	wantOwner(t, log, "n0")
+	checkOwner(t, log, "n0")
 }
 
 func TestASlowOwnerHandsOver(t *testing.T) {
 	log := fakestore.NewLog()
-	first := newNodeWith(t, log, "n0", "1", slowClock{})
+	first := newNodeWith(t, log, "n0", "1", delayedTickClock{})
 	first.submit(t, "a")
 	second := newNode(t, log, "n1", "1")
 	await.True(t, "the second node owns the jobs", func() bool {
@@ -425,7 +427,7 @@
 	})
 }
 
-func TestANodeWithoutAnOwnerRefuses(t *testing.T) {
+func TestANodeWithoutAnOwnerRefusesRequests(t *testing.T) {
 	log := fakestore.NewLog()
 	log.SetDown(true)
 	n := newNode(t, log, "n0", "1")
@@ -436,31 +438,31 @@
 	}
 }
 
-func TestConfigurationComesByPeersAndNeverGoesBack(t *testing.T) {
+func TestConfigurationSpreadsThroughPeersAndItsVersionNeverFalls(t *testing.T) {
 	log := fakestore.NewLog()
 	first, second := newNode(t, log, "n0", "1"), newNode(t, log, "n1", "1")
 	first.submit(t, "a")
 	second.submit(t, "b")
 	first.config.set(7)
-	await.True(t, "both have the configuration", func() bool { return first.config.inForce() == 7 && second.config.inForce() == 7 })
+	await.True(t, "both have the configuration", func() bool { return first.config.applied() == 7 && second.config.applied() == 7 })
 	second.config.set(9)
-	await.True(t, "both have the next", func() bool { return first.config.inForce() == 9 && second.config.inForce() == 9 })
+	await.True(t, "both have the next", func() bool { return first.config.applied() == 9 && second.config.applied() == 9 })
 	first.config.set(8)
 	second.submit(t, "c")
-	if got := first.config.inForce(); got != 9 {
+	if got := first.config.applied(); got != 9 {
 		t.Errorf("after an older one: got: %d, want: 9", got)
 	}
 }
 
 // Each of 27 followers fetched 820 KB; to compress it for each would cost the
 // owner half a second.
-func TestAConfigurationIsPackedOnce(t *testing.T) {
+func TestAConfigurationIsCompressedOnce(t *testing.T) {
 	log := fakestore.NewLog()
 	first := newNode(t, log, "n0", "1")
 	first.submit(t, "a")
 	first.config.set(7)
-	await.True(t, "it is in force", func() bool { return first.config.inForce() == 7 })
-	one, two := first.Packed(), first.Packed()
+	await.True(t, "it is in force", func() bool { return first.config.applied() == 7 })
+	one, two := first.Compressed(), first.Compressed()
 	if len(one) == 0 || &one[0] != &two[0] {
 		t.Error("got: packed again, want: packed once")
 	}
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -18,9 +18,9 @@
 
 const (
 	// peerSilence is how long a follower may be silent before it is not used.
-	peerSilence = 1500 * time.Millisecond
+	maxPeerSilence = 1500 * time.Millisecond
 	// peerMemory is how long a peer that is no longer linked counts for a majority.
-	peerMemory = 8 * time.Second
+	peerRetention = 8 * time.Second
 )
 
 // peer is a follower that is linked to this node.
@@ -28,13 +28,13 @@
 	hello hello
 	conn  *link.Conn
 	// number tells the links of this node apart.
-	number uint64
+	linkID uint64
 	// bornAt is when its process began.
-	bornAt    time.Time
+	startedAt time.Time
 	heardAt   time.Time
 	isLeaving bool
 	// isTurnedAway means that the store does not serve it.
-	isTurnedAway bool
+	isStoreUnavailable bool
 }
 
 // peers are the followers of this node. It is safe for concurrent use.
@@ -44,14 +44,14 @@
 	mu     sync.Mutex
 	byName map[string]*peer
 	// seen is when a peer was linked last, by name.
-	seen map[string]time.Time
-	next int
+	lastLinkedAt map[string]time.Time
+	nextSample   int
 	// links counts the links that were made.
 	links uint64
 }
 
 func newPeers(c clock.Service) *peers {
-	return &peers{clock: c, byName: map[string]*peer{}, seen: map[string]time.Time{}}
+	return &peers{clock: c, byName: map[string]*peer{}, lastLinkedAt: map[string]time.Time{}}
 }
 
 func (p *peers) add(h hello, c *link.Conn) {
@@ -62,8 +62,8 @@
 		old.conn.Close()
 	}
 	p.links++
-	p.byName[h.Name] = &peer{hello: h, conn: c, number: p.links, bornAt: now.Add(-h.Age), heardAt: now}
-	p.seen[h.Name] = now
+	p.byName[h.Name] = &peer{hello: h, conn: c, linkID: p.links, startedAt: now.Add(-h.Age), heardAt: now}
+	p.lastLinkedAt[h.Name] = now
 }
 
 func (p *peers) remove(c *link.Conn) {
@@ -72,17 +72,17 @@
 	for name, peer := range p.byName {
 		if peer.conn == c {
 			delete(p.byName, name)
-			p.seen[name] = p.clock.Now()
+			p.lastLinkedAt[name] = p.clock.Now()
 		}
 	}
 }
 
-func (p *peers) heard(c *link.Conn, a alive) {
+func (p *peers) recordHeartbeat(c *link.Conn, a followerHeartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, peer := range p.byName {
 		if peer.conn == c {
-			peer.heardAt, peer.isLeaving, peer.isTurnedAway = p.clock.Now(), a.IsLeaving, a.IsTurnedAway
+			peer.heardAt, peer.isLeaving, peer.isStoreUnavailable = p.clock.Now(), a.IsLeaving, a.IsStoreUnavailable
 		}
 	}
 }
@@ -107,12 +107,12 @@
 // usable returns the peers that have been heard lately.
 func (p *peers) usable() []peer {
 	now := p.clock.Now()
-	return slices.DeleteFunc(p.all(), func(q peer) bool { return now.Sub(q.heardAt) > peerSilence || q.isLeaving })
+	return slices.DeleteFunc(p.all(), func(q peer) bool { return now.Sub(q.heardAt) > maxPeerSilence || q.isLeaving })
 }
 
 // strongestKnown returns the strength of the strongest node that is linked, or of
 // this one.
-func (n *Node) strongestKnown() float64 {
+func (n *Node) maxKnownStrength() float64 {
 	strongest := n.options.Strength
 	for _, p := range n.peers.usable() {
 		strongest = max(strongest, p.hello.Strength)
@@ -121,19 +121,19 @@
 }
 
 // served returns the usable peers that the store serves, as far as they know.
-func (p *peers) served() []peer {
-	return slices.DeleteFunc(p.usable(), func(q peer) bool { return q.isTurnedAway })
+func (p *peers) withStore() []peer {
+	return slices.DeleteFunc(p.usable(), func(q peer) bool { return q.isStoreUnavailable })
 }
 
 // byFitness returns the peers that could own the shard, the strongest first, and
 // of those that are alike that which has run for the shortest time.
-func (p *peers) byFitness() []peer {
-	out := p.served()
+func (p *peers) successorCandidates() []peer {
+	out := p.withStore()
 	slices.SortFunc(out, func(a, b peer) int {
 		if c := cmp.Compare(b.hello.Strength, a.hello.Strength); c != 0 {
 			return c
 		}
-		return b.bornAt.Compare(a.bornAt)
+		return b.startedAt.Compare(a.startedAt)
 	})
 	return out
 }
@@ -141,7 +141,7 @@
 // Sample returns up to n peers to send requests through: such as the store serves,
 // if there are any, the strong ones first, and others of these each time.
 func (p *peers) Sample(n int) []string {
-	usable := p.served()
+	usable := p.withStore()
 	if len(usable) == 0 {
 		usable = p.usable()
 	}
@@ -149,12 +149,12 @@
 		return nil
 	}
 	strongest := slices.MaxFunc(usable, func(a, b peer) int { return cmp.Compare(a.hello.Strength, b.hello.Strength) }).hello.Strength
-	isWeak := func(q peer) bool { return q.hello.Strength < (1-equalStrength)*strongest }
+	isWeak := func(q peer) bool { return q.hello.Strength < (1-strengthTolerance)*strongest }
 	strong := slices.DeleteFunc(slices.Clone(usable), isWeak)
 	weak := slices.DeleteFunc(usable, func(q peer) bool { return !isWeak(q) })
 	p.mu.Lock()
-	p.next++
-	first := p.next
+	p.nextSample++
+	first := p.nextSample
 	p.mu.Unlock()
 	out := []string{}
 	for _, group := range [][]peer{strong, weak} {
@@ -175,15 +175,15 @@
 	defer p.mu.Unlock()
 	known := len(p.byName) + 1
 	now := p.clock.Now()
-	for name, at := range p.seen {
-		if p.byName[name] == nil && now.Sub(at) < peerMemory {
+	for name, at := range p.lastLinkedAt {
+		if p.byName[name] == nil && now.Sub(at) < peerRetention {
 			known++
 		}
 	}
 	return 2*linked > known
 }
 
-func (p *peers) find(name string) *link.Conn {
+func (p *peers) linkTo(name string) *link.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if peer := p.byName[name]; peer != nil {
@@ -193,13 +193,13 @@
 }
 
 // errNoPeer means that a peer is not linked.
-var errNoPeer = errors.New("cluster: the peer is not linked")
+var errPeerNotLinked = errors.New("cluster: the peer is not linked")
 
 // Via sends a request to the store through a peer.
 func (p *peers) Via(ctx context.Context, name string, r *detour.Request) (*detour.Response, error) {
-	conn := p.find(name)
+	conn := p.linkTo(name)
 	if conn == nil {
-		return nil, &detour.UnsentError{Err: errNoPeer}
+		return nil, &detour.UnsentError{Err: errPeerNotLinked}
 	}
 	reply := &storeReply{}
 	if err := conn.Call(ctx, kindStore, r, reply); err != nil {
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -23,27 +23,27 @@
 func (n *Node) HandleCall(ctx context.Context, from *link.Conn, kind link.Kind, body []byte) (any, error) {
 	switch kind {
 	case kindHello:
-		return n.takeHello(from, body)
+		return n.handleHello(from, body)
 	case kindClaim:
-		c := claimCall{}
+		c := claimRequest{}
 		if err := codec.Unmarshal(body, &c); err != nil {
 			return nil, err
 		}
-		return n.takeClaim(ctx, c)
+		return n.handleClaim(ctx, c)
 	case kindConfig:
-		return n.configInForce(), nil
-	case kindAdvise:
-		return n.takeAdvise(ctx, body)
+		return n.activeConfig(), nil
+	case kindPermission:
+		return n.handlePermissionQuery(ctx, body)
 	case kindStore:
-		return n.takeStore(ctx, body)
+		return n.handleStore(ctx, body)
 	}
 	n.mu.Lock()
 	o := n.owner
 	n.mu.Unlock()
 	if o == nil || !n.awaitLoaded(ctx, o) {
-		return answerOf(&owner.ChangeError{Failure: leverdyke.NotRun("this node is not the owner of the jobs", retryAfter)}), nil
+		return replyFor(&owner.ChangeError{Failure: leverdyke.NotRun("this node is not the owner of the jobs", retryAfterSeconds)}), nil
 	}
-	return takeRequest(ctx, o, kind, body)
+	return handleRequest(ctx, o, kind, body)
 }
 
 // awaitLoaded waits until the owner knows the jobs, and reports false when that
@@ -57,38 +57,38 @@
 		return true
 	case <-o.Done():
 	case <-ctx.Done():
-	case <-n.options.Clock.After(n.options.Patience):
+	case <-n.options.Clock.After(n.options.RequestTimeout):
 	}
 	return false
 }
 
 // takeRequest answers a caller's request that another node passed on.
-func takeRequest(ctx context.Context, o *owner.Owner, kind link.Kind, body []byte) (any, error) {
+func handleRequest(ctx context.Context, o *owner.Owner, kind link.Kind, body []byte) (any, error) {
 	if kind == kindSubmit {
 		spec := &work.Spec{}
 		if err := codec.Unmarshal(body, spec); err != nil {
 			return nil, err
 		}
-		return answerOf(o.Submit(ctx, spec)), nil
+		return replyFor(o.Submit(ctx, spec)), nil
 	}
-	q := question{}
+	q := jobQuery{}
 	if err := codec.Unmarshal(body, &q); err != nil {
 		return nil, err
 	}
 	switch kind {
 	case kindState:
 		state, ok, err := o.State(ctx, q.Job, q.By)
-		a := answerOf(err)
+		a := replyFor(err)
 		a.State, a.IsKnown = state, ok
 		return a, nil
 	case kindCancel:
 		ok, err := o.Cancel(ctx, q.Job, q.By)
-		a := answerOf(err)
+		a := replyFor(err)
 		a.IsKnown = ok
 		return a, nil
 	case kindPending:
 		count, err := o.Pending(ctx, q.Queue)
-		a := answerOf(err)
+		a := replyFor(err)
 		a.Count = count
 		return a, nil
 	}
@@ -97,17 +97,17 @@
 
 // configInForce returns the configuration in force here, without data before the
 // first.
-func (n *Node) configInForce() configMessage {
+func (n *Node) activeConfig() configMessage {
 	n.mu.Lock()
-	version, packed := n.configVersion, n.configPacked
+	version, compressed := n.configVersion, n.configCompressed
 	n.mu.Unlock()
-	if packed == nil {
+	if compressed == nil {
 		return configMessage{}
 	}
-	return configMessage{version, packed()}
+	return configMessage{version, compressed()}
 }
 
-func (n *Node) takeHello(from *link.Conn, body []byte) (any, error) {
+func (n *Node) handleHello(from *link.Conn, body []byte) (any, error) {
 	h := hello{}
 	if err := codec.Unmarshal(body, &h); err != nil {
 		return nil, err
@@ -115,7 +115,7 @@
 	n.mu.Lock()
 	o := n.owner
 	n.mu.Unlock()
-	w := &welcome{Life: n.options.Life}
+	w := &welcome{Incarnation: n.options.Incarnation}
 	if o != nil {
 		w.IsOwner, w.Epoch = true, o.Epoch()
 		n.peers.add(h, from)
@@ -125,24 +125,24 @@
 
 // takeClaim makes the seeker claim the shard after the owner of that epoch, and
 // answers once this node owns it.
-func (n *Node) takeClaim(ctx context.Context, c claimCall) (any, error) {
+func (n *Node) handleClaim(ctx context.Context, c claimRequest) (any, error) {
 	if c.IsUnfit {
 		n.mu.Lock()
-		n.fitness.yieldedAt = n.options.Clock.Now()
+		n.fitness.handedOverAt = n.options.Clock.Now()
 		n.mu.Unlock()
 	}
 	select {
-	case <-n.takeOver:
+	case <-n.claimRequests:
 		// An earlier call that nobody took up.
 	default:
 	}
 	select {
-	case n.takeOver <- c.Epoch:
+	case n.claimRequests <- c.Epoch:
 	default:
 	}
 	ticks, stop := n.options.Clock.Subscribe(5 * time.Millisecond)
 	defer stop()
-	tooLate := n.options.Clock.After(claimTime)
+	timedOut := n.options.Clock.After(claimTimeout)
 	for {
 		n.mu.Lock()
 		isOwner := n.owner != nil
@@ -153,23 +153,23 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-tooLate:
+		case <-timedOut:
 			return nil, errors.New("cluster: the shard was not won in time")
 		case <-ticks:
 		}
 	}
 }
 
-func (n *Node) takeAdvise(ctx context.Context, body []byte) (any, error) {
-	c := adviseCall{}
+func (n *Node) handlePermissionQuery(ctx context.Context, body []byte) (any, error) {
+	c := permissionQuery{}
 	if err := codec.Unmarshal(body, &c); err != nil {
 		return nil, err
 	}
-	good, valid, err := n.options.Adviser.Ask(ctx, c.Step, c.Workers)
-	return adviseReply{good, valid}, err
+	permits, validFor, err := n.options.PermissionService.Ask(ctx, c.Step, c.Workers)
+	return permissionReply{permits, validFor}, err
 }
 
-func (n *Node) takeStore(ctx context.Context, body []byte) (any, error) {
+func (n *Node) handleStore(ctx context.Context, body []byte) (any, error) {
 	r := &detour.Request{}
 	if err := codec.Unmarshal(body, r); err != nil {
 		return nil, err
@@ -185,48 +185,48 @@
 // HandleNotice takes a notification of another node.
 func (n *Node) HandleNotice(from *link.Conn, kind link.Kind, body []byte) {
 	switch kind {
-	case kindBeat:
-		b := beat{}
+	case kindOwnerHeartbeat:
+		b := ownerHeartbeat{}
 		if codec.Unmarshal(body, &b) == nil {
-			n.takeBeat(from, b)
+			n.handleOwnerHeartbeat(from, b)
 		}
-	case kindAlive:
-		a := alive{}
+	case kindFollowerHeartbeat:
+		a := followerHeartbeat{}
 		if codec.Unmarshal(body, &a) == nil {
-			n.peers.heard(from, a)
+			n.peers.recordHeartbeat(from, a)
 			n.mu.Lock()
-			n.notePeerVersion(from, a.ConfigVersion)
+			n.handlePeerVersion(from, a.ConfigVersion)
 			n.mu.Unlock()
 		}
-	case kindCarry:
-		n.takeCarry(from, body)
-	case kindCarried:
-		n.takeCarried(body)
+	case kindDelegatedOrders:
+		n.handleDelegatedOrders(from, body)
+	case kindOutcomes:
+		n.handleOutcomes(body)
 	default:
 		n.options.Log(events.BadFrame, "kind", kind)
 	}
 }
 
-func (n *Node) takeBeat(from *link.Conn, b beat) {
+func (n *Node) handleOwnerHeartbeat(from *link.Conn, b ownerHeartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if from != n.ownerLink {
 		return
 	}
-	n.watch.hear(n.options.Clock.Now(), b)
-	n.unloggedEpoch = 0
-	if b.IsUnlogged {
-		n.unloggedEpoch = b.Epoch
+	n.detector.recordHeartbeat(n.options.Clock.Now(), b)
+	n.unpersistedEpoch = 0
+	if b.MayHaveUnpersisted {
+		n.unpersistedEpoch = b.Epoch
 	}
-	n.notePeerVersion(from, b.ConfigVersion)
+	n.handlePeerVersion(from, b.ConfigVersion)
 }
 
 // lanes are the ways to the service that permits workers: this node and its
 // followers.
-type lanes struct{ n *Node }
+type permissionChannels struct{ n *Node }
 
 // Names returns the lanes that can be used now.
-func (l *lanes) Names() []string {
+func (l *permissionChannels) Names() []string {
 	out := []string{l.n.options.Name}
 	for _, p := range l.n.peers.usable() {
 		out = append(out, p.hello.Name)
@@ -235,17 +235,17 @@
 }
 
 // Ask asks through a lane.
-func (l *lanes) Ask(ctx context.Context, lane string, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error) {
-	if lane == l.n.options.Name {
-		return l.n.options.Adviser.Ask(ctx, step, workers)
+func (l *permissionChannels) Ask(ctx context.Context, channel string, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error) {
+	if channel == l.n.options.Name {
+		return l.n.options.PermissionService.Ask(ctx, step, workers)
 	}
-	conn := l.n.peers.find(lane)
+	conn := l.n.peers.linkTo(channel)
 	if conn == nil {
-		return nil, 0, errNoPeer
+		return nil, 0, errPeerNotLinked
 	}
-	reply := &adviseReply{}
-	if err := conn.Call(ctx, kindAdvise, adviseCall{step, workers}, reply); err != nil {
+	reply := &permissionReply{}
+	if err := conn.Call(ctx, kindPermission, permissionQuery{step, workers}, reply); err != nil {
 		return nil, 0, err
 	}
-	return reply.Good, reply.Valid, nil
+	return reply.Permits, reply.ValidFor, nil
 }
