--- a/internal/cluster/compress.go
+++ b/internal/cluster/compress.go
@@ -10,35 +10,35 @@
 	"io"
 )
 
-// maxConfigBytes bounds a configuration that a peer sent compressed, in bytes
-// unpacked. No node reads a larger one in the store, whose answers are bounded by
-// 16 MB (maxAnswerBytes in platform/direct.go); and what a frame holds can unpack to
-// more than the memory of a node: 184 MB on the smallest VM of the grown offices.
+// maxConfigBytes is the maximum decompressed size of a configuration from a peer, in bytes. No node
+// reads a larger one from the store, whose responses are limited to 16 MB (maxAnswerBytes in
+// platform/direct.go). Without the limit, one frame could decompress to more than the memory of a
+// node, which is 184 MB on the smallest VM of the grown offices.
 const maxConfigBytes = 16 << 20
 
-// pack compresses a configuration: its routes are alike, so that it crosses the
-// weakest link (10 Mbit/s) in a fraction of the time, and holds up no beats.
+// compress compresses a configuration. Its routes are similar and compress well. It then needs only
+// a fraction of the time on the slowest link (10 Mbit/s), where it would otherwise delay heartbeats.
 func compress(data []byte) []byte {
 	out := &bytes.Buffer{}
-	// Neither a buffer nor this level can fail.
+	// No error is possible: the level is valid, and writes to a bytes.Buffer do not fail.
 	w, _ := gzip.NewWriterLevel(out, gzip.BestSpeed)
 	_, _ = w.Write(data)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// unpack reads what pack wrote.
+// decompress reverses compress. It fails for data of more than maxConfigBytes.
 func decompress(compressed []byte) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(compressed))
 	if err != nil {
-		return nil, fmt.Errorf("cluster: packed configuration: %w", err)
+		return nil, fmt.Errorf("cluster: compressed configuration from a peer has no valid header: %w", err)
 	}
 	data, err := io.ReadAll(io.LimitReader(r, maxConfigBytes+1))
 	if err != nil {
-		return nil, fmt.Errorf("cluster: packed configuration: %w", err)
+		return nil, fmt.Errorf("cluster: cannot decompress configuration from a peer: %w", err)
 	}
 	if len(data) > maxConfigBytes {
-		return nil, fmt.Errorf("cluster: packed configuration: more than %d bytes", maxConfigBytes)
+		return nil, fmt.Errorf("cluster: configuration from a peer is larger than %d bytes after decompression", maxConfigBytes)
 	}
 	return data, nil
 }
--- a/internal/cluster/compress_test.go
+++ b/internal/cluster/compress_test.go
@@ -12,7 +12,8 @@
 	"github.com/leverdyke/leverdyke/internal/cluster"
 )
 
-// manyRoutes is a configuration with routes as the operators write them.
+// configWithRoutes returns a configuration with that many routes, similar to those that operators
+// write.
 func configWithRoutes(count int) []byte {
 	out := &bytes.Buffer{}
 	out.WriteString(`{"version":7,"routes":[`)
@@ -24,19 +25,23 @@
 	return out.Bytes()
 }
 
+// Guards against a configuration that changes in transfer, or that takes too long on a slow link
+// because it is not compressed well enough.
 func TestAConfigurationIsCompressed(t *testing.T) {
 	data := configWithRoutes(5600)
 	compressed := cluster.Compress(data)
 	got, err := cluster.Decompress(compressed)
 	if err != nil || !bytes.Equal(got, data) {
-		t.Errorf("unpacked: got: %d bytes, %v, want: the %d packed", len(got), err, len(data))
+		t.Errorf("decompressed: got: %d bytes, %v, want: the %d original bytes", len(got), err, len(data))
 	}
-	// The names of routes do not shrink.
+	// The names of the routes are random and hardly compress.
 	if want := len(data) / 5; len(compressed) > want {
-		t.Errorf("packed: got: %d bytes of %d, want: %d at most", len(compressed), len(data), want)
+		t.Errorf("compressed: got: %d bytes of %d, want: at most %d", len(compressed), len(data), want)
 	}
 }
 
+// Guards against data from a peer that is no compressed configuration, that is truncated, or that
+// decompresses to more memory than a node has.
 func TestDecompressRefusesInvalidData(t *testing.T) {
 	oversized := &bytes.Buffer{}
 	w := gzip.NewWriter(oversized)
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// beatPeriod is the time between two of the owner's beats over a link. A follower
-	// notices after three of them.
+	// ownerHeartbeatPeriod is the time between two heartbeats of the owner over a link. A follower
+	// suspects the owner after three missed ones.
 	ownerHeartbeatPeriod = 100 * time.Millisecond
-	// alivePeriod is the time between two signs of life of a follower.
+	// followerHeartbeatPeriod is the time between two heartbeats of a follower to the owner.
 	followerHeartbeatPeriod = 200 * time.Millisecond
-	// configPause is the pause after the configuration could not be read.
+	// configRetryDelay is the delay after a failed read of the configuration.
 	configRetryDelay = 150 * time.Millisecond
-	// maxFaultsLogged bounds what is told of a configuration with bad entries.
+	// maxFaultsLogged is how many of a configuration's invalid entries are logged.
 	maxFaultsLogged = 10
 )
 
-// runConfig follows the operators' configuration in the store.
+// runConfig reads each new version of the operators' configuration from the store.
 func (n *Node) runConfig() {
 	defer n.wg.Done()
 	for n.ctx.Err() == nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// configSource is where a configuration is read.
+// configSource is where a configuration was read from.
 type configSource string
 
 const (
@@ -57,15 +57,15 @@
 	fromPeer  configSource = "peer"
 )
 
-// failedReads are the reads of a configuration from one source that have failed
-// since one succeeded.
+// failedReads counts the consecutive failed reads of the configuration from one source; since is
+// the time of the first.
 type failedReads struct {
 	since    time.Time
 	attempts int
 }
 
-// noteRead tells when reads from a source begin to fail and when they succeed
-// again, not each try. Each source has one reader at a time.
+// recordConfigRead logs when reads from a source begin to fail and when they succeed again, but not
+// each attempt. Each source has one reader at a time.
 func (n *Node) recordConfigRead(from configSource, err error, took time.Duration) {
 	if n.ctx.Err() != nil {
 		return
@@ -91,14 +91,16 @@
 	}
 }
 
-// takeConfig puts a configuration in force unless a later one is. It came in so
-// many bytes, in the time took, which has the wait for a change.
+// installConfig makes a configuration the active one unless the active one is as new or newer.
+// receivedBytes is its size as it was received and took the duration of the read, which includes
+// the wait for a change; both are only logged.
 func (n *Node) installConfig(data []byte, from configSource, receivedBytes int, took time.Duration) {
 	n.mu.Lock()
 	isActive := n.config != nil && bytes.Equal(data, n.config)
 	n.mu.Unlock()
 	if isActive {
-		// It came from a peer before, and a weak node takes long to parse it.
+		// The same configuration is active already, for example because a peer sent it before
+		// it was read from the store. Parsing it again takes long on a weak node.
 		return
 	}
 	c, err := n.options.Config.Parse(data)
@@ -124,16 +126,18 @@
 }
 
 const (
-	// fetchAfter is how long a node reads the store for a version that a peer has
-	// before it asks that peer: a small configuration has come by then.
+	// peerFetchDelay is how long a node that learns of a newer version from a peer waits for it to
+	// arrive from the store before it fetches it from the peer. A small configuration has arrived
+	// by then.
 	peerFetchDelay = 200 * time.Millisecond
-	// fetchTimeout bounds such a question until its answer begins. It may wait
-	// behind what else the link carries; an answer that comes goes on.
+	// peerFetchTimeout bounds the time until a peer's answer begins to arrive, which includes the
+	// wait behind other messages on the link. An answer that is arriving is not interrupted.
 	peerFetchTimeout = time.Second
 )
 
-// notePeerVersion takes the version that a peer has in force, and asks for it
-// when this node cannot read it in the store. The caller holds mu.
+// handlePeerVersion compares a peer's active version with this node's. If the peer's is newer and
+// the store has not provided it within peerFetchDelay, it starts to fetch it from the peer. The
+// caller holds mu.
 func (n *Node) handlePeerVersion(from *link.Conn, version uint64) {
 	now := n.options.Clock.Now()
 	switch {
@@ -153,7 +157,7 @@
 	go n.runFetch(from)
 }
 
-// runFetch asks a peer for its configuration.
+// runFetch fetches the configuration of a peer and installs it.
 func (n *Node) runFetch(from *link.Conn) {
 	defer n.wg.Done()
 	began := n.options.Clock.Now()
@@ -168,8 +172,8 @@
 	n.isFetching, n.newerPeer = false, nil
 }
 
-// fetch returns a peer's configuration, nil when it has none, and how many bytes
-// it took to come.
+// fetchConfig returns a peer's configuration, nil when the peer has none, and its compressed size
+// in bytes, as it was sent.
 func (n *Node) fetchConfig(from *link.Conn) ([]byte, int, error) {
 	ctx, cancel := progress.With(n.ctx, peerFetchTimeout)
 	defer cancel()
@@ -184,13 +188,14 @@
 	return data, len(m.Compressed), err
 }
 
-// runBeats tells the followers that this node is the owner.
+// runOwnerHeartbeats sends heartbeats to the followers while this node is the owner.
 func (n *Node) runOwnerHeartbeats() {
 	defer n.wg.Done()
 	n.runPeriodically(ownerHeartbeatPeriod, n.sendOwnerHeartbeats)
 }
 
-// runAlive tells the owner that this node follows it.
+// runFollowerHeartbeats sends heartbeats to the owner while this node follows one, and lets the
+// delegate notice when this node was kept from running.
 func (n *Node) runFollowerHeartbeats() {
 	defer n.wg.Done()
 	n.runPeriodically(followerHeartbeatPeriod, func() {
@@ -201,7 +206,7 @@
 	})
 }
 
-// every does something again and again until the node is closed.
+// runPeriodically calls action once per period until the node is closed.
 func (n *Node) runPeriodically(period time.Duration, action func()) {
 	ticks, stop := n.options.Clock.Subscribe(period)
 	defer stop()
--- a/internal/cluster/delegate.go
+++ b/internal/cluster/delegate.go
@@ -12,14 +12,15 @@
 	"github.com/leverdyke/leverdyke/internal/link"
 )
 
-// carrierSilence is how long a follower may be silent before it carries no more: two
-// signs of life and what a busy node is late.
+// maxDelegateSilence is how long ago a follower's last heartbeat may have been received for the
+// owner to still use it as a delegate: two heartbeat periods, plus the delay of a busy node.
 const maxDelegateSilence = 600 * time.Millisecond
 
-// carriers are the followers as an owner sees them that leaves orders to them.
+// delegates are the followers to which the owner on this node can delegate its talking to
+// workers.
 type delegates struct{ n *Node }
 
-// Usable returns the followers that are heard.
+// Usable returns the followers that accept orders and whose heartbeats are recent.
 func (c *delegates) Usable() []carrier.Node {
 	now := c.n.options.Clock.Now()
 	out := []carrier.Node{}
@@ -31,13 +32,14 @@
 	return out
 }
 
-// Send sends orders to a follower.
+// Send sends a batch of orders to a follower. It reports false when the follower is not linked or
+// the batch was dropped.
 func (c *delegates) Send(node string, b *carrier.Batch) bool {
 	conn := c.n.peers.linkTo(node)
 	return conn != nil && conn.Notify(kindDelegatedOrders, b)
 }
 
-// takeCarry carries out what the owner leaves to this node.
+// handleDelegatedOrders carries out orders that the owner delegated to this node.
 func (n *Node) handleDelegatedOrders(from *link.Conn, body []byte) {
 	if n.delegate == nil {
 		return
@@ -50,7 +52,8 @@
 	n.sessionFor(from).Take(n.ctx, b)
 }
 
-// session returns the session of a link.
+// sessionFor returns the delegate session of a link; a link other than the last one gets a new
+// session.
 func (n *Node) sessionFor(from *link.Conn) *carrier.Session {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,7 +64,7 @@
 	return n.delegateSession
 }
 
-// takeCarried takes what became of orders that this owner left to others.
+// handleOutcomes passes the outcomes of delegated orders to the owner on this node.
 func (n *Node) handleOutcomes(body []byte) {
 	outcomes := []carrier.Outcome{}
 	if err := codec.Unmarshal(body, &outcomes); err != nil {
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -18,25 +18,29 @@
 )
 
 const (
-	// dialTimeout bounds connecting to a node: one region is milliseconds wide.
+	// dialTimeout bounds connecting to a node. Round trips within a region take milliseconds.
 	dialTimeout = 500 * time.Millisecond
-	// seekPause is the time between two looks for the owner.
+	// electionInterval is the time between two attempts to find the owner or to claim the shard.
 	electionInterval = 80 * time.Millisecond
-	// longestPause is that while the store does not answer: each call has a price.
+	// maxElectionInterval bounds that time while the store does not answer. The interval grows up
+	// to it because each call to the store has a cost.
 	maxElectionInterval = 500 * time.Millisecond
-	// staleDialTimeout is that for an owner whose record is old: a node that lives
-	// answers within some tens of milliseconds.
+	// staleDialTimeout replaces dialTimeout for an owner whose record is older than staleRecordAge,
+	// which has probably ended. A node that is alive answers within some tens of milliseconds.
 	staleDialTimeout = 60 * time.Millisecond
-	// weakDelay is how long the weakest node leaves claims to stronger ones: the
-	// time that those need to find out that there is no owner.
+	// maxClaimDelay is how long the weakest node delays its claim to let stronger nodes claim
+	// first. The delay is the time that those need to find out that there is no owner.
 	maxClaimDelay = 300 * time.Millisecond
-	// equalStrength is the lack of strength that does not count.
+	// strengthTolerance is the relative difference in strength up to which two nodes count as
+	// equally strong.
 	strengthTolerance = 0.1
-	// usualStrength is the strength of a strong node, in processors.
+	// defaultStrength is the strength of a strong node, in processors. It is assumed for the
+	// strongest node when there is no record of an owner.
 	defaultStrength = 0.8
 )
 
-// runSeeker finds the owner, follows it, and claims the shard when there is none.
+// runElection repeatedly reads from the store who the owner is, and then follows that owner or
+// claims the shard when there is none.
 func (n *Node) runElection() {
 	defer n.wg.Done()
 	isStoreDown := false
@@ -59,8 +63,7 @@
 	}
 }
 
-// followLast follows the owner that was known last, when the store does not say
-// who it is now.
+// followLastKnown follows the last known owner while the store does not answer.
 func (n *Node) followLastKnown() {
 	if n.lastRecord != nil && n.lastRecord.Node != n.options.Name {
 		if conn, _ := n.connect(n.lastRecord, dialTimeout); conn != nil {
@@ -69,7 +72,7 @@
 	}
 }
 
-// readRecord reads the record of the owner and takes the time of the answer.
+// readRecord reads the owner's record and measures how long the store takes.
 func (n *Node) readRecord() (*owner.Record, uint64, error) {
 	began := n.options.Clock.Now()
 	r, at, err := owner.ReadRecord(n.ctx, n.log)
@@ -80,7 +83,8 @@
 	return r, at, err
 }
 
-// act does what the record of the owner asks for.
+// handleRecord claims the shard, runs the owner or follows it, depending on the owner's record. at
+// is the offset of the record, or the end of the topic when there is no record.
 func (n *Node) handleRecord(r *owner.Record, at uint64) {
 	switch {
 	case r == nil:
@@ -95,8 +99,9 @@
 	}
 }
 
-// claim tries to become the owner if the topic still ends there. isOver means that
-// the earlier owner has certainly stopped.
+// claim tries to become the owner: it appends a record on the condition that the topic still ends
+// at end, so that only one node succeeds. hasEnded means that the previous owner has certainly
+// stopped.
 func (n *Node) claim(previous *owner.Record, end uint64, hasEnded bool) {
 	if n.isClaimBlocked() {
 		n.sleep(electionInterval)
@@ -110,7 +115,8 @@
 		MaxStrength: n.maxKnownStrength(), MayHaveUnpersisted: !n.hasAllPlacements(previous),
 	}
 	if previous != nil {
-		// Stronger nodes may not be linked yet.
+		// The previous owner's values count too, because stronger nodes may not be linked to this
+		// one yet.
 		r.MaxStrength, r.ListedWorkers = max(r.MaxStrength, previous.MaxStrength), previous.ListedWorkers
 	}
 	at, err := owner.AppendRecord(n.ctx, n.log, &r, end)
@@ -125,18 +131,20 @@
 }
 
 const (
-	// exactAge is the age of an owner's record up to which that owner has not run ahead
-	// of the store without a mark in it. What is left to owner.PlainAge is for clocks
-	// of nodes that differ, and for a beat's way.
+	// maxUnflaggedAge is the maximum age of an owner's record without the write-behind flag at
+	// which it is certain that the owner has not run write-behind. It is shorter than
+	// owner.MinUnflaggedAge to allow for differing clocks of nodes and for the time that a
+	// heartbeat is in flight.
 	maxUnflaggedAge = owner.MinUnflaggedAge - maxClockSkew
-	// clockSlack is how far clocks of nodes that are alike may differ.
+	// maxClockSkew is the difference between the clocks of two nodes that is allowed for.
 	maxClockSkew = 300 * time.Millisecond
 )
 
-// isExact reports whether an earlier owner has kept the place of each task that
-// it started. Its last record must have no mark and be young, by its beats on this
-// node's clock and by the time of day: a beat may have been held up on its way, and
-// the time of day may have been set. A node that heard no beat cannot tell.
+// hasAllPlacements reports whether the previous owner has certainly persisted the placement of each
+// task that it started. Its last record must not carry the write-behind flag and must be recent.
+// The age is checked twice, because each check alone may be wrong: by the owner's heartbeats on
+// this node's clock, as a heartbeat may have been delayed in flight; and by the time of day, which
+// may have been set. A node that received no heartbeat of that owner cannot tell.
 func (n *Node) hasAllPlacements(previous *owner.Record) bool {
 	if previous == nil {
 		return true
@@ -150,9 +158,9 @@
 	return isRecent && !previous.MayHaveUnpersisted && n.unpersistedEpoch != previous.Epoch
 }
 
-// claimDelay is how long a weak node leaves the shard to stronger ones, by the
-// earlier owner's record. Where there was none, a node takes most nodes to be
-// stronger than a small one.
+// claimDelay returns how long this node delays its claim so that stronger nodes can claim first. It
+// is proportional to how much weaker this node is than the strongest node of the previous owner's
+// record. Without such a record, the strongest node is assumed to have defaultStrength.
 func (n *Node) claimDelay(previous *owner.Record) time.Duration {
 	strongest := defaultStrength
 	if previous != nil && previous.MaxStrength > 0 {
@@ -165,17 +173,20 @@
 	return time.Duration(lack * float64(maxClaimDelay))
 }
 
+// isClaimBlocked reports whether this node must not claim now: its process is about to end, it is
+// handing the shard over, or it was the owner until recently.
 func (n *Node) isClaimBlocked() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.isLeaving || n.isUnfitHandover || n.options.Clock.Now().Before(n.noClaimUntil)
 }
 
-// ownerGCPercent makes the collector of an owner run a third as often as usual: its
-// processor time is scarcer than its memory, which a limit bounds.
+// ownerGCPercent makes the garbage collector run a third as often on the owner as by default. The
+// owner is shorter of processor time than of memory, which a memory limit bounds.
 const ownerGCPercent = 300
 
-// become runs the owner until it ends.
+// runOwner runs the owner on this node until it ends. Unless the shard is being handed over, it
+// then closes all links, so that the followers notice at once.
 func (n *Node) runOwner(c owner.Claim) {
 	workers, list := n.options.NewOwner(n.detour)
 	o := owner.New(owner.Options{
@@ -216,7 +227,9 @@
 	return c.Previous.Node
 }
 
-// follow passes requests to the owner until it is gone.
+// followOrClaim connects to the owner and follows it until the link ends. If the owner's process
+// has ended, or it cannot be reached and its next record in the store is overdue, this node claims
+// the shard.
 func (n *Node) followOrClaim(r *owner.Record, at uint64) {
 	isStale := r.Age(n.options.Clock.TimeOfDay()) > staleRecordAge
 	timeout := dialTimeout
@@ -237,18 +250,21 @@
 	}
 }
 
-// ending is what is known of the end of an owner's process.
+// processEnd says whether and why an owner's process is known to have ended.
 type processEnd string
 
 const (
 	notEnded processEnd = ""
-	// endedRefused means that nothing listens there, or the network says so.
+	// endedConnectionRefused means that the connection was refused: no process listens at the
+	// owner's address, or a device in the network rejects connections to it.
 	endedConnectionRefused processEnd = "connection refused"
-	// endedForSure means that another process has its name.
+	// endedReplaced means that another process answered at the owner's address, so that the owner's
+	// process has certainly ended.
 	endedReplaced processEnd = "another process answers"
 )
 
-// reach links to the owner, or finds that its process has ended.
+// connect makes a link to the owner, or finds that its process has ended. It returns no link and
+// notEnded when the owner did not answer in time, or when its process no longer is the owner.
 func (n *Node) connect(r *owner.Record, timeout time.Duration) (*link.Conn, processEnd) {
 	ctx, cancel := context.WithTimeout(n.ctx, timeout)
 	defer cancel()
@@ -281,7 +297,7 @@
 	}
 }
 
-// carries returns how many workers this node can talk to for the owner.
+// delegateCapacity returns how many workers this node can talk to as a delegate of the owner.
 func (n *Node) delegateCapacity() int {
 	if n.delegate == nil {
 		return 0
@@ -289,8 +305,8 @@
 	return n.options.MaxWorkers
 }
 
-// claimIfDead claims the shard from an owner that this node does not reach,
-// unless the store hears of it in time.
+// claimIfRecordOverdue claims the shard from an owner that this node cannot reach, unless the store
+// receives a further record of the owner within timeout.
 func (n *Node) claimIfRecordOverdue(r *owner.Record, at uint64, timeout time.Duration) {
 	if n.isNextRecordOverdue(n.ctx, r, at, timeout) {
 		n.claim(r, at+1, false)
@@ -299,8 +315,8 @@
 	n.sleep(electionInterval)
 }
 
-// isDeadByStore reports whether the store gets no further record of the owner for
-// as long as patience.
+// isNextRecordOverdue reports whether the store receives no further record of the owner within
+// timeout. It reports false when the store does not answer.
 func (n *Node) isNextRecordOverdue(ctx context.Context, r *owner.Record, at uint64, timeout time.Duration) bool {
 	var records []store.Record
 	var err error
@@ -314,7 +330,7 @@
 	return true
 }
 
-// runListener takes links from other nodes.
+// runListener accepts links from other nodes.
 func (n *Node) runListener() {
 	defer n.wg.Done()
 	for {
@@ -331,7 +347,7 @@
 	}
 }
 
-// runIncoming forgets a peer when its link ends.
+// runPeerLink removes a peer when its link ends, and closes the link when this node is closed.
 func (n *Node) runPeerLink(conn *link.Conn) {
 	select {
 	case <-conn.Done():
--- a/internal/cluster/election_test.go
+++ b/internal/cluster/election_test.go
@@ -12,11 +12,14 @@
 	"github.com/leverdyke/leverdyke/internal/store/fakestore"
 )
 
+// Guards against a node that relies on the store's placements after a previous owner that may have
+// run write-behind. The tasks that such an owner started without persisting their placements would
+// then be started twice.
 func TestPlacementsAreNotReliedOnAfterPossibleWriteBehind(t *testing.T) {
 	clk := &manualClock{}
 	n := newNodeWith(t, fakestore.NewLog(), "n0", "1", clk)
 	if !n.HasAllPlacements(nil) {
-		t.Error("no earlier owner: got: not exact, want: exact")
+		t.Error("no previous owner: got: placements may be missing, want: all placements persisted")
 	}
 	const ms = time.Millisecond
 	type lastHeartbeat struct {
@@ -48,8 +51,9 @@
 	}
 }
 
-// The call of an owner that handed over waited at a node that had not taken it up,
-// which then took the shard from the next owner, though that lived.
+// Guards against a claim request that takes effect too late: the request of an owner that handed
+// over waited at a node that had not handled it, and the node then took the shard from the next
+// owner, although that owner was alive.
 func TestALateClaimRequestDoesNotReplaceALaterOwner(t *testing.T) {
 	log := fakestore.NewLog()
 	n0 := newNode(t, log, "n0", "1")
@@ -61,10 +65,10 @@
 		t.Fatal(err)
 	}
 	if err := n1.HandleClaim(t.Context(), r.Epoch-1); err == nil {
-		t.Error("the call of an earlier owner: got: n1 owns the shard, want: an error")
+		t.Error("claim request of a previous owner: got: n1 owns the shard, want: an error")
 	}
 	checkOwner(t, log, "n0")
 	if err := n1.HandleClaim(t.Context(), r.Epoch); err != nil {
-		t.Errorf("the call of this owner: got: %v, want: n1 owns the shard", err)
+		t.Errorf("claim request of this owner: got: %v, want: n1 owns the shard", err)
 	}
 }
--- a/internal/cluster/failure_detector.go
+++ b/internal/cluster/failure_detector.go
@@ -10,72 +10,75 @@
 )
 
 const (
-	// ownerSilence is how long the owner's beats must stay away over the link until
-	// the store is asked about it: three beats, and what a retransmission takes.
+	// ownerSilenceTimeout is how long ago the last heartbeat of the owner must have been received
+	// for the owner to count as silent, so that the store is asked about it: three heartbeat
+	// periods, which also leaves time for a retransmission.
 	ownerSilenceTimeout = 300 * time.Millisecond
-	// recordSlack is how much later than it should be in the store the owner's next
-	// record may come: a node that has used up its processor waits 0.1 s.
+	// recordTolerance is how late the owner's next record may be in the store. A node that has used
+	// up its share of a processor is kept from running for 0.1 s.
 	recordTolerance = 150 * time.Millisecond
-	// slowAnswers is how many answers of the store, as slow as they are now, the
-	// next record may be late besides.
+	// storeLatencyFactor, times the current latency of the store, is how much later still the next
+	// record may be.
 	storeLatencyFactor = 4
-	// staleAge is the age of the owner's record, by the time of day, at which a node
-	// that does not reach the owner takes it as dead without waiting for another
-	// one. It covers clocks that differ a little and a store that answers in 0.4 s.
+	// staleRecordAge is the age of the owner's record, by the time of day, from which a node that
+	// cannot reach the owner considers it dead without waiting for a further record. It allows for
+	// clocks that differ slightly and for a store that answers in 0.4 s.
 	staleRecordAge = 1500 * time.Millisecond
 )
 
-// ownerWatch judges from beats whether the owner lives. A silent link asks the
-// question, the store answers it: the owner is dead when its next record there
-// is overdue. That keeps a node that is cut off from a living owner from
-// claiming.
+// failureDetector decides in two steps whether the owner is dead. When the heartbeats over the link
+// stay away, the owner counts as silent and the store is asked. The owner is dead when its next
+// record in the store is overdue. The second step prevents a node from claiming the shard when only
+// its own connection to a living owner is interrupted.
 type failureDetector struct {
-	// heardAt is when the last beat came over the link.
+	// heardAt is when the last heartbeat was received over the link, or when the link was made.
 	heardAt time.Time
-	// record is the number of the owner's newest record in the store and keptAt when
-	// it was kept, both by the last beat; keptAt is zero before the first beat.
+	// record is the number of the owner's newest record in the store and persistedAt when it was
+	// persisted, both by the last heartbeat; persistedAt is zero before the first heartbeat.
 	record      uint64
 	persistedAt time.Time
-	// epoch is the owner's, plain the number of its last record without a mark and
-	// plainAt when it sent that, all by the last beat; epoch is 0 before the first.
+	// epoch is the owner's epoch, unflaggedSeq the number of its last record without the
+	// write-behind flag and unflaggedAt when it sent that record, all by the last heartbeat; epoch
+	// is 0 before the first heartbeat.
 	epoch        uint64
 	unflaggedSeq uint64
 	unflaggedAt  time.Time
 }
 
-// follow begins to watch an owner to which a link has just been made.
+// reset starts to observe an owner to which a link has just been made.
 func (w *failureDetector) reset(now time.Time) { *w = failureDetector{heardAt: now} }
 
-// hear takes a beat.
+// recordHeartbeat records a heartbeat that was received now.
 func (w *failureDetector) recordHeartbeat(now time.Time, b ownerHeartbeat) {
 	w.heardAt = now
 	w.record, w.persistedAt = b.Record, now.Add(-b.RecordAge)
 	w.epoch, w.unflaggedSeq, w.unflaggedAt = b.Epoch, b.UnflaggedSeq, now.Add(-b.UnflaggedAge)
 }
 
-// plainAge returns how old the owner's newest record is at most, which has no mark,
-// on this node's own clock. It reports false when no beat of that owner has come:
-// then only clocks of two processes could tell, and these may be set.
+// unflaggedAge returns the maximum age of the owner's newest record in the store, on this node's own
+// clock, if that record does not carry the write-behind flag. It reports false when no heartbeat of
+// that owner was received: then the age could only be determined from the clocks of two nodes,
+// which may have been set.
 func (w *failureDetector) unflaggedAge(now time.Time, newest *owner.Record) (time.Duration, bool) {
 	if w.epoch == 0 || w.epoch != newest.Epoch {
 		return 0, false
 	}
-	// Later records were sent a period apart at least.
+	// Records after the last unflagged one were sent at least one period apart.
 	later := time.Duration(max(newest.HeartbeatSeq, w.unflaggedSeq) - w.unflaggedSeq)
 	return now.Sub(w.unflaggedAt) - later*owner.HeartbeatPeriod, true
 }
 
-// isSilent reports whether beats have stayed away for too long.
+// isSilent reports whether the last heartbeat was received more than ownerSilenceTimeout ago.
 func (w *failureDetector) isSilent(now time.Time) bool {
 	return now.Sub(w.heardAt) > ownerSilenceTimeout
 }
 
-// patience returns how much longer the store may be without a record after that
-// of the number newest, when its answers take answerTime.
+// remainingWait returns how much longer to wait for the record after the one with the number newest
+// before the owner is dead, given the current latency of the store.
 func (w *failureDetector) remainingWait(now time.Time, newest uint64, storeLatency time.Duration) time.Duration {
 	tolerance := recordTolerance + storeLatencyFactor*storeLatency
 	if w.persistedAt.IsZero() || newest != w.record {
-		// When that record was kept is not known: at the latest just now.
+		// It is not known when the newest record was persisted; at the latest, that was just now.
 		return owner.HeartbeatPeriod + tolerance
 	}
 	return max(w.persistedAt.Add(owner.HeartbeatPeriod+tolerance).Sub(now), 0)
--- a/internal/cluster/failure_detector_test.go
+++ b/internal/cluster/failure_detector_test.go
@@ -11,6 +11,8 @@
 	"github.com/leverdyke/leverdyke/internal/cluster"
 )
 
+// Guards against an owner that is suspected too early, because a few heartbeats are late, or too
+// late.
 func TestAnOwnerIsSilentAfterThreeMissedHeartbeats(t *testing.T) {
 	now := clock.NewFake().Now()
 	detector := &cluster.FailureDetector{}
@@ -23,8 +25,9 @@
 	}
 }
 
-// TestPatienceEndsWhenTheNextRecordIsOverdue: what the last beat told of the
-// owner's record in the store bounds how long to wait for the next one.
+// Guards against a node that waits longer than necessary for the record of a dead owner, or less
+// than a living owner may need: the wait depends on when the newest record was persisted, as the
+// last heartbeat said, and on the latency of the store.
 func TestTheWaitEndsWhenTheNextRecordIsOverdue(t *testing.T) {
 	const ms = time.Millisecond
 	begin := clock.NewFake().Now()
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -12,27 +12,28 @@
 	"github.com/leverdyke/leverdyke/internal/owner"
 )
 
-// linkSilence is how long the link to a silent owner is kept that lives by the
-// store's word: one that is out of processor time answers late, and requests on
-// their way need not be sent again.
+// maxLinkSilence is how long the link to a silent owner is kept as long as the owner's records in
+// the store show that it is alive. An owner that is short of processor time answers late, and
+// requests in flight then need not be sent again.
 const maxLinkSilence = 1200 * time.Millisecond
 
-// relinkTimeout bounds the try of a new link to an owner that is silent on the old
-// one: a stalled owner does not answer it either.
+// reconnectTimeout bounds the attempt to make a new link to an owner that is silent on the old
+// one. It is short because a stalled owner does not answer on a new link either.
 const reconnectTimeout = 250 * time.Millisecond
 
-// following is the time for which a node follows an owner. One goroutine uses it.
+// followSession is the state of a node while it follows one owner. Only one goroutine uses it.
 type followSession struct {
 	node *Node
-	// record is the owner's, as it was when the following began.
+	// record is the owner's record from the beginning of the session.
 	record *owner.Record
-	// conn is the link to the owner; another takes its place when it is dead.
+	// conn is the link to the owner; it is replaced when it is dead and the owner is alive.
 	conn *link.Conn
-	// asked brings the store's word on a silent owner; nil while nobody asks.
+	// storeCheck receives the result of a check of a silent owner; nil while no check runs.
 	storeCheck chan ownerCheck
 }
 
-// stay passes requests on over the link while the owner's beats come.
+// followOverLink follows an owner over a link: requests are forwarded over it. It returns when the
+// link is closed, the owner was replaced or has ended, or the link was silent for maxLinkSilence.
 func (n *Node) followOverLink(conn *link.Conn, r *owner.Record) {
 	f := &followSession{node: n, record: r, conn: conn}
 	n.setOwnerLink(conn)
@@ -49,8 +50,7 @@
 	}
 }
 
-// step waits until something happens, and reports whether the owner is still
-// followed after it.
+// step waits for one event and handles it. It reports whether the session continues.
 func (f *followSession) step(ticks <-chan time.Time) bool {
 	select {
 	case <-f.node.ctx.Done():
@@ -67,8 +67,9 @@
 	}
 }
 
-// takeOver claims the shard when it is this owner that has stopped; calls to take
-// over from an earlier one come late.
+// handleClaimRequest claims the shard if the request names the epoch of this owner, which has then
+// stopped. A request with another epoch was sent by a previous owner and is ignored. It reports
+// whether it claimed.
 func (f *followSession) handleClaimRequest(epoch uint64) bool {
 	if epoch != f.record.Epoch {
 		return false
@@ -77,8 +78,7 @@
 	return true
 }
 
-// heed does what the store's word asks for, and reports whether the owner is still
-// followed.
+// applyCheck acts on the result of a check of the owner, and reports whether the session continues.
 func (f *followSession) applyCheck(found ownerCheck) bool {
 	switch found.status {
 	case ownerReplaced:
@@ -95,7 +95,7 @@
 	return true
 }
 
-// relink goes on over a new link.
+// reconnect continues the session over a new link.
 func (f *followSession) reconnect(conn *link.Conn) {
 	n := f.node
 	n.options.Log(events.OwnerFollowed, "owner", f.record.Node, "epoch", f.record.Epoch, "silent", n.silentFor())
@@ -105,7 +105,8 @@
 	n.sendFollowerHeartbeat()
 }
 
-// askIfSilent begins to ask the store about an owner that is silent; ctx ends that.
+// checkIfSilent starts a check of the owner if it is silent and no check runs. The check ends with
+// ctx.
 func (f *followSession) checkIfSilent(ctx context.Context) {
 	n := f.node
 	if f.storeCheck != nil || !n.isOwnerSilent() {
@@ -130,7 +131,7 @@
 	n.notifyOwnerChange()
 }
 
-// signal wakes the requests that wait for an owner. The caller holds mu.
+// notifyOwnerChange wakes the requests that wait for an owner. The caller holds mu.
 func (n *Node) notifyOwnerChange() {
 	close(n.ownerChanged)
 	n.ownerChanged = make(chan struct{})
@@ -148,7 +149,8 @@
 	return n.options.Clock.Now().Sub(n.detector.heardAt)
 }
 
-// claimAfter claims the shard from an owner that has handed over.
+// claimAfterHandover claims the shard from an owner that has stopped and handed over, unless
+// another node has claimed it already.
 func (n *Node) claimAfterHandover(r *owner.Record) {
 	newest, at, err := owner.ReadRecord(n.ctx, n.log)
 	if err != nil || newest == nil || newest.Epoch != r.Epoch {
@@ -157,39 +159,41 @@
 	n.claim(newest, at+1, true)
 }
 
-// ownerWord is what the store says of an owner.
+// ownerStatus is the result of a check of a silent owner.
 type ownerStatus string
 
 const (
-	// ownerLives means that it still gets records of it, or does not answer.
+	// ownerAlive means that the store still receives records of the owner, or that the store does
+	// not answer: without the store no node can claim the shard.
 	ownerAlive ownerStatus = "lives"
-	// ownerDead means that its next record is overdue.
+	// ownerDead means that the owner's next record in the store is overdue.
 	ownerDead ownerStatus = "dead"
-	// ownerRelinked means that it lives and took a new link: the old one is dead.
+	// ownerReconnected means that the owner is alive and accepted a new link, so the old link is
+	// dead.
 	ownerReconnected ownerStatus = "relinked"
 	// ownerReplaced means that a later owner has claimed the shard.
 	ownerReplaced ownerStatus = "replaced"
 )
 
-// ownerState is the store's word on a silent owner.
+// ownerCheck is the outcome of a check of a silent owner.
 type ownerCheck struct {
 	status ownerStatus
-	// record is the newest one of a dead owner, end the end of the topic at which the
-	// shard can be claimed after it.
+	// record is the newest record of a dead owner. end is the offset after it, at which a claim is
+	// appended; both are only set with ownerDead.
 	record *owner.Record
 	end    uint64
-	// conn is the new link.
+	// conn is the new link; it is only set with ownerReconnected.
 	conn *link.Conn
 }
 
-// runQuestion finds out by the store whether a silent owner lives. Requests on
-// their way over the link are left alone until that is known: a stalled owner
-// still answers them.
+// runOwnerCheck finds out from the store whether a silent owner is alive, and sends the result.
+// Meanwhile requests in flight over the link are not aborted, because a stalled owner still answers
+// them once it runs again.
 func (n *Node) runOwnerCheck(ctx context.Context, r *owner.Record, answer chan<- ownerCheck) {
 	defer n.wg.Done()
 	s := n.checkOwnerInStore(ctx, r)
 	if s.status == ownerAlive && n.isOwnerSilent() {
-		// A connection may be dead without a word, while new ones work.
+		// The TCP connection may be broken without a reset while new connections work.
 		if conn, _ := n.connect(r, reconnectTimeout); conn != nil {
 			s.status, s.conn = ownerReconnected, conn
 		}
--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -12,17 +12,19 @@
 )
 
 const (
-	// handOverTime bounds the time until an owner that stops has settled its
-	// orders, claimTime that until a peer owns the shard: reading the record and
-	// two appends, with a slow store.
+	// handOverTimeout bounds the time until an owner that stops knows the outcomes of its
+	// unanswered orders and has persisted them. claimTimeout bounds the time until a peer that was
+	// asked to claim owns the shard: it reads the owner's record and makes two appends, with a slow
+	// store.
 	handOverTimeout = 900 * time.Millisecond
 	claimTimeout    = 1200 * time.Millisecond
-	// maxHeirs is how many peers are asked in turn to become the owner.
+	// maxSuccessors is how many peers are asked, one after the other, to become the owner.
 	maxSuccessors = 3
 )
 
-// Leave hands the shard over and tells the owner that this node stops. Requests
-// are still passed on.
+// Leave prepares the end of the process. As the owner, this node hands the shard over; as a
+// follower, it tells the owner that it is about to end. The node still forwards requests after
+// that.
 func (n *Node) Leave(ctx context.Context) {
 	n.mu.Lock()
 	n.isLeaving = true
@@ -35,8 +37,8 @@
 	n.handOver(ctx, o, false)
 }
 
-// handOver ends the owner and asks peers to go on. isUnfit means that it does so because
-// it is unfit.
+// handOver stops the owner and asks peers, the best candidate first, to claim the shard. isUnfit
+// means that the reason is that this owner is unfit. The owner continues when the store is down.
 func (n *Node) handOver(ctx context.Context, o *owner.Owner, isUnfit bool) {
 	settleCtx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
@@ -54,28 +56,29 @@
 }
 
 const (
-	// slowLag is the part of its time that an owner may be kept from running; see
-	// owner.Owner.Lag. A slower one hands over. Bursts reach 0.18 at 350 workers.
+	// maxLag is the lag (see owner.Owner.Lag, the share of time for which the owner was kept from
+	// running) from which an owner hands over. A healthy owner of 350 workers reaches 0.18 in load
+	// bursts.
 	maxLag = 0.25
-	// settleTime is how long a new owner is not judged by its lag: it reads all jobs and
-	// asks all workers at first, which tells nothing of its node.
+	// lagGracePeriod is how long the lag of a new owner is ignored. At first it reads all jobs and
+	// polls all workers, and the lag that this causes does not mean that the node is too slow.
 	lagGracePeriod = 3 * time.Second
-	// yieldPause is the time between two such changes of owner, also of different nodes:
-	// where the load is too much for any node, changing does not help, and each new owner
-	// places nothing at first.
+	// minHandoverInterval is the minimum time between two handovers because of an unfit owner,
+	// also when they are by different nodes. When the load is too high for every node, a handover
+	// does not help, and each new owner places no tasks at first.
 	minHandoverInterval = 10 * time.Second
 )
 
-// fitness judges whether an owner should leave the shard to another node. The zero value
-// is that of a node that has not owned it.
+// fitness decides whether an owner should hand the shard over to another node. The zero value is
+// for a node that has not owned the shard and knows of no handover.
 type fitness struct {
-	// ownedAt is when this node became the owner, yieldedAt when the shard was handed over
-	// last because its owner was unfit, as far as this node knows: by it or to it.
+	// ownedAt is when this node became the owner. handedOverAt is the time of the last handover
+	// because of an unfit owner in which this node took part, as the old or as the new owner.
 	ownedAt, handedOverAt time.Time
 }
 
-// isUnfit reports whether an owner with this lag hands over; isWeak means that a peer is
-// much stronger.
+// isUnfit reports whether an owner with this lag should hand over. isWeak means that a peer is much
+// stronger, which is a reason without any lag.
 func (f *fitness) isUnfit(lag float64, isWeak bool, now time.Time) bool {
 	if !f.handedOverAt.IsZero() && now.Sub(f.handedOverAt) < minHandoverInterval {
 		return false
@@ -83,8 +86,8 @@
 	return isWeak || lag >= maxLag && now.Sub(f.ownedAt) >= lagGracePeriod
 }
 
-// yieldIfUnfit hands the shard over when this node has too little processor time
-// for it, or a peer is much stronger.
+// handOverIfUnfit starts to hand the shard over when this node has too little processor time to own
+// it, or a peer is much stronger.
 func (n *Node) handOverIfUnfit(o *owner.Owner) {
 	successors := n.peers.successorCandidates()
 	if len(successors) == 0 || !o.IsLoaded() {
@@ -104,7 +107,7 @@
 	go n.runUnfitHandover(o)
 }
 
-// runYield hands the shard over.
+// runUnfitHandover hands the shard over because this node is unfit to own it.
 func (n *Node) runUnfitHandover(o *owner.Owner) {
 	defer n.wg.Done()
 	n.handOver(n.ctx, o, true)
@@ -113,7 +116,7 @@
 	n.mu.Unlock()
 }
 
-// askToClaim asks a peer to become the owner, and returns once it is.
+// requestClaim asks a peer to become the owner. It returns nil once the peer is the owner.
 func (n *Node) requestClaim(ctx context.Context, c claimRequest, p *peer) error {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
--- a/internal/cluster/handover_test.go
+++ b/internal/cluster/handover_test.go
@@ -10,8 +10,9 @@
 	"github.com/leverdyke/leverdyke/internal/cluster"
 )
 
-// A load that makes any owner late for half a second when it takes over, and now and
-// then after, went from node to node each second.
+// Guards against repeated handovers under a load that is too high for every node: each new owner
+// lags for half a second while it takes over, and from time to time later. Without a minimum time
+// between handovers, the shard moved to another node every second.
 func TestOverloadDoesNotCauseRepeatedHandovers(t *testing.T) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	nodes := make([]cluster.Fitness, 8)
@@ -28,17 +29,19 @@
 		nodes[current].BecomeOwner(now)
 	}
 	if handovers > 2 {
-		t.Errorf("owners in 20 s of a load that is too much for any: got: %d changes, want: at most 2", handovers)
+		t.Errorf("handovers in 20 s of a load that is too high for every node: got: %d, want: at most 2", handovers)
 	}
 }
 
+// Guards against an owner that stays although its node is too slow or too weak, and against
+// handovers because of the lag of a new owner or soon after another handover.
 func TestAnUnfitOwnerHandsOver(t *testing.T) {
 	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	for name, tc := range map[string]struct {
 		lag    float64
 		isWeak bool
-		// owned is for how long it owns the shard, yielded how long ago it was handed over
-		// for that reason; 0 means never.
+		// ownedFor is how long the node has owned the shard. handedOverAgo is how long ago the
+		// shard was last handed over because of an unfit owner; 0 means never.
 		ownedFor, handedOverAgo time.Duration
 		want                    bool
 	}{
--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -1,8 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cluster joins equal nodes: it finds out which of them owns the shard,
-// becomes the owner when there is none, and passes callers' requests on.
+// Package cluster connects the nodes of a cluster, which all have the same role. One of them at a
+// time owns the shard, that is, schedules all jobs. A node finds out which one is the owner, follows
+// it over a link and forwards callers' requests to it. When there is no owner, the nodes try to
+// claim the shard with a conditional append to the store, which only one of them can win.
 package cluster
 
 import (
@@ -18,122 +20,132 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// The kinds of messages between nodes.
+// The kinds of messages between nodes, with the types of the body and, for calls, of the reply.
 const (
-	// kindHello is the first call on a link: hello, welcome.
+	// kindHello is the first call on a link. Body: hello, reply: welcome.
 	kindHello link.Kind = "hello"
-	// kindBeat is the owner's notification that it lives: beat.
+	// kindOwnerHeartbeat is the owner's heartbeat, a notification. Body: ownerHeartbeat.
 	kindOwnerHeartbeat link.Kind = "beat"
-	// kindAlive is a follower's: alive.
+	// kindFollowerHeartbeat is a follower's heartbeat, a notification. Body: followerHeartbeat.
 	kindFollowerHeartbeat link.Kind = "alive"
-	// kindConfig asks for the configuration in force: empty, configMessage.
+	// kindConfig fetches the active configuration. Body: empty, reply: configMessage.
 	kindConfig link.Kind = "config"
-	// kindClaim asks a follower to become the owner: claimCall, empty.
+	// kindClaim asks a follower to become the owner. Body: claimRequest, reply: empty, once it is.
 	kindClaim link.Kind = "claim"
-	// kindSubmit hands in a job: work.Spec, answer.
+	// kindSubmit submits a job to the owner. Body: work.Spec, reply: ownerReply.
 	kindSubmit link.Kind = "submit"
-	// kindState, kindCancel and kindPending ask the owner: question, answer.
+	// kindState, kindCancel and kindPending ask the owner for the state of a job, to cancel a job,
+	// and for the number of pending jobs of a queue. Body: jobQuery, reply: ownerReply.
 	kindState   link.Kind = "state"
 	kindCancel  link.Kind = "cancel"
 	kindPending link.Kind = "pending"
-	// kindAdvise asks which workers may run a step: adviseCall, adviseReply.
+	// kindPermission asks a follower to query the permission service, which decides which workers
+	// may run a step. Body: permissionQuery, reply: permissionReply.
 	kindPermission link.Kind = "advise"
-	// kindStore sends a request to the store: detour.Request, storeReply.
+	// kindStore asks a follower to send an HTTP request to the store. Body: the request, reply:
+	// storeReply.
 	kindStore link.Kind = "store"
-	// kindCarry is the owner's notification of orders to workers: carrier.Batch.
+	// kindDelegatedOrders is the owner's notification to a delegate with orders to workers. Body: a
+	// batch of orders.
 	kindDelegatedOrders link.Kind = "carry"
-	// kindCarried is the notification of what became of them: []carrier.Outcome.
+	// kindOutcomes is the delegate's notification to the owner with the outcomes of such orders.
+	// Body: a list of outcomes.
 	kindOutcomes link.Kind = "carried"
 )
 
 type empty struct{}
 
-// hello says who a node is.
+// hello describes the node that made a link.
 type hello struct {
 	Name string
 	Zone string
 	Addr netip.AddrPort
-	// Life tells the processes of one node apart.
+	// Incarnation distinguishes the processes of one node.
 	Incarnation string
 	// Age is how long the process has run.
 	Age time.Duration
-	// Strength is how many processors the node has.
+	// Strength is the number of processors of the node.
 	Strength float64
-	// Workers is how many workers the node can talk to for the owner.
+	// Workers is how many workers the node can talk to as a delegate of the owner; 0 means that it
+	// is no delegate.
 	Workers int
 }
 
-// welcome is the answer to hello.
+// welcome is the reply to hello. Epoch is only set by the owner.
 type welcome struct {
 	Incarnation string
 	IsOwner     bool
 	Epoch       uint64
 }
 
-// beat is sent by the owner.
+// ownerHeartbeat is sent by the owner to each follower.
 type ownerHeartbeat struct {
 	Epoch uint64
-	// Record is the number of the owner's newest record in the store, RecordAge how
-	// long ago it was kept.
+	// Record is the number of the owner's newest record in the store, RecordAge how long ago the
+	// record was persisted.
 	Record    uint64
 	RecordAge time.Duration
-	// PlainRecord is the number of the owner's last record without a mark, on its way to
-	// the store or there, PlainAge how long ago it was sent; see owner.PlainAge.
+	// UnflaggedSeq is the number of the owner's last record without the write-behind flag, which
+	// may still be in flight to the store. UnflaggedAge is how long ago it was sent; see
+	// owner.MinUnflaggedAge.
 	UnflaggedSeq uint64
 	UnflaggedAge time.Duration
-	// ConfigVersion is that of the configuration in force at the owner.
+	// ConfigVersion is the version of the owner's active configuration.
 	ConfigVersion uint64
-	// IsUnlogged means that the owner has started tasks whose places the store does
-	// not have.
+	// MayHaveUnpersisted means that tasks may run on placements that are not in the store.
 	MayHaveUnpersisted bool
 }
 
-// alive is sent by followers.
+// followerHeartbeat is sent by each follower to the owner.
 type followerHeartbeat struct {
+	// ConfigVersion is the version of the follower's active configuration.
 	ConfigVersion uint64
 	// IsLeaving means that the process is about to end.
 	IsLeaving bool
-	// IsTurnedAway means that the store does not serve this node itself.
+	// IsStoreUnavailable means that the follower's last direct read from the store failed.
 	IsStoreUnavailable bool
 }
 
-// claimCall names the epoch of the owner that has stopped: a call that comes late
-// must not end a later one.
+// claimRequest names the epoch of the owner that has stopped, so that a request that arrives late
+// does not replace a later owner.
 type claimRequest struct {
 	Epoch uint64
-	// IsUnfit means that the owner stopped because it was unfit.
+	// IsUnfit means that the owner stopped because it was unfit to own the shard.
 	IsUnfit bool
 }
 
-// configMessage is the configuration in force at a node.
+// configMessage is the active configuration of a node.
 type configMessage struct {
 	Version uint64
-	// Packed is compressed; it is empty before the first.
+	// Compressed is the compressed configuration; it is empty when the node has none yet.
 	Compressed []byte
 }
 
+// jobQuery is the body of kindState and kindCancel, which use Job and By, and of kindPending, which
+// uses Queue.
 type jobQuery struct {
 	Job work.JobID
-	// By is who asks for the job.
+	// By is the caller on whose behalf the query is made.
 	By    work.Caller
 	Queue string
 }
 
-// answer is the owner's answer to a caller's request.
+// ownerReply is the owner's reply to a caller's request.
 type ownerReply struct {
 	State   work.JobState
 	IsKnown bool
 	Count   int
-	// Verdict is set when the request failed.
+	// Verdict is set when the request failed; the fields after it describe the failure.
 	Verdict    leverdyke.Verdict
 	Reason     string
 	RetryAfter int
 	Refusal    leverdyke.Refusal
-	// IsAway means that the next owner can answer.
+	// IsOwnerChange means that the request failed because the owner changes, and that the next
+	// owner can answer it.
 	IsOwnerChange bool
 }
 
-// failure returns the error that the answer tells, or nil.
+// failure returns the error that the reply describes, or nil.
 func (a *ownerReply) failure() error {
 	if a.Verdict == "" {
 		return nil
@@ -145,7 +157,7 @@
 	return e
 }
 
-// answerOf returns an answer that tells the error, which may be nil.
+// replyFor returns a reply that describes err, which may be nil.
 func replyFor(err error) *ownerReply {
 	if err == nil {
 		return &ownerReply{}
@@ -156,17 +168,20 @@
 	return &ownerReply{Verdict: leverdyke.VerdictMayHaveRun, Reason: err.Error()}
 }
 
+// permissionQuery asks which of the workers may run the step.
 type permissionQuery struct {
 	Step    work.StepID
 	Workers []order.WorkerID
 }
 
+// permissionReply is the permission service's answer: the permits, and how long they are valid.
 type permissionReply struct {
 	Permits  []order.Ticket
 	ValidFor time.Duration
 }
 
-// storeReply is a service's answer, or why there is none.
+// storeReply is the store's response, or the reason why there is none. IsUnsent means that the
+// request was certainly not sent, so that the store did nothing.
 type storeReply struct {
 	Response *detour.Response
 	IsUnsent bool
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -22,68 +22,73 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// PermissionService asks the service that permits workers, from this node.
+// PermissionService queries the permission service from this node. The service decides which of the
+// given workers may run a step; Ask returns the permits and how long they are valid.
 type PermissionService interface {
 	Ask(ctx context.Context, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error)
 }
 
-// Config follows the operators' configuration.
+// Config reads the operators' configuration.
 type Config interface {
-	// Parse reads a configuration.
+	// Parse decodes a configuration.
 	Parse(data []byte) (*Configuration, error)
-	// Wait returns the newest configuration once it is newer than that version, or
-	// nil when the time is over.
+	// Wait waits until the store has a configuration that is newer than version, and returns the
+	// newest one. It returns nil when there was none within the time for which the store waits.
 	Wait(ctx context.Context, version uint64) ([]byte, error)
 }
 
-// Configuration is one that was read.
+// Configuration is a decoded configuration.
 type Configuration struct {
 	Version uint64
 	Policy  order.Policy
-	// Faults tells what of it is not in force and why, without what is secret in it.
+	// Faults describes the entries that are not in force and why. It contains no secrets of the
+	// configuration, because it is logged.
 	Faults []string
-	// Apply puts it in force for callers of this node.
+	// Apply makes the configuration the active one for callers of this node.
 	Apply func()
 }
 
-// Options configures a Node. All fields but Workers, Carries and Patience are required.
+// Options configures a Node. All fields but AdvertiseAddr, Heartbeat, Workers, MaxWorkers and
+// RequestTimeout are required.
 type Options struct {
 	Name string
 	Zone string
-	// LinkAddr is where it listens for other nodes; AdvertiseAddr is where these
-	// reach it, if elsewhere.
+	// LinkAddr is the address on which the node listens for other nodes. AdvertiseAddr is the
+	// address at which other nodes reach it; it defaults to LinkAddr.
 	LinkAddr, AdvertiseAddr netip.AddrPort
-	// Incarnation tells this process from earlier ones of the node.
-	Incarnation       string
-	Clock             clock.Service
+	// Incarnation distinguishes this process from previous ones of the node.
+	Incarnation string
+	Clock       clock.Service
+	// Direct sends requests to the store from this node, not through a peer.
 	Direct            detour.Doer
 	PermissionService PermissionService
 	Config            Config
-	// NewStore returns the store as it is reached through d.
+	// NewStore returns a client of the store that sends its requests with d.
 	NewStore func(d detour.Doer) store.Log
-	// NewOwner returns what an owner needs, reaching the store through d.
+	// NewOwner returns the clients that an owner needs: for workers, and for the list of workers,
+	// which is read with d.
 	NewOwner func(d detour.Doer) (owner.Workers, owner.List)
 	Log      func(e events.Event, keysAndValues ...any)
 	Metrics  owner.Metrics
 	// StopTime is the longest that a worker takes to stop a task.
 	StopTime time.Duration
-	// Heartbeat is the time between two heartbeats of a worker; 0 when not known.
+	// Heartbeat is the time between two heartbeats of a worker; 0 if unknown.
 	Heartbeat time.Duration
-	// ReclaimDelay is how long a former owner does not claim again.
+	// ReclaimDelay is how long a node does not claim the shard after it stopped being the owner.
 	ReclaimDelay time.Duration
-	// Workers talks to workers for an owner that leaves them to this node; nil means that
-	// this node does not. Carries is how many workers it can talk to so, and how many it
-	// talks to itself as the owner; 0 means all.
+	// Workers talks to workers on behalf of the owner when this node is its delegate; with nil the
+	// node is no delegate. MaxWorkers is how many workers the node can talk to as a delegate, and
+	// how many it talks to directly as the owner. With 0 it talks to all workers as the owner, and
+	// is not used as a delegate.
 	Workers    owner.Workers
 	MaxWorkers int
-	// Strength is how many processors the node has: the strongest should own.
+	// Strength is the number of processors of the node. The strongest node should be the owner.
 	Strength float64
-	// RequestTimeout is how long a request waits for the next owner; 0 means half a
-	// second.
+	// RequestTimeout is how long a request waits for the next owner; 0 means half a second.
 	RequestTimeout time.Duration
 }
 
-// Node is one of the equal nodes. It is safe for concurrent use.
+// Node is a node of the cluster. It is safe for concurrent use.
 type Node struct {
 	options   Options
 	log       store.Log
@@ -93,7 +98,7 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	startedAt time.Time
-	// takeOver asks the seeker to claim at once after the owner of that epoch, which
+	// claimRequests asks the election goroutine to claim the shard at once: the owner of that epoch
 	// has stopped.
 	claimRequests chan uint64
 
@@ -102,56 +107,60 @@
 	owner *owner.Owner
 	// ownerLink is the link to the owner while that is another node.
 	ownerLink *link.Conn
-	// watch judges whether that owner lives.
+	// detector decides whether that owner is silent.
 	detector failureDetector
-	// lostAt is when the last owner was lost, and changed is closed when there is
-	// another one or none.
+	// ownerLostAt is when the last owner was lost. ownerChanged is closed and replaced whenever
+	// the owner changes or is lost.
 	ownerLostAt  time.Time
 	ownerChanged chan struct{}
-	// config is the newest configuration that is known; its version never falls.
+	// config is the newest known configuration; its version never falls.
 	config        []byte
 	configVersion uint64
-	// configPacked compresses it, once; nil before the first.
+	// configCompressed returns the compressed config; it compresses it only once. It is nil before
+	// the first configuration.
 	configCompressed func() []byte
 	policy           order.Policy
-	// behind is a peer that has a later version, since behindSince; isFetching means
-	// that one is asked for it.
+	// newerPeer is a peer that has a newer version than this node, and newerPeerSince is when this
+	// node learned of it. isFetching means that the configuration is being fetched from a peer.
 	newerPeer      *link.Conn
 	newerPeerSince time.Time
 	isFetching     bool
-	// failedReads has the sources of the configuration that cannot be read now.
+	// failedReads has the sources of the configuration whose last read failed.
 	failedReads map[configSource]*failedReads
 	isLeaving   bool
-	// isTurnedAway means that the store did not answer this node's last read.
+	// isStoreUnavailable means that this node's last read of the configuration from the store
+	// failed.
 	isStoreUnavailable bool
-	// isYielding means that this owner hands over to a fitter node.
+	// isUnfitHandover means that this node is handing the shard over because it is unfit to own it.
 	isUnfitHandover bool
 	fitness         fitness
-	noClaimUntil    time.Time
-	// unloggedEpoch is that of the owner if it runs ahead of the store, by its last
-	// beat.
+	// noClaimUntil is the time before which this node does not claim; see Options.ReclaimDelay.
+	noClaimUntil time.Time
+	// unpersistedEpoch is the epoch of the followed owner if its last heartbeat said that tasks may
+	// run on placements that are not in the store, else 0.
 	unpersistedEpoch uint64
-	// claimed has the epochs that this process has acted on.
+	// lastOwnedEpoch is the last epoch in which this process was the owner.
 	lastOwnedEpoch uint64
 	wg             sync.WaitGroup
-	// carrySession is that of carryLink, over which the owner left orders to this node.
+	// delegateSession is the session for delegateLink, the link over which the owner delegated
+	// orders to this node.
 	delegateLink    *link.Conn
 	delegateSession *carrier.Session
 
-	// carrier talks to workers for the owner; nil where Options.Workers is.
+	// delegate talks to workers on behalf of the owner; nil if Options.Workers is nil.
 	delegate *carrier.Carrier
 
-	// last is the record of the owner that was read last; it belongs to the seeker.
+	// lastRecord is the owner's record as it was read last. Only the election goroutine uses it.
 	lastRecord *owner.Record
-	// answerTime is how long the store took to tell it; it belongs to the seeker.
+	// storeLatency is how long the store took for that read. Only the election goroutine uses it.
 	storeLatency time.Duration
 }
 
-// NewNode listens for other nodes and begins to look for the owner.
+// NewNode starts a node: it listens for other nodes and begins to look for the owner.
 func NewNode(options Options) (*Node, error) {
 	l, err := net.Listen("tcp", options.LinkAddr.String())
 	if err != nil {
-		return nil, fmt.Errorf("cluster: %w", err)
+		return nil, fmt.Errorf("cluster: cannot listen for other nodes: %w", err)
 	}
 	if !options.AdvertiseAddr.IsValid() {
 		options.AdvertiseAddr = options.LinkAddr
@@ -178,7 +187,8 @@
 	return n, nil
 }
 
-// Close ends the node at once.
+// Close ends the node at once, without handing the shard over; see Leave. It waits for the node's
+// goroutines.
 func (n *Node) Close() {
 	n.cancel()
 	_ = n.listener.Close()
@@ -204,8 +214,8 @@
 	}
 }
 
-// CustomerUse returns, by customer, what part of its limit it uses, of those that use most; nil
-// where another node is the owner.
+// CustomerUse returns the share of its limit that a customer uses, by customer name, for the
+// customers with the highest shares. It returns nil when this node is not the owner.
 func (n *Node) CustomerUse() map[string]float64 {
 	n.mu.Lock()
 	o := n.owner
@@ -220,11 +230,12 @@
 	return out
 }
 
-// readySilence is how long a follower without beats still takes requests: the
-// platform counts a node out when two checks in a row, a second apart, fail.
+// maxReadySilence is how long after the owner's last heartbeat a follower still reports that it is
+// ready. The platform takes a node out of service when two consecutive checks, a second apart, fail.
 const maxReadySilence = 1100 * time.Millisecond
 
-// IsReady reports whether callers' requests can be served through this node.
+// IsReady reports whether this node can serve callers' requests, as the owner or by forwarding them
+// to the owner.
 func (n *Node) IsReady() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -32,7 +32,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// idle is what a node needs of the platform where nothing is started.
+// inactivePlatform implements what a node needs of the platform for tests in which no task starts.
 type inactivePlatform struct{}
 
 func (inactivePlatform) Do(context.Context, *detour.Request) (*detour.Response, error) {
@@ -65,18 +65,18 @@
 
 func (inactivePlatform) Appended(string, time.Duration) {}
 
-// config is the operators' configuration: a version as JSON.
+// config is a fake configuration store and decoder. A configuration is only its version, as JSON.
 type config struct {
 	mu             sync.Mutex
 	data           []byte
 	changed        chan struct{}
 	appliedVersion uint64
 	parseCalls     int
-	// isAway makes the store refuse to tell the configuration.
+	// isReadRefused makes reads of the configuration fail.
 	isReadRefused bool
 }
 
-// turnAway makes the store refuse this node from now on.
+// refuseReads makes the store refuse this node's reads from now on.
 func (c *config) refuseReads() {
 	c.mu.Lock()
 	c.isReadRefused = true
@@ -141,7 +141,7 @@
 	return c.appliedVersion
 }
 
-// testNode is a node with its own configuration reader.
+// testNode is a node with a configuration store of its own.
 type testNode struct {
 	*cluster.Node
 	config *config
@@ -180,25 +180,27 @@
 	return &testNode{n, c}
 }
 
-// patience is so long that no request is given up on a busy machine.
+// requestTimeout is so long that no request times out on a busy machine.
 const requestTimeout = time.Hour
 
 func job(id string) *work.Spec {
 	return &work.Spec{ID: work.JobID(id), Queue: "q", Steps: []work.Step{{Count: 1, MayMiss: -1}}}
 }
 
-// submit hands a job in until it is accepted.
+// submit submits a job repeatedly until it is accepted.
 func (n *testNode) submit(t *testing.T, id string) {
 	t.Helper()
 	await.True(t, id+" is accepted", func() bool { return n.Submit(t.Context(), job(id)) == nil })
 }
 
+// knows reports whether the node returns the state of a job.
 func (n *testNode) knows(t *testing.T, id string) bool {
 	t.Helper()
 	_, ok, err := n.State(t.Context(), work.JobID(id), work.Caller{})
 	return err == nil && ok
 }
 
+// Guards against requests that only the owner can serve: each node must forward requests to it.
 func TestAnyNodeServesAnyCaller(t *testing.T) {
 	log := fakestore.NewLog()
 	nodes := []*testNode{}
@@ -225,7 +227,7 @@
 	}
 }
 
-// newPair returns the owner of job "a" and a node that follows it.
+// newPair returns an owner, which has job "a", and a node that follows it.
 func newPair(t *testing.T, log *fakestore.Log) (first, second *testNode) {
 	t.Helper()
 	first = newNode(t, log, "n0", "1")
@@ -235,7 +237,7 @@
 	return first, second
 }
 
-// wantOwner checks which node owns the shard by the store's word.
+// checkOwner checks that the newest owner record in the store is that of a node.
 func checkOwner(t *testing.T, log *fakestore.Log, want string) {
 	t.Helper()
 	if r, _, err := owner.ReadRecord(t.Context(), log); err != nil || r == nil || r.Node != want {
@@ -243,6 +245,8 @@
 	}
 }
 
+// Guards against a shard that stays without an owner, and against lost jobs, when the owner's
+// process ends without a handover.
 func TestAnotherNodeTakesOverWhenTheOwnerEnds(t *testing.T) {
 	log := fakestore.NewLog()
 	first, second := newPair(t, log)
@@ -251,6 +255,8 @@
 	second.submit(t, "b")
 }
 
+// Guards against requests that fail after the owner left as planned, at the next owner or at the
+// node that is leaving.
 func TestRequestsAreServedDuringAPlannedStop(t *testing.T) {
 	log := fakestore.NewLog()
 	first, second := newPair(t, log)
@@ -262,8 +268,8 @@
 	}
 }
 
-// A request that came between two owners was refused with a second to come back,
-// also in a planned stop.
+// Guards against requests that are refused between two owners: they were refused with a retry delay
+// of a second, even in a planned stop, instead of waiting for the next owner.
 func TestARequestWaitsForTheNextOwner(t *testing.T) {
 	for name, end := range map[string]func(n *testNode){
 		"planned stop": func(n *testNode) { n.Leave(t.Context()) },
@@ -288,8 +294,8 @@
 	}
 }
 
-// slowClock ticks five times too rarely where ticks are close, as a process sees
-// it that is kept from running now and then.
+// delayedTickClock delivers ticks with a period below 50 ms five times too rarely, as for a process
+// that is kept from running from time to time.
 type delayedTickClock struct{ clock.Real }
 
 func (c delayedTickClock) Subscribe(period time.Duration) (<-chan time.Time, func()) {
@@ -299,29 +305,30 @@
 	return c.Real.Subscribe(period)
 }
 
-// stillClock shows the same time always: no node takes long to read the store.
+// stoppedClock always returns the same time, so that no node waits long enough for the store to
+// fetch a configuration from a peer.
 type stoppedClock struct{ clock.Real }
 
 func (stoppedClock) Now() time.Time { return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) }
 
-// A configuration of 1,500 routes went over the owner's link to each follower and
-// back from each, so that its beats came late.
+// Guards against configurations that are sent over links without need: one of 1,500 routes was sent
+// from the owner to each follower and back from each, which delayed the owner's heartbeats.
 func TestAConfigurationReadFromTheStoreIsNotFetchedFromAPeer(t *testing.T) {
 	log := fakestore.NewLog()
 	first, second := newNodeWith(t, log, "n0", "1", stoppedClock{}), newNodeWith(t, log, "n1", "1", stoppedClock{})
 	first.submit(t, "a")
 	second.submit(t, "b")
 	first.config.set(7)
-	await.True(t, "the second node hears of it", second.HasNewerPeer)
+	await.True(t, "the second node knows that a peer has a newer configuration", second.HasNewerPeer)
 	second.config.set(7)
 	await.True(t, "both have read it", func() bool { return first.config.applied() == 7 && second.config.applied() == 7 })
 	if got := first.config.parseCount() + second.config.parseCount(); got != 2 {
-		t.Errorf("configurations read: got: %d, want: 2, one at each node", got)
+		t.Errorf("configurations decoded: got: %d, want: 2, one at each node", got)
 	}
 }
 
-// An owner that hands over to nodes that the store turns away leaves the shard
-// without an owner for seconds.
+// Guards against a handover to nodes whose reads the store refuses: these cannot claim the shard,
+// which is then without an owner for seconds.
 func TestTheShardIsNotHandedToANodeThatCannotReadTheStore(t *testing.T) {
 	log := fakestore.NewLog()
 	first := newNode(t, log, "n0", "1")
@@ -331,12 +338,12 @@
 		await.True(t, "the others serve", func() bool { return n.knows(t, "a") })
 	}
 	second.config.refuseReads()
-	await.True(t, "the owner knows who is turned away", func() bool { return slices.Equal(first.Successors(), []string{"n2"}) })
+	await.True(t, "the owner knows which node cannot read from the store", func() bool { return slices.Equal(first.Successors(), []string{"n2"}) })
 	first.Leave(t.Context())
 	checkOwner(t, log, "n2")
 }
 
-// steppedClock shows the time that it was set to, and ticks as the machine's.
+// manualClock returns a time that only tests advance; its ticks are those of the real clock.
 type manualClock struct {
 	clock.Real
 	offset atomic.Int64
@@ -346,11 +353,11 @@
 	return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(c.offset.Load()))
 }
 
-// TimeOfDay goes with Now.
+// TimeOfDay returns the same time as Now.
 func (c *manualClock) TimeOfDay() time.Time { return c.Now() }
 
-// Followers of an owner that had been replaced asked the store about it without a
-// pause until the link was given up, and served nobody for 0.9 s.
+// Guards against followers that stay with an owner that has been replaced: they asked the store about
+// it in a busy loop until the link timed out, and served no requests for 0.9 s.
 func TestAFollowerLeavesAnOwnerThatWasReplaced(t *testing.T) {
 	log := fakestore.NewLog()
 	claims := []owner.Record{{Node: "a", Incarnation: "1", Epoch: 1}, {Node: "b", Incarnation: "1", Epoch: 2}}
@@ -370,7 +377,7 @@
 		n.FollowOverLink(link.NewConn(localEnd, n), &claims[0])
 	}()
 	await.True(t, "the follower has a link", n.IsFollowing)
-	// Longer than three beats, shorter than the time after which a link is given up.
+	// Longer than ownerSilenceTimeout, shorter than maxLinkSilence.
 	clk.offset.Store(int64(800 * time.Millisecond))
 	await.True(t, "the follower looks for the next owner", func() bool {
 		select {
@@ -382,8 +389,8 @@
 	})
 }
 
-// Requests were refused for 0.9 s when the link to a living owner went silent
-// without a reset.
+// Guards against requests that are refused while the owner is alive: they were refused for 0.9 s when
+// the link to the owner broke without a reset.
 func TestASilentLinkIsReplacedWhileTheOwnerLives(t *testing.T) {
 	log := fakestore.NewLog()
 	var ownerRelay *relay.Relay
@@ -400,8 +407,8 @@
 	second := newNodeWith(t, log, "n1", "1", clk)
 	await.True(t, "the second node serves", func() bool { return second.knows(t, "a") })
 	ownerRelay.Silence()
-	await.True(t, "beats are dropped", func() bool { return ownerRelay.Dropped() >= 3 })
-	// Longer than three beats, shorter than the time after which a link is given up.
+	await.True(t, "heartbeats are dropped", func() bool { return ownerRelay.Dropped() >= 3 })
+	// Longer than ownerSilenceTimeout, shorter than maxLinkSilence.
 	clk.offset.Store(int64(800 * time.Millisecond))
 	served := make(chan error, 1)
 	go func() { served <- second.Submit(t.Context(), job("b")) }()
@@ -416,6 +423,7 @@
 	checkOwner(t, log, "n0")
 }
 
+// Guards against an owner that keeps the shard although its process is kept from running.
 func TestASlowOwnerHandsOver(t *testing.T) {
 	log := fakestore.NewLog()
 	first := newNodeWith(t, log, "n0", "1", delayedTickClock{})
@@ -427,6 +435,8 @@
 	})
 }
 
+// Guards against requests that hang, or are answered as if they might have run, when the store is
+// down and there is no owner.
 func TestANodeWithoutAnOwnerRefusesRequests(t *testing.T) {
 	log := fakestore.NewLog()
 	log.SetDown(true)
@@ -434,10 +444,12 @@
 	err := n.Submit(t.Context(), job("a"))
 	e := &leverdyke.Error{}
 	if !errors.As(err, &e) || e.Verdict != leverdyke.VerdictNotRun || e.RetryAfterSeconds == 0 {
-		t.Errorf("got: %v, want: %v with a time to come back", err, leverdyke.VerdictNotRun)
+		t.Errorf("got: %v, want: %v with a retry delay", err, leverdyke.VerdictNotRun)
 	}
 }
 
+// Guards against nodes that miss a configuration because they cannot read it from the store, and
+// against an older version that replaces a newer one.
 func TestConfigurationSpreadsThroughPeersAndItsVersionNeverFalls(t *testing.T) {
 	log := fakestore.NewLog()
 	first, second := newNode(t, log, "n0", "1"), newNode(t, log, "n1", "1")
@@ -454,16 +466,16 @@
 	}
 }
 
-// Each of 27 followers fetched 820 KB; to compress it for each would cost the
-// owner half a second.
+// Guards against a configuration that is compressed again for each peer that fetches it: with 27
+// followers and 820 KB, this would take the owner half a second.
 func TestAConfigurationIsCompressedOnce(t *testing.T) {
 	log := fakestore.NewLog()
 	first := newNode(t, log, "n0", "1")
 	first.submit(t, "a")
 	first.config.set(7)
-	await.True(t, "it is in force", func() bool { return first.config.applied() == 7 })
+	await.True(t, "the configuration is active", func() bool { return first.config.applied() == 7 })
 	one, two := first.Compressed(), first.Compressed()
 	if len(one) == 0 || &one[0] != &two[0] {
-		t.Error("got: packed again, want: packed once")
+		t.Error("got: compressed again, want: compressed once")
 	}
 }
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -17,23 +17,26 @@
 )
 
 const (
-	// peerSilence is how long a follower may be silent before it is not used.
+	// maxPeerSilence is how long after its last heartbeat a follower is still used.
 	maxPeerSilence = 1500 * time.Millisecond
-	// peerMemory is how long a peer that is no longer linked counts for a majority.
+	// peerRetention is how long a peer that is no longer linked still counts as known when a
+	// majority is determined.
 	peerRetention = 8 * time.Second
 )
 
-// peer is a follower that is linked to this node.
+// peer is a follower with a link to this node.
 type peer struct {
 	hello hello
 	conn  *link.Conn
-	// number tells the links of this node apart.
+	// linkID distinguishes the links of this node, also those of one peer.
 	linkID uint64
-	// bornAt is when its process began.
+	// startedAt is when the peer's process started, by this node's clock.
 	startedAt time.Time
-	heardAt   time.Time
+	// heardAt is when its last heartbeat was received, or when it was linked.
+	heardAt time.Time
+	// isLeaving means that its process is about to end.
 	isLeaving bool
-	// isTurnedAway means that the store does not serve it.
+	// isStoreUnavailable means that its last direct read from the store failed.
 	isStoreUnavailable bool
 }
 
@@ -43,10 +46,11 @@
 
 	mu     sync.Mutex
 	byName map[string]*peer
-	// seen is when a peer was linked last, by name.
+	// lastLinkedAt is when a peer was last linked or lost its link, by name.
 	lastLinkedAt map[string]time.Time
-	nextSample   int
-	// links counts the links that were made.
+	// nextSample rotates the peers that Sample returns.
+	nextSample int
+	// links counts the links that were made; it provides linkID.
 	links uint64
 }
 
@@ -104,14 +108,13 @@
 	return out
 }
 
-// usable returns the peers that have been heard lately.
+// usable returns the peers whose last heartbeat is recent and that are not about to end.
 func (p *peers) usable() []peer {
 	now := p.clock.Now()
 	return slices.DeleteFunc(p.all(), func(q peer) bool { return now.Sub(q.heardAt) > maxPeerSilence || q.isLeaving })
 }
 
-// strongestKnown returns the strength of the strongest node that is linked, or of
-// this one.
+// maxKnownStrength returns the highest strength of this node and its usable peers.
 func (n *Node) maxKnownStrength() float64 {
 	strongest := n.options.Strength
 	for _, p := range n.peers.usable() {
@@ -120,13 +123,14 @@
 	return strongest
 }
 
-// served returns the usable peers that the store serves, as far as they know.
+// withStore returns the usable peers that can read from the store directly, by their last
+// heartbeats.
 func (p *peers) withStore() []peer {
 	return slices.DeleteFunc(p.usable(), func(q peer) bool { return q.isStoreUnavailable })
 }
 
-// byFitness returns the peers that could own the shard, the strongest first, and
-// of those that are alike that which has run for the shortest time.
+// successorCandidates returns the peers that could own the shard, the strongest first. Of peers of
+// equal strength the one whose process started last comes first.
 func (p *peers) successorCandidates() []peer {
 	out := p.withStore()
 	slices.SortFunc(out, func(a, b peer) int {
@@ -138,8 +142,9 @@
 	return out
 }
 
-// Sample returns up to n peers to send requests through: such as the store serves,
-// if there are any, the strong ones first, and others of these each time.
+// Sample returns the names of up to n peers through which requests to the store can be sent. It
+// prefers peers that can read from the store, and returns strong peers before weak ones. Successive
+// calls rotate through the peers of each group.
 func (p *peers) Sample(n int) []string {
 	usable := p.withStore()
 	if len(usable) == 0 {
@@ -167,8 +172,8 @@
 	return out
 }
 
-// IsMajority reports whether this node and its usable peers are most of those
-// that were linked lately.
+// IsMajority reports whether this node and its usable peers are the majority of the nodes known to
+// this one: itself, its linked peers, and the peers that were linked within peerRetention.
 func (p *peers) IsMajority() bool {
 	linked := len(p.usable()) + 1
 	p.mu.Lock()
@@ -192,10 +197,11 @@
 	return nil
 }
 
-// errNoPeer means that a peer is not linked.
-var errPeerNotLinked = errors.New("cluster: the peer is not linked")
+// errPeerNotLinked means that there is no link to the peer, so that nothing was sent.
+var errPeerNotLinked = errors.New("cluster: no link to the peer")
 
-// Via sends a request to the store through a peer.
+// Via sends a request to the store through a peer. An *UnsentError means that the request did not
+// reach the store; after any other error, the store may have carried it out.
 func (p *peers) Via(ctx context.Context, name string, r *detour.Request) (*detour.Response, error) {
 	conn := p.linkTo(name)
 	if conn == nil {
--- a/internal/cluster/request.go
+++ b/internal/cluster/request.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// retryAfter is when a refused caller should come back, in seconds.
+	// retryAfterSeconds is the delay after which a refused caller should retry, in seconds.
 	retryAfterSeconds = 1
-	// defaultPatience is how long a request waits for the next owner, which has to take over
-	// and to read the jobs.
+	// defaultRequestTimeout is how long a request waits by default for the next owner, which has to
+	// claim the shard and to read the jobs first.
 	defaultRequestTimeout = 500 * time.Millisecond
-	// lostLately is how many times that after its owner was lost a node expects
-	// another one. After that it refuses at once.
+	// ownerExpectationFactor, times the request timeout, is how long after the loss of its owner a
+	// node expects a new one. After that, it refuses requests at once.
 	ownerExpectationFactor = 2
 )
 
-// request is a caller's request. It may be carried out twice: a job's ID makes
-// the same job of a second submission, a second cancelling changes nothing.
+// request is a caller's request. It may be sent again, and carried out twice, because all requests
+// are idempotent: a second submission has the same job ID, and a second cancel changes nothing.
 type request struct {
 	kind link.Kind
-	// body is what goes over the link to the owner.
+	// body is the message to the owner when that is another node.
 	body any
-	// do asks the owner when that is this node.
+	// callLocal calls the owner when that is this node.
 	callLocal func(ctx context.Context, o *owner.Owner) (*ownerReply, error)
 }
 
-// target is who answers a caller's request.
+// target is the owner that a request is sent to; only owner or only link is set.
 type target struct {
 	owner *owner.Owner
 	link  *link.Conn
 }
 
-// target returns the owner, or an error that nothing ran, and a channel that is
-// closed when there may be another one.
+// target returns the owner, or an error that says that nothing ran. The channel is closed when
+// there may be another owner, or when a new owner has read the jobs.
 func (n *Node) target() (target, <-chan struct{}, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -61,19 +61,22 @@
 	return &owner.ChangeError{Failure: leverdyke.NotRun("the owner of the jobs is not known", retryAfterSeconds)}
 }
 
-// isAway reports whether the next owner can answer a request that failed so.
+// isOwnerChange reports whether a request failed because the owner changes, so that the next owner
+// can answer it.
 func isOwnerChange(err error) bool {
 	e := &owner.ChangeError{}
 	return errors.As(err, &e)
 }
 
-// isOpen reports whether a request that failed so may have been carried out.
+// mayHaveRun reports whether a request that failed with err may have been carried out.
 func mayHaveRun(err error) bool {
 	e := &leverdyke.Error{}
 	return !errors.As(err, &e) || e.Verdict != leverdyke.VerdictNotRun
 }
 
-// serve asks the owner, and the next one when that ends meanwhile.
+// askOwner sends a request to the owner. If the owner changes meanwhile, it waits for the next
+// owner, up to the request timeout, and sends the request again. If an earlier attempt may have
+// been carried out, the final error says so even when later attempts were refused.
 func (n *Node) askOwner(ctx context.Context, r *request) (*ownerReply, error) {
 	timedOut := n.options.Clock.After(n.options.RequestTimeout)
 	var uncertain error
@@ -95,7 +98,8 @@
 	}
 }
 
-// await waits for a change and reports false when it does not come in time.
+// waitForChange waits until ownerChanged is closed. It reports false when the request timed out or
+// ctx ended first.
 func waitForChange(ctx context.Context, ownerChanged <-chan struct{}, timedOut <-chan time.Time) bool {
 	select {
 	case <-ownerChanged:
@@ -106,7 +110,7 @@
 	return false
 }
 
-// ask asks the owner.
+// ask sends one request to the owner.
 func (t target) ask(ctx context.Context, r *request) (*ownerReply, error) {
 	if t.owner != nil {
 		return r.callLocal(ctx, t.owner)
@@ -123,14 +127,14 @@
 	return nil, failure
 }
 
-// expectsOwner reports whether there is likely to be another owner soon.
+// isOwnerExpected reports whether there is an owner or is likely to be one soon.
 func (n *Node) isOwnerExpected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.owner != nil || n.ownerLink != nil || n.options.Clock.Now().Sub(n.ownerLostAt) < ownerExpectationFactor*n.options.RequestTimeout
 }
 
-// Submit hands in a job. It returns nil once the job is kept.
+// Submit submits a job. It returns nil once the job is persisted.
 func (n *Node) Submit(ctx context.Context, spec *work.Spec) error {
 	_, err := n.askOwner(ctx, &request{kindSubmit, spec, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
 		return nil, o.Submit(ctx, spec)
@@ -138,7 +142,7 @@
 	return err
 }
 
-// Cancel cancels a job. It returns false when there is no such job of the caller's.
+// Cancel cancels a job. It returns false when the caller has no such job.
 func (n *Node) Cancel(ctx context.Context, id work.JobID, by work.Caller) (bool, error) {
 	a, err := n.askOwner(ctx, &request{kindCancel, jobQuery{Job: id, By: by}, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
 		ok, err := o.Cancel(ctx, id, by)
@@ -147,7 +151,7 @@
 	return err == nil && a.IsKnown, err
 }
 
-// State returns what a caller is told of a job; false when there is none of the caller's.
+// State returns the state of a job; false when the caller has no such job.
 func (n *Node) State(ctx context.Context, id work.JobID, by work.Caller) (work.JobState, bool, error) {
 	a, err := n.askOwner(ctx, &request{kindState, jobQuery{Job: id, By: by}, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
 		state, ok, err := o.State(ctx, id, by)
@@ -159,7 +163,7 @@
 	return a.State, a.IsKnown, nil
 }
 
-// Pending returns how many jobs of a queue have not begun.
+// Pending returns how many jobs of a queue have not started yet.
 func (n *Node) Pending(ctx context.Context, queue string) (int, error) {
 	a, err := n.askOwner(ctx, &request{kindPending, jobQuery{Queue: queue}, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
 		count, err := o.Pending(ctx, queue)
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -19,7 +19,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// HandleCall answers another node.
+// HandleCall handles a call from another node and returns the reply.
 func (n *Node) HandleCall(ctx context.Context, from *link.Conn, kind link.Kind, body []byte) (any, error) {
 	switch kind {
 	case kindHello:
@@ -46,8 +46,8 @@
 	return handleRequest(ctx, o, kind, body)
 }
 
-// awaitLoaded waits until the owner knows the jobs, and reports false when that
-// takes too long.
+// awaitLoaded waits until the owner has read the jobs. It reports false when that takes longer than
+// the request timeout, or when the owner or ctx ends first.
 func (n *Node) awaitLoaded(ctx context.Context, o *owner.Owner) bool {
 	if o.IsLoaded() {
 		return true
@@ -62,7 +62,7 @@
 	return false
 }
 
-// takeRequest answers a caller's request that another node passed on.
+// handleRequest handles a caller's request that another node forwarded to this owner.
 func handleRequest(ctx context.Context, o *owner.Owner, kind link.Kind, body []byte) (any, error) {
 	if kind == kindSubmit {
 		spec := &work.Spec{}
@@ -95,8 +95,7 @@
 	return nil, fmt.Errorf("cluster: unknown kind of message %q", kind)
 }
 
-// configInForce returns the configuration in force here, without data before the
-// first.
+// activeConfig returns the active configuration of this node, without data before the first.
 func (n *Node) activeConfig() configMessage {
 	n.mu.Lock()
 	version, compressed := n.configVersion, n.configCompressed
@@ -107,6 +106,8 @@
 	return configMessage{version, compressed()}
 }
 
+// handleHello handles the first call on a link. If this node is the owner, the other node becomes
+// its follower.
 func (n *Node) handleHello(from *link.Conn, body []byte) (any, error) {
 	h := hello{}
 	if err := codec.Unmarshal(body, &h); err != nil {
@@ -123,8 +124,8 @@
 	return w, nil
 }
 
-// takeClaim makes the seeker claim the shard after the owner of that epoch, and
-// answers once this node owns it.
+// handleClaim makes the election goroutine claim the shard after the owner of the request's epoch,
+// and returns once this node owns it.
 func (n *Node) handleClaim(ctx context.Context, c claimRequest) (any, error) {
 	if c.IsUnfit {
 		n.mu.Lock()
@@ -133,7 +134,7 @@
 	}
 	select {
 	case <-n.claimRequests:
-		// An earlier call that nobody took up.
+		// Discards an earlier request that the election goroutine has not received.
 	default:
 	}
 	select {
@@ -154,12 +155,13 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-timedOut:
-			return nil, errors.New("cluster: the shard was not won in time")
+			return nil, errors.New("cluster: this node did not become the owner of the shard in time")
 		case <-ticks:
 		}
 	}
 }
 
+// handlePermissionQuery queries the permission service on behalf of the owner.
 func (n *Node) handlePermissionQuery(ctx context.Context, body []byte) (any, error) {
 	c := permissionQuery{}
 	if err := codec.Unmarshal(body, &c); err != nil {
@@ -169,6 +171,7 @@
 	return permissionReply{permits, validFor}, err
 }
 
+// handleStore sends a peer's request to the store, directly from this node.
 func (n *Node) handleStore(ctx context.Context, body []byte) (any, error) {
 	r := &detour.Request{}
 	if err := codec.Unmarshal(body, r); err != nil {
@@ -182,7 +185,7 @@
 	return storeReply{Response: response}, nil
 }
 
-// HandleNotice takes a notification of another node.
+// HandleNotice handles a notification from another node.
 func (n *Node) HandleNotice(from *link.Conn, kind link.Kind, body []byte) {
 	switch kind {
 	case kindOwnerHeartbeat:
@@ -207,6 +210,8 @@
 	}
 }
 
+// handleOwnerHeartbeat handles a heartbeat of the owner. A heartbeat over any link but the current
+// one to the owner is ignored.
 func (n *Node) handleOwnerHeartbeat(from *link.Conn, b ownerHeartbeat) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -221,11 +226,11 @@
 	n.handlePeerVersion(from, b.ConfigVersion)
 }
 
-// lanes are the ways to the service that permits workers: this node and its
-// followers.
+// permissionChannels are the nodes through which the owner can query the permission service: this
+// node and its followers.
 type permissionChannels struct{ n *Node }
 
-// Names returns the lanes that can be used now.
+// Names returns the names of the channels that can be used now.
 func (l *permissionChannels) Names() []string {
 	out := []string{l.n.options.Name}
 	for _, p := range l.n.peers.usable() {
@@ -234,7 +239,7 @@
 	return out
 }
 
-// Ask asks through a lane.
+// Ask queries the permission service through a channel.
 func (l *permissionChannels) Ask(ctx context.Context, channel string, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error) {
 	if channel == l.n.options.Name {
 		return l.n.options.PermissionService.Ask(ctx, step, workers)
