--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -257,7 +257,7 @@
 
 // Guards against requests that fail after the owner left as planned, at the next owner or at the
 // node that is leaving.
-func TestRequestsAreServedDuringAPlannedStop(t *testing.T) {
+func TestRequestsAreServedAfterThePlannedStopOfAnOwner(t *testing.T) {
 	log := fakestore.NewLog()
 	first, second := newPair(t, log)
 	first.Leave(t.Context())
