--- a/internal/cluster/compress.go
+++ b/internal/cluster/compress.go
@@ -17,7 +17,8 @@
 const maxConfigBytes = 16 << 20
 
 // compress compresses a configuration. Its routes are similar and compress well. It then needs only
-// a fraction of the time on the slowest link (10 Mbit/s), where it would otherwise delay heartbeats.
+// a fraction of the time on the slowest link (10 Mbit/s), where it would otherwise delay
+// heartbeats.
 func compress(data []byte) []byte {
 	out := &bytes.Buffer{}
 	// No error is possible: the level is valid, and writes to a bytes.Buffer do not fail.
--- a/internal/cluster/compress_test.go
+++ b/internal/cluster/compress_test.go
@@ -34,7 +34,7 @@
 	if err != nil || !bytes.Equal(got, data) {
 		t.Errorf("decompressed: got: %d bytes, %v, want: the %d original bytes", len(got), err, len(data))
 	}
-	// The names of the routes are random and hardly compress.
+	// The names of the routes hardly compress.
 	if want := len(data) / 5; len(compressed) > want {
 		t.Errorf("compressed: got: %d bytes of %d, want: at most %d", len(compressed), len(data), want)
 	}
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -220,6 +220,8 @@
 	}
 }
 
+// sendOwnerHeartbeats sends a heartbeat to each follower if this node is the owner. Before that it
+// checks whether this node should hand the shard over.
 func (n *Node) sendOwnerHeartbeats() {
 	n.mu.Lock()
 	o, version := n.owner, n.configVersion
--- a/internal/cluster/delegate.go
+++ b/internal/cluster/delegate.go
@@ -12,12 +12,11 @@
 	"github.com/leverdyke/leverdyke/internal/link"
 )
 
-// maxDelegateSilence is how long ago a follower's last heartbeat may have been received for the
-// owner to still use it as a delegate: two heartbeat periods, plus the delay of a busy node.
+// maxDelegateSilence is the time without a heartbeat after which the owner no longer uses a
+// follower as a delegate: two heartbeat periods, plus the delay of a busy node.
 const maxDelegateSilence = 600 * time.Millisecond
 
-// delegates are the followers to which the owner on this node can delegate its talking to
-// workers.
+// delegates are the followers through which the owner on this node can talk to workers.
 type delegates struct{ n *Node }
 
 // Usable returns the followers that accept orders and whose heartbeats are recent.
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -306,7 +306,7 @@
 }
 
 // claimIfRecordOverdue claims the shard from an owner that this node cannot reach, unless the store
-// receives a further record of the owner within timeout.
+// receives a further record of the owner within timeout. With a timeout of 0 it claims at once.
 func (n *Node) claimIfRecordOverdue(r *owner.Record, at uint64, timeout time.Duration) {
 	if n.isNextRecordOverdue(n.ctx, r, at, timeout) {
 		n.claim(r, at+1, false)
--- a/internal/cluster/election_test.go
+++ b/internal/cluster/election_test.go
@@ -32,16 +32,16 @@
 		isFlagged     bool
 		want          bool
 	}{
-		"young":                   {lastHeartbeat{7, 4, 800 * ms}, 800 * ms, false, true},
-		"old":                     {lastHeartbeat{7, 4, 1000 * ms}, 1000 * ms, false, false},
-		"marked":                  {lastHeartbeat{7, 4, 0}, 0, true, false},
-		"clock ahead":             {lastHeartbeat{7, 4, 0}, -2 * time.Second, false, false},
-		"clock set back":          {lastHeartbeat{7, 4, 1500 * ms}, 100 * ms, false, false},
-		"a beat that was held up": {lastHeartbeat{7, 4, 0}, 1500 * ms, false, false},
-		"a record since the beat": {lastHeartbeat{7, 3, 1100 * ms}, 800 * ms, false, true},
-		"two since the beat, old": {lastHeartbeat{7, 2, 1600 * ms}, 800 * ms, false, false},
-		"no beat of this owner":   {lastHeartbeat{6, 4, 0}, 800 * ms, false, false},
-		"no beat at all":          {lastHeartbeat{}, 800 * ms, false, false},
+		"young":                                {lastHeartbeat{7, 4, 800 * ms}, 800 * ms, false, true},
+		"old":                                  {lastHeartbeat{7, 4, 1000 * ms}, 1000 * ms, false, false},
+		"marked":                               {lastHeartbeat{7, 4, 0}, 0, true, false},
+		"clock ahead":                          {lastHeartbeat{7, 4, 0}, -2 * time.Second, false, false},
+		"clock set back":                       {lastHeartbeat{7, 4, 1500 * ms}, 100 * ms, false, false},
+		"a delayed heartbeat":                  {lastHeartbeat{7, 4, 0}, 1500 * ms, false, false},
+		"a record since the heartbeat":         {lastHeartbeat{7, 3, 1100 * ms}, 800 * ms, false, true},
+		"two records since the heartbeat, old": {lastHeartbeat{7, 2, 1600 * ms}, 800 * ms, false, false},
+		"no heartbeat of this owner":           {lastHeartbeat{6, 4, 0}, 800 * ms, false, false},
+		"no heartbeat at all":                  {lastHeartbeat{}, 800 * ms, false, false},
 	} {
 		n.RecordOwnerHeartbeat(tc.lastHeartbeat.epoch, tc.lastHeartbeat.unflaggedSeq, tc.lastHeartbeat.age)
 		r := &owner.Record{Epoch: 7, HeartbeatSeq: 4, SentAt: clk.Now().Add(-tc.age), MayHaveUnpersisted: tc.isFlagged}
--- a/internal/cluster/failure_detector.go
+++ b/internal/cluster/failure_detector.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// ownerSilenceTimeout is how long ago the last heartbeat of the owner must have been received
-	// for the owner to count as silent, so that the store is asked about it: three heartbeat
-	// periods, which also leaves time for a retransmission.
+	// ownerSilenceTimeout is the time without a heartbeat over the link after which the owner
+	// counts as silent and the store is asked about it: three heartbeat periods, which also leaves
+	// time for a retransmission.
 	ownerSilenceTimeout = 300 * time.Millisecond
 	// recordTolerance is how late the owner's next record may be in the store. A node that has used
 	// up its share of a processor is kept from running for 0.1 s.
@@ -55,10 +55,10 @@
 	w.epoch, w.unflaggedSeq, w.unflaggedAt = b.Epoch, b.UnflaggedSeq, now.Add(-b.UnflaggedAge)
 }
 
-// unflaggedAge returns the maximum age of the owner's newest record in the store, on this node's own
-// clock, if that record does not carry the write-behind flag. It reports false when no heartbeat of
-// that owner was received: then the age could only be determined from the clocks of two nodes,
-// which may have been set.
+// unflaggedAge returns the maximum age of the owner's newest record in the store, on this node's
+// own clock, if that record does not carry the write-behind flag. It reports false when no
+// heartbeat of that owner was received: then the age could only be determined from the clocks of
+// two nodes, which may have been set.
 func (w *failureDetector) unflaggedAge(now time.Time, newest *owner.Record) (time.Duration, bool) {
 	if w.epoch == 0 || w.epoch != newest.Epoch {
 		return 0, false
--- a/internal/cluster/failure_detector_test.go
+++ b/internal/cluster/failure_detector_test.go
@@ -37,10 +37,10 @@
 		answer     time.Duration
 		want       time.Duration
 	}{
-		"kept just before the last beat": {0, 300 * ms, 4, 10 * ms, 190 * ms},
-		"kept long before the last beat": {250 * ms, 300 * ms, 4, 10 * ms, 0},
-		"the store answers slowly":       {250 * ms, 300 * ms, 4, 370 * ms, 1380 * ms},
-		"a record after the last beat":   {250 * ms, 300 * ms, 5, 10 * ms, 490 * ms},
+		"persisted just before the last heartbeat": {0, 300 * ms, 4, 10 * ms, 190 * ms},
+		"persisted long before the last heartbeat": {250 * ms, 300 * ms, 4, 10 * ms, 0},
+		"the store answers slowly":                 {250 * ms, 300 * ms, 4, 370 * ms, 1380 * ms},
+		"a record after the last heartbeat":        {250 * ms, 300 * ms, 5, 10 * ms, 490 * ms},
 	} {
 		detector := &cluster.FailureDetector{}
 		detector.Reset(begin)
@@ -52,6 +52,6 @@
 	detector := &cluster.FailureDetector{}
 	detector.Reset(begin)
 	if got := detector.RemainingWait(begin.Add(time.Second), 0, 0); got != 450*ms {
-		t.Errorf("before the first beat: got: %v, want: a whole period", got)
+		t.Errorf("before the first heartbeat: got: %v, want: a whole period", got)
 	}
 }
--- a/internal/cluster/follow.go
+++ b/internal/cluster/follow.go
@@ -118,6 +118,7 @@
 	go n.runOwnerCheck(ctx, f.record, f.storeCheck)
 }
 
+// setOwnerLink sets the link to the owner; nil means that this node follows no owner.
 func (n *Node) setOwnerLink(c *link.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -143,6 +144,7 @@
 	return n.detector.isSilent(n.options.Clock.Now())
 }
 
+// silentFor returns how long ago the owner's last heartbeat was received.
 func (n *Node) silentFor() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -207,6 +209,8 @@
 	}
 }
 
+// checkOwnerInStore finds out from the store whether an owner is alive, dead or replaced. If
+// needed, it waits for the owner's next record until that is overdue.
 func (n *Node) checkOwnerInStore(ctx context.Context, r *owner.Record) ownerCheck {
 	began := n.options.Clock.Now()
 	newest, at, err := owner.ReadRecord(ctx, n.log)
--- a/internal/cluster/handover_test.go
+++ b/internal/cluster/handover_test.go
@@ -49,8 +49,8 @@
 		"slow":                        {0.4, false, 4 * time.Second, 0, true},
 		"new":                         {0.4, false, time.Second, 0, false},
 		"weak, new":                   {0, true, 100 * time.Millisecond, 0, true},
-		"slow, after a slow one":      {0.4, false, 4 * time.Second, 4 * time.Second, false},
-		"slow, long after a slow one": {0.4, false, 11 * time.Second, 11 * time.Second, true},
+		"slow, soon after a handover": {0.4, false, 4 * time.Second, 4 * time.Second, false},
+		"slow, long after a handover": {0.4, false, 11 * time.Second, 11 * time.Second, true},
 	} {
 		f := cluster.Fitness{}
 		f.BecomeOwner(begin)
--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cluster connects the nodes of a cluster, which all have the same role. One of them at a
-// time owns the shard, that is, schedules all jobs. A node finds out which one is the owner, follows
-// it over a link and forwards callers' requests to it. When there is no owner, the nodes try to
-// claim the shard with a conditional append to the store, which only one of them can win.
+// Package cluster connects the nodes of a cluster, any of which can become the owner of the shard.
+// One node at a time is the owner: it schedules all jobs. The other nodes find out which one it is,
+// follow it over a link and forward callers' requests to it. When there is no owner, the nodes try
+// to claim the shard with a conditional append to the store, which only one of them can win.
 package cluster
 
 import (
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -22,9 +22,11 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// PermissionService queries the permission service from this node. The service decides which of the
-// given workers may run a step; Ask returns the permits and how long they are valid.
+// PermissionService is a client, on this node, of the service that decides which workers may run a
+// step.
 type PermissionService interface {
+	// Ask returns the permits for those of the workers that may run the step, and how long the
+	// permits are valid.
 	Ask(ctx context.Context, step work.StepID, workers []order.WorkerID) ([]order.Ticket, time.Duration, error)
 }
 
@@ -188,7 +190,7 @@
 }
 
 // Close ends the node at once, without handing the shard over; see Leave. It waits for the node's
-// goroutines.
+// background goroutines, except those of accepted links.
 func (n *Node) Close() {
 	n.cancel()
 	_ = n.listener.Close()
@@ -231,7 +233,8 @@
 }
 
 // maxReadySilence is how long after the owner's last heartbeat a follower still reports that it is
-// ready. The platform takes a node out of service when two consecutive checks, a second apart, fail.
+// ready. The platform takes a node out of service when two consecutive checks, a second apart,
+// fail.
 const maxReadySilence = 1100 * time.Millisecond
 
 // IsReady reports whether this node can serve callers' requests, as the owner or by forwarding them
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -84,7 +84,7 @@
 	c.changed <- struct{}{}
 }
 
-var errReadRefused = errors.New("turned away")
+var errReadRefused = errors.New("the store refuses the read")
 
 func newConfig() *config { return &config{changed: make(chan struct{}, 8)} }
 
@@ -223,7 +223,7 @@
 		t.Errorf("cancel: got: %v, %v, want: done", ok, err)
 	}
 	if state, _, err := nodes[1].State(t.Context(), "j2", work.Caller{}); err != nil || state != work.JobCancelled {
-		t.Errorf("state elsewhere: got: %v, %v, want: %v", state, err, work.JobCancelled)
+		t.Errorf("state at another node: got: %v, %v, want: %v", state, err, work.JobCancelled)
 	}
 }
 
@@ -262,7 +262,7 @@
 	first, second := newPair(t, log)
 	first.Leave(t.Context())
 	second.submit(t, "b")
-	await.True(t, "the leaving node passes requests on", func() bool { return first.knows(t, "b") })
+	await.True(t, "the leaving node forwards requests", func() bool { return first.knows(t, "b") })
 	if first.IsReady() {
 		t.Error("the leaving node: got: ready, want: not ready")
 	}
@@ -305,8 +305,8 @@
 	return c.Real.Subscribe(period)
 }
 
-// stoppedClock always returns the same time, so that no node waits long enough for the store to
-// fetch a configuration from a peer.
+// stoppedClock always returns the same time, so that peerFetchDelay never passes and no node
+// fetches a configuration from a peer.
 type stoppedClock struct{ clock.Real }
 
 func (stoppedClock) Now() time.Time { return time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC) }
@@ -356,8 +356,8 @@
 // TimeOfDay returns the same time as Now.
 func (c *manualClock) TimeOfDay() time.Time { return c.Now() }
 
-// Guards against followers that stay with an owner that has been replaced: they asked the store about
-// it in a busy loop until the link timed out, and served no requests for 0.9 s.
+// Guards against followers that stay with an owner that has been replaced: they asked the store
+// about it in a busy loop until the link timed out, and served no requests for 0.9 s.
 func TestAFollowerLeavesAnOwnerThatWasReplaced(t *testing.T) {
 	log := fakestore.NewLog()
 	claims := []owner.Record{{Node: "a", Incarnation: "1", Epoch: 1}, {Node: "b", Incarnation: "1", Epoch: 2}}
@@ -389,8 +389,8 @@
 	})
 }
 
-// Guards against requests that are refused while the owner is alive: they were refused for 0.9 s when
-// the link to the owner broke without a reset.
+// Guards against requests that are refused while the owner is alive: they were refused for 0.9 s
+// when the link to the owner broke without a reset.
 func TestASilentLinkIsReplacedWhileTheOwnerLives(t *testing.T) {
 	log := fakestore.NewLog()
 	var ownerRelay *relay.Relay
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -58,6 +58,7 @@
 	return &peers{clock: c, byName: map[string]*peer{}, lastLinkedAt: map[string]time.Time{}}
 }
 
+// add adds a peer that has made a link. An older link of a peer of that name is closed.
 func (p *peers) add(h hello, c *link.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,6 +71,7 @@
 	p.lastLinkedAt[h.Name] = now
 }
 
+// remove removes the peer with that link, if the link has not been replaced.
 func (p *peers) remove(c *link.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,6 +83,7 @@
 	}
 }
 
+// recordHeartbeat records a heartbeat of the follower with that link.
 func (p *peers) recordHeartbeat(c *link.Conn, a followerHeartbeat) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,6 +100,7 @@
 	}
 }
 
+// all returns copies of the linked peers, sorted by name.
 func (p *peers) all() []peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -188,6 +192,7 @@
 	return 2*linked > known
 }
 
+// linkTo returns the link to a peer, nil when there is none.
 func (p *peers) linkTo(name string) *link.Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
