--- /dev/null
+++ b/internal/cluster/peers.go
@@ -0,0 +1,227 @@
+// Copyright 2026 The leverdyke Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package cluster
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/leverdyke/leverdyke/internal/clock"
+	"github.com/leverdyke/leverdyke/internal/detour"
+	"github.com/leverdyke/leverdyke/internal/link"
+)
+
+const (
+	// maxPeerSilence is how long after its last heartbeat a follower is still used.
+	maxPeerSilence = 1500 * time.Millisecond
+	// peerRetention is how long a peer that is no longer linked still counts as known when a
+	// majority is determined.
+	peerRetention = 8 * time.Second
+)
+
+// peer is a follower with a link to this node.
+type peer struct {
+	hello hello
+	conn  *link.Conn
+	// linkID distinguishes the links of this node, also those of one peer.
+	linkID uint64
+	// startedAt is when the peer's process started, by this node's clock.
+	startedAt time.Time
+	// heardAt is when its last heartbeat was received, or when it was linked.
+	heardAt time.Time
+	// isLeaving means that its process is about to end.
+	isLeaving bool
+	// isStoreUnavailable means that its last direct read from the store failed.
+	isStoreUnavailable bool
+}
+
+// peers are the followers of this node. It is safe for concurrent use.
+type peers struct {
+	clock clock.Service
+
+	mu     sync.Mutex
+	byName map[string]*peer
+	// lastLinkedAt is when a peer was last linked or lost its link, by name.
+	lastLinkedAt map[string]time.Time
+	// nextSample rotates the peers that Sample returns.
+	nextSample int
+	// links counts the links that were made; it provides linkID.
+	links uint64
+}
+
+func newPeers(c clock.Service) *peers {
+	return &peers{clock: c, byName: map[string]*peer{}, lastLinkedAt: map[string]time.Time{}}
+}
+
+// add adds a peer that has made a link. An older link of a peer of that name is closed.
+func (p *peers) add(h hello, c *link.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	now := p.clock.Now()
+	if old := p.byName[h.Name]; old != nil {
+		old.conn.Close()
+	}
+	p.links++
+	p.byName[h.Name] = &peer{hello: h, conn: c, linkID: p.links, startedAt: now.Add(-h.Age), heardAt: now}
+	p.lastLinkedAt[h.Name] = now
+}
+
+// remove removes the peer with that link, if the link has not been replaced.
+func (p *peers) remove(c *link.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for name, peer := range p.byName {
+		if peer.conn == c {
+			delete(p.byName, name)
+			p.lastLinkedAt[name] = p.clock.Now()
+		}
+	}
+}
+
+// recordHeartbeat records a heartbeat of the follower with that link.
+func (p *peers) recordHeartbeat(c *link.Conn, a followerHeartbeat) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, peer := range p.byName {
+		if peer.conn == c {
+			peer.heardAt, peer.isLeaving, peer.isStoreUnavailable = p.clock.Now(), a.IsLeaving, a.IsStoreUnavailable
+		}
+	}
+}
+
+func (p *peers) closeAll() {
+	for _, peer := range p.all() {
+		peer.conn.Close()
+	}
+}
+
+// all returns copies of the linked peers, sorted by name.
+func (p *peers) all() []peer {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	out := make([]peer, 0, len(p.byName))
+	for _, peer := range p.byName {
+		out = append(out, *peer)
+	}
+	slices.SortFunc(out, func(a, b peer) int { return cmp.Compare(a.hello.Name, b.hello.Name) })
+	return out
+}
+
+// usable returns the peers whose last heartbeat is recent and that are not about to end.
+func (p *peers) usable() []peer {
+	now := p.clock.Now()
+	return slices.DeleteFunc(p.all(), func(q peer) bool { return now.Sub(q.heardAt) > maxPeerSilence || q.isLeaving })
+}
+
+// maxKnownStrength returns the highest strength of this node and its usable peers.
+func (n *Node) maxKnownStrength() float64 {
+	strongest := n.options.Strength
+	for _, p := range n.peers.usable() {
+		strongest = max(strongest, p.hello.Strength)
+	}
+	return strongest
+}
+
+// withStore returns the usable peers that can read from the store directly, by their last
+// heartbeats.
+func (p *peers) withStore() []peer {
+	return slices.DeleteFunc(p.usable(), func(q peer) bool { return q.isStoreUnavailable })
+}
+
+// successorCandidates returns the peers that could own the shard, the strongest first. Of peers of
+// equal strength the one whose process started last comes first.
+func (p *peers) successorCandidates() []peer {
+	out := p.withStore()
+	slices.SortFunc(out, func(a, b peer) int {
+		if c := cmp.Compare(b.hello.Strength, a.hello.Strength); c != 0 {
+			return c
+		}
+		return b.startedAt.Compare(a.startedAt)
+	})
+	return out
+}
+
+// Sample returns the names of up to n peers through which requests to the store can be sent. It
+// prefers peers that can read from the store, and returns strong peers before weak ones. Successive
+// calls rotate through the peers of each group.
+func (p *peers) Sample(n int) []string {
+	usable := p.withStore()
+	if len(usable) == 0 {
+		usable = p.usable()
+	}
+	if len(usable) == 0 {
+		return nil
+	}
+	strongest := slices.MaxFunc(usable, func(a, b peer) int { return cmp.Compare(a.hello.Strength, b.hello.Strength) }).hello.Strength
+	isWeak := func(q peer) bool { return q.hello.Strength < (1-strengthTolerance)*strongest }
+	strong := slices.DeleteFunc(slices.Clone(usable), isWeak)
+	weak := slices.DeleteFunc(usable, func(q peer) bool { return !isWeak(q) })
+	p.mu.Lock()
+	p.nextSample++
+	first := p.nextSample
+	p.mu.Unlock()
+	out := []string{}
+	for _, group := range [][]peer{strong, weak} {
+		for i := range group {
+			if len(out) < n {
+				out = append(out, group[(first+i)%len(group)].hello.Name)
+			}
+		}
+	}
+	return out
+}
+
+// IsMajority reports whether this node and its usable peers are the majority of the nodes known to
+// this one: itself, its linked peers, and the peers that were linked within peerRetention.
+func (p *peers) IsMajority() bool {
+	linked := len(p.usable()) + 1
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	known := len(p.byName) + 1
+	now := p.clock.Now()
+	for name, at := range p.lastLinkedAt {
+		if p.byName[name] == nil && now.Sub(at) < peerRetention {
+			known++
+		}
+	}
+	return 2*linked > known
+}
+
+// linkTo returns the link to a peer, nil when there is none.
+func (p *peers) linkTo(name string) *link.Conn {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if peer := p.byName[name]; peer != nil {
+		return peer.conn
+	}
+	return nil
+}
+
+// errPeerNotLinked means that there is no link to the peer, so that nothing was sent.
+var errPeerNotLinked = errors.New("cluster: no link to the peer")
+
+// Via sends a request to the store through a peer. An *UnsentError means that the request did not
+// reach the store; after any other error, the store may have carried it out.
+func (p *peers) Via(ctx context.Context, name string, r *detour.Request) (*detour.Response, error) {
+	conn := p.linkTo(name)
+	if conn == nil {
+		return nil, &detour.UnsentError{Err: errPeerNotLinked}
+	}
+	reply := &storeReply{}
+	if err := conn.Call(ctx, kindStore, r, reply); err != nil {
+		return nil, err
+	}
+	if reply.Failure != "" {
+		err := errors.New(reply.Failure)
+		if reply.IsUnsent {
+			return nil, &detour.UnsentError{Err: err}
+		}
+		return nil, err
+	}
+	return reply.Response, nil
+}
