--- a/internal/dispatch/away.go
+++ b/internal/dispatch/away.go
@@ -28,12 +28,12 @@
 
 // logAway tells of which tasks that last nothing runs for long, and what might run them.
 func (e *Engine) logAway() {
-	if e.now.Before(e.awayLogAt) {
+	if e.now.Before(e.notRunningLogDueAt) {
 		return
 	}
-	e.awayLogAt = e.now.Add(awayLogPause)
+	e.notRunningLogDueAt = e.now.Add(awayLogPause)
 	told := 0
-	for _, j := range e.live {
+	for _, j := range e.activeJobs {
 		for _, r := range j.rounds {
 			for _, s := range r.steps {
 				if told < maxAwayLogged && s.spec.IsLasting && e.logAwayOf(s) {
@@ -95,7 +95,7 @@
 		return has
 	}
 	for id, w := range e.workers.All() {
-		if !e.isReachable(w) || !e.mayRun(w, s, q.Service) || e.roomBeside(w, s, leverdyke.Resources{}) == 0 {
+		if !e.isReachable(w) || !e.mayRun(w, s, q.Service) || e.fitCountIgnoringHealth(w, s, leverdyke.Resources{}) == 0 {
 			continue
 		}
 		has.roomy++
--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -12,31 +12,31 @@
 
 // Batch is what must be kept together.
 type Batch struct {
-	// Specs are new jobs.
-	Specs []*work.Spec
+	// NewJobs are new jobs.
+	NewJobs []*work.Spec
 	// Progress has, by job, what is known of it.
 	Progress map[work.JobID]*work.Progress
-	// Forgotten are jobs that are over and no longer asked for.
-	Forgotten []work.JobID
+	// ExpiredJobs are jobs that are over and no longer asked for.
+	ExpiredJobs []work.JobID
 
-	jobs []*job
-	seen ordered.Map[*worker, uint64]
+	jobs        []*job
+	handledEnds ordered.Map[*worker, uint64]
 	// planned are attempts whose places are in Progress. Those that were not ordered
 	// yet are when it is committed.
 	planned []*attempt
 	// isUrgent means that there are new jobs or urgent ones.
 	isUrgent bool
-	// isAllLearned means that nothing of what workers have told of an earlier owner's orders is
+	// hasAllReports means that nothing of what workers have told of an earlier owner's orders is
 	// left to keep after it.
-	isAllLearned bool
+	hasAllReports bool
 }
 
 // IsEmpty reports whether the batch has nothing to keep.
 func (b *Batch) IsEmpty() bool {
-	return len(b.Specs) == 0 && len(b.Progress) == 0 && len(b.Forgotten) == 0
+	return len(b.NewJobs) == 0 && len(b.Progress) == 0 && len(b.ExpiredJobs) == 0
 }
 
-func (e *Engine) batchNow() *Batch {
+func (e *Engine) currentBatch() *Batch {
 	if e.batch == nil {
 		e.batch = &Batch{}
 	}
@@ -47,16 +47,16 @@
 // Committed or Refused before it takes the next.
 func (e *Engine) TakeBatch() *Batch {
 	b := e.batch
-	isDue := e.now.Sub(e.lastFlush) >= flushPause
+	isDue := e.now.Sub(e.lastFlush) >= flushInterval
 	if b == nil || !b.isUrgent && !isDue {
 		return nil
 	}
 	e.batch = nil
 	if isDue {
 		e.lastFlush = e.now
-		b.isAllLearned = e.hasLearned
+		b.hasAllReports = e.hasUnpersistedReports
 	} else {
-		e.batch = b.leavePatient()
+		e.batch = b.splitDeferrable()
 	}
 	b.Progress = map[work.JobID]*work.Progress{}
 	// A job that was refused meanwhile is not kept; another may have its ID by now.
@@ -68,58 +68,58 @@
 	return b
 }
 
-// leavePatient takes out of the batch what can wait for flushPause, and returns it: jobs
+// splitDeferrable takes out of the batch what can wait for flushPause, and returns it: jobs
 // of which only tasks have ended, and the confirmations of all ends. A job is written
 // whole each time.
-func (b *Batch) leavePatient() *Batch {
-	rest := &Batch{seen: b.seen}
-	b.seen = ordered.Map[*worker, uint64]{}
-	isPatient := func(j *job) bool { return !j.isUrgent }
+func (b *Batch) splitDeferrable() *Batch {
+	deferred := &Batch{handledEnds: b.handledEnds}
+	b.handledEnds = ordered.Map[*worker, uint64]{}
+	isDeferrable := func(j *job) bool { return !j.isUrgent }
 	for _, j := range b.jobs {
-		if isPatient(j) {
-			rest.jobs = append(rest.jobs, j)
+		if isDeferrable(j) {
+			deferred.jobs = append(deferred.jobs, j)
 		}
 	}
-	b.jobs = slices.DeleteFunc(b.jobs, isPatient)
+	b.jobs = slices.DeleteFunc(b.jobs, isDeferrable)
 	for _, a := range b.planned {
-		if isPatient(a.step.job) {
-			rest.planned = append(rest.planned, a)
+		if isDeferrable(a.step.job) {
+			deferred.planned = append(deferred.planned, a)
 		}
 	}
-	b.planned = slices.DeleteFunc(b.planned, func(a *attempt) bool { return isPatient(a.step.job) })
-	return rest
+	b.planned = slices.DeleteFunc(b.planned, func(a *attempt) bool { return isDeferrable(a.step.job) })
+	return deferred
 }
 
 // Committed says that the batch is in the store.
 func (e *Engine) Committed(b *Batch) {
-	if b.isAllLearned {
-		e.hasLearned = false
+	if b.hasAllReports {
+		e.hasUnpersistedReports = false
 	}
-	for _, spec := range b.Specs {
+	for _, spec := range b.NewJobs {
 		j := e.jobs[spec.ID]
 		if j == nil || j.isKept {
 			continue
 		}
 		j.isKept = true
 		if !j.state.IsFinal() {
-			e.live = append(e.live, j)
+			e.activeJobs = append(e.activeJobs, j)
 			e.openRounds(j)
 		}
 	}
 	for _, j := range b.jobs {
-		e.progressKept(j, b.Progress[j.spec.ID].State)
+		e.progressPersisted(j, b.Progress[j.spec.ID].State)
 	}
-	for w, n := range b.seen.All() {
+	for w, n := range b.handledEnds.All() {
 		e.confirm(w, n)
 	}
 	for _, a := range b.planned {
-		e.placeKept(a)
-		e.sendSoon(a)
+		e.placementPersisted(a)
+		e.queueStart(a)
 	}
 }
 
-// progressKept says that a state of a job is kept.
-func (e *Engine) progressKept(j *job, state work.JobState) {
+// progressPersisted says that a state of a job is kept.
+func (e *Engine) progressPersisted(j *job, state work.JobState) {
 	if e.jobs[j.spec.ID] != j || !state.IsFinal() {
 		return
 	}
@@ -130,21 +130,21 @@
 // Refused says that the batch is certainly not in the store. Its new jobs are
 // dropped as never accepted; its progress goes into the next batch.
 func (e *Engine) Refused(b *Batch) {
-	for _, spec := range b.Specs {
+	for _, spec := range b.NewJobs {
 		if j := e.jobs[spec.ID]; j != nil && !j.isKept {
 			e.dropNew(j)
 		}
 	}
-	next := e.batchNow()
-	next.Forgotten = append(next.Forgotten, b.Forgotten...)
+	next := e.currentBatch()
+	next.ExpiredJobs = append(next.ExpiredJobs, b.ExpiredJobs...)
 	next.planned = append(next.planned, b.planned...)
 	for _, j := range b.jobs {
 		if e.jobs[j.spec.ID] == j {
 			e.hurry(j)
 		}
 	}
-	for w, n := range b.seen.All() {
-		next.seen.Set(w, max(next.seen.Get(w), n))
+	for w, n := range b.handledEnds.All() {
+		next.handledEnds.Set(w, max(next.handledEnds.Get(w), n))
 	}
 }
 
@@ -207,19 +207,19 @@
 	if e.batch == nil {
 		return nil
 	}
-	refused := make([]work.JobID, 0, len(e.batch.Specs))
-	for _, spec := range e.batch.Specs {
+	refused := make([]work.JobID, 0, len(e.batch.NewJobs))
+	for _, spec := range e.batch.NewJobs {
 		refused = append(refused, spec.ID)
 		if j := e.jobs[spec.ID]; j != nil {
 			e.dropNew(j)
 		}
 	}
-	e.batch.Specs = nil
+	e.batch.NewJobs = nil
 	return refused
 }
 
-// IsKept reports whether a job is in the store.
-func (e *Engine) IsKept(id work.JobID) bool {
+// IsPersisted reports whether a job is in the store.
+func (e *Engine) IsPersisted(id work.JobID) bool {
 	j := e.jobs[id]
 	return j != nil && j.isKept
 }
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -35,7 +35,7 @@
 func (c *benchCell) settle() {
 	c.engine.Advance(c.clock.Now())
 	for {
-		c.engine.Decide()
+		c.engine.Schedule()
 		if b := c.engine.TakeBatch(); b != nil {
 			c.engine.Committed(b)
 			continue
@@ -74,7 +74,7 @@
 		lasts: map[work.JobID]bool{},
 	}
 	c.engine.Advance(c.clock.Now())
-	c.engine.SetTrusted(true)
+	c.engine.SetOwnershipConfirmed(true)
 	c.engine.SetQueues([]order.Queue{{Name: "q", Service: "pool"}})
 	list := []order.Worker{}
 	for i := range workers {
@@ -122,7 +122,7 @@
 			for b.Loop() {
 				c := &benchCell{engine: dispatch.NewEngine(dispatch.Options{}), clock: clock.NewFake()}
 				c.engine.Advance(c.clock.Now())
-				c.engine.SetTrusted(true)
+				c.engine.SetOwnershipConfirmed(true)
 				c.engine.SetWorkers(list, true)
 				c.settle()
 			}
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -14,15 +14,15 @@
 type candidates struct {
 	workers []*worker
 	scores  []float64
-	// taken is the worker on top when it was given a task; its score has changed.
-	taken bool
+	// isTopPicked is the worker on top when it was given a task; its score has changed.
+	isTopPicked bool
 }
 
 // newCandidates scores the workers for a task that may run on any of them.
 func (e *Engine) newCandidates(s *step, q *order.Queue) *candidates {
 	c := &candidates{}
-	for _, w := range e.permitted(s, q) {
-		if e.fits(w, s) > 0 {
+	for _, w := range e.permittedWorkers(s, q) {
+		if e.fitCount(w, s) > 0 {
 			c.workers = append(c.workers, w)
 			c.scores = append(c.scores, e.score(w, s, nil))
 		}
@@ -31,9 +31,9 @@
 	return c
 }
 
-// take returns the best worker for task i, or nil when none has room.
-func (c *candidates) take(e *Engine, s *step, i int, q *order.Queue) *worker {
-	for c.Len() > 0 && e.fits(c.workers[0], s) <= 0 {
+// pick returns the best worker for task i, or nil when none has room.
+func (c *candidates) pick(e *Engine, s *step, i int, q *order.Queue) *worker {
+	for c.Len() > 0 && e.fitCount(c.workers[0], s) <= 0 {
 		heap.Pop(c)
 	}
 	if c.Len() == 0 {
@@ -42,18 +42,18 @@
 	w := c.workers[0]
 	t := &s.tasks[i]
 	if t.avoid != w.ID && !isChoosy(t) && w.attempts.Get(s.taskID(i)) == nil {
-		c.taken = true
+		c.isTopPicked = true
 		return w
 	}
 	// The best is one to avoid for this task, or not each worker suits it: all are looked
 	// at for it alone.
-	c.taken = false
-	return e.choose(s, i, q, nil)
+	c.isTopPicked = false
+	return e.chooseWorker(s, i, q, nil)
 }
 
-// changed scores the worker again that was given a task.
-func (c *candidates) changed(e *Engine, s *step) {
-	if c.taken && c.Len() > 0 {
+// rescoreTop scores the worker again that was given a task.
+func (c *candidates) rescoreTop(e *Engine, s *step) {
+	if c.isTopPicked && c.Len() > 0 {
 		c.scores[0] = e.score(c.workers[0], s, nil)
 		heap.Fix(c, 0)
 	}
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -18,11 +18,11 @@
 	return t.copy != nil || t.wantsCopy
 }
 
-// wantCopy asks for a copy beside the attempt. It reports false where copies are
+// requestCopy asks for a copy beside the attempt. It reports false where copies are
 // not allowed.
-func (e *Engine) wantCopy(a *attempt) bool {
+func (e *Engine) requestCopy(a *attempt) bool {
 	s := a.step
-	if s == nil || !e.has(MechanismCopies) || !s.spec.MayDuplicate || s.spec.IsGang || s.spec.IsLasting {
+	if s == nil || !e.isEnabled(MechanismSpeculativeCopies) || !s.spec.MayDuplicate || s.spec.IsGang || s.spec.IsLasting {
 		return false
 	}
 	t := &s.tasks[a.id.Index]
@@ -36,19 +36,19 @@
 	t.wantsCopy = true
 	s.copiesWanted++
 	e.enqueue(s)
-	e.isDirty = true
+	e.needsScheduling = true
 	return true
 }
 
-// copyIfSilent asks for a copy of an attempt on a worker that does not answer.
-func (e *Engine) copyIfSilent(a *attempt) {
+// requestCopyIfSilent asks for a copy of an attempt on a worker that does not answer.
+func (e *Engine) requestCopyIfSilent(a *attempt) {
 	if a.step != nil && a.worker.session.IsSilent() && !a.isStopping {
-		e.wantCopy(a)
+		e.requestCopy(a)
 	}
 }
 
-// dropCopyWish ends the wish for a copy.
-func (s *step) dropCopyWish(t *task) {
+// cancelCopyRequest ends the wish for a copy.
+func (s *step) cancelCopyRequest(t *task) {
 	if t.wantsCopy {
 		t.wantsCopy = false
 		s.copiesWanted--
@@ -59,10 +59,10 @@
 func (e *Engine) placeCopies(s *step, q *order.Queue) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if !t.wantsCopy || e.quotaRoom(s) == 0 {
+		if !t.wantsCopy || e.allowedByQuota(s) == 0 {
 			continue
 		}
-		w := e.choose(s, i, q, nil)
+		w := e.chooseWorker(s, i, q, nil)
 		if isChoosy(t) && w == nil {
 			continue
 		}
@@ -70,7 +70,7 @@
 			return
 		}
 		e.options.Log(events.CopyStarted, "task", t.attempt.id, "run", t.run+1, "worker", w.ID, "beside", t.attempt.worker.ID)
-		s.dropCopyWish(t)
-		t.copy = e.order(w, s, i, t.run+1)
+		s.cancelCopyRequest(t)
+		t.copy = e.planAttempt(w, s, i, t.run+1)
 	}
 }
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -62,7 +62,7 @@
 		// A second crash there would prove nothing more.
 		return false
 	}
-	isTurn := !crash.NeedsSolo(t.crashes) || !e.now.Before(e.soloUntil)
+	isTurn := !crash.NeedsSolo(t.crashes) || !e.now.Before(e.soloProbeUntil)
 	return isTurn && w.isQuiet(e.now) && e.now.Sub(w.triedAt) >= crash.SoonTime
 }
 
@@ -70,7 +70,7 @@
 // A task against which anything tells waits for that, also where the store is slow or out:
 // the next owner would start it as if nothing had happened.
 func (e *Engine) mayStartUnkept(a *attempt) bool {
-	return e.isUnlogged && !crash.Tells(a.step.tasks[a.id.Index].crashes)
+	return e.isWriteBehind && !crash.Tells(a.step.tasks[a.id.Index].crashes)
 }
 
 // clearOutlived forgets the crashes under a task that lasts which its run has outlived: it has no good
@@ -94,13 +94,13 @@
 // tried there: where work comes all the time no worker is ever quiet. One worker is kept at a time.
 func (e *Engine) keepQuiet(s *step, i int, q *order.Queue) {
 	t := &s.tasks[i]
-	if e.now.Before(e.keptUntil) || !isSuspect(t) || e.now.Sub(t.crashedAt) < otherPatience || e.awayFor(s, t) < otherPatience {
+	if e.now.Before(e.probeReservedUntil) || !isSuspect(t) || e.now.Sub(t.crashedAt) < otherPatience || e.awayFor(s, t) < otherPatience {
 		return
 	}
 	var best *worker
 	bestScore := 0.0
-	for _, w := range e.permitted(s, q) {
-		if w.attempts.Get(s.taskID(i)) != nil || e.fits(w, s) == 0 || e.now.Sub(w.triedAt) < crash.SoonTime {
+	for _, w := range e.permittedWorkers(s, q) {
+		if w.attempts.Get(s.taskID(i)) != nil || e.fitCount(w, s) == 0 || e.now.Sub(w.triedAt) < crash.SoonTime {
 			continue
 		}
 		if score := e.score(w, s, t); best == nil || score > bestScore {
@@ -108,8 +108,8 @@
 		}
 	}
 	if best != nil {
-		e.keptUntil = e.now.Add(keptTime)
-		best.keptFor, best.keptUntil = s, e.keptUntil
+		e.probeReservedUntil = e.now.Add(keptTime)
+		best.keptFor, best.keptUntil = s, e.probeReservedUntil
 	}
 }
 
@@ -125,7 +125,7 @@
 	}
 	a.worker.triedAt, a.worker.trialUntil = e.now, e.now.Add(crash.TrialTime)
 	if crash.NeedsSolo(t.crashes) {
-		e.soloUntil = a.worker.trialUntil
+		e.soloProbeUntil = a.worker.trialUntil
 	}
 }
 
@@ -167,7 +167,7 @@
 		tasks = append(tasks, id)
 	}
 	if !isKnown && len(tasks) > 0 {
-		e.cutOff.Set(w.ID, &cutOff{w.Machine, tasks, e.now})
+		e.possiblyCrashed.Set(w.ID, &cutOff{w.Machine, tasks, e.now})
 	}
 	return tasks
 }
@@ -217,7 +217,7 @@
 		}
 	}
 	if !isKnown {
-		e.cutOff.Set(id, &cutOff{machine, tasks, e.now})
+		e.possiblyCrashed.Set(id, &cutOff{machine, tasks, e.now})
 	}
 	e.judgeCrash(id, tasks)
 }
@@ -229,10 +229,10 @@
 		return
 	}
 	id := order.WorkerID(c.Worker)
-	if e.cutOff.Get(id) == nil {
-		e.cutOff.Set(id, &cutOff{machine: c.Machine, since: e.now})
+	if e.possiblyCrashed.Get(id) == nil {
+		e.possiblyCrashed.Set(id, &cutOff{machine: c.Machine, since: e.now})
 	}
-	e.cutOff.Get(id).tasks = append(e.cutOff.Get(id).tasks, s.taskID(c.Index))
+	e.possiblyCrashed.Get(id).tasks = append(e.possiblyCrashed.Get(id).tasks, s.taskID(c.Index))
 }
 
 // judgeCrash gives up the jobs of tasks that crash workers, of those on one that crashed.
@@ -264,12 +264,12 @@
 // crashKnown says that a worker has begun a life: the one before it on its machine, or under
 // its name, which may only have been cut off, is over.
 func (e *Engine) crashKnown(w *worker) {
-	for id, c := range e.cutOff.All() {
+	for id, c := range e.possiblyCrashed.All() {
 		isEarlier := c.machine == w.Machine && w.Machine != "" && id != w.ID || w.ID.IsOtherStart(id)
 		if !isEarlier {
 			continue
 		}
-		e.cutOff.Delete(id)
+		e.possiblyCrashed.Delete(id)
 		for _, task := range c.tasks {
 			if _, t := e.find(task); t != nil {
 				t.confirmCrash(id)
@@ -293,11 +293,11 @@
 // forgiveCrash says that a worker that was silent until its leases were over lives: it had
 // only been cut off.
 func (e *Engine) forgiveCrash(id order.WorkerID) {
-	c := e.cutOff.Get(id)
+	c := e.possiblyCrashed.Get(id)
 	if c == nil {
 		return
 	}
-	e.cutOff.Delete(id)
+	e.possiblyCrashed.Delete(id)
 	for _, task := range c.tasks {
 		if s, t := e.find(task); t != nil {
 			t.crashes = slices.DeleteFunc(t.crashes, func(c work.Crash) bool { return c.Worker == string(id) })
@@ -309,9 +309,9 @@
 // forgetCutOff forgets workers that were cut off, or fell silent, long ago.
 func (e *Engine) forgetCutOff() {
 	e.silences.Forget(e.now.Add(-keepCutOff))
-	for id, c := range e.cutOff.All() {
+	for id, c := range e.possiblyCrashed.All() {
 		if e.now.Sub(c.since) > keepCutOff {
-			e.cutOff.Delete(id)
+			e.possiblyCrashed.Delete(id)
 		}
 	}
 }
--- a/internal/dispatch/customer.go
+++ b/internal/dispatch/customer.go
@@ -15,43 +15,43 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// heldLogPause is the time between two lines on what the limits of customers hold back.
-const heldLogPause = time.Second
+// limitLogInterval is the time between two lines on what the limits of customers hold back.
+const limitLogInterval = time.Second
 
 // SetCustomers puts the limits and shares of a configuration in force.
 func (e *Engine) SetCustomers(customers []order.Customer) {
 	e.quota.SetLimits(customers)
-	e.customers, e.sharesAt = customers, time.Time{}
-	e.isDirty = true
+	e.customers, e.sharesDueAt = customers, time.Time{}
+	e.needsScheduling = true
 }
 
 // CheckJob returns why a job can never run under the limit of its customer, or "".
 func (e *Engine) CheckJob(spec *work.Spec) string { return e.quota.CheckJob(spec) }
 
-// FullestCustomers returns the n customers that use most of their limits.
-func (e *Engine) FullestCustomers(n int) []quota.CustomerUse { return e.quota.Fullest(n) }
+// TopCustomersByUsage returns the n customers that use most of their limits.
+func (e *Engine) TopCustomersByUsage(n int) []quota.CustomerUse { return e.quota.Fullest(n) }
 
-// noteShares finds out now and then which customers have more in use than their share.
-func (e *Engine) noteShares() {
-	if e.now.Before(e.sharesAt) || !e.has(MechanismShares) {
+// updateShares finds out now and then which customers have more in use than their share.
+func (e *Engine) updateShares() {
+	if e.now.Before(e.sharesDueAt) || !e.isEnabled(MechanismShares) {
 		return
 	}
-	e.sharesAt = e.now.Add(rankPause)
+	e.sharesDueAt = e.now.Add(rankInterval)
 	clear(e.overShare)
 	isWaiting := map[work.CustomerName]bool{}
-	for _, s := range e.queue {
+	for _, s := range e.stepQueue {
 		isWaiting[s.customer()] = true
 	}
-	room := leverdyke.Resources{}
+	capacity := leverdyke.Resources{}
 	for _, w := range e.workers.All() {
-		room = room.Add(w.Capacity)
+		capacity = capacity.Add(w.Capacity)
 	}
 	uses := make([]fairshare.Use, 0, len(e.customers))
 	for i := range e.customers {
 		c := &e.customers[i]
 		used := e.quota.Usage(c.Name).Used
 		if c.Weight > 0 && (isWaiting[c.Name] || used != (leverdyke.Resources{})) {
-			uses = append(uses, fairshare.Use{Name: c.Name, Weight: c.Weight, Part: share(used, room)})
+			uses = append(uses, fairshare.Use{Name: c.Name, Weight: c.Weight, Part: dominantShare(used, capacity)})
 		}
 	}
 	for _, name := range fairshare.Over(uses) {
@@ -70,8 +70,8 @@
 	e.quota.Release(s.customer(), s.spec.Need, s.spec.IsLasting)
 }
 
-// noteDoubts tells the quota what may be running besides the attempts that are known.
-func (e *Engine) noteDoubts() {
+// updateUncertainUsage tells the quota what may be running besides the attempts that are known.
+func (e *Engine) updateUncertainUsage() {
 	e.quota.ClearDoubts()
 	for _, w := range e.workers.All() {
 		for task := range w.foreign {
@@ -83,15 +83,15 @@
 	if e.inherited == nil {
 		return
 	}
-	for _, j := range e.live {
+	for _, j := range e.activeJobs {
 		if e.isBlocked(j) {
-			e.quota.Doubt(j.spec.Customer, j.unplaced())
+			e.quota.Doubt(j.spec.Customer, j.unplacedNeed())
 		}
 	}
 }
 
-// unplaced returns what the tasks of the job take that are not done and have no attempt.
-func (j *job) unplaced() leverdyke.Resources {
+// unplacedNeed returns what the tasks of the job take that are not done and have no attempt.
+func (j *job) unplacedNeed() leverdyke.Resources {
 	sum := leverdyke.Resources{}
 	for _, r := range j.rounds {
 		for _, s := range r.steps {
@@ -101,17 +101,17 @@
 	return sum
 }
 
-// least returns what the step takes at least when anything of it starts.
-func (s *step) least() leverdyke.Resources {
+// minimumNeed returns what the step takes at minimumNeed when anything of it starts.
+func (s *step) minimumNeed() leverdyke.Resources {
 	if s.spec.IsGang {
 		return s.spec.Need.Times(int64(len(s.tasks)))
 	}
 	return s.spec.Need
 }
 
-// quotaRoom returns how many tasks of the step may start under the limit of its customer: all
+// allowedByQuota returns how many tasks of the step may start under the limit of its customer: all
 // of a gang or none.
-func (e *Engine) quotaRoom(s *step) int {
+func (e *Engine) allowedByQuota(s *step) int {
 	n := e.quota.Room(s.customer(), s.spec.Need, len(s.tasks))
 	if s.spec.IsGang && n < len(s.tasks) {
 		return 0
@@ -123,30 +123,30 @@
 // one that is held back and will fit later, no other step of its customer gets what becomes
 // free: a wide one would wait for as long as small ones come.
 func (e *Engine) withinLimits(steps []*step) []*step {
-	held := map[work.CustomerName]bool{}
-	out := e.admitted[:0]
+	isBlocked := map[work.CustomerName]bool{}
+	out := e.admittedBuffer[:0]
 	for _, s := range steps {
 		name := s.customer()
-		if !held[name] && e.quotaRoom(s) > 0 {
+		if !isBlocked[name] && e.allowedByQuota(s) > 0 {
 			out = append(out, s)
 			continue
 		}
 		s.waitsFor = waits.Limit
-		if !held[name] {
-			held[name] = e.quota.MayFitLater(name, s.least())
-			e.logHeld(s)
+		if !isBlocked[name] {
+			isBlocked[name] = e.quota.MayFitLater(name, s.minimumNeed())
+			e.logHeldByLimit(s)
 		}
 	}
-	e.admitted = out
+	e.admittedBuffer = out
 	return out
 }
 
-// logHeld tells which limit holds a step back, now and then.
-func (e *Engine) logHeld(s *step) {
-	if e.now.Before(e.heldLogAt) {
+// logHeldByLimit tells which limit holds a step back, now and then.
+func (e *Engine) logHeldByLimit(s *step) {
+	if e.now.Before(e.limitLogDueAt) {
 		return
 	}
-	e.heldLogAt = e.now.Add(heldLogPause)
+	e.limitLogDueAt = e.now.Add(limitLogInterval)
 	u := e.quota.Usage(s.customer())
-	e.options.Log(events.StepHeldByLimit, "step", s.id, "customer", s.customer(), "used", u.Used, "limit", u.Limit, "needs", s.least(), "waited", e.now.Sub(s.openAt), "unsure", u.IsUnsure)
+	e.options.Log(events.StepHeldByLimit, "step", s.id, "customer", s.customer(), "used", u.Used, "limit", u.Limit, "needs", s.minimumNeed(), "waited", e.now.Sub(s.openAt), "unsure", u.IsUnsure)
 }
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -215,7 +215,7 @@
 		m.isCut = true
 	}
 	w.run(4 * time.Second)
-	if got := w.engine.Counts().Lapsed; got != 0 {
+	if got := w.engine.Counts().Expired; got != 0 {
 		t.Errorf("leases taken as lapsed 4 s after the takeover: got: %d, want: 0", got)
 	}
 }
@@ -229,13 +229,13 @@
 	w.submit("a", step(6, 20*time.Second))
 	w.run(time.Second)
 	w.takeOver()
-	w.engine.SetTrusted(false)
+	w.engine.SetOwnershipConfirmed(false)
 	w.run(300 * time.Millisecond)
 	for _, m := range w.each() {
 		m.isCut = true
 	}
 	w.run(3 * time.Second)
-	if got := w.engine.Counts().Lapsed; got != 0 {
+	if got := w.engine.Counts().Expired; got != 0 {
 		t.Errorf("leases taken as lapsed 3 s after the takeover: got: %d, want: 0", got)
 	}
 }
@@ -311,7 +311,7 @@
 	w := newWorld(1)
 	w.addWorkers(1, room)
 	w.run(time.Second)
-	w.engine.SetTrusted(false)
+	w.engine.SetOwnershipConfirmed(false)
 	deadline := w.workers["w00"].deadline
 	w.submit("a", step(1, time.Second))
 	w.run(3 * time.Second)
@@ -452,7 +452,7 @@
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
-	e.SetTrusted(true)
+	e.SetOwnershipConfirmed(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}, {ID: "v", Service: "pool", Capacity: room}}, true)
 	listed := func(id order.WorkerID, at order.WorkerTime, askedAt time.Time) {
@@ -464,10 +464,10 @@
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}})
 	starts := []order.Start{}
 	settle := func() {
-		e.Decide()
+		e.Schedule()
 		for b := e.TakeBatch(); b != nil; b = e.TakeBatch() {
 			e.Committed(b)
-			e.Decide()
+			e.Schedule()
 		}
 		for _, a := range e.Actions() {
 			if s, ok := a.(order.Start); ok {
@@ -502,7 +502,7 @@
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
-	e.SetTrusted(true)
+	e.SetOwnershipConfirmed(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
 	e.Listed(&order.Hold{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
@@ -512,7 +512,7 @@
 		c.Advance(d)
 		e.Advance(c.Now())
 		e.Tick()
-		e.Decide()
+		e.Schedule()
 		for b := e.TakeBatch(); b != nil; b = e.TakeBatch() {
 			e.Committed(b)
 		}
@@ -548,7 +548,7 @@
 		c := clock.NewFake()
 		e := dispatch.NewEngine(dispatch.Options{})
 		e.Advance(c.Now())
-		e.SetTrusted(true)
+		e.SetOwnershipConfirmed(true)
 		e.SetQueues([]order.Queue{testQueue})
 		e.RestoreJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}}, nil)
 		list := []order.Worker{}
--- a/internal/dispatch/evacuate.go
+++ b/internal/dispatch/evacuate.go
@@ -8,7 +8,7 @@
 // run until the worker ends, and then be away until its lease is over. Other
 // tasks mostly end before the worker does.
 func (e *Engine) evacuate(w *worker) {
-	if !e.has(MechanismEvacuation) {
+	if !e.isEnabled(MechanismEvacuation) {
 		return
 	}
 	for _, a := range w.attempts.All() {
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -50,7 +50,7 @@
 		add("%s: %d wait and %d copies are wanted, counted: %d and %d", s.id, waiting, copies, s.waiting, s.copiesWanted)
 	}
 	isWanted := s.isOpen && s.job.isKept && (waiting > 0 || copies > 0)
-	if isWanted && !(s.isQueued && slices.Contains(e.queue, s)) {
+	if isWanted && !(s.isQueued && slices.Contains(e.stepQueue, s)) {
 		add("%s: %d wait and %d copies are wanted, and it is not in the queue", s.id, waiting, copies)
 	}
 }
@@ -69,7 +69,7 @@
 		}
 	}
 	for _, w := range t.heldBy {
-		if !slices.Contains(e.unsettled.Get(w), id) {
+		if !slices.Contains(e.uncertainTasks.Get(w), id) {
 			add("%s is held by %s, of which nothing is to be settled", id, w)
 		}
 	}
@@ -83,7 +83,7 @@
 		return
 	}
 	isToKeep := slices.ContainsFunc([]*Batch{e.batch, writing}, func(b *Batch) bool { return b != nil && slices.Contains(b.planned, a) })
-	if !isToKeep && !slices.Contains(e.ready, a) {
+	if !isToKeep && !slices.Contains(e.readyStarts, a) {
 		add("%s is planned on %s, and nothing orders it", a.id, a.worker.ID)
 	}
 }
--- a/internal/dispatch/gang.go
+++ b/internal/dispatch/gang.go
@@ -12,40 +12,40 @@
 
 // placeGang starts all tasks of a gang or none.
 func (e *Engine) placeGang(s *step, q *order.Queue) {
-	if s.waiting < len(s.tasks) || s.hasHeld() || e.quotaRoom(s) == 0 {
+	if s.waiting < len(s.tasks) || s.hasUncertainTask() || e.allowedByQuota(s) == 0 {
 		return
 	}
-	places := e.gangPlaces(s, q)
-	if places == nil {
+	workers := e.gangWorkers(s, q)
+	if workers == nil {
 		if q.Advice != nil {
-			e.askAdvice(s, q.Advice, len(s.tasks))
+			e.queryPermission(s, q.Advice, len(s.tasks))
 		}
 		e.reserveFor(s, q, len(s.tasks))
 		return
 	}
 	run := s.highestRun() + 1
-	for i, w := range places {
-		e.start(w, s, i, run)
+	for i, w := range workers {
+		e.startTask(w, s, i, run)
 	}
-	e.options.Log(events.StepPlaced, "step", s.id, "queue", q.Name, "placed", len(places), "run", run, "waited", e.now.Sub(s.openAt))
+	e.options.Log(events.StepPlaced, "step", s.id, "queue", q.Name, "placed", len(workers), "run", run, "waited", e.now.Sub(s.openAt))
 }
 
-// hasHeld reports whether a task may run where nobody can tell.
-func (s *step) hasHeld() bool {
+// hasUncertainTask reports whether a task may run where nobody can tell.
+func (s *step) hasUncertainTask() bool {
 	return slices.ContainsFunc(s.tasks, func(t task) bool { return len(t.heldBy) > 0 })
 }
 
-// gangPlaces returns a worker for each task of a gang, in one rack where that is
+// gangWorkers returns a worker for each task of a gang, in one rack where that is
 // asked for and possible, or nil.
-func (e *Engine) gangPlaces(s *step, q *order.Queue) []*worker {
+func (e *Engine) gangWorkers(s *step, q *order.Queue) []*worker {
 	if s.spec.IsSameRack {
 		for _, rack := range e.racks() {
-			if places := e.tryGang(s, q, rack); places != nil {
-				return places
+			if workers := e.gangWorkersIn(s, q, rack); workers != nil {
+				return workers
 			}
 		}
 	}
-	return e.tryGang(s, q, "")
+	return e.gangWorkersIn(s, q, "")
 }
 
 func (e *Engine) racks() []string {
@@ -59,22 +59,22 @@
 	return out
 }
 
-func (e *Engine) tryGang(s *step, q *order.Queue, rack string) []*worker {
-	taken := map[*worker]int{}
-	places := make([]*worker, 0, len(s.tasks))
+func (e *Engine) gangWorkersIn(s *step, q *order.Queue, rack string) []*worker {
+	assigned := map[*worker]int{}
+	workers := make([]*worker, 0, len(s.tasks))
 	for i := range s.tasks {
-		w := e.choose(s, i, q, &gangSoFar{taken, rack})
+		w := e.chooseWorker(s, i, q, &partialGang{assigned, rack})
 		if w == nil {
 			return nil
 		}
-		taken[w]++
-		places = append(places, w)
+		assigned[w]++
+		workers = append(workers, w)
 	}
-	return places
+	return workers
 }
 
-// gangSoFar is what the members of a gang that have a place would take.
-type gangSoFar struct {
-	taken map[*worker]int
-	rack  string
+// partialGang is what the members of a gang that have a place would take.
+type partialGang struct {
+	assigned map[*worker]int
+	rack     string
 }
--- a/internal/dispatch/hold.go
+++ b/internal/dispatch/hold.go
@@ -45,13 +45,13 @@
 		return
 	}
 	w.session.Wait(e.now)
-	h := order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), Wait: e.holdWait(w), Patience: e.holdPatience(), AskedAt: e.now}
+	h := order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.abandonedStarts.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), Wait: e.holdWait(w), Patience: e.holdPatience(), AskedAt: e.now}
 	// The lease of a worker that does not answer is left to end: where its tasks
 	// may run is known the sooner.
-	if !w.session.HeardAt().IsZero() && e.isTrusted && !w.session.HasMissed() {
+	if !w.session.HeardAt().IsZero() && e.isOwnershipConfirmed && !w.session.HasMissed() {
 		h.Deadline = w.session.Renew(e.now)
 	}
-	e.do(h)
+	e.emit(h)
 }
 
 // look asks for a listing at once, or as soon as the last such question is
@@ -61,12 +61,12 @@
 		w.isRestless = true
 		return
 	}
-	e.do(order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), IsLook: true, Patience: e.holdPatience(), AskedAt: e.now})
+	e.emit(order.Hold{Worker: w.ID, Addr: w.Addr, Generation: e.abandonedStarts.Generation(w.ID), Confirmed: w.session.Confirmable(e.now), IsLook: true, Patience: e.holdPatience(), AskedAt: e.now})
 }
 
 // holdPatience returns how much longer than it waits a listing may take.
 func (e *Engine) holdPatience() time.Duration {
-	return max(holdPatiences*e.answers.Patience(), shortestHoldPatience)
+	return max(holdPatiences*e.answerTimes.Patience(), shortestHoldPatience)
 }
 
 func (e *Engine) holdWait(w *worker) time.Duration {
@@ -105,7 +105,7 @@
 		if !w.session.HasMissed() {
 			e.silences.Began(w.ID, w.session.HeardAt(), e.now)
 		}
-		e.strays.NextGeneration(w.ID)
+		e.abandonedStarts.NextGeneration(w.ID)
 		w.session.Missed(e.now)
 		e.refuseStrays(w)
 	}
--- a/internal/dispatch/inherit.go
+++ b/internal/dispatch/inherit.go
@@ -22,11 +22,11 @@
 // before all workers have told what they run, or until. listed is how many
 // workers the earlier owner's list had.
 func (e *Engine) Inherit(until time.Time, isExact bool, listed int) {
-	e.inheritedUntil = until
+	e.inheritedLeasesUntil = until
 	if !isExact {
 		e.inherited = &inheritedDoubt{until: until, listed: listed, entriesBackAt: e.now.Add(entriesBack)}
 	}
-	for _, j := range e.live {
+	for _, j := range e.activeJobs {
 		j.isInherited, j.isInexact = true, !isExact
 	}
 }
@@ -61,7 +61,7 @@
 	if e.inherited == nil || w.session.IsListed() || w.IsDraining {
 		return
 	}
-	e.inherited.lostUntil = e.now.Add(session.OwnBound - (heartbeatsMissed-1)*e.options.Heartbeat)
+	e.inherited.lostUntil = e.now.Add(session.OwnBound - (heartbeatsMissed-1)*e.options.HeartbeatInterval)
 }
 
 // isDoubtOver reports whether all workers have told what they run, or nothing of the
@@ -91,7 +91,7 @@
 	}
 	t.heldBy = append(t.heldBy, worker)
 	e.chargeCustomer(s)
-	e.unsettled.Set(worker, append(e.unsettled.Get(worker), id))
+	e.uncertainTasks.Set(worker, append(e.uncertainTasks.Get(worker), id))
 }
 
 // isBlocked reports whether any task of the job may run where nobody can tell.
@@ -101,28 +101,28 @@
 
 // settle says that it is known what a worker runs.
 func (e *Engine) settle(id order.WorkerID, why string) {
-	tasks, ok := e.unsettled.Find(id)
+	tasks, ok := e.uncertainTasks.Find(id)
 	if !ok {
 		return
 	}
-	e.unsettled.Delete(id)
+	e.uncertainTasks.Delete(id)
 	for _, task := range tasks {
 		if s, t := e.find(task); t != nil {
 			t.heldBy = slices.DeleteFunc(t.heldBy, func(w order.WorkerID) bool { return w == id })
 			e.releaseCustomer(s)
 			if w := e.workers.Get(id); w == nil || w.attempts.Get(task) == nil {
-				e.strays.Note(id, task, t.run, e.now, e.now)
+				e.abandonedStarts.Note(id, task, t.run, e.now, e.now)
 			}
 		}
 	}
 	if why != settledByListing {
 		e.noteInheritedCrash(id, tasks, why == settledByLife)
 	}
-	e.isDirty = true
+	e.needsScheduling = true
 	if why != settledByListing {
 		e.options.Log(events.InheritedSettled, "worker", id, "tasks", len(tasks), "why", why)
 	}
-	if e.unsettled.Len() == 0 {
+	if e.uncertainTasks.Len() == 0 {
 		e.options.Log(events.Inherited, "last", id, "why", why)
 	}
 }
@@ -139,14 +139,14 @@
 	if e.inherited != nil && e.isDoubtOver() {
 		e.options.Log(events.DoubtOver, "entries", e.inherited.entries, "earlier", e.inherited.listed, "left", e.inherited.until.Sub(e.now))
 		e.inherited = nil
-		e.isDirty = true
-		e.hasLearned = true
-		e.batchNow()
+		e.needsScheduling = true
+		e.hasUnpersistedReports = true
+		e.currentBatch()
 	}
-	if e.now.Before(e.inheritedUntil) {
+	if e.now.Before(e.inheritedLeasesUntil) {
 		return
 	}
-	for id := range e.unsettled.All() {
+	for id := range e.uncertainTasks.All() {
 		if w := e.workers.Get(id); w == nil || e.now.After(w.session.Until()) {
 			e.settle(id, settledByTime)
 		}
--- a/internal/dispatch/inherit_test.go
+++ b/internal/dispatch/inherit_test.go
@@ -22,9 +22,9 @@
 
 func newHeir(listed int) *heir {
 	c := clock.NewFake()
-	e := dispatch.NewEngine(dispatch.Options{Heartbeat: 1500 * time.Millisecond})
+	e := dispatch.NewEngine(dispatch.Options{HeartbeatInterval: 1500 * time.Millisecond})
 	e.Advance(c.Now())
-	e.SetTrusted(true)
+	e.SetOwnershipConfirmed(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.RestoreJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}}, nil)
 	e.Inherit(c.Now().Add(9*time.Second), false, listed)
@@ -36,7 +36,7 @@
 	h.clock.Advance(d)
 	h.Advance(h.clock.Now())
 	h.Tick()
-	h.Decide()
+	h.Schedule()
 	for b := h.TakeBatch(); b != nil; b = h.TakeBatch() {
 		h.Committed(b)
 	}
@@ -76,7 +76,7 @@
 	if got := h.starts(100 * time.Millisecond); got != 1 {
 		t.Errorf("all have told: got: %d starts, want: 1", got)
 	}
-	if h.HasUnkept() {
+	if h.HasUnpersisted() {
 		t.Error("got: places are not kept, want: kept")
 	}
 }
@@ -120,17 +120,17 @@
 	h.Advance(h.clock.Now())
 	h.Tick()
 	b := h.TakeBatch()
-	if !h.HasUnkept() {
+	if !h.HasUnpersisted() {
 		t.Error("the store does not have the end: got: all is kept, want: the next owner must not rely on it")
 	}
 	h.Refused(b)
-	if !h.HasUnkept() {
+	if !h.HasUnpersisted() {
 		t.Error("the store has refused it: got: all is kept, want: the next owner must not rely on it")
 	}
 	h.clock.Advance(100 * time.Millisecond)
 	h.Advance(h.clock.Now())
 	h.Committed(h.TakeBatch())
-	if h.HasUnkept() {
+	if h.HasUnpersisted() {
 		t.Error("the store has it: got: not all is kept, want: all")
 	}
 }
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -176,8 +176,8 @@
 	}
 	j := e.newJob(spec)
 	e.jobs[spec.ID] = j
-	b := e.batchNow()
-	b.Specs = append(b.Specs, spec)
+	b := e.currentBatch()
+	b.NewJobs = append(b.NewJobs, spec)
 	b.isUrgent = true
 	return true
 }
@@ -188,7 +188,7 @@
 		return
 	}
 	j := e.newJob(spec)
-	j.acceptedAt = e.acceptedBefore(spec.AcceptedAt)
+	j.acceptedAt = e.restoredAcceptTime(spec.AcceptedAt)
 	e.jobs[spec.ID] = j
 	if p != nil {
 		e.restore(j, p)
@@ -197,7 +197,7 @@
 	if j.state.IsFinal() {
 		return
 	}
-	e.live = append(e.live, j)
+	e.activeJobs = append(e.activeJobs, j)
 	e.openRounds(j)
 }
 
@@ -275,7 +275,7 @@
 	}
 	for j.nextRound < j.spec.Rounds {
 		due := j.dueAt(j.nextRound)
-		if e.now.Add(e.day).Before(due) {
+		if e.now.Add(e.wallClockOffset).Before(due) {
 			return
 		}
 		k := j.nextRound
@@ -323,7 +323,7 @@
 		s.isOpen = true
 		s.openAt, s.waitsFor = e.now, waits.Turn
 		e.enqueue(s)
-		e.isDirty = true
+		e.needsScheduling = true
 	}
 }
 
@@ -390,14 +390,14 @@
 	if t.state == taskWaiting {
 		s.waiting--
 	}
-	s.dropCopyWish(t)
+	s.cancelCopyRequest(t)
 	t.state = taskDone
 	s.left--
 	e.touch(s.job)
 	if s.left > 0 {
 		return
 	}
-	e.isDirty = true
+	e.needsScheduling = true
 	s.round.left--
 	if s.round.left > 0 {
 		e.openSteps(s.round)
@@ -409,7 +409,7 @@
 func (e *Engine) roundEnded(j *job, r *round) {
 	j.roundsDone.SetDone(r.number)
 	j.roundsLeft--
-	e.batchNow().isUrgent = true
+	e.currentBatch().isUrgent = true
 	if j.roundsLeft > 0 {
 		return
 	}
@@ -423,7 +423,7 @@
 	}
 	j.state, j.endedAt = state, e.now
 	e.hurry(j)
-	e.isDirty = true
+	e.needsScheduling = true
 	e.options.Log(events.JobEnded, "job", j.spec.ID, "state", state, "why", why, "took", e.now.Sub(j.acceptedAt), "attempts", j.attempts)
 	if j.attempts == 0 {
 		return
@@ -442,7 +442,7 @@
 		return
 	}
 	j.isDirty = true
-	b := e.batchNow()
+	b := e.currentBatch()
 	b.jobs = append(b.jobs, j)
 }
 
@@ -450,7 +450,7 @@
 func (e *Engine) hurry(j *job) {
 	e.touch(j)
 	j.isUrgent = true
-	e.batchNow().isUrgent = true
+	e.currentBatch().isUrgent = true
 }
 
 // MayAccess reports whether a caller may see, cancel and hand in again the job of that ID, or
@@ -514,7 +514,7 @@
 // Pending returns how many accepted jobs of a queue have not begun.
 func (e *Engine) Pending(queue string) int {
 	n := 0
-	for _, j := range e.live {
+	for _, j := range e.activeJobs {
 		if j.spec.Queue == queue && j.isKept && !j.hasBegun && !j.state.IsFinal() {
 			n++
 		}
--- a/internal/dispatch/lab_test.go
+++ b/internal/dispatch/lab_test.go
@@ -177,14 +177,14 @@
 		w.submitTo("whole", fmt.Sprintf("w%d", i), wholeStep(2, time.Minute))
 	}
 	w.run(3 * time.Second)
-	before := w.engine.Counts().Plans
+	before := w.engine.Counts().ReservationPlans
 	for range 500 {
 		w.clock.Advance(2 * time.Millisecond)
 		w.engine.Advance(w.clock.Now())
 		w.engine.SetQueues(w.queues)
-		w.engine.Decide()
+		w.engine.Schedule()
 	}
-	if got := w.engine.Counts().Plans - before; got == 0 || got > 20*12 {
+	if got := w.engine.Counts().ReservationPlans - before; got == 0 || got > 20*12 {
 		t.Errorf("plans in 500 looks of a second: got: %d, want: some, at most 240", got)
 	}
 }
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -15,8 +15,8 @@
 // StartAnswered takes the answer to an order to start, once for each. at is the worker's clock
 // in the answer, 0 when it told none.
 func (e *Engine) StartAnswered(id order.WorkerID, task work.TaskID, run uint64, outcome order.StartOutcome, at order.WorkerTime) {
-	e.unanswered--
-	defer e.sendReady()
+	e.startsInFlight--
+	defer e.sendReadyStarts()
 	if outcome == order.StartLifeOver {
 		e.LifeOver(id)
 		return
@@ -35,8 +35,8 @@
 		return
 	}
 	if a.phase == phaseOrdered && outcome != order.StartUnknown {
-		e.answers.Learn(e.now.Sub(a.orderedAt))
-		e.window.Answered(e.now.Sub(a.orderedAt), e.now)
+		e.answerTimes.Learn(e.now.Sub(a.orderedAt))
+		e.startWindow.Answered(e.now.Sub(a.orderedAt), e.now)
 	}
 	switch outcome {
 	case order.StartDone:
@@ -139,7 +139,7 @@
 	e.settleMissing(w, l, running, askedOn)
 	if !w.session.IsListed() {
 		w.session.SetListed(true)
-		e.isDirty = true
+		e.needsScheduling = true
 	}
 	e.settleStarts(w)
 	e.judgeSpeed(w)
@@ -190,7 +190,7 @@
 	s, t := e.find(r.Task)
 	if s == nil {
 		w.foreign[r.Task] = r.Run
-		e.doStop(w, r.Task, r.Run)
+		e.emitStop(w, r.Task, r.Run)
 		return nil
 	}
 	if old := w.attempts.Get(r.Task); old != nil {
@@ -202,16 +202,16 @@
 		id: r.Task, step: s, run: r.Run, worker: w, charge: s.spec.Charge(), phase: phaseRunning,
 		orderedAt: e.now, startedAt: w.session.Clock(), startedOn: e.now, percentAt: e.now, pace: fullPace, isAdopted: true,
 	}
-	w.session.WaitFor(e.inheritedUntil)
+	w.session.WaitFor(e.inheritedLeasesUntil)
 	e.charge(a)
 	if slices.Contains(t.heldBy, w.ID) {
 		a.isKept = true
 	} else {
-		e.keepPlace(a)
+		e.addPlacement(a)
 	}
 	t.run = max(t.run, r.Run)
 	if s.spec.MayDuplicate && t.state == taskPlaced && t.copy == nil && !s.job.state.IsFinal() {
-		s.dropCopyWish(t)
+		s.cancelCopyRequest(t)
 		t.copy = a
 		return a
 	}
@@ -245,7 +245,7 @@
 	if !w.session.Take(end.Number) {
 		return
 	}
-	e.batchNow().seen.Set(w, end.Number)
+	e.currentBatch().handledEnds.Set(w, end.Number)
 	a := w.attempts.Get(end.Task)
 	if a != nil && a.run == end.Run {
 		a.isTold = true
@@ -318,7 +318,7 @@
 	if !isNew {
 		return
 	}
-	if e.has(MechanismHealth) {
+	if e.isEnabled(MechanismHealth) {
 		w.health.Failed(e.now, s.job.spec.ID)
 	}
 	s.tasks[i].avoid, s.tasks[i].failedAt = w.ID, e.now
--- a/internal/dispatch/mechanism.go
+++ b/internal/dispatch/mechanism.go
@@ -13,22 +13,22 @@
 	MechanismReservations Mechanism = "reservations"
 	// MechanismPreemption lets tasks that save their state make way for these.
 	MechanismPreemption Mechanism = "preemption"
-	// MechanismAdviceAhead asks who is permitted before there is room.
-	MechanismAdviceAhead Mechanism = "advice ahead"
+	// MechanismEarlyPermission asks who is permitted before there is room.
+	MechanismEarlyPermission Mechanism = "advice ahead"
 	// MechanismClaims keeps the room of workers that calls for permission are likely to use.
 	MechanismClaims Mechanism = "claims"
 	// MechanismUrgency puts the earliest deadline first, and what is late last.
 	MechanismUrgency Mechanism = "urgency"
 	// MechanismShares puts customers that have more in use than their share behind the others.
 	MechanismShares Mechanism = "shares"
-	// MechanismCopies starts copies of stragglers.
-	MechanismCopies Mechanism = "copies"
+	// MechanismSpeculativeCopies starts copies of stragglers.
+	MechanismSpeculativeCopies Mechanism = "copies"
 	// MechanismHealth judges workers by what became of their tasks.
 	MechanismHealth Mechanism = "health"
 	// MechanismSpeed finds workers that are slow.
 	MechanismSpeed Mechanism = "speed"
 	// MechanismEvacuation moves lasting tasks off workers that leave.
 	MechanismEvacuation Mechanism = "evacuation"
-	// MechanismAheadOfStore orders starts before their places are kept.
-	MechanismAheadOfStore Mechanism = "ahead of the store"
+	// MechanismWriteBehind orders starts before their places are kept.
+	MechanismWriteBehind Mechanism = "ahead of the store"
 )
--- a/internal/dispatch/office_test.go
+++ b/internal/dispatch/office_test.go
@@ -182,7 +182,7 @@
 		o.engine.SetWorkers(o.list(), true)
 	}
 	o.engine.Tick()
-	o.engine.Decide()
+	o.engine.Schedule()
 	for _, a := range o.engine.Actions() {
 		o.carryOut(a)
 	}
@@ -365,7 +365,7 @@
 	longest := func(without ...dispatch.Mechanism) time.Duration {
 		o := newOffice(1, testSize, without...)
 		o.lanes = o.lanes[:2]
-		o.engine.SetLanes(o.lanes)
+		o.engine.SetChannels(o.lanes)
 		o.idle(time.Second)
 		idle, most := map[work.JobID]time.Duration{}, time.Duration(0)
 		for o.since() < 20*time.Second {
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -12,60 +12,60 @@
 // How tasks that fill are paced when they disturb tasks that serve users.
 const (
 	fullPace = 100
-	// highShare of its target is where a tail counts as too long; lowShare where
+	// throttleRatio of its target is where a tail counts as too long; lowShare where
 	// there is room again.
-	highShare = 0.9
-	lowShare  = 0.6
-	// pacePause is the time between two changes: the figure that a worker tells
+	throttleRatio = 0.9
+	restoreRatio  = 0.6
+	// paceInterval is the time between two changes: the figure that a worker tells
 	// is over the last half second.
-	pacePause = 600 * time.Millisecond
+	paceInterval = 600 * time.Millisecond
 	// paceStep is how much is given back at a time.
 	paceStep = 25
-	// paceCut divides the pace at each cut; below paceFloor it is 0.
-	paceCut   = 4
-	paceFloor = 10
+	// paceDivisor divides the pace at each cut; below paceFloor it is 0.
+	paceDivisor = 4
+	minPace     = 10
 )
 
 // setPaces paces the tasks that fill on a worker by the tails of those that serve.
 func (e *Engine) setPaces(w *worker) {
-	worst := 0.0
-	hasFillers := false
+	worstRatio := 0.0
+	hasBestEffort := false
 	for _, a := range w.attempts.All() {
 		if a.step == nil || a.phase != phaseRunning {
 			continue
 		}
-		hasFillers = hasFillers || a.step.spec.IsFiller
+		hasBestEffort = hasBestEffort || a.step.spec.IsFiller
 		if target := a.step.spec.TailTarget; target > 0 && a.percent >= 100 {
-			worst = max(worst, float64(a.figure)/float64(target.Milliseconds()))
+			worstRatio = max(worstRatio, float64(a.figure)/float64(target.Milliseconds()))
 		}
 	}
-	if !hasFillers {
+	if !hasBestEffort {
 		return
 	}
 	for _, a := range w.attempts.All() {
 		if a.step != nil && a.step.spec.IsFiller && a.phase == phaseRunning && !a.isStopping {
-			e.setPace(a, worst)
+			e.setPace(a, worstRatio)
 		}
 	}
 }
 
-func (e *Engine) setPace(a *attempt, worst float64) {
-	if e.now.Sub(a.pacedAt) < pacePause {
+func (e *Engine) setPace(a *attempt, worstRatio float64) {
+	if e.now.Sub(a.pacedAt) < paceInterval {
 		return
 	}
-	want := a.pace
+	newPace := a.pace
 	switch {
-	case worst > highShare:
-		want = a.pace / paceCut
-		if want < paceFloor {
-			want = 0
+	case worstRatio > throttleRatio:
+		newPace = a.pace / paceDivisor
+		if newPace < minPace {
+			newPace = 0
 		}
-	case worst < lowShare:
-		want = min(a.pace+paceStep, fullPace)
+	case worstRatio < restoreRatio:
+		newPace = min(a.pace+paceStep, fullPace)
 	}
-	if want == a.pace {
+	if newPace == a.pace {
 		return
 	}
-	a.pace, a.pacedAt = want, e.now
-	e.do(order.Pace{Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.strays.Generation(a.worker.ID), Task: a.id, Run: a.run, Percent: want})
+	a.pace, a.pacedAt = newPace, e.now
+	e.emit(order.Pace{Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.abandonedStarts.Generation(a.worker.ID), Task: a.id, Run: a.run, Percent: newPace})
 }
--- a/internal/dispatch/permission.go
+++ b/internal/dispatch/permission.go
@@ -14,20 +14,20 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// SetLanes names the nodes through which can be asked.
-func (e *Engine) SetLanes(names []string) {
-	lost, isChanged := e.lanes.SetNames(names)
-	e.adviceLost(lost)
-	e.isDirty = e.isDirty || isChanged
+// SetChannels names the nodes through which can be asked.
+func (e *Engine) SetChannels(names []string) {
+	lost, isChanged := e.channels.SetNames(names)
+	e.queriesLost(lost)
+	e.needsScheduling = e.needsScheduling || isChanged
 }
 
-// adviceLost notes that calls of these steps get no answer.
-func (e *Engine) adviceLost(lost []work.StepID) {
-	for _, id := range lost {
+// queriesLost notes that calls of these steps get no answer.
+func (e *Engine) queriesLost(steps []work.StepID) {
+	for _, id := range steps {
 		e.claims.Drop(id)
 		if s := e.findStep(id); s != nil {
 			s.permit.Lost()
-			e.isDirty = true
+			e.needsScheduling = true
 		}
 	}
 }
@@ -37,52 +37,52 @@
 	return s
 }
 
-// Advised takes the answer to a call. isKnown is false when there was none.
-func (e *Engine) Advised(laneName string, id work.StepID, asked []order.WorkerID, good []order.Ticket, valid time.Duration, isKnown bool) {
-	e.lanes.Answered(laneName, id)
+// PermissionAnswered takes the answer to a call. isKnown is false when there was none.
+func (e *Engine) PermissionAnswered(channel string, id work.StepID, asked []order.WorkerID, permits []order.Ticket, valid time.Duration, isKnown bool) {
+	e.channels.Answered(channel, id)
 	e.claims.Drop(id)
-	e.isDirty = true
+	e.needsScheduling = true
 	s := e.findStep(id)
 	if s == nil {
 		return
 	}
 	if !isKnown {
 		s.permit.Failed(e.now)
-		e.options.Log(events.AdviceFailed, "step", id, "lane", laneName, "asked", len(asked))
+		e.options.Log(events.AdviceFailed, "step", id, "lane", channel, "asked", len(asked))
 		return
 	}
-	s.permit.Answered(asked, good, valid, e.now)
+	s.permit.Answered(asked, permits, valid, e.now)
 }
 
-// maxAsks bounds the calls that one look at all that waits prepares, the most urgent
+// maxQueriesPerPass bounds the calls that one look at all that waits prepares, the most urgent
 // first: each looks at the workers, and an owner with too little processor would do nothing else.
-const maxAsks = 8
+const maxQueriesPerPass = 8
 
-// maxPutOffs bounds the steps that one look puts off without counting them as calls.
-const maxPutOffs = 16
+// maxDeferralsPerPass bounds the steps that one look puts off without counting them as calls.
+const maxDeferralsPerPass = 16
 
-// askAdvice asks for the step, if it helps and a lane is free.
-func (e *Engine) askAdvice(s *step, policy *order.AdvicePolicy, missing int) {
-	if e.asksLeft <= 0 || !s.permit.MayAsk(e.now) {
+// queryPermission asks for the step, if it helps and a lane is free.
+func (e *Engine) queryPermission(s *step, policy *order.AdvicePolicy, missing int) {
+	if e.queriesLeft <= 0 || !s.permit.MayAsk(e.now) {
 		return
 	}
-	hasRoomyPool := e.inUse[e.queues[s.job.spec.Queue].Service] < roomyShare
-	lane := e.lanes.Free(policy)
-	if lane == "" {
-		if hasRoomyPool {
-			e.lanesMissedAt = e.now
+	isPoolUnderused := e.poolUsage[e.queues[s.job.spec.Queue].Service] < underusedShare
+	channel := e.channels.Free(policy)
+	if channel == "" {
+		if isPoolUnderused {
+			e.channelsBusyAt = e.now
 		}
 		return
 	}
-	e.asksLeft--
-	found := e.askable(s, policy)
-	isMissed := !e.lanesMissedAt.IsZero() && e.now.Sub(e.lanesMissedAt) < lanesMissedFor
-	if isMissed && !hasRoomyPool && !hasRoomNow(s, found) && !e.lanes.HasSpare() {
+	e.queriesLeft--
+	found := e.queryCandidates(s, policy)
+	areChannelsContended := !e.channelsBusyAt.IsZero() && e.now.Sub(e.channelsBusyAt) < channelYieldTime
+	if areChannelsContended && !isPoolUnderused && !canStartNow(s, found) && !e.channels.HasSpare() {
 		// Nothing could start on the answer, and what has room waits for a lane.
 		s.permit.PutOff(e.now)
-		if e.putOffsLeft > 0 {
-			e.putOffsLeft--
-			e.asksLeft++
+		if e.deferralsLeft > 0 {
+			e.deferralsLeft--
+			e.queriesLeft++
 		}
 		return
 	}
@@ -91,20 +91,20 @@
 		s.permit.NobodyToAsk(e.now)
 		return
 	}
-	patience := e.lanes.Take(lane, s.id, policy, len(asked), e.now)
+	timeout := e.channels.Take(channel, s.id, policy, len(asked), e.now)
 	s.permit.Asked()
-	if e.has(MechanismClaims) {
+	if e.isEnabled(MechanismClaims) {
 		e.claims.Add(s.id, asked, missing, s.spec.Charge())
 	}
-	e.counts.Asks++
-	e.do(order.Advise{Lane: lane, Step: s.id, Workers: asked, Patience: patience})
+	e.counts.PermissionQueries++
+	e.emit(order.Advise{Lane: channel, Step: s.id, Workers: asked, Patience: timeout})
 }
 
-// lanesMissedFor is how long lanes are left to steps of a pool with room after one found none free.
-const lanesMissedFor = 300 * time.Millisecond
+// channelYieldTime is how long lanes are left to steps of a pool with room after one found none free.
+const channelYieldTime = 300 * time.Millisecond
 
-// hasRoomNow reports whether the workers have room for a task of the step, or for all of a gang.
-func hasRoomNow(s *step, found []permit.Candidate) bool {
+// canStartNow reports whether the workers have room for a task of the step, or for all of a gang.
+func canStartNow(s *step, found []permit.Candidate) bool {
 	need := 1
 	if s.spec.IsGang {
 		need = len(s.tasks)
@@ -117,33 +117,33 @@
 	return false
 }
 
-// enoughRoom is how many times as many workers with room as one call can name are looked
+// queryCandidateFactor is how many times as many workers with room as one call can name are looked
 // at: each look takes the next ones, as a look at hundreds of workers for each call takes too
 // much of the owner's time.
-const enoughRoom = 3
+const queryCandidateFactor = 3
 
-// askable returns workers of which it is not known that they may not run the
+// queryCandidates returns workers of which it is not known that they may not run the
 // step, and whose ticket, if there is one, ends before the next could be there. Those
 // without room are among them where some may become free: who is permitted is then known when
 // there is room.
-func (e *Engine) askable(s *step, policy *order.AdvicePolicy) []permit.Candidate {
+func (e *Engine) queryCandidates(s *step, policy *order.AdvicePolicy) []permit.Candidate {
 	found := []permit.Candidate{}
 	pool := e.queues[s.job.spec.Queue].Service
-	needsSound := slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.needsSound(s, &t) })
+	needsHealthy := slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.needsSound(s, &t) })
 	charge := s.spec.Charge()
 	renewAt := e.now.Add(policy.Base + permit.AskMargin)
-	if !e.has(MechanismAdviceAhead) {
+	if !e.isEnabled(MechanismEarlyPermission) {
 		renewAt = e.now
 	}
-	withRoom, withoutRoom, looked := 0, 0, 0
-	defer func() { e.askFrom = (e.askFrom + looked) % max(e.workers.Len(), 1) }()
-	for id, w := range e.workers.AllFrom(e.askFrom) {
-		looked++
-		if !e.isUsable(w, s) || !e.mayRun(w, s, pool) || needsSound && !w.health.IsSound(e.now) || !charge.FitsIn(w.Capacity) {
+	withCapacity, withoutCapacity, examined := 0, 0, 0
+	defer func() { e.queryOffset = (e.queryOffset + examined) % max(e.workers.Len(), 1) }()
+	for id, w := range e.workers.AllFrom(e.queryOffset) {
+		examined++
+		if !e.isUsable(w, s) || !e.mayRun(w, s, pool) || needsHealthy && !w.health.IsSound(e.now) || !charge.FitsIn(w.Capacity) {
 			continue
 		}
-		fits := e.fitsBeside(w, s, e.claims.On(id))
-		if fits == 0 && (withoutRoom >= permit.MaxAsked || !e.has(MechanismAdviceAhead) || !mayFree(w, s)) {
+		fits := e.fitCountBeside(w, s, e.claims.On(id))
+		if fits == 0 && (withoutCapacity >= permit.MaxAsked || !e.isEnabled(MechanismEarlyPermission) || !mayFitLater(w, s)) {
 			continue
 		}
 		isGood, isKnown := s.permit.Verdict(id)
@@ -155,25 +155,25 @@
 		}
 		found = append(found, permit.Candidate{ID: id, Fits: fits, IsGood: isGood, IsSuspect: w.speed.IsSuspect || w.health.IsPaused(e.now)})
 		if fits == 0 {
-			withoutRoom++
+			withoutCapacity++
 			continue
 		}
-		if withRoom++; withRoom >= enoughRoom*permit.MaxAsked {
+		if withCapacity++; withCapacity >= queryCandidateFactor*permit.MaxAsked {
 			break
 		}
 	}
 	return found
 }
 
-// mayFree reports whether a task of the step would find room on the worker if all ended there that
+// mayFitLater reports whether a task of the step would find room on the worker if all ended there that
 // does not last.
-func mayFree(w *worker, s *step) bool {
-	staying, ofStep := leverdyke.Resources{}, 0
+func mayFitLater(w *worker, s *step) bool {
+	longRunning, ofStep := leverdyke.Resources{}, 0
 	for _, a := range w.attempts.All() {
 		if a.step == nil || !a.step.spec.IsLasting || a.isStopping {
 			continue
 		}
-		staying = staying.Add(a.charge)
+		longRunning = longRunning.Add(a.charge)
 		if a.step == s {
 			ofStep++
 		}
@@ -181,7 +181,7 @@
 	if s.spec.MaxPerWorker > 0 && ofStep >= s.spec.MaxPerWorker {
 		return false
 	}
-	free, charge := w.Capacity.Sub(staying), s.spec.Charge()
+	free, charge := w.Capacity.Sub(longRunning), s.spec.Charge()
 	free.Slots, charge.Slots = 0, 0
 	return charge.FitsIn(free)
 }
--- a/internal/dispatch/permission_test.go
+++ b/internal/dispatch/permission_test.go
@@ -17,7 +17,7 @@
 	queue := testQueue
 	queue.Advice = &order.AdvicePolicy{Base: 25 * ms, Each: ms, Valid: 2 * time.Second}
 	h.SetQueues([]order.Queue{queue})
-	h.SetLanes([]string{"near", "far"})
+	h.SetChannels([]string{"near", "far"})
 	h.list("v")
 	h.told("v")
 	asks := []order.Advise{}
@@ -25,7 +25,7 @@
 		h.clock.Advance(d)
 		h.Advance(h.clock.Now())
 		h.Tick()
-		h.Decide()
+		h.Schedule()
 		for _, a := range h.Actions() {
 			if ask, ok := a.(order.Advise); ok {
 				asks = append(asks, ask)
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -14,15 +14,15 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// place starts what can be started, the most urgent first.
-func (e *Engine) place() {
-	if e.isPaused || !e.isTrusted {
+// runPass starts what can be started, the most urgent first.
+func (e *Engine) runPass() {
+	if e.isPaused || !e.isOwnershipConfirmed {
 		return
 	}
-	e.refreshReservations()
-	e.asksLeft, e.putOffsLeft = maxAsks, maxPutOffs
-	e.noteDoubts()
-	waiting := e.stepsByTurn()
+	e.resetReservations()
+	e.queriesLeft, e.deferralsLeft = maxQueriesPerPass, maxDeferralsPerPass
+	e.updateUncertainUsage()
+	waiting := e.stepsInOrder()
 	steps := e.withinLimits(waiting)
 	isWaiting := len(steps) < len(waiting)
 	for _, i := range e.rotation.Next(len(steps)) {
@@ -44,32 +44,32 @@
 func (e *Engine) enqueue(s *step) {
 	if !s.isQueued {
 		s.isQueued = true
-		e.queue = append(e.queue, s)
+		e.stepQueue = append(e.stepQueue, s)
 	}
 }
 
-// stepsByTurn returns the steps with waiting tasks in the order of their turn.
-func (e *Engine) stepsByTurn() []*step {
-	e.noteUse()
-	e.queue = slices.DeleteFunc(e.queue, func(s *step) bool {
+// stepsInOrder returns the steps with waiting tasks in the order of their turn.
+func (e *Engine) stepsInOrder() []*step {
+	e.updatePoolUsage()
+	e.stepQueue = slices.DeleteFunc(e.stepQueue, func(s *step) bool {
 		s.isQueued = !s.job.state.IsFinal() && (s.waiting > 0 || s.copiesWanted > 0)
 		s.priority = e.queues[s.job.spec.Queue].Priority
 		if s.isQueued {
-			e.setRank(s)
+			e.updateRank(s)
 		}
 		return !s.isQueued
 	})
-	e.noteShares()
-	e.isLateTurn = urgency.HasTurn(time.Duration(e.now.UnixNano()))
-	slices.SortStableFunc(e.queue, e.compareTurns)
+	e.updateShares()
+	e.isLateFirst = urgency.HasTurn(time.Duration(e.now.UnixNano()))
+	slices.SortStableFunc(e.stepQueue, e.compareSteps)
 	if e.inherited == nil {
-		return e.queue
+		return e.stepQueue
 	}
-	return slices.DeleteFunc(slices.Clone(e.queue), func(s *step) bool { return e.isBlocked(s.job) })
+	return slices.DeleteFunc(slices.Clone(e.stepQueue), func(s *step) bool { return e.isBlocked(s.job) })
 }
 
-// openedFor is the time by which steps of one priority take turns.
-func (s *step) openedFor() time.Time {
+// arrivedAt is the time by which steps of one priority take turns.
+func (s *step) arrivedAt() time.Time {
 	if s.job.spec.Rounds > 0 {
 		return s.round.dueAt
 	}
@@ -81,10 +81,10 @@
 	if !ok {
 		return
 	}
-	s.mayTryEarly = e.mayTryEarly(s, q.Service)
+	s.mayTryEarly = e.mayProbeEarly(s, q.Service)
 	e.startTasks(s, &q)
 	if s.waiting > 0 {
-		s.waitsFor = e.whyWaiting(s, &q)
+		s.waitsFor = e.waitReason(s, &q)
 	}
 }
 
@@ -95,20 +95,20 @@
 		return
 	}
 	placed := 0
-	mayStart := e.quotaRoom(s)
-	var candidates *candidates
-	for _, i := range e.turnsOf(s) {
+	allowed := e.allowedByQuota(s)
+	var ranked *candidates
+	for _, i := range e.taskOrder(s) {
 		t := &s.tasks[i]
 		if t.state != taskWaiting || len(t.heldBy) > 0 {
 			continue
 		}
-		if placed >= mayStart {
+		if placed >= allowed {
 			break
 		}
-		if candidates == nil {
-			candidates = e.newCandidates(s, q)
+		if ranked == nil {
+			ranked = e.newCandidates(s, q)
 		}
-		w := candidates.take(e, s, i, q)
+		w := ranked.pick(e, s, i, q)
 		if w == nil && isChoosy(t) {
 			// Only this task may have no worker that suits it.
 			e.keepQuiet(s, i, q)
@@ -117,8 +117,8 @@
 		if w == nil {
 			break
 		}
-		e.start(w, s, i, t.run+1)
-		candidates.changed(e, s)
+		e.startTask(w, s, i, t.run+1)
+		ranked.rescoreTop(e, s)
 		placed++
 	}
 	if placed > 0 {
@@ -127,27 +127,27 @@
 	if s.copiesWanted > 0 {
 		e.placeCopies(s, q)
 	}
-	mayStart = e.quotaRoom(s)
-	if missing := min(s.waiting+s.copiesWanted, mayStart); missing > 0 && q.Advice != nil {
-		e.askAdvice(s, q.Advice, missing)
+	allowed = e.allowedByQuota(s)
+	if missing := min(s.waiting+s.copiesWanted, allowed); missing > 0 && q.Advice != nil {
+		e.queryPermission(s, q.Advice, missing)
 	}
-	if missing := min(s.waiting, mayStart); missing > 0 {
+	if missing := min(s.waiting, allowed); missing > 0 {
 		e.reserveFor(s, q, missing)
 	}
 }
 
-// turnsOf returns the indexes of the step's tasks in the order in which they are started. Tasks that
+// taskOrder returns the indexes of the step's tasks in the order in which they are started. Tasks that
 // last come back for as long as their job does: the one that is away for longest goes first. The
 // slice is reused by the next call.
-func (e *Engine) turnsOf(s *step) []int {
-	e.turns = e.turns[:0]
+func (e *Engine) taskOrder(s *step) []int {
+	e.taskOrderBuffer = e.taskOrderBuffer[:0]
 	for i := range s.tasks {
-		e.turns = append(e.turns, i)
+		e.taskOrderBuffer = append(e.taskOrderBuffer, i)
 	}
 	if s.spec.IsLasting {
-		slices.SortStableFunc(e.turns, func(i, k int) int { return s.tasks[i].ranAt.Compare(s.tasks[k].ranAt) })
+		slices.SortStableFunc(e.taskOrderBuffer, func(i, k int) int { return s.tasks[i].ranAt.Compare(s.tasks[k].ranAt) })
 	}
-	return e.turns
+	return e.taskOrderBuffer
 }
 
 // mayRun reports whether the worker is one on which the step may run at all.
@@ -158,47 +158,49 @@
 	return s.spec.Label == "" || slices.Contains(w.Labels, s.spec.Label)
 }
 
-// fits returns how many tasks of the step the worker could take now.
-func (e *Engine) fits(w *worker, s *step) int { return e.fitsBeside(w, s, leverdyke.Resources{}) }
+// fitCount returns how many tasks of the step the worker could take now.
+func (e *Engine) fitCount(w *worker, s *step) int {
+	return e.fitCountBeside(w, s, leverdyke.Resources{})
+}
 
-// fitsBeside returns how many tasks of the step the worker could take if others took so much.
-func (e *Engine) fitsBeside(w *worker, s *step, others leverdyke.Resources) int {
-	n := e.roomBeside(w, s, others)
+// fitCountBeside returns how many tasks of the step the worker could take if others took so much.
+func (e *Engine) fitCountBeside(w *worker, s *step, claimed leverdyke.Resources) int {
+	n := e.fitCountIgnoringHealth(w, s, claimed)
 	if w.health.OnTrial {
-		n = min(n, 1-w.trials())
+		n = min(n, 1-w.probeCount())
 	}
 	return max(n, 0)
 }
 
-// roomBeside is fitsBeside whatever the health of the worker.
-func (e *Engine) roomBeside(w *worker, s *step, others leverdyke.Resources) int {
-	if w.isOverfull() {
+// fitCountIgnoringHealth is fitsBeside whatever the health of the worker.
+func (e *Engine) fitCountIgnoringHealth(w *worker, s *step, claimed leverdyke.Resources) int {
+	if w.isOvercommitted() {
 		return 0
 	}
 	n := len(s.tasks)
 	charge := s.spec.Charge()
 	if charge.MilliCPU > 0 || charge.MemoryMiB > 0 || charge.Accelerators > 0 {
-		free := e.freeFor(w, s).Sub(others)
+		free := e.freeCapacityFor(w, s).Sub(claimed)
 		free.Slots = 0
 		charge.Slots = 0
 		n = int(min(int64(n), charge.Count(free)))
 	}
 	if s.spec.MaxPerWorker > 0 {
-		n = min(n, s.spec.MaxPerWorker-w.countOf(s))
+		n = min(n, s.spec.MaxPerWorker-w.attemptCountOf(s))
 	}
 	return max(n, 0)
 }
 
-// isOverfull reports whether what the worker has been given takes more than it has: its
+// isOvercommitted reports whether what the worker has been given takes more than it has: its
 // room may shrink after a place was worked out and before the order leaves, which is
 // seconds where a place waits for the store.
-func (w *worker) isOverfull() bool {
+func (w *worker) isOvercommitted() bool {
 	used := w.used
 	used.Slots = 0
 	return !used.FitsIn(w.Capacity)
 }
 
-func (w *worker) countOf(s *step) int {
+func (w *worker) attemptCountOf(s *step) int {
 	n := 0
 	for _, a := range w.attempts.All() {
 		if a.step == s {
@@ -208,24 +210,24 @@
 	return n
 }
 
-// choose picks the worker for a task, or returns nil.
-func (e *Engine) choose(s *step, i int, q *order.Queue, gang *gangSoFar) *worker {
+// chooseWorker picks the worker for a task, or returns nil.
+func (e *Engine) chooseWorker(s *step, i int, q *order.Queue, gang *partialGang) *worker {
 	id := s.taskID(i)
 	t := &s.tasks[i]
 	var best *worker
 	bestScore := 0.0
-	for _, w := range e.permitted(s, q) {
+	for _, w := range e.permittedWorkers(s, q) {
 		if w.attempts.Get(id) != nil || !e.mayTry(w, s, t) {
 			continue
 		}
-		room := e.fits(w, s)
+		fitting := e.fitCount(w, s)
 		if gang != nil {
 			if gang.rack != "" && w.Rack != gang.rack {
 				continue
 			}
-			room -= gang.taken[w]
+			fitting -= gang.assigned[w]
 		}
-		if room <= 0 {
+		if fitting <= 0 {
 			continue
 		}
 		score := e.score(w, s, t)
@@ -236,10 +238,10 @@
 	return best
 }
 
-// permitted returns the workers that may be given tasks of the step now. The
+// permittedWorkers returns the workers that may be given tasks of the step now. The
 // slice is reused by the next call.
-func (e *Engine) permitted(s *step, q *order.Queue) []*worker {
-	found := e.found[:0]
+func (e *Engine) permittedWorkers(s *step, q *order.Queue) []*worker {
+	found := e.permittedBuffer[:0]
 	if q.Advice == nil {
 		for _, w := range e.workers.All() {
 			if e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
@@ -252,33 +254,33 @@
 			found = append(found, w)
 		}
 	})
-	e.found = found
+	e.permittedBuffer = found
 	return found
 }
 
 // Weights of a placement's score, in parts of a worker's room. What makes a task
 // slower or likely to fail outweighs packing.
 const (
-	weightAside   = 8.0
-	weightAvoid   = 4.0
-	weightSlow    = 3.0
-	weightSuspect = 1.5
-	weightFar     = 1.0
-	weightShared  = 1.5
-	weightZone    = 0.01
-	// weightSpare, weightScarce and weightLast are for the risk that a worker fails
+	weightEjected      = 8.0
+	weightFailedHere   = 4.0
+	weightSlow         = 3.0
+	weightMaybeSlow    = 1.5
+	weightRemoteData   = 1.0
+	weightInterference = 1.5
+	weightZone         = 0.01
+	// weightRiskThreeLeft, weightScarce and weightLast are for the risk that a worker fails
 	// the task, which has three attempts left or more, two, or one: the job fails
 	// with the last one.
-	weightSpare  = 0.3
-	weightScarce = 0.8
-	weightLast   = 5.0
+	weightRiskThreeLeft   = 0.3
+	weightRiskTwoLeft     = 0.8
+	weightRiskLastAttempt = 5.0
 )
 
 // score is higher the better the worker suits: packed tightly, near the data,
 // away from where the task failed and from what it would disturb. t is nil for
 // any task of the step.
 func (e *Engine) score(w *worker, s *step, t *task) float64 {
-	score := w.fullness()
+	score := w.utilization()
 	if s.spec.IsLasting || s.spec.IsFiller || t != nil && isSuspect(t) {
 		score = -score
 	}
@@ -286,33 +288,33 @@
 	case w.speed.IsSlow(e.now):
 		score -= weightSlow
 	case w.speed.IsSuspect:
-		score -= weightSuspect
+		score -= weightMaybeSlow
 	}
 	if w.health.IsPaused(e.now) {
-		score -= weightAside
+		score -= weightEjected
 	}
 	if t != nil && (t.avoid == w.ID || hasCrashed(t, w.Machine)) {
-		score -= weightAvoid
+		score -= weightFailedHere
 	}
 	if s.spec.DataRack != "" && w.Rack != s.spec.DataRack {
-		score -= weightFar
+		score -= weightRemoteData
 	}
 	if w.Zone == e.options.NodeZone {
 		score += weightZone
 	}
-	score -= e.stake(s, t) * w.health.Risk(e.now)
+	score -= e.riskWeight(s, t) * w.health.Risk(e.now)
 	if s.spec.IsFiller || s.spec.TailTarget > 0 {
-		score -= weightShared * w.conflicts(s)
+		score -= weightInterference * w.interference(s)
 	}
 	return score
 }
 
-// stake is the weight of the risk that a task fails; t is nil for a task that has
+// riskWeight is the weight of the risk that a task fails; t is nil for a task that has
 // not failed yet.
-func (e *Engine) stake(s *step, t *task) float64 {
+func (e *Engine) riskWeight(s *step, t *task) float64 {
 	limit := e.queues[s.job.spec.Queue].MaxAttempts
 	if s.spec.IsLasting || limit <= 0 {
-		return weightSpare
+		return weightRiskThreeLeft
 	}
 	left := limit
 	if t != nil {
@@ -320,29 +322,29 @@
 	}
 	switch {
 	case left <= 1:
-		return weightLast
+		return weightRiskLastAttempt
 	case left == 2:
-		return weightScarce
+		return weightRiskTwoLeft
 	}
-	return weightSpare
+	return weightRiskThreeLeft
 }
 
-// fullness is the part of the worker's room that is taken, by the dimension that
+// utilization is the part of the worker's room that is taken, by the dimension that
 // is taken most.
-func (w *worker) fullness() float64 {
-	full := 0.0
+func (w *worker) utilization() float64 {
+	fraction := 0.0
 	if w.Capacity.MilliCPU > 0 {
-		full = float64(w.used.MilliCPU) / float64(w.Capacity.MilliCPU)
+		fraction = float64(w.used.MilliCPU) / float64(w.Capacity.MilliCPU)
 	}
 	if w.Capacity.MemoryMiB > 0 {
-		full = max(full, float64(w.used.MemoryMiB)/float64(w.Capacity.MemoryMiB))
+		fraction = max(fraction, float64(w.used.MemoryMiB)/float64(w.Capacity.MemoryMiB))
 	}
-	return full
+	return fraction
 }
 
-// conflicts is 1 when the worker has tasks that the step would disturb or be
+// interference is 1 when the worker has tasks that the step would disturb or be
 // disturbed by.
-func (w *worker) conflicts(s *step) float64 {
+func (w *worker) interference(s *step) float64 {
 	for _, a := range w.attempts.All() {
 		if a.step == nil {
 			continue
@@ -366,17 +368,17 @@
 	return run
 }
 
-// start orders a waiting task to start.
-func (e *Engine) start(w *worker, s *step, i int, run uint64) {
+// startTask orders a waiting task to startTask.
+func (e *Engine) startTask(w *worker, s *step, i int, run uint64) {
 	t := &s.tasks[i]
 	t.state = taskPlaced
-	t.attempt = e.order(w, s, i, run)
+	t.attempt = e.planAttempt(w, s, i, run)
 	s.waiting--
 }
 
-// order charges the worker for an attempt. The start is ordered once the store
+// planAttempt charges the worker for an attempt. The start is ordered once the store
 // has its place, so that the next owner knows where the task may run.
-func (e *Engine) order(w *worker, s *step, i int, run uint64) *attempt {
+func (e *Engine) planAttempt(w *worker, s *step, i int, run uint64) *attempt {
 	t := &s.tasks[i]
 	a := &attempt{
 		id: s.taskID(i), step: s, run: run, worker: w, charge: s.spec.Charge(), phase: phasePlanned, orderedAt: e.now, pace: fullPace,
@@ -388,57 +390,57 @@
 	w.orderedAt = e.now
 	e.noteTrial(a)
 	t.run = max(t.run, run)
-	e.keepPlace(a)
+	e.addPlacement(a)
 	e.hurry(s.job)
 	if e.mayStartUnkept(a) {
-		e.sendSoon(a)
+		e.queueStart(a)
 	}
 	return a
 }
 
-// keepPlace puts the place of an attempt into the batch. One that is ordered
+// addPlacement puts the place of an attempt into the batch. One that is ordered
 // already counts as unkept until then.
-func (e *Engine) keepPlace(a *attempt) {
+func (e *Engine) addPlacement(a *attempt) {
 	e.touch(a.step.job)
-	b := e.batchNow()
+	b := e.currentBatch()
 	b.planned = append(b.planned, a)
 	if a.phase != phasePlanned {
-		e.noteUnkept(a)
+		e.countUnpersisted(a)
 	}
 }
 
-func (e *Engine) noteUnkept(a *attempt) {
+func (e *Engine) countUnpersisted(a *attempt) {
 	if !a.isKept && !a.isUnkept {
 		a.isUnkept = true
-		e.unkept++
+		e.unpersisted++
 	}
 }
 
-// placeKept says that the place of an attempt is in the store.
-func (e *Engine) placeKept(a *attempt) {
+// placementPersisted says that the place of an attempt is in the store.
+func (e *Engine) placementPersisted(a *attempt) {
 	a.isKept = true
 	if a.isUnkept {
 		a.isUnkept = false
-		e.unkept--
+		e.unpersisted--
 	}
 }
 
-// sendSoon orders a planned start when there are few enough without an answer.
-func (e *Engine) sendSoon(a *attempt) {
-	e.ready = append(e.ready, a)
-	e.sendReady()
+// queueStart orders a planned start when there are few enough without an answer.
+func (e *Engine) queueStart(a *attempt) {
+	e.readyStarts = append(e.readyStarts, a)
+	e.sendReadyStarts()
 }
 
-func (e *Engine) sendReady() {
-	for len(e.ready) > 0 && e.unanswered < e.window.Limit() {
-		a := e.ready[0]
-		e.ready = e.ready[1:]
-		e.send(a)
+func (e *Engine) sendReadyStarts() {
+	for len(e.readyStarts) > 0 && e.startsInFlight < e.startWindow.Limit() {
+		a := e.readyStarts[0]
+		e.readyStarts = e.readyStarts[1:]
+		e.sendStart(a)
 	}
 }
 
-// send orders a planned start, if it still makes sense.
-func (e *Engine) send(a *attempt) {
+// sendStart orders a planned start, if it still makes sense.
+func (e *Engine) sendStart(a *attempt) {
 	if a.phase != phasePlanned || a.worker.attempts.Get(a.id) != a {
 		return
 	}
@@ -448,30 +450,30 @@
 		return
 	}
 	q := e.queues[a.step.job.spec.Queue]
-	text, hasTicket := a.step.permit.Holds(a.worker.ID, e.now)
-	isHeldBack := e.isPaused && !e.isGangUnderWay(a)
-	isOverLimit := e.quota.IsOver(a.step.customer()) && !e.isGangUnderWay(a)
-	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Advice != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
-		e.dropPlanned(a, "a member was not ordered")
+	permitText, hasPermit := a.step.permit.Holds(a.worker.ID, e.now)
+	isStartPaused := e.isPaused && !e.isGangStarted(a)
+	isOverLimit := e.quota.IsOver(a.step.customer()) && !e.isGangStarted(a)
+	if !e.isReachable(a.worker) || !e.isOwnershipConfirmed || isStartPaused || q.Advice != nil && !hasPermit || a.worker.isOvercommitted() || isOverLimit {
+		e.abandonPlanned(a, "a member was not ordered")
 		return
 	}
 	a.phase, a.orderedAt, a.worker.orderedAt = phaseOrdered, e.now, e.now
 	e.noteTrial(a)
 	e.durations(a.step).Begin(e.now)
-	e.noteUnkept(a)
-	a.hasSaved = a.step.savedFor(a.id.Index) != ""
+	e.countUnpersisted(a)
+	a.hasSaved = a.step.savedStateOf(a.id.Index) != ""
 	e.counts.Starts++
-	e.unanswered++
-	e.fresh = append(e.fresh, a)
-	e.do(order.Start{
-		Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.strays.Generation(a.worker.ID), Task: a.id, Run: a.run, Payload: a.step.job.spec.Payload,
-		Saved: a.step.savedFor(a.id.Index), Ticket: text, Deadline: a.worker.session.Renew(e.now),
+	e.startsInFlight++
+	e.startsInActions = append(e.startsInActions, a)
+	e.emit(order.Start{
+		Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.abandonedStarts.Generation(a.worker.ID), Task: a.id, Run: a.run, Payload: a.step.job.spec.Payload,
+		Saved: a.step.savedStateOf(a.id.Index), Ticket: permitText, Deadline: a.worker.session.Renew(e.now),
 	})
 }
 
-// dropPlanned gives up an attempt that was not ordered. The other members of its run of a
+// abandonPlanned gives up an attempt that was not ordered. The other members of its run of a
 // gang would wait for it in vain, up to gang time: they are given up, too.
-func (e *Engine) dropPlanned(a *attempt, why string) {
+func (e *Engine) abandonPlanned(a *attempt, why string) {
 	e.release(a)
 	e.attemptOver(a)
 	if a.step != nil && a.step.spec.IsGang {
@@ -479,9 +481,9 @@
 	}
 }
 
-// isGangUnderWay reports whether other members of the attempt's run of a gang are ordered:
+// isGangStarted reports whether other members of the attempt's run of a gang are ordered:
 // they would wait for this one in vain.
-func (e *Engine) isGangUnderWay(a *attempt) bool {
+func (e *Engine) isGangStarted(a *attempt) bool {
 	if !a.step.spec.IsGang {
 		return false
 	}
@@ -490,18 +492,18 @@
 	})
 }
 
-// HasReady reports whether starts whose places are kept wait for their turn.
-func (e *Engine) HasReady() bool { return len(e.ready) > 0 }
+// HasReadyStarts reports whether starts whose places are kept wait for their turn.
+func (e *Engine) HasReadyStarts() bool { return len(e.readyStarts) > 0 }
 
-// savedFor returns where a task goes on from. The members of a gang must all go
+// savedStateOf returns where a task goes on from. The members of a gang must all go
 // on from the same text.
-func (s *step) savedFor(i int) string {
+func (s *step) savedStateOf(i int) string {
 	if !s.spec.IsGang {
 		return s.tasks[i].saved
 	}
 	for t := range s.tasks {
-		if text := s.tasks[t].saved; text != "" {
-			return text
+		if saved := s.tasks[t].saved; saved != "" {
+			return saved
 		}
 	}
 	return ""
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -152,7 +152,7 @@
 	a.isReplaced = true
 	t := &a.step.tasks[a.id.Index]
 	t.avoid = a.worker.ID
-	if e.wantCopy(a) {
+	if e.requestCopy(a) {
 		return
 	}
 	t.rescues++
--- a/internal/dispatch/refused_test.go
+++ b/internal/dispatch/refused_test.go
@@ -18,7 +18,7 @@
 func TestWhatIsKeptOfAJobAgreesWithWhatIsRun(t *testing.T) {
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(clock.NewFake().Now())
-	e.SetTrusted(true)
+	e.SetOwnershipConfirmed(true)
 	e.SetQueues([]order.Queue{testQueue})
 	spec := func() *work.Spec {
 		return &work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, 0)}}
@@ -56,11 +56,11 @@
 		t.Errorf("cancelled before it came: got: %v, %v, want: settled, and no such job", state, ok)
 	}
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, 0)}})
-	if state, _ := e.State("a"); state.IsFinal() || e.IsSettledCancel("a") || e.IsKept("a") {
+	if state, _ := e.State("a"); state.IsFinal() || e.IsSettledCancel("a") || e.IsPersisted("a") {
 		t.Errorf("handed in, not kept: got: %v, settled: %v, want: not yet", state, e.IsSettledCancel("a"))
 	}
 	e.Committed(e.TakeBatch())
-	if state, _ := e.State("a"); state != work.JobCancelled || !e.IsKept("a") {
+	if state, _ := e.State("a"); state != work.JobCancelled || !e.IsPersisted("a") {
 		t.Errorf("kept: got: %v, want: %v", state, work.JobCancelled)
 	}
 }
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -26,7 +26,7 @@
 // become known, or by one that may have begun since the worker was heard last: it is told so
 // before it is known, as such an order may be the first to reach it.
 func (e *Engine) refuseStrays(w *worker) {
-	w.refusals.Add(e.strays.Of(w.ID, e.now))
+	w.refusals.Add(e.abandonedStarts.Of(w.ID, e.now))
 	w.isRestless = w.isRestless || w.refusals.HasAny()
 	e.stopStrays(w)
 }
@@ -36,8 +36,8 @@
 	if !w.refusals.HasAny() {
 		return
 	}
-	for _, o := range w.refusals.Due(e.now, stopRetry, w.session.HasMissed()) {
-		e.doStop(w, o.Task, o.Run)
+	for _, o := range w.refusals.Due(e.now, stopRetryInterval, w.session.HasMissed()) {
+		e.emitStop(w, o.Task, o.Run)
 	}
 }
 
@@ -51,7 +51,7 @@
 	}
 	e.options.Log(events.WorkerRestarted, "worker", newer, "before", id, "attempts", old.attempts.Len(), "handled", old.session.Taken(), "clockBefore", time.Duration(old.session.Clock()))
 	next := e.workers.Get(newer)
-	if next == nil && !e.over[newer] {
+	if next == nil && !e.endedIncarnations[newer] {
 		entry := old.Worker
 		entry.ID, entry.IsDraining, entry.IsUnclear = newer, false, true
 		next = e.addWorker(&entry)
@@ -70,7 +70,7 @@
 			next.session.WaitFor(a.orderedAt.Add(stray.Time + session.AnyBound))
 		}
 	}
-	for _, o := range e.strays.Of(next.ID, e.now) {
+	for _, o := range e.abandonedStarts.Of(next.ID, e.now) {
 		next.session.WaitFor(o.Until.Add(session.AnyBound))
 	}
 	if old.session.IsWaiting() && !old.session.HasMissed() {
@@ -99,7 +99,7 @@
 // settleStarts settles what earlier owners may have started on any start of a worker that
 // has told what it runs.
 func (e *Engine) settleStarts(w *worker) {
-	for id := range e.unsettled.All() {
+	for id := range e.uncertainTasks.All() {
 		switch {
 		case !id.IsSameWorker(w.ID):
 		case id.IsOtherStart(w.ID):
@@ -113,7 +113,7 @@
 // waitForOthers waits for leases that an earlier owner may have given by the clock of an
 // earlier start: it had tasks there.
 func (e *Engine) waitForOthers(w *worker) {
-	for id := range e.unsettled.All() {
+	for id := range e.uncertainTasks.All() {
 		if id.IsOtherStart(w.ID) {
 			w.session.WaitFor(e.now.Add(session.AnyBound))
 		}
@@ -123,7 +123,7 @@
 // isUnsettled reports whether an earlier owner may have started tasks on any start of a
 // worker.
 func (e *Engine) isUnsettled(worker order.WorkerID) bool {
-	for id := range e.unsettled.All() {
+	for id := range e.uncertainTasks.All() {
 		if id.IsSameWorker(worker) {
 			return true
 		}
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -26,9 +26,9 @@
 }
 
 func newRetryCell(workers ...order.WorkerID) *retryCell {
-	c := &retryCell{engine: dispatch.NewEngine(dispatch.Options{Heartbeat: 1500 * time.Millisecond}), clock: clock.NewFake(), ends: map[order.WorkerID]uint64{}, at: 10}
+	c := &retryCell{engine: dispatch.NewEngine(dispatch.Options{HeartbeatInterval: 1500 * time.Millisecond}), clock: clock.NewFake(), ends: map[order.WorkerID]uint64{}, at: 10}
 	c.engine.Advance(c.clock.Now())
-	c.engine.SetTrusted(true)
+	c.engine.SetOwnershipConfirmed(true)
 	c.engine.SetQueues([]order.Queue{{Name: "q", Service: "pool", MaxAttempts: 2}})
 	list := []order.Worker{}
 	for _, id := range workers {
@@ -72,10 +72,10 @@
 }
 
 func (c *retryCell) settle() {
-	c.engine.Decide()
+	c.engine.Schedule()
 	for b := c.engine.TakeBatch(); b != nil; b = c.engine.TakeBatch() {
 		c.engine.Committed(b)
-		c.engine.Decide()
+		c.engine.Schedule()
 	}
 	for _, a := range c.engine.Actions() {
 		switch a := a.(type) {
@@ -164,12 +164,12 @@
 func TestAFailedQuestionIsAskedAgainInAnIdleCell(t *testing.T) {
 	c := newRetryCell("w")
 	c.engine.SetQueues([]order.Queue{{Name: "q", Service: "pool", MaxAttempts: 2, Advice: &order.AdvicePolicy{Base: 20 * time.Millisecond}}})
-	c.engine.SetLanes([]string{"n"})
+	c.engine.SetChannels([]string{"n"})
 	c.submit("a", false)
 	if len(c.asks) != 1 {
 		t.Fatalf("questions: got: %d, want: 1", len(c.asks))
 	}
-	c.engine.Advised("n", c.asks[0].Step, c.asks[0].Workers, nil, 0, false)
+	c.engine.PermissionAnswered("n", c.asks[0].Step, c.asks[0].Workers, nil, 0, false)
 	c.settle()
 	// Shorter than the time after which the second question counts as lost too.
 	c.advance(500 * time.Millisecond)
--- a/internal/dispatch/saturated_test.go
+++ b/internal/dispatch/saturated_test.go
@@ -44,7 +44,7 @@
 		w.engine.Advance(w.clock.Now())
 		w.engine.Cancel(work.JobID(fmt.Sprintf("none%d", i%1000)), "")
 		w.engine.SetQueues(w.queues)
-		w.engine.Decide()
+		w.engine.Schedule()
 		for _, a := range w.engine.Actions() {
 			w.carryOut(a)
 		}
--- a/internal/dispatch/speed.go
+++ b/internal/dispatch/speed.go
@@ -61,12 +61,12 @@
 	if !isSeveral || 2*slow <= judged {
 		return
 	}
-	if !e.has(MechanismSpeed) {
+	if !e.isEnabled(MechanismSpeed) {
 		return
 	}
 	if !w.speed.IsSlow(e.now) {
 		e.options.Log(events.WorkerSlow, "worker", w.ID, "slow", slow, "judged", judged)
 	}
 	w.speed.JudgedSlow(e.now)
-	e.isDirty = true
+	e.needsScheduling = true
 }
--- a/internal/dispatch/speed_test.go
+++ b/internal/dispatch/speed_test.go
@@ -31,7 +31,7 @@
 		isSlow := false
 		e := dispatch.NewEngine(dispatch.Options{Log: func(ev events.Event, _ ...any) { isSlow = isSlow || ev == events.WorkerSlow }})
 		e.Advance(c.Now())
-		e.SetTrusted(true)
+		e.SetOwnershipConfirmed(true)
 		e.SetQueues([]order.Queue{testQueue})
 		e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
 		at := func() order.WorkerTime { return order.WorkerTime(time.Second + c.Now().Sub(begin)) }
@@ -39,10 +39,10 @@
 		for _, id := range []work.JobID{"a", "b"} {
 			e.AddJob(&work.Spec{ID: id, Queue: "q", Steps: []work.Step{step(1, time.Second)}})
 		}
-		e.Decide()
+		e.Schedule()
 		for b := e.TakeBatch(); b != nil; b = e.TakeBatch() {
 			e.Committed(b)
-			e.Decide()
+			e.Schedule()
 		}
 		running := []order.Running{}
 		for _, a := range e.Actions() {
--- a/internal/dispatch/stall_test.go
+++ b/internal/dispatch/stall_test.go
@@ -31,7 +31,7 @@
 		for range tc.ticks {
 			h.starts(tc.pause)
 		}
-		if got := h.Counts().Doubtful; got != tc.want {
+		if got := h.Counts().Unacknowledged; got != tc.want {
 			t.Errorf("%s: unanswered: got: %d, want: %d", name, got, tc.want)
 		}
 		h.StartAnswered("v", work.TaskID{Job: "a"}, 1, order.StartDone, 0)
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -65,7 +65,7 @@
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
-	e.SetTrusted(true)
+	e.SetOwnershipConfirmed(true)
 	e.SetQueues([]order.Queue{testQueue})
 	list := []order.Worker{}
 	for i := range members {
@@ -80,7 +80,7 @@
 	gang.IsGang = true
 	e.AddJob(&work.Spec{ID: "g", Queue: "q", Steps: []work.Step{gang}})
 	e.Committed(e.TakeBatch())
-	e.Decide()
+	e.Schedule()
 	e.Committed(e.TakeBatch())
 	started := 0
 	answer := func() {
@@ -92,13 +92,13 @@
 		}
 	}
 	e.SetPaused(true)
-	if !e.HasReady() {
+	if !e.HasReadyStarts() {
 		t.Fatalf("members that wait for their turn: got: none, want: some of %d", members)
 	}
 	for range members {
 		answer()
 	}
-	if started != members || e.HasReady() {
+	if started != members || e.HasReadyStarts() {
 		t.Errorf("members ordered: got: %d, want: %d", started, members)
 	}
 }
@@ -109,7 +109,7 @@
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
-	e.SetTrusted(true)
+	e.SetOwnershipConfirmed(true)
 	e.SetQueues([]order.Queue{testQueue})
 	list := []order.Worker{}
 	for i := range 3 {
@@ -124,7 +124,7 @@
 	gang.IsGang = true
 	e.AddJob(&work.Spec{ID: "g", Queue: "q", Steps: []work.Step{gang}})
 	e.Committed(e.TakeBatch())
-	e.Decide()
+	e.Schedule()
 	b := e.TakeBatch()
 	list[1].IsDraining = true
 	e.SetWorkers(list, true)
@@ -150,7 +150,7 @@
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
-	e.SetTrusted(true)
+	e.SetOwnershipConfirmed(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "v", Service: "pool", Capacity: room}}, true)
 	for _, a := range e.Actions() {
@@ -160,7 +160,7 @@
 	e.Actions()
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}})
 	e.Committed(e.TakeBatch())
-	e.Decide()
+	e.Schedule()
 	e.Committed(e.TakeBatch())
 	// Its end on another worker is told, of an attempt that an earlier owner started.
 	task := work.TaskID{Job: "a"}
--- a/internal/dispatch/unclear_test.go
+++ b/internal/dispatch/unclear_test.go
@@ -40,8 +40,8 @@
 	if w.starts != 3 {
 		t.Errorf("starts while the entries are unclear: got: %d, want: 3", w.starts)
 	}
-	if c := w.engine.Counts(); c.Stopped+c.Lapsed != 0 {
-		t.Errorf("stopped and lapsed: got: %d, want: 0", c.Stopped+c.Lapsed)
+	if c := w.engine.Counts(); c.Stopped+c.Expired != 0 {
+		t.Errorf("stopped and lapsed: got: %d, want: 0", c.Stopped+c.Expired)
 	}
 	w.unclear(false)
 	w.run(time.Second)
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -13,60 +13,60 @@
 )
 
 const (
-	// rankPause is how long the rank of a step holds: it changes slowly, and is asked for in
+	// rankInterval is how long the rank of a step holds: it changes slowly, and is asked for in
 	// each look at all that waits.
-	rankPause = 50 * time.Millisecond
-	// askedWorkers is how many workers the call for permission of a step names that its
+	rankInterval = 50 * time.Millisecond
+	// typicalQuerySize is how many workers the call for permission of a step names that its
 	// objective counts.
-	askedWorkers = 30
-	// starvedAfter is how long a job may have nothing running while there is room, until it goes
+	typicalQuerySize = 30
+	// starvationTimeout is how long a job may have nothing running while there is room, until it goes
 	// first: callers take one that stands still for longer as lost.
-	starvedAfter = 1500 * time.Millisecond
-	// roomyShare is the part of a pool in use below which there is room: what waits does so for
+	starvationTimeout = 1500 * time.Millisecond
+	// underusedShare is the part of a pool in use below which there is room: what waits does so for
 	// permission.
-	roomyShare = 0.6
-	// longestAge bounds how long ago a job was accepted by its record: times of day differ.
-	longestAge = 10 * time.Minute
+	underusedShare = 0.6
+	// maxJobAge bounds how long ago a job was accepted by its record: times of day differ.
+	maxJobAge = 10 * time.Minute
 )
 
-// compareTurns is negative when step a has its turn before step b.
-func (e *Engine) compareTurns(a, b *step) int {
-	if x, y := e.overShare[a.customer()], e.overShare[b.customer()]; x != y && !e.isLateTurn {
+// compareSteps is negative when step a has its turn before step b.
+func (e *Engine) compareSteps(a, b *step) int {
+	if x, y := e.overShare[a.customer()], e.overShare[b.customer()]; x != y && !e.isLateFirst {
 		// Whatever its priority, it would take from others what is theirs.
-		return first(y)
+		return orderFirst(y)
 	}
 	if a.priority != b.priority {
 		return cmp.Compare(a.priority, b.priority)
 	}
-	if e.isLateTurn && a.rank.IsYielding() != b.rank.IsYielding() {
-		return first(a.rank.IsYielding())
+	if e.isLateFirst && a.rank.IsYielding() != b.rank.IsYielding() {
+		return orderFirst(a.rank.IsYielding())
 	}
 	if c := a.rank.Compare(b.rank); c != 0 {
 		return c
 	}
-	return a.openedFor().Compare(b.openedFor())
+	return a.arrivedAt().Compare(b.arrivedAt())
 }
 
-// first is negative when the first of two is the one with the property.
-func first(isFirst bool) int {
+// orderFirst is negative when the orderFirst of two is the one with the property.
+func orderFirst(isFirst bool) int {
 	if isFirst {
 		return -1
 	}
 	return 1
 }
 
-// setRank works out the rank of a step anew when it is time to.
-func (e *Engine) setRank(s *step) {
-	if !s.rankedAt.IsZero() && e.now.Sub(s.rankedAt) < rankPause {
+// updateRank works out the rank of a step anew when it is time to.
+func (e *Engine) updateRank(s *step) {
+	if !s.rankedAt.IsZero() && e.now.Sub(s.rankedAt) < rankInterval {
 		return
 	}
 	q := e.queues[s.job.spec.Queue]
-	whole, left := e.chain(s.round, &q)
+	total, remaining := e.criticalPath(s.round, &q)
 	w := urgency.Work{
-		Age: e.now.Sub(s.openedFor()), Left: left, IsPressing: s.spec.IsLasting || e.isStarved(s, q.Service), MustNotYield: s.spec.IsGang,
+		Age: e.now.Sub(s.arrivedAt()), Left: remaining, IsPressing: s.spec.IsLasting || e.isStarved(s, q.Service), MustNotYield: s.spec.IsGang,
 	}
-	if q.Stretch > 0 && e.has(MechanismUrgency) {
-		w.Objective = q.Latency + time.Duration(q.Stretch*float64(whole))
+	if q.Stretch > 0 && e.isEnabled(MechanismUrgency) {
+		w.Objective = q.Latency + time.Duration(q.Stretch*float64(total))
 	}
 	s.rank, s.rankedAt = w.Rank(), e.now
 }
@@ -77,50 +77,50 @@
 	if s.job.idleAt.After(idleAt) {
 		idleAt = s.job.idleAt
 	}
-	return s.job.attempts == 0 && e.now.Sub(idleAt) >= starvedAfter && e.inUse[pool] < roomyShare
+	return s.job.attempts == 0 && e.now.Sub(idleAt) >= starvationTimeout && e.poolUsage[pool] < underusedShare
 }
 
-// noteUse finds out now and then what part of each pool is in use.
-func (e *Engine) noteUse() {
-	if e.now.Before(e.useAt) {
+// updatePoolUsage finds out now and then what part of each pool is in use.
+func (e *Engine) updatePoolUsage() {
+	if e.now.Before(e.poolUsageDueAt) {
 		return
 	}
-	e.useAt = e.now.Add(rankPause)
-	used, room := map[string]leverdyke.Resources{}, map[string]leverdyke.Resources{}
+	e.poolUsageDueAt = e.now.Add(rankInterval)
+	used, capacity := map[string]leverdyke.Resources{}, map[string]leverdyke.Resources{}
 	for _, w := range e.workers.All() {
-		used[w.Service], room[w.Service] = used[w.Service].Add(w.used), room[w.Service].Add(w.Capacity)
+		used[w.Service], capacity[w.Service] = used[w.Service].Add(w.used), capacity[w.Service].Add(w.Capacity)
 	}
-	clear(e.inUse)
-	for pool := range room {
-		e.inUse[pool] = share(used[pool], room[pool])
+	clear(e.poolUsage)
+	for pool := range capacity {
+		e.poolUsage[pool] = dominantShare(used[pool], capacity[pool])
 	}
 }
 
-// chain returns how long the longest chain of steps of a round takes, and what is left of it.
-func (e *Engine) chain(r *round, q *order.Queue) (whole, left time.Duration) {
+// criticalPath returns how long the longest criticalPath of steps of a round takes, and what is left of it.
+func (e *Engine) criticalPath(r *round, q *order.Queue) (total, remaining time.Duration) {
 	for _, s := range r.steps {
 		s.chainEnd, s.leftEnd = 0, 0
 		for _, i := range s.spec.After {
 			s.chainEnd, s.leftEnd = max(s.chainEnd, r.steps[i].chainEnd), max(s.leftEnd, r.steps[i].leftEnd)
 		}
-		takes := time.Duration(e.quota.Waves(s.customer(), s.spec.Need, len(s.tasks))) * e.expected(s)
+		duration := time.Duration(e.quota.Waves(s.customer(), s.spec.Need, len(s.tasks))) * e.expected(s)
 		if q.Advice != nil {
-			takes += q.Advice.Base + askedWorkers*q.Advice.Each
+			duration += q.Advice.Base + typicalQuerySize*q.Advice.Each
 		}
-		s.chainEnd += takes
+		s.chainEnd += duration
 		if s.left > 0 {
-			s.leftEnd += takes
+			s.leftEnd += duration
 		}
-		whole, left = max(whole, s.chainEnd), max(left, s.leftEnd)
+		total, remaining = max(total, s.chainEnd), max(remaining, s.leftEnd)
 	}
-	return whole, left
+	return total, remaining
 }
 
-// acceptedBefore returns when a job of an earlier owner was accepted, by the engine's time.
-func (e *Engine) acceptedBefore(at time.Time) time.Time {
+// restoredAcceptTime returns when a job of an earlier owner was accepted, by the engine's time.
+func (e *Engine) restoredAcceptTime(at time.Time) time.Time {
 	if at.IsZero() {
 		return e.now
 	}
-	age := e.now.Round(0).Add(e.day).Sub(at.Round(0))
-	return e.now.Add(-min(max(age, 0), longestAge))
+	age := e.now.Round(0).Add(e.wallClockOffset).Sub(at.Round(0))
+	return e.now.Add(-min(max(age, 0), maxJobAge))
 }
--- a/internal/dispatch/usable.go
+++ b/internal/dispatch/usable.go
@@ -7,35 +7,35 @@
 
 // isUsable reports whether the worker may get something new of the step.
 func (e *Engine) isUsable(w *worker, s *step) bool {
-	isEarly := s.mayTryEarly && w.health.MayTryEarly(e.now)
+	isEarlyProbe := s.mayTryEarly && w.health.MayTryEarly(e.now)
 	switch {
 	case !e.isReachable(w), len(w.foreign) > 0, e.now.Before(w.trialUntil):
 		return false
 	case w.keptFor != s && e.now.Before(w.keptUntil):
 		return false
-	case w.health.IsPaused(e.now) && !isEarly, w.health.OnTrial && w.trials() > 0:
+	case w.health.IsPaused(e.now) && !isEarlyProbe, w.health.OnTrial && w.probeCount() > 0:
 		return false
 	}
 	return true
 }
 
-// mayTryEarly reports whether tasks of the step may be tried on workers that are set aside before
+// mayProbeEarly reports whether tasks of the step may be tried on workers that are set aside before
 // their pause is over: nothing else has taken them.
-func (e *Engine) mayTryEarly(s *step, pool string) bool {
+func (e *Engine) mayProbeEarly(s *step, pool string) bool {
 	if !s.spec.IsLasting {
 		return e.isStarved(s, pool)
 	}
-	isAway := func(t task) bool { return t.state == taskWaiting && e.awayFor(s, &t) >= otherPatience }
-	return slices.ContainsFunc(s.tasks, isAway)
+	isNotRunning := func(t task) bool { return t.state == taskWaiting && e.awayFor(s, &t) >= otherPatience }
+	return slices.ContainsFunc(s.tasks, isNotRunning)
 }
 
 // isReachable reports whether the worker takes orders, whatever its health.
 func (e *Engine) isReachable(w *worker) bool {
-	return w.session.IsListed() && !w.isGone && !w.IsDraining && !w.IsUnclear && !w.session.IsSilent() && e.now.Sub(w.session.HeardAt()) <= overdueAfter
+	return w.session.IsListed() && !w.isGone && !w.IsDraining && !w.IsUnclear && !w.session.IsSilent() && e.now.Sub(w.session.HeardAt()) <= unreachableAfter
 }
 
-// trials returns how many attempts the worker is on trial with.
-func (w *worker) trials() int {
+// probeCount returns how many attempts the worker is on trial with.
+func (w *worker) probeCount() int {
 	n := 0
 	for _, a := range w.attempts.All() {
 		if w.health.IsTrial(a.orderedAt) {
--- a/internal/dispatch/waits.go
+++ b/internal/dispatch/waits.go
@@ -10,9 +10,9 @@
 	"github.com/leverdyke/leverdyke/internal/waits"
 )
 
-// noteWaits adds the time since the last call for all tasks that wait.
-func (e *Engine) noteWaits(since time.Duration) {
-	for _, s := range e.queue {
+// recordWaits adds the time since the last call for all tasks that wait.
+func (e *Engine) recordWaits(since time.Duration) {
+	for _, s := range e.stepQueue {
 		if s.waiting > 0 && !s.job.state.IsFinal() {
 			e.waits.Add(s.job.spec.Queue, s.waitsFor, s.waiting, since)
 		}
@@ -22,18 +22,18 @@
 // TakeWaits returns how long tasks have waited since the last call.
 func (e *Engine) TakeWaits() []waits.Wait { return e.waits.Take() }
 
-// whyWaiting returns what the tasks of a step wait for that were just looked at.
-func (e *Engine) whyWaiting(s *step, q *order.Queue) waits.Reason {
+// waitReason returns what the tasks of a step wait for that were just looked at.
+func (e *Engine) waitReason(s *step, q *order.Queue) waits.Reason {
 	switch {
-	case s.hasHeld():
+	case s.hasUncertainTask():
 		return waits.Doubt
-	case e.quotaRoom(s) == 0:
+	case e.allowedByQuota(s) == 0:
 		return waits.Limit
-	case q.Advice == nil || len(e.permitted(s, q)) > 0:
+	case q.Advice == nil || len(e.permittedWorkers(s, q)) > 0:
 		return waits.Room
 	case s.permit.IsAsking():
 		return waits.Permission
-	case e.lanes.Free(q.Advice) == "":
+	case e.channels.Free(q.Advice) == "":
 		return waits.Lane
 	}
 	return waits.Room
--- a/internal/dispatch/waits_test.go
+++ b/internal/dispatch/waits_test.go
@@ -23,7 +23,7 @@
 		"permission": {func(w *world) {
 			w.queues = []order.Queue{asking}
 			w.engine.SetQueues(w.queues)
-			w.engine.SetLanes([]string{"n1", "n2", "n3"})
+			w.engine.SetChannels([]string{"n1", "n2", "n3"})
 		}, waits.Permission},
 		"lane": {func(w *world) { w.queues = []order.Queue{asking}; w.engine.SetQueues(w.queues) }, waits.Lane},
 	} {
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -121,7 +121,7 @@
 			continue
 		}
 		seen[entry.ID] = true
-		if !e.over[entry.ID] {
+		if !e.endedIncarnations[entry.ID] {
 			e.setWorker(entry)
 		}
 		hasUnclear = hasUnclear || entry.IsUnclear && e.workers.Get(entry.ID) == nil
@@ -132,9 +132,9 @@
 	if e.inherited != nil {
 		e.inherited.entries, e.inherited.hasUnclear = len(seen), hasUnclear
 	}
-	for id := range e.over {
+	for id := range e.endedIncarnations {
 		if !seen[id] {
-			delete(e.over, id)
+			delete(e.endedIncarnations, id)
 		}
 	}
 	for id, w := range e.workers.All() {
@@ -146,7 +146,7 @@
 
 // unlisted takes that the list does not have a worker, but perhaps another start of it.
 func (e *Engine) unlisted(w *worker, other *order.Worker) {
-	if other != nil && e.over[other.ID] {
+	if other != nil && e.endedIncarnations[other.ID] {
 		// It has started again, and is about to write its entry.
 		return
 	}
@@ -172,11 +172,11 @@
 		e.options.Log(events.WorkerLeaving, "worker", entry.ID, "attempts", w.attempts.Len())
 	}
 	if w.Capacity != entry.Capacity && !entry.IsUnclear {
-		e.isDirty = true
+		e.needsScheduling = true
 		e.options.Log(events.WorkerResized, "worker", entry.ID, "from", w.Capacity, "to", entry.Capacity, "used", w.used)
 	}
 	if w.isGone || w.IsDraining != entry.IsDraining || w.IsUnclear != entry.IsUnclear {
-		e.isDirty = true
+		e.needsScheduling = true
 	}
 	if w.Machine != entry.Machine {
 		e.index.remove(w)
@@ -191,7 +191,7 @@
 	w := &worker{Worker: *entry, foreign: map[work.TaskID]uint64{}, isRestless: true}
 	e.workers.Set(entry.ID, w)
 	e.index.add(w)
-	e.strays.NextGeneration(entry.ID)
+	e.abandonedStarts.NextGeneration(entry.ID)
 	e.refuseStrays(w)
 	e.hold(w)
 	return w
@@ -221,7 +221,7 @@
 		return
 	}
 	silent := e.now.Sub(entry.HeartbeatAt)
-	if silent >= heartbeatsMissed*e.options.Heartbeat-removalSlack {
+	if silent >= heartbeatsMissed*e.options.HeartbeatInterval-removalSlack {
 		return
 	}
 	w.hasLeft = true
@@ -239,7 +239,7 @@
 	if w.isSuperseded {
 		return
 	}
-	for _, other := range e.index.earlierLives(w) {
+	for _, other := range e.index.previousIncarnations(w) {
 		e.lifeOver(other.ID, w)
 	}
 	e.crashKnown(w)
@@ -254,7 +254,7 @@
 		// Orders of an earlier owner may run on a newer start: it has to tell first.
 		e.settle(id, settledByLife)
 	}
-	e.over[id] = true
+	e.endedIncarnations[id] = true
 	w := e.workers.Get(id)
 	if w == nil {
 		return
@@ -274,7 +274,7 @@
 	if !w.isGone || w.attempts.Len() > 0 || len(w.foreign) > 0 {
 		return
 	}
-	if _, ok := e.unsettled.Find(w.ID); ok {
+	if _, ok := e.uncertainTasks.Find(w.ID); ok {
 		return
 	}
 	e.workers.Delete(w.ID)
@@ -329,15 +329,15 @@
 		}
 		return
 	}
-	if a.phase == phaseOrdered && e.now.Sub(a.orderedAt) > e.answers.Patience() && !e.now.Before(e.stalledUntil) {
+	if a.phase == phaseOrdered && e.now.Sub(a.orderedAt) > e.answerTimes.Patience() && !e.now.Before(e.stalledUntil) {
 		e.doubt(a)
 	}
-	if a.phase == phaseDoubtful && !a.isStopping && e.now.Sub(a.doubtAt) > doubtPatience {
+	if a.phase == phaseDoubtful && !a.isStopping && e.now.Sub(a.doubtAt) > unacknowledgedTimeout {
 		e.stop(a, "order was not answered")
 		return
 	}
-	e.copyIfSilent(a)
-	if a.isStopping && a.stopAckedAt == 0 && e.now.Sub(a.stopSentAt) > stopRetry {
+	e.requestCopyIfSilent(a)
+	if a.isStopping && a.stopAckedAt == 0 && e.now.Sub(a.stopSentAt) > stopRetryInterval {
 		e.sendStop(a)
 	}
 	if a.isStopping && a.stopAckedAt > 0 && a.phase == phaseDoubtful {
@@ -354,10 +354,10 @@
 func (e *Engine) doubt(a *attempt) {
 	a.phase = phaseDoubtful
 	a.doubtAt = e.now
-	e.window.Answered(e.now.Sub(a.orderedAt), e.now)
-	e.counts.Doubtful++
+	e.startWindow.Answered(e.now.Sub(a.orderedAt), e.now)
+	e.counts.Unacknowledged++
 	e.options.Log(events.OrderDoubtful, "task", a.id, "run", a.run, "worker", a.worker.ID, "age", e.now.Sub(a.orderedAt))
-	e.wantCopy(a)
+	e.requestCopy(a)
 	e.look(a.worker)
 }
 
@@ -371,13 +371,13 @@
 func (e *Engine) lapseAll(w *worker, why string) {
 	e.logCut(w, why)
 	for _, a := range w.attempts.All() {
-		e.counts.Lapsed++
+		e.counts.Expired++
 		e.release(a)
 		e.attemptOver(a)
 	}
 	clear(w.foreign)
 	w.session.SetListed(false)
-	e.isDirty = true
+	e.needsScheduling = true
 }
 
 // maxCutLogged bounds the lines on attempts that end with one worker: that is about as
@@ -402,7 +402,7 @@
 		return
 	}
 	if a.phase == phasePlanned || e.takeBack(a) {
-		e.dropPlanned(a, why)
+		e.abandonPlanned(a, why)
 		return
 	}
 	a.isStopping = true
@@ -424,12 +424,12 @@
 		return ok && s.Task == a.id && s.Run == a.run && s.Worker == a.worker.ID
 	}
 	e.actions = slices.DeleteFunc(e.actions, isOrder)
-	e.fresh = slices.DeleteFunc(e.fresh, func(x *attempt) bool { return x == a })
+	e.startsInActions = slices.DeleteFunc(e.startsInActions, func(x *attempt) bool { return x == a })
 	e.counts.Starts--
-	e.unanswered--
+	e.startsInFlight--
 	if a.isUnkept && !a.isKept {
 		a.isUnkept = false
-		e.unkept--
+		e.unpersisted--
 	}
 	a.phase = phasePlanned
 	return true
@@ -437,7 +437,7 @@
 
 func (e *Engine) sendStop(a *attempt) {
 	a.stopSentAt = e.now
-	e.doStop(a.worker, a.id, a.run)
+	e.emitStop(a.worker, a.id, a.run)
 }
 
 // release gives back the room of an attempt.
@@ -451,7 +451,7 @@
 	w.attempts.Delete(a.id)
 	w.used = w.used.Sub(a.charge)
 	if a.mayBeOnItsWay() {
-		e.strays.Note(w.ID, a.id, a.run, a.orderedAt, e.now)
+		e.abandonedStarts.Note(w.ID, a.id, a.run, a.orderedAt, e.now)
 	}
 	if a.step != nil {
 		a.step.job.attempts--
@@ -461,7 +461,7 @@
 		}
 		e.releaseCustomer(a.step)
 	}
-	e.isDirty = true
+	e.needsScheduling = true
 }
 
 // attemptOver makes the task of a released attempt wait again, if none of its attempts is
@@ -482,7 +482,7 @@
 	if t.state != taskPlaced || t.attempt != nil {
 		return
 	}
-	a.step.dropCopyWish(t)
+	a.step.cancelCopyRequest(t)
 	if len(t.unwanted) > 0 {
 		return
 	}
--- a/internal/dispatch/worker_index.go
+++ b/internal/dispatch/worker_index.go
@@ -26,21 +26,21 @@
 }
 
 func (x *workerIndex) remove(w *worker) {
-	drop(x.byName, w.ID.Name(), w)
-	drop(x.byMachine, w.Machine, w)
+	removeFrom(x.byName, w.ID.Name(), w)
+	removeFrom(x.byMachine, w.Machine, w)
 }
 
-func drop(from map[string][]*worker, key string, w *worker) {
-	left := slices.DeleteFunc(from[key], func(o *worker) bool { return o == w })
-	if len(left) == 0 {
-		delete(from, key)
+func removeFrom(index map[string][]*worker, key string, w *worker) {
+	remaining := slices.DeleteFunc(index[key], func(other *worker) bool { return other == w })
+	if len(remaining) == 0 {
+		delete(index, key)
 		return
 	}
-	from[key] = left
+	index[key] = remaining
 }
 
-// earlierLives returns the workers that are over since w has answered.
-func (x *workerIndex) earlierLives(w *worker) []*worker {
+// previousIncarnations returns the workers that are over since w has answered.
+func (x *workerIndex) previousIncarnations(w *worker) []*worker {
 	found := []*worker{}
 	for _, other := range x.byMachine[w.Machine] {
 		if other != w {
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -154,17 +154,17 @@
 		w.kept(w.writing)
 	}
 	w.writing = nil
-	isExact := !w.isInexact && (w.engine == nil || !w.engine.HasUnkept())
-	w.engine = dispatch.NewEngine(dispatch.Options{Without: w.without, StopTime: modelStopTime, Log: w.log})
+	isExact := !w.isInexact && (w.engine == nil || !w.engine.HasUnpersisted())
+	w.engine = dispatch.NewEngine(dispatch.Options{Disabled: w.without, StopTime: modelStopTime, Log: w.log})
 	w.engine.Advance(w.clock.Now())
 	w.engine.SetQueues(w.queues)
 	w.engine.SetCustomers(w.customers)
-	w.engine.SetLanes(w.lanes)
+	w.engine.SetChannels(w.lanes)
 	for _, id := range w.order {
 		w.engine.RestoreJob(w.specs[id], w.progress[id])
 	}
 	w.engine.Inherit(w.clock.Now().Add(10*time.Second), isExact, len(w.list()))
-	w.engine.SetTrusted(true)
+	w.engine.SetOwnershipConfirmed(true)
 }
 
 func (w *world) since() time.Duration { return w.clock.Now().Sub(w.begin) }
@@ -223,9 +223,9 @@
 	w.engine.Advance(w.clock.Now())
 	w.stepWorkers()
 	w.engine.SetWorkers(w.list(), true)
-	w.engine.SetUnlogged(w.isOut && w.runsAhead || w.isSlow)
+	w.engine.SetWriteBehind(w.isOut && w.runsAhead || w.isSlow)
 	w.engine.Tick()
-	w.engine.Decide()
+	w.engine.Schedule()
 	for _, a := range w.engine.Actions() {
 		w.carryOut(a)
 	}
@@ -277,7 +277,7 @@
 
 // kept takes that the store has a batch.
 func (w *world) kept(b *dispatch.Batch) {
-	for _, s := range b.Specs {
+	for _, s := range b.NewJobs {
 		w.specs[s.ID] = s
 		w.order = append(w.order, s.ID)
 	}
@@ -321,7 +321,7 @@
 		}
 	}
 	w.later(policy.Base+time.Duration(len(a.Workers))*policy.Each, func() {
-		w.engine.Advised(a.Lane, a.Step, a.Workers, good, policy.Valid, true)
+		w.engine.PermissionAnswered(a.Lane, a.Step, a.Workers, good, policy.Valid, true)
 	})
 }
 
--- a/internal/owner/carried.go
+++ b/internal/owner/carried.go
@@ -35,7 +35,7 @@
 		return
 	}
 	o.nextNodes = o.now.Add(nodesPause)
-	o.engine.SetLanes(o.options.Lanes.Names())
+	o.engine.SetChannels(o.options.Lanes.Names())
 	if o.options.Carriers != nil {
 		o.tickCarriers()
 	}
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -24,7 +24,7 @@
 		ev.reply <- errTaken()
 		return
 	}
-	if o.engine.IsKept(id) {
+	if o.engine.IsPersisted(id) {
 		ev.reply <- nil
 		return
 	}
@@ -146,7 +146,7 @@
 }
 
 func (ev adviceEvent) apply(o *Owner) {
-	o.engine.Advised(ev.advise.Lane, ev.advise.Step, ev.advise.Workers, ev.good, ev.valid, ev.err == nil)
+	o.engine.PermissionAnswered(ev.advise.Lane, ev.advise.Step, ev.advise.Workers, ev.good, ev.valid, ev.err == nil)
 }
 
 type handOverEvent struct{ done chan bool }
@@ -167,7 +167,7 @@
 	if o.handOver == nil {
 		return
 	}
-	isSettled := o.orders == 0 && !o.engine.HasReady() && o.writing == nil && len(o.submits) == 0 && len(o.cancels) == 0
+	isSettled := o.orders == 0 && !o.engine.HasReadyStarts() && o.writing == nil && len(o.submits) == 0 && len(o.cancels) == 0
 	if !isSettled && o.now.Sub(o.handOverAt) < handOverBound {
 		return
 	}
--- a/internal/owner/keep.go
+++ b/internal/owner/keep.go
@@ -315,13 +315,13 @@
 // noteKept answers for what the store has kept.
 func (o *Owner) noteKept(b *dispatch.Batch) {
 	o.engine.Committed(b)
-	for _, spec := range b.Specs {
+	for _, spec := range b.NewJobs {
 		o.answer(o.submits, spec.ID, nil)
-		o.options.Log(events.JobAccepted, "job", spec.ID, "queue", spec.Queue, "steps", len(spec.Steps), "batch", len(b.Specs), "took", o.now.Sub(o.writingAt))
+		o.options.Log(events.JobAccepted, "job", spec.ID, "queue", spec.Queue, "steps", len(spec.Steps), "batch", len(b.NewJobs), "took", o.now.Sub(o.writingAt))
 	}
 	for id := range b.Progress {
 		o.answerCancel(id)
-		if o.engine.IsKept(id) {
+		if o.engine.IsPersisted(id) {
 			// It was withdrawn before it was handed in.
 			o.answer(o.submits, id, nil)
 		}
@@ -334,11 +334,11 @@
 	const why = "the store does not take new jobs"
 	o.writeAfter = o.now.Add(writeRetry)
 	o.engine.Refused(b)
-	for _, spec := range b.Specs {
+	for _, spec := range b.NewJobs {
 		o.answer(o.submits, spec.ID, leverdyke.NotRun(why, outRetry))
 	}
 	for id := range b.Progress {
-		if !o.engine.IsKept(id) {
+		if !o.engine.IsPersisted(id) {
 			// It was withdrawn before it was handed in, and never runs.
 			o.answer(o.submits, id, leverdyke.NotRun(why, outRetry))
 		}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -102,7 +102,7 @@
 	return &Owner{
 		options: options,
 		engine: dispatch.NewEngine(dispatch.Options{
-			Log: options.Log, NodeZone: options.NodeZone, StopTime: options.StopTime, Heartbeat: options.Heartbeat,
+			Log: options.Log, NodeZone: options.NodeZone, StopTime: options.StopTime, HeartbeatInterval: options.Heartbeat,
 		}),
 		router: carrier.NewRouter(options.OwnWorkers, options.Claim.Record.Epoch),
 		inbox:  ring.NewRing[event](eventsBound), ctx: ctx, cancel: cancel,
@@ -223,7 +223,7 @@
 // figures.
 func (o *Owner) logTotals() {
 	if o.now.Sub(o.customersAt) >= customersPeriod {
-		fullest := o.engine.FullestCustomers(maxCustomersTold)
+		fullest := o.engine.TopCustomersByUsage(maxCustomersTold)
 		o.customersAt = o.now
 		o.customers.Store(&fullest)
 	}
@@ -233,7 +233,7 @@
 	o.totalsAt = o.now
 	c := o.engine.Counts()
 	o.options.Log(events.Totals, "epoch", o.Epoch(), "starts", c.Starts, "done", c.Done, "failed", c.Failed, "stopped", c.Stopped,
-		"lapsed", c.Lapsed, "doubtful", c.Doubtful, "asks", c.Asks, "orders", o.orders)
+		"lapsed", c.Expired, "doubtful", c.Unacknowledged, "asks", c.PermissionQueries, "orders", o.orders)
 	for _, w := range o.engine.TakeWaits() {
 		o.options.Log(events.TasksWaited, "queue", w.Queue, "reason", w.Reason, "waited", w.Time)
 	}
@@ -251,12 +251,12 @@
 // started without waiting for it.
 func (o *Owner) runAhead() {
 	isSlow := o.isStoreOut || o.writing != nil && o.now.Sub(o.writingAt) > slowAppend || o.now.Sub(o.confirmedAt) > overdueBeat
-	hasUnkept := o.engine.HasUnkept()
+	hasUnkept := o.engine.HasUnpersisted()
 	o.mu.Lock()
 	if isSlow {
 		o.ahead.noteSlow(o.now)
 	}
-	o.ahead.update(o.now, hasUnkept, o.engine.AllAnswer())
+	o.ahead.update(o.now, hasUnkept, o.engine.AllResponsive())
 	isAhead := o.ahead.mayRunAhead(o.now)
 	o.mu.Unlock()
 	if isAhead != o.isAhead {
@@ -264,7 +264,7 @@
 		o.options.Log(events.StartsUnlogged, "epoch", o.Epoch(), "ahead", isAhead, "confirmed", o.now.Sub(o.confirmedAt), "out", o.isStoreOut)
 	}
 	o.isUnlogged.Store(isAhead || hasUnkept)
-	o.engine.SetUnlogged(isAhead)
+	o.engine.SetWriteBehind(isAhead)
 }
 
 // IsUnlogged reports whether tasks may run in places that are not in the store.
@@ -284,7 +284,7 @@
 	o.takePolicy()
 	isTrusted := o.isTrusted()
 	o.isTrustedNow.Store(isTrusted)
-	o.engine.SetTrusted(isTrusted)
+	o.engine.SetOwnershipConfirmed(isTrusted)
 	o.decide()
 	for _, a := range o.engine.Actions() {
 		o.carryOut(a)
@@ -297,13 +297,13 @@
 // decide looks at all that waits, unless the owner rests.
 func (o *Owner) decide() {
 	if !o.rest.isOver(o.now) {
-		if o.restEnds == nil && o.engine.MustDecide() {
+		if o.restEnds == nil && o.engine.NeedsScheduling() {
 			o.restEnds = o.options.Clock.After(o.rest.until.Sub(o.now))
 		}
 		return
 	}
 	began := o.options.Clock.Now()
-	o.engine.Decide()
+	o.engine.Schedule()
 	o.rest.looked(o.options.Clock.Now().Sub(began), o.now)
 }
 
--- a/internal/owner/record.go
+++ b/internal/owner/record.go
@@ -67,11 +67,11 @@
 		parts[last] = append(parts[last], store.Record{Key: key, Value: value})
 	}
 	// First, as a job that is forgotten may be handed in again in the same batch.
-	for _, id := range b.Forgotten {
+	for _, id := range b.ExpiredJobs {
 		add(specPrefix+string(id), nil)
 		add(progressPrefix+string(id), nil)
 	}
-	for _, spec := range b.Specs {
+	for _, spec := range b.NewJobs {
 		data, err := codec.Marshal(spec)
 		if err != nil {
 			return nil, err
--- a/internal/owner/record_test.go
+++ b/internal/owner/record_test.go
@@ -14,7 +14,7 @@
 // A job that was forgotten and handed in again in one batch was accepted, and then
 // removed by the end of the same batch.
 func TestAJobThatIsHandedInAgainOutlastsItsForgetting(t *testing.T) {
-	parts, err := owner.EncodeBatch(&dispatch.Batch{Forgotten: []work.JobID{"a"}, Specs: []*work.Spec{job("a")}})
+	parts, err := owner.EncodeBatch(&dispatch.Batch{ExpiredJobs: []work.JobID{"a"}, NewJobs: []*work.Spec{job("a")}})
 	if err != nil {
 		t.Fatal(err)
 	}
