--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -10,32 +10,37 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Batch is what must be kept together.
+// Batch is a set of changes that must be persisted together.
 type Batch struct {
-	// NewJobs are new jobs.
+	// NewJobs are the specifications of newly submitted jobs.
 	NewJobs []*work.Spec
-	// Progress has, by job, what is known of it.
+	// Progress has the current progress of the jobs that have changed.
 	Progress map[work.JobID]*work.Progress
-	// ExpiredJobs are jobs that are over and no longer asked for.
+	// ExpiredJobs are ended jobs whose state is no longer retained.
 	ExpiredJobs []work.JobID
 
-	jobs        []*job
+	// jobs are those whose progress is written with the batch.
+	jobs []*job
+	// handledEnds has, by worker, the number of the last end that was processed. The worker may
+	// forget its ends up to that number once the batch is committed.
 	handledEnds ordered.Map[*worker, uint64]
-	// planned are attempts whose places are in Progress. Those that were not ordered
-	// yet are when it is committed.
+	// planned are the attempts whose placements are in Progress. Those that were not ordered yet
+	// are ordered when the batch is committed.
 	planned []*attempt
-	// isUrgent means that there are new jobs or urgent ones.
+	// isUrgent means that the batch has new jobs, or jobs whose changes must not wait for
+	// flushInterval.
 	isUrgent bool
-	// hasAllReports means that nothing of what workers have told of an earlier owner's orders is
-	// left to keep after it.
+	// hasAllReports means that after this batch everything that workers have reported about a
+	// previous owner's orders is persisted.
 	hasAllReports bool
 }
 
-// IsEmpty reports whether the batch has nothing to keep.
+// IsEmpty reports whether the batch has nothing to persist.
 func (b *Batch) IsEmpty() bool {
 	return len(b.NewJobs) == 0 && len(b.Progress) == 0 && len(b.ExpiredJobs) == 0
 }
 
+// currentBatch returns the batch that collects changes for the store.
 func (e *Engine) currentBatch() *Batch {
 	if e.batch == nil {
 		e.batch = &Batch{}
@@ -43,8 +48,8 @@
 	return e.batch
 }
 
-// TakeBatch returns what is to be kept now, or nil. The caller must answer with
-// Committed or Refused before it takes the next.
+// TakeBatch returns the batch to persist now, or nil. The caller must call Committed or Refused
+// with it before it takes the next one.
 func (e *Engine) TakeBatch() *Batch {
 	b := e.batch
 	isDue := e.now.Sub(e.lastFlush) >= flushInterval
@@ -59,7 +64,7 @@
 		e.batch = b.splitDeferrable()
 	}
 	b.Progress = map[work.JobID]*work.Progress{}
-	// A job that was refused meanwhile is not kept; another may have its ID by now.
+	// A job that has been refused since is not persisted; by now another job may have its ID.
 	b.jobs = slices.DeleteFunc(b.jobs, func(j *job) bool { return e.jobs[j.spec.ID] != j })
 	for _, j := range b.jobs {
 		j.isDirty, j.isUrgent = false, false
@@ -68,9 +73,9 @@
 	return b
 }
 
-// splitDeferrable takes out of the batch what can wait for flushPause, and returns it: jobs
-// of which only tasks have ended, and the confirmations of all ends. A job is written
-// whole each time.
+// splitDeferrable removes from the batch what can wait for flushInterval, and returns it: jobs in
+// which only single tasks have ended, and the confirmations of all ends. Deferring reduces the
+// writes, since every write contains the whole progress of a job.
 func (b *Batch) splitDeferrable() *Batch {
 	deferred := &Batch{handledEnds: b.handledEnds}
 	b.handledEnds = ordered.Map[*worker, uint64]{}
@@ -90,7 +95,7 @@
 	return deferred
 }
 
-// Committed says that the batch is in the store.
+// Committed records that the batch is in the store, and starts what was waiting for that.
 func (e *Engine) Committed(b *Batch) {
 	if b.hasAllReports {
 		e.hasUnpersistedReports = false
@@ -118,7 +123,8 @@
 	}
 }
 
-// progressPersisted says that a state of a job is kept.
+// progressPersisted records that a state of a job is in the store. A final state is visible to
+// callers from then on.
 func (e *Engine) progressPersisted(j *job, state work.JobState) {
 	if e.jobs[j.spec.ID] != j || !state.IsFinal() {
 		return
@@ -127,8 +133,8 @@
 	j.isKept = j.isKept || state != work.JobWithdrawn
 }
 
-// Refused says that the batch is certainly not in the store. Its new jobs are
-// dropped as never accepted; its progress goes into the next batch.
+// Refused records that the batch is certainly not in the store. Its new jobs are dropped as if
+// never accepted; its progress goes into the next batch.
 func (e *Engine) Refused(b *Batch) {
 	for _, spec := range b.NewJobs {
 		if j := e.jobs[spec.ID]; j != nil && !j.isKept {
@@ -148,7 +154,7 @@
 	}
 }
 
-// progress returns what must last of a job.
+// progress returns what must be persisted of a job.
 func (j *job) progress() *work.Progress {
 	p := &work.Progress{State: j.state}
 	if j.state.IsFinal() {
@@ -201,8 +207,8 @@
 	return p
 }
 
-// RefuseNew drops the new jobs of the batch that is not taken yet and returns
-// them: they were never accepted. Those that were cancelled stay withdrawn.
+// RefuseNew drops the new jobs of the batch that has not been taken yet and returns their IDs. They
+// were never accepted. A job that was cancelled in the meantime stays recorded as withdrawn.
 func (e *Engine) RefuseNew() []work.JobID {
 	if e.batch == nil {
 		return nil
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -9,16 +9,17 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// candidates are the workers that may be given tasks of a step now, the best on
-// top. Many tasks of one step are placed by one look at all workers.
+// candidates is a heap of the workers that may be given tasks of a step now, the best one on top.
+// With it many tasks of a step are placed after scoring the workers once.
 type candidates struct {
 	workers []*worker
 	scores  []float64
-	// isTopPicked is the worker on top when it was given a task; its score has changed.
+	// isTopPicked means that the worker on top was given the last task, so that its score has
+	// changed.
 	isTopPicked bool
 }
 
-// newCandidates scores the workers for a task that may run on any of them.
+// newCandidates scores the workers for a task of the step that may run on any of them.
 func (e *Engine) newCandidates(s *step, q *order.Queue) *candidates {
 	c := &candidates{}
 	for _, w := range e.permittedWorkers(s, q) {
@@ -31,7 +32,7 @@
 	return c
 }
 
-// pick returns the best worker for task i, or nil when none has room.
+// pick returns the best worker for task i, or nil if none can take it.
 func (c *candidates) pick(e *Engine, s *step, i int, q *order.Queue) *worker {
 	for c.Len() > 0 && e.fitCount(c.workers[0], s) <= 0 {
 		heap.Pop(c)
@@ -45,13 +46,13 @@
 		c.isTopPicked = true
 		return w
 	}
-	// The best is one to avoid for this task, or not each worker suits it: all are looked
-	// at for it alone.
+	// The task should avoid the best worker, or not every worker suits it: all workers are scored
+	// for this task alone.
 	c.isTopPicked = false
 	return e.chooseWorker(s, i, q, nil)
 }
 
-// rescoreTop scores the worker again that was given a task.
+// rescoreTop updates the score of the worker on top after it was given a task.
 func (c *candidates) rescoreTop(e *Engine, s *step) {
 	if c.isTopPicked && c.Len() > 0 {
 		c.scores[0] = e.score(c.workers[0], s, nil)
@@ -59,11 +60,11 @@
 	}
 }
 
-// Len, Less, Swap, Push and Pop make a heap of the candidates.
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (c *candidates) Len() int { return len(c.workers) }
 
-// Less puts the better worker first, and of two that are alike the same one
-// each time.
+// Less puts the better worker first. Between equal scores the lower ID decides, so that the order
+// is always the same.
 func (c *candidates) Less(i, j int) bool {
 	if c.scores[i] != c.scores[j] {
 		return c.scores[i] > c.scores[j]
@@ -71,16 +72,16 @@
 	return c.workers[i].ID < c.workers[j].ID
 }
 
-// Swap swaps two candidates.
+// Swap exchanges two candidates.
 func (c *candidates) Swap(i, j int) {
 	c.workers[i], c.workers[j] = c.workers[j], c.workers[i]
 	c.scores[i], c.scores[j] = c.scores[j], c.scores[i]
 }
 
-// Push is not used: candidates only become fewer.
+// Push must not be called: candidates are only removed.
 func (*candidates) Push(any) { panic("dispatch: candidates only become fewer") }
 
-// Pop takes the last candidate off.
+// Pop removes the last candidate. Its result is not used.
 func (c *candidates) Pop() any {
 	last := len(c.workers) - 1
 	c.workers, c.scores = c.workers[:last], c.scores[:last]
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -9,17 +9,17 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// Copies: where the caller allows it, a second attempt of a task runs beside one
-// that may be lost or is slow. Whichever is done first counts.
+// Speculative copies: where the caller allows it, a second attempt of a task runs beside an attempt
+// that may be lost or is slow. The result of whichever ends first counts.
 
-// hasCopy reports whether the attempt is one of two of its task.
+// hasCopy reports whether the attempt's task has, or wants, a speculative copy.
 func (a *attempt) hasCopy() bool {
 	t := &a.step.tasks[a.id.Index]
 	return t.copy != nil || t.wantsCopy
 }
 
-// requestCopy asks for a copy beside the attempt. It reports false where copies are
-// not allowed.
+// requestCopy requests a speculative copy beside the attempt. It returns false if the task may not
+// have one.
 func (e *Engine) requestCopy(a *attempt) bool {
 	s := a.step
 	if s == nil || !e.isEnabled(MechanismSpeculativeCopies) || !s.spec.MayDuplicate || s.spec.IsGang || s.spec.IsLasting {
@@ -27,7 +27,7 @@
 	}
 	t := &s.tasks[a.id.Index]
 	if len(t.crashes) > 0 {
-		// The copy might take another worker with it.
+		// The task may have crashed its worker; a copy could crash another one.
 		return false
 	}
 	if t.attempt != a || t.copy != nil || t.wantsCopy || t.state != taskPlaced {
@@ -40,14 +40,14 @@
 	return true
 }
 
-// requestCopyIfSilent asks for a copy of an attempt on a worker that does not answer.
+// requestCopyIfSilent requests a copy of an attempt whose worker does not answer.
 func (e *Engine) requestCopyIfSilent(a *attempt) {
 	if a.step != nil && a.worker.session.IsSilent() && !a.isStopping {
 		e.requestCopy(a)
 	}
 }
 
-// cancelCopyRequest ends the wish for a copy.
+// cancelCopyRequest withdraws the request for a copy of a task.
 func (s *step) cancelCopyRequest(t *task) {
 	if t.wantsCopy {
 		t.wantsCopy = false
@@ -55,7 +55,7 @@
 	}
 }
 
-// placeCopies starts the copies that are wanted and have room.
+// placeCopies starts the requested copies for which there is a worker with free capacity.
 func (e *Engine) placeCopies(s *step, q *order.Queue) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
--- a/internal/dispatch/customer.go
+++ b/internal/dispatch/customer.go
@@ -15,23 +15,26 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// limitLogInterval is the time between two lines on what the limits of customers hold back.
+// limitLogInterval is the time between two log lines about steps that the limits of their customers
+// hold back.
 const limitLogInterval = time.Second
 
-// SetCustomers puts the limits and shares of a configuration in force.
+// SetCustomers applies the limits and shares of a configuration.
 func (e *Engine) SetCustomers(customers []order.Customer) {
 	e.quota.SetLimits(customers)
 	e.customers, e.sharesDueAt = customers, time.Time{}
 	e.needsScheduling = true
 }
 
-// CheckJob returns why a job can never run under the limit of its customer, or "".
+// CheckJob returns the reason why a job can never run under the limit of its customer, or "" if it
+// can.
 func (e *Engine) CheckJob(spec *work.Spec) string { return e.quota.CheckJob(spec) }
 
-// TopCustomersByUsage returns the n customers that use most of their limits.
+// TopCustomersByUsage returns the n customers that use the largest part of their limits.
 func (e *Engine) TopCustomersByUsage(n int) []quota.CustomerUse { return e.quota.Fullest(n) }
 
-// updateShares finds out now and then which customers have more in use than their share.
+// updateShares recomputes which customers use more than their share, if the last result is older
+// than rankInterval.
 func (e *Engine) updateShares() {
 	if e.now.Before(e.sharesDueAt) || !e.isEnabled(MechanismShares) {
 		return
@@ -61,7 +64,7 @@
 
 func (s *step) customer() work.CustomerName { return s.job.spec.Customer }
 
-// chargeCustomer notes that a task of the step may be running.
+// chargeCustomer adds one task of the step to what its customer has in use.
 func (e *Engine) chargeCustomer(s *step) {
 	e.quota.Charge(s.customer(), s.spec.Need, s.spec.IsLasting)
 }
@@ -70,7 +73,8 @@
 	e.quota.Release(s.customer(), s.spec.Need, s.spec.IsLasting)
 }
 
-// updateUncertainUsage tells the quota what may be running besides the attempts that are known.
+// updateUncertainUsage passes to the quota what may be running in addition to the known attempts:
+// attempts of unknown size, and tasks that a previous owner may have started.
 func (e *Engine) updateUncertainUsage() {
 	e.quota.ClearDoubts()
 	for _, w := range e.workers.All() {
@@ -90,7 +94,8 @@
 	}
 }
 
-// unplacedNeed returns what the tasks of the job take that are not done and have no attempt.
+// unplacedNeed returns the resources needed by the job's tasks that are neither done nor have an
+// attempt.
 func (j *job) unplacedNeed() leverdyke.Resources {
 	sum := leverdyke.Resources{}
 	for _, r := range j.rounds {
@@ -101,7 +106,8 @@
 	return sum
 }
 
-// minimumNeed returns what the step takes at minimumNeed when anything of it starts.
+// minimumNeed returns the least that the step takes once anything of it starts: one task, or a
+// whole gang.
 func (s *step) minimumNeed() leverdyke.Resources {
 	if s.spec.IsGang {
 		return s.spec.Need.Times(int64(len(s.tasks)))
@@ -109,8 +115,8 @@
 	return s.spec.Need
 }
 
-// allowedByQuota returns how many tasks of the step may start under the limit of its customer: all
-// of a gang or none.
+// allowedByQuota returns how many tasks of the step may start under the limit of its customer. For
+// a gang it is all or none.
 func (e *Engine) allowedByQuota(s *step) int {
 	n := e.quota.Room(s.customer(), s.spec.Need, len(s.tasks))
 	if s.spec.IsGang && n < len(s.tasks) {
@@ -119,9 +125,9 @@
 	return n
 }
 
-// withinLimits returns the steps that the limits of their customers do not hold back. Behind
-// one that is held back and will fit later, no other step of its customer gets what becomes
-// free: a wide one would wait for as long as small ones come.
+// withinLimits returns the steps that the limits of their customers do not hold back. If a step is
+// held back and will fit later, no later step of the same customer may start either. Otherwise a
+// wide step would starve as long as small ones keep arriving.
 func (e *Engine) withinLimits(steps []*step) []*step {
 	isBlocked := map[work.CustomerName]bool{}
 	out := e.admittedBuffer[:0]
@@ -141,7 +147,7 @@
 	return out
 }
 
-// logHeldByLimit tells which limit holds a step back, now and then.
+// logHeldByLimit logs which limit holds a step back, at most once per limitLogInterval.
 func (e *Engine) logHeldByLimit(s *step) {
 	if e.now.Before(e.limitLogDueAt) {
 		return
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -1,14 +1,16 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package dispatch decides which task runs on which worker and when. It is pure:
-// what happened comes in by calls with the time, what is to be done goes out as
-// actions. One goroutine calls it.
+// Package dispatch is the scheduling engine: it decides which task runs on which worker and when.
+// It does no I/O and reads no clock. The caller passes in events together with the current time and
+// carries out the actions that the engine returns. The engine is not safe for concurrent use: one
+// goroutine calls it.
 //
-// Its promises: a worker's room is charged from the order until the end is
-// known; a task has at most one attempt of which it is not known that it is over
-// (but where copies are allowed); what must last is handed out as a batch, and
-// an end is only confirmed to a worker when the batch with it is committed.
+// It guarantees the following. The capacity of a worker is charged for an attempt from the moment
+// the attempt is planned until it is known to have ended. A task has at most one attempt that is
+// not known to have ended, except where its caller allows speculative copies. Everything that must
+// survive a change of owner is handed out as a batch for the store, and the engine confirms the end
+// of an attempt to its worker only after the batch with that end is committed.
 package dispatch
 
 import (
@@ -29,164 +31,188 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Durations and limits of the engine.
+// Timeouts and intervals of the engine.
 const (
-	// unreachableAfter is how long a worker may be silent before it gets nothing new;
-	// a listing comes at least every 2 s.
+	// unreachableAfter is how long a worker may be silent before it is given no new tasks. A worker
+	// that answers sends a listing at least every 2 s.
 	unreachableAfter = 2600 * time.Millisecond
-	// unacknowledgedTimeout is how long a listing may take that tells whether a doubtful
-	// order was carried out.
+	// unacknowledgedTimeout is how long the engine waits for a listing that shows whether an
+	// unacknowledged start was carried out. After that it stops the attempt.
 	unacknowledgedTimeout = 150 * time.Millisecond
-	// stopRetryInterval is the pause before a stop without an answer is sent again.
+	// stopRetryInterval is how long a stop order may stay unanswered before it is sent again.
 	stopRetryInterval = 120 * time.Millisecond
-	// flushInterval is the longest that progress waits for its batch; a job's end
-	// does not wait.
+	// flushInterval is the longest time that ordinary progress of jobs is held back to be written
+	// in one batch. The end of a job is written without this delay.
 	flushInterval = 60 * time.Millisecond
-	// finalStateRetention is how long the state of a job that is over is kept: the time for
-	// which callers may ask, and a margin.
+	// finalStateRetention is how long the state of an ended job is kept: the time during which
+	// callers may query it, plus a margin.
 	finalStateRetention = 140 * time.Second
 )
 
-// Options configures an Engine. The zero value works.
+// Options configures an Engine. The zero value is usable.
 type Options struct {
-	// Log takes a line of the log; nil drops it.
+	// Log writes a log line for an event. If it is nil, nothing is logged.
 	Log func(e events.Event, keysAndValues ...any)
-	// NodeZone is the zone of this node: a tie goes to a worker near by.
+	// NodeZone is the availability zone of this node. Of workers that suit a task equally well, one
+	// in this zone is preferred.
 	NodeZone string
-	// StopTime is the longest that a worker takes to stop a task.
+	// StopTime is the longest time that a worker takes to stop a task.
 	StopTime time.Duration
-	// HeartbeatInterval is the time between two heartbeats of a worker; 0 when not known.
+	// HeartbeatInterval is the time between two heartbeats of a worker; 0 if it is not known.
 	HeartbeatInterval time.Duration
-	// Disabled switches mechanisms off, for tests and measurements.
+	// Disabled lists mechanisms that are switched off, for tests and measurements.
 	Disabled []Mechanism
 }
 
 // isEnabled reports whether a mechanism is in use.
 func (e *Engine) isEnabled(m Mechanism) bool { return !slices.Contains(e.options.Disabled, m) }
 
-// Engine decides for one shard: its jobs and its workers.
+// Engine schedules the jobs of one shard on the workers of that shard.
 type Engine struct {
 	options Options
 	now     time.Time
-	// wallClockOffset is how far the time of wallClockOffset is ahead of now: rounds are due by that.
+	// wallClockOffset is added to now to get the time of day, by which the rounds of a job are due.
 	wallClockOffset time.Duration
 	jobs            map[work.JobID]*job
-	// activeJobs are the jobs that are not over, in the order in which they came.
+	// activeJobs are the persisted jobs that have not ended, in order of arrival. A job that has
+	// ended stays here until its last attempt has ended.
 	activeJobs []*job
-	// stepQueue has the steps of kept jobs that are open and have tasks that wait, or want
-	// copies, and perhaps some that no longer do.
+	// stepQueue has every open step of a persisted job that has waiting tasks or wants speculative
+	// copies. It may also contain steps that no longer do; these are removed in the next scheduling
+	// pass.
 	stepQueue []*step
-	workers   ordered.Map[order.WorkerID, *worker]
-	index     workerIndex
-	// endedIncarnations has lives that are endedIncarnations while the platform's list still has them.
+	// workers has the known incarnations of workers. One that has ended, or that the platform no
+	// longer lists, stays until no attempt is charged to it.
+	workers ordered.Map[order.WorkerID, *worker]
+	index   workerIndex
+	// endedIncarnations are the workers' incarnations that are known to have ended and are still in
+	// the platform's list.
 	endedIncarnations map[order.WorkerID]bool
 	queues            map[string]order.Queue
-	// quota counts what may be running for each customer.
+	// quota counts the resources that may be in use by each customer.
 	quota quota.Ledger
-	// customers are those in force. overShare has those with more in use than their share, looked
-	// at anew at sharesAt.
+	// customers is the current configuration of customers. overShare has those that use more than
+	// their share; it is recomputed at sharesDueAt.
 	customers   []order.Customer
 	overShare   map[work.CustomerName]bool
 	sharesDueAt time.Time
-	// poolUsage is what part of each pool is in use, looked at anew at useAt.
+	// poolUsage is the used fraction of each pool, by the name of its service; it is recomputed at
+	// poolUsageDueAt.
 	poolUsage      map[string]float64
 	poolUsageDueAt time.Time
-	// admittedBuffer is the buffer of withinLimits, heldLogAt when what is held back is told next.
+	// admittedBuffer is the reusable result slice of withinLimits. The next log line about a step
+	// that a limit holds back is written no earlier than limitLogDueAt.
 	admittedBuffer []*step
 	limitLogDueAt  time.Time
-	// notRunningLogDueAt is when it is told next of which tasks that last nothing runs.
+	// notRunningLogDueAt is the earliest time of the next log lines about long-running tasks that
+	// do not run.
 	notRunningLogDueAt time.Time
-	channels           permit.Lanes
-	// claims has the room that calls for permission are likely to use.
+	// channels are the nodes through which the permission service is queried.
+	channels permit.Lanes
+	// claims has the capacity that the permission queries in flight are likely to use.
 	claims permit.Claims
-	// uncertainTasks are workers on which an earlier owner may have started tasks that
-	// are not known yet, with these tasks.
+	// uncertainTasks has, by worker, the tasks that a previous owner may have started there and
+	// that the worker has not reported on yet.
 	uncertainTasks ordered.Map[order.WorkerID, []work.TaskID]
-	// abandonedStarts has what may still be on its way to workers and is not wanted any more.
+	// abandonedStarts are the orders to start that are no longer wanted and may still arrive at a
+	// worker.
 	abandonedStarts stray.Orders
-	// possiblyCrashed has workers that may have crashed, or only be cut off.
+	// possiblyCrashed are workers that have stopped answering. They may have crashed, or only be
+	// cut off from the network.
 	possiblyCrashed ordered.Map[order.WorkerID, *cutOff]
-	// silences are workers that fell silent lately, whether they live or not.
+	// silences are the recent periods during which a worker did not answer, whether it turned out
+	// to be alive or not.
 	silences crash.Silences
-	// soloProbeUntil is until when a task under which several workers have crashed is tried, and
-	// no other such one.
+	// soloProbeUntil is when the current probe of a task under which several workers have crashed
+	// ends. Until then no other such task is started.
 	soloProbeUntil time.Time
-	// probeReservedUntil is until when a worker is kept for a task that may crash it.
+	// probeReservedUntil is when the reservation of a worker for a task that may crash it ends.
+	// Only one worker at a time is reserved for this.
 	probeReservedUntil time.Time
-	// inheritedLeasesUntil is when all leases that the earlier owner gave are over.
+	// inheritedLeasesUntil is when all leases that the previous owner granted have expired.
 	inheritedLeasesUntil time.Time
-	// inherited is set while any task may run anywhere by an earlier owner's order.
+	// inherited is set while it is not known on which workers tasks may run that a previous owner
+	// started.
 	inherited *inheritedDoubt
-	// hasUnpersistedReports means that what workers have told of its orders is not kept yet.
+	// hasUnpersistedReports means that workers have reported attempts of the previous owner that
+	// are not in the store yet.
 	hasUnpersistedReports bool
 	actions               []order.Action
-	// startsInActions are the attempts whose orders to start are in actions.
+	// startsInActions are the attempts whose start orders are in actions.
 	startsInActions []*attempt
-	// readyStarts are starts whose places are kept and that wait for their turn, and
-	// unanswered counts those that were ordered and not answered.
+	// readyStarts are planned attempts that may be started and wait until the window allows another
+	// unanswered order. startsInFlight counts the start orders that have been issued and not
+	// answered yet.
 	readyStarts    []*attempt
 	startsInFlight int
-	// reservations counts the steps for which room is kept, on the workers reserved, and
-	// largest has, by service, the most that a worker has of each dimension, all until
-	// reservationDueAt. isReserving means that this look at all that waits keeps room anew.
+	// At reservationDueAt all reservations are dropped and computed again; isReserving means that
+	// the current scheduling pass does so. Until then reservedSteps counts the steps that have
+	// reservations, reservedWorkers are the workers with reservations, and largestCapacity has, by
+	// service, the largest capacity of any worker in each dimension.
 	reservationDueAt time.Time
 	isReserving      bool
 	reservedSteps    int
 	reservedWorkers  []*worker
 	largestCapacity  map[string]leverdyke.Resources
-	// queryOffset is how many workers the next look at whom to ask about passes over at first.
+	// queryOffset is the position in the list of workers at which the next permission query starts
+	// to look for candidates.
 	queryOffset int
-	// channelsBusyAt is when a step of a pool with room found no free lane last.
+	// channelsBusyAt is when a step whose pool has free capacity last found no free channel to the
+	// permission service.
 	channelsBusyAt time.Time
-	// queriesLeft is how many calls for permission this look may still prepare, deferralsLeft how many
-	// steps it may put off besides.
+	// queriesLeft is how many permission queries this scheduling pass may still prepare.
+	// deferralsLeft is how many further steps it may defer without counting them against
+	// queriesLeft.
 	queriesLeft, deferralsLeft int
-	// rotation chooses at which of many steps that wait is looked.
+	// rotation selects which of the waiting steps a scheduling pass tries to place.
 	rotation rotation.Rotation
-	// isLateFirst means that late steps go first in this look.
+	// isLateFirst means that steps that will miss their deadline go first in this scheduling pass.
 	isLateFirst bool
-	// permittedBuffer is the buffer of permitted, turns that of turnsOf.
+	// permittedBuffer and taskOrderBuffer are the reusable result slices of permittedWorkers and
+	// taskOrder.
 	permittedBuffer []*worker
 	taskOrderBuffer []int
-	// recheckAt is when to look again for workers for tasks that wait; zero when none
-	// does.
+	// recheckAt is when the next scheduling pass runs even if no event calls for one; zero if no
+	// task waits.
 	recheckAt time.Time
-	// needsScheduling means that something may be placed that could not be before.
+	// needsScheduling means that an event may have made it possible to place a task that could not
+	// be placed before.
 	needsScheduling bool
 	isPaused        bool
-	// isOwnershipConfirmed means that this node is known to own the shard still. Without it
-	// nothing is started and no lease is renewed.
+	// isOwnershipConfirmed means that this node is known to still own the shard. Without it no
+	// attempt is started and no lease is renewed.
 	isOwnershipConfirmed bool
-	// isWriteBehind means that starts are ordered, and ends shown, before they are kept.
+	// isWriteBehind means that attempts are started before their placements are persisted.
 	isWriteBehind bool
-	// unpersisted counts attempts that were ordered and whose places are not kept yet.
+	// unpersisted counts the attempts that were ordered and whose placements are not persisted yet.
 	unpersisted int
-	// allResponsive is what AllAnswer returns.
+	// allResponsive is the result of AllResponsive.
 	allResponsive bool
 	batch         *Batch
 	lastFlush     time.Time
-	// pending counts, by queue, jobs none of whose tasks has begun.
+	// nextJobScan is when all jobs are next scanned for rounds that are due and for jobs to delete;
+	// scannedAt is when they last were.
 	nextJobScan, scannedAt time.Time
 	counts                 Counts
-	// waits is how long tasks have waited, by queue and reason.
+	// waits sums up how long tasks have waited, by queue and reason.
 	waits waits.Sums
-	// tickedAt is when Tick was called last, stalledUntil until when answers are late
-	// because this node was kept from running.
+	// tickedAt is when Tick was last called. Until stalledUntil, answers may be processed late
+	// because this node did not get processor time.
 	tickedAt, stalledUntil time.Time
-	// answerTimes tells how long workers take to answer an order to start.
+	// answerTimes estimates how long workers take to answer an order to start.
 	answerTimes estimate.Answers
-	// startWindow bounds the orders to start that are not answered.
+	// startWindow limits the number of start orders without an answer.
 	startWindow estimate.Window
-	// lossyUntil is until when answers of workers may be lost.
+	// Until lossyUntil the answers of workers may get lost, because one was lost recently.
 	lossyUntil time.Time
-	// estimates has, by queue, how good the callers' estimates are.
+	// estimates has, by queue, how accurate the callers' estimates of run times are.
 	estimates map[string]*estimate.Durations
 }
 
-// Counts are totals since the engine was made.
+// Counts are totals since the engine was created.
 type Counts struct {
 	Starts, Done, Failed, Stopped, Expired, Unacknowledged, PermissionQueries int
-	// ReservationPlans counts the times at which it was worked out where room is to be kept.
+	// ReservationPlans counts how often the engine computed where to reserve capacity for a step.
 	ReservationPlans int
 }
 
@@ -205,17 +231,18 @@
 // Advance sets the time. It is called before any other call.
 func (e *Engine) Advance(now time.Time) { e.now = now }
 
-// SetTimeOfDay says what the time of day is now. Until then it is the time by which the
-// engine goes.
+// SetTimeOfDay sets the current time of day. Before the first call the engine takes the time that
+// Advance sets as the time of day.
 func (e *Engine) SetTimeOfDay(t time.Time) { e.wallClockOffset = t.Round(0).Sub(e.now.Round(0)) }
 
-// SetPaused ends or resumes new starts: an owner that hands over starts nothing.
+// SetPaused suspends or resumes the start of tasks. An owner that hands over its shard starts
+// nothing.
 func (e *Engine) SetPaused(isPaused bool) {
 	e.isPaused = isPaused
 	e.needsScheduling = true
 }
 
-// SetOwnershipConfirmed says whether this node is known to own the shard still.
+// SetOwnershipConfirmed sets whether this node is known to still own the shard.
 func (e *Engine) SetOwnershipConfirmed(isConfirmed bool) {
 	if e.isOwnershipConfirmed == isConfirmed {
 		return
@@ -224,9 +251,10 @@
 	e.needsScheduling = true
 }
 
-// SetWriteBehind says whether starts are ordered before their places are kept, which
-// is for a store that is slow or out. What an owner that does so had started is not
-// known to the next one while HasUnkept. Ends are told only when they are kept.
+// SetWriteBehind sets whether tasks are started before their placements are persisted. This is for
+// a store that is slow or unavailable. While HasUnpersisted is true, the next owner would not know
+// everything that this one has started. A task that may crash its workers still waits for the
+// store, and callers learn that a job has ended only after its end is persisted.
 func (e *Engine) SetWriteBehind(isWriteBehind bool) {
 	if e.isWriteBehind == isWriteBehind {
 		return
@@ -244,12 +272,12 @@
 	}
 }
 
-// AllResponsive reports whether all workers had told what they run, and none was
-// silent, at the last Tick.
+// AllResponsive reports whether, at the last Tick, every worker had reported what it runs and none
+// had missed its last poll.
 func (e *Engine) AllResponsive() bool { return e.allResponsive }
 
-// HasUnpersisted reports whether tasks may run, or have ended, in places that are not kept, by this
-// owner's orders or by an earlier one's.
+// HasUnpersisted reports whether tasks may run, or have ended, in placements that are not in the
+// store, by orders of this owner or of a previous one.
 func (e *Engine) HasUnpersisted() bool {
 	return e.unpersisted > 0 || e.inherited != nil || e.hasUnpersistedReports
 }
@@ -257,8 +285,8 @@
 // Counts returns the totals.
 func (e *Engine) Counts() Counts { return e.counts }
 
-// SetQueues puts a configuration in force. A queue that is no longer in it keeps
-// its last policy for the jobs that it has.
+// SetQueues applies a configuration of queues. A queue that is missing from it keeps its last
+// policy for the jobs that it still has.
 func (e *Engine) SetQueues(queues []order.Queue) {
 	for _, q := range queues {
 		e.queues[q.Name] = q
@@ -266,7 +294,8 @@
 	e.needsScheduling = true
 }
 
-// Tick does what is due by time alone. It is called every 50 ms or so.
+// Tick does everything that is due because of the passage of time: timeouts, retries and regular
+// scans. It is called about every 50 ms or more often.
 func (e *Engine) Tick() {
 	e.detectStall()
 	e.queriesLost(e.channels.Expire(e.now))
@@ -291,16 +320,16 @@
 }
 
 const (
-	// stallThreshold is the time between two ticks from which this node was kept from
-	// running; the owner ticks every 20 ms.
+	// stallThreshold is the time between two ticks above which this node is taken to have been
+	// without processor time in between. The owner ticks every 20 ms.
 	stallThreshold = 60 * time.Millisecond
-	// maxStall bounds what one such time counts.
+	// maxStall limits how much time one such gap adds.
 	maxStall = 300 * time.Millisecond
 )
 
-// detectStall finds out from the time since the last tick whether this node was kept
-// from running. Answers that came meanwhile are taken in as late as that: no order
-// counts as unanswered for as long again.
+// detectStall finds out from the time since the last tick whether this node was without processor
+// time. Answers that arrived during the gap are processed later by up to its length, so for the
+// same time no order is treated as unacknowledged.
 func (e *Engine) detectStall() {
 	gap := e.now.Sub(e.tickedAt)
 	if !e.tickedAt.IsZero() && gap > stallThreshold {
@@ -309,8 +338,8 @@
 	e.tickedAt = e.now
 }
 
-// jobScanInterval is the time between two looks at all jobs for rounds that are due
-// and for jobs to forget.
+// jobScanInterval is the time between two scans of all jobs for rounds that are due and for jobs to
+// delete.
 const jobScanInterval = 50 * time.Millisecond
 
 func (e *Engine) scanJobs() {
@@ -331,10 +360,11 @@
 	}
 }
 
-// NeedsScheduling reports whether something may be placed that could not be before.
+// NeedsScheduling reports whether a task may now be placeable that was not before.
 func (e *Engine) NeedsScheduling() bool { return e.needsScheduling }
 
-// Schedule places what can be placed. It is called after events, once for many.
+// Schedule runs a scheduling pass if one is needed. The caller handles a group of events first and
+// then calls it once.
 func (e *Engine) Schedule() {
 	if !e.needsScheduling {
 		return
@@ -343,7 +373,7 @@
 	e.runPass()
 }
 
-// Actions returns what is to be done since the last call.
+// Actions returns the actions to be carried out that have accumulated since the last call.
 func (e *Engine) Actions() []order.Action {
 	actions := e.actions
 	e.actions = nil
@@ -356,7 +386,8 @@
 
 func (e *Engine) emit(a order.Action) { e.actions = append(e.actions, a) }
 
-// emitStop tells a worker to stop a run, and to refuse it where it does not run.
+// emitStop orders a worker to stop an attempt, and to refuse its start if the order to start
+// arrives later.
 func (e *Engine) emitStop(w *worker, task work.TaskID, run uint64) {
 	e.emit(order.Stop{Worker: w.ID, Addr: w.Addr, Generation: e.abandonedStarts.Generation(w.ID), Task: task, Run: run})
 }
--- a/internal/dispatch/gang.go
+++ b/internal/dispatch/gang.go
@@ -10,7 +10,7 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// placeGang starts all tasks of a gang or none.
+// placeGang starts all tasks of a gang, or none of them.
 func (e *Engine) placeGang(s *step, q *order.Queue) {
 	if s.waiting < len(s.tasks) || s.hasUncertainTask() || e.allowedByQuota(s) == 0 {
 		return
@@ -30,13 +30,14 @@
 	e.options.Log(events.StepPlaced, "step", s.id, "queue", q.Name, "placed", len(workers), "run", run, "waited", e.now.Sub(s.openAt))
 }
 
-// hasUncertainTask reports whether a task may run where nobody can tell.
+// hasUncertainTask reports whether a previous owner may have started a task of the step on a worker
+// that has not reported yet whether it runs it.
 func (s *step) hasUncertainTask() bool {
 	return slices.ContainsFunc(s.tasks, func(t task) bool { return len(t.heldBy) > 0 })
 }
 
-// gangWorkers returns a worker for each task of a gang, in one rack where that is
-// asked for and possible, or nil.
+// gangWorkers returns a worker for each task of a gang, or nil if there are not enough. If the step
+// asks for one rack and a rack can take the whole gang, all workers are in that rack.
 func (e *Engine) gangWorkers(s *step, q *order.Queue) []*worker {
 	if s.spec.IsSameRack {
 		for _, rack := range e.racks() {
@@ -48,6 +49,7 @@
 	return e.gangWorkersIn(s, q, "")
 }
 
+// racks returns the racks of all known workers, in alphabetical order.
 func (e *Engine) racks() []string {
 	out := []string{}
 	for _, w := range e.workers.All() {
@@ -59,6 +61,8 @@
 	return out
 }
 
+// gangWorkersIn returns a worker in the rack for each task of a gang, or nil if there are not
+// enough. An empty rack stands for all racks.
 func (e *Engine) gangWorkersIn(s *step, q *order.Queue, rack string) []*worker {
 	assigned := map[*worker]int{}
 	workers := make([]*worker, 0, len(s.tasks))
@@ -73,7 +77,8 @@
 	return workers
 }
 
-// partialGang is what the members of a gang that have a place would take.
+// partialGang is the partial placement of a gang: how many members each worker has been assigned,
+// and the rack that all must be in; empty if any will do.
 type partialGang struct {
 	assigned map[*worker]int
 	rack     string
--- a/internal/dispatch/mechanism.go
+++ b/internal/dispatch/mechanism.go
@@ -3,32 +3,37 @@
 
 package dispatch
 
-// Mechanism is a part of the decisions that can be switched off, so that what it is
-// worth can be measured.
+// Mechanism is a part of the scheduling decisions that can be switched off to measure its benefit.
 type Mechanism string
 
 // The mechanisms.
 const (
-	// MechanismReservations keeps room for large tasks and gangs.
+	// MechanismReservations reserves capacity for large tasks and gangs.
 	MechanismReservations Mechanism = "reservations"
-	// MechanismPreemption lets tasks that save their state make way for these.
+	// MechanismPreemption stops tasks that save their state to make capacity for large tasks and
+	// gangs.
 	MechanismPreemption Mechanism = "preemption"
-	// MechanismEarlyPermission asks who is permitted before there is room.
+	// MechanismEarlyPermission queries which workers are permitted before they have free capacity.
 	MechanismEarlyPermission Mechanism = "advice ahead"
-	// MechanismClaims keeps the room of workers that calls for permission are likely to use.
+	// MechanismClaims discounts the capacity that permission queries in flight are likely to use
+	// when the workers for the next query are chosen.
 	MechanismClaims Mechanism = "claims"
-	// MechanismUrgency puts the earliest deadline first, and what is late last.
+	// MechanismUrgency orders steps by their deadlines, the earliest first, and puts those that
+	// will miss theirs last.
 	MechanismUrgency Mechanism = "urgency"
-	// MechanismShares puts customers that have more in use than their share behind the others.
+	// MechanismShares places the steps of customers that use more than their share after those of
+	// the others.
 	MechanismShares Mechanism = "shares"
-	// MechanismSpeculativeCopies starts copies of stragglers.
+	// MechanismSpeculativeCopies starts speculative copies of attempts that are slow or may be
+	// lost.
 	MechanismSpeculativeCopies Mechanism = "copies"
-	// MechanismHealth judges workers by what became of their tasks.
+	// MechanismHealth counts the failures of tasks against their workers, which are ejected after
+	// several.
 	MechanismHealth Mechanism = "health"
-	// MechanismSpeed finds workers that are slow.
+	// MechanismSpeed detects slow workers.
 	MechanismSpeed Mechanism = "speed"
-	// MechanismEvacuation moves lasting tasks off workers that leave.
+	// MechanismEvacuation moves long-running tasks off workers that drain.
 	MechanismEvacuation Mechanism = "evacuation"
-	// MechanismWriteBehind orders starts before their places are kept.
+	// MechanismWriteBehind starts tasks before their placements are persisted.
 	MechanismWriteBehind Mechanism = "ahead of the store"
 )
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -9,24 +9,26 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// How tasks that fill are paced when they disturb tasks that serve users.
+// Parameters for throttling best-effort tasks that disturb tasks serving users. A pace is a
+// percentage of full speed.
 const (
 	fullPace = 100
-	// throttleRatio of its target is where a tail counts as too long; lowShare where
-	// there is room again.
+	// A tail latency above throttleRatio times its target is too long; below restoreRatio times the
+	// target the best-effort tasks may run faster again.
 	throttleRatio = 0.9
 	restoreRatio  = 0.6
-	// paceInterval is the time between two changes: the figure that a worker tells
-	// is over the last half second.
+	// paceInterval is the time between two changes of pace, because the tail latency that a worker
+	// reports covers the last half second.
 	paceInterval = 600 * time.Millisecond
-	// paceStep is how much is given back at a time.
+	// paceStep is how many percentage points one increase of the pace adds.
 	paceStep = 25
-	// paceDivisor divides the pace at each cut; below paceFloor it is 0.
+	// Each cut divides the pace by paceDivisor; a result below minPace becomes 0.
 	paceDivisor = 4
 	minPace     = 10
 )
 
-// setPaces paces the tasks that fill on a worker by the tails of those that serve.
+// setPaces adjusts the pace of the best-effort tasks on a worker to the tail latencies of the tasks
+// that serve users there.
 func (e *Engine) setPaces(w *worker) {
 	worstRatio := 0.0
 	hasBestEffort := false
--- a/internal/dispatch/permission.go
+++ b/internal/dispatch/permission.go
@@ -14,14 +14,15 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// SetChannels names the nodes through which can be asked.
+// SetChannels sets the nodes through which the permission service can be queried, one query at a
+// time each.
 func (e *Engine) SetChannels(names []string) {
 	lost, isChanged := e.channels.SetNames(names)
 	e.queriesLost(lost)
 	e.needsScheduling = e.needsScheduling || isChanged
 }
 
-// queriesLost notes that calls of these steps get no answer.
+// queriesLost records that the permission queries of these steps will not be answered.
 func (e *Engine) queriesLost(steps []work.StepID) {
 	for _, id := range steps {
 		e.claims.Drop(id)
@@ -37,7 +38,8 @@
 	return s
 }
 
-// PermissionAnswered takes the answer to a call. isKnown is false when there was none.
+// PermissionAnswered processes the answer to a permission query. permits are those that were
+// granted; each is valid for the time valid. isKnown is false if there was no answer.
 func (e *Engine) PermissionAnswered(channel string, id work.StepID, asked []order.WorkerID, permits []order.Ticket, valid time.Duration, isKnown bool) {
 	e.channels.Answered(channel, id)
 	e.claims.Drop(id)
@@ -54,14 +56,17 @@
 	s.permit.Answered(asked, permits, valid, e.now)
 }
 
-// maxQueriesPerPass bounds the calls that one look at all that waits prepares, the most urgent
-// first: each looks at the workers, and an owner with too little processor would do nothing else.
+// maxQueriesPerPass limits the permission queries that a scheduling pass prepares, the most urgent
+// steps first. Each query examines many workers, and an owner with too little processor time would
+// do nothing else.
 const maxQueriesPerPass = 8
 
-// maxDeferralsPerPass bounds the steps that one look puts off without counting them as calls.
+// maxDeferralsPerPass limits the steps whose query a scheduling pass defers without counting them
+// against maxQueriesPerPass. A deferred step sends no query in this pass.
 const maxDeferralsPerPass = 16
 
-// queryPermission asks for the step, if it helps and a lane is free.
+// queryPermission prepares a permission query for the step if that is useful and a channel is free.
+// missing is the number of tasks that need workers.
 func (e *Engine) queryPermission(s *step, policy *order.AdvicePolicy, missing int) {
 	if e.queriesLeft <= 0 || !s.permit.MayAsk(e.now) {
 		return
@@ -78,7 +83,8 @@
 	found := e.queryCandidates(s, policy)
 	areChannelsContended := !e.channelsBusyAt.IsZero() && e.now.Sub(e.channelsBusyAt) < channelYieldTime
 	if areChannelsContended && !isPoolUnderused && !canStartNow(s, found) && !e.channels.HasSpare() {
-		// Nothing could start on the answer, and what has room waits for a lane.
+		// No task could start on the answer, and steps that do have free capacity wait for a
+		// channel.
 		s.permit.PutOff(e.now)
 		if e.deferralsLeft > 0 {
 			e.deferralsLeft--
@@ -100,10 +106,12 @@
 	e.emit(order.Advise{Lane: channel, Step: s.id, Workers: asked, Patience: timeout})
 }
 
-// channelYieldTime is how long lanes are left to steps of a pool with room after one found none free.
+// channelYieldTime is how long channels are left to steps whose pools have free capacity, after one
+// of these steps found no free channel.
 const channelYieldTime = 300 * time.Millisecond
 
-// canStartNow reports whether the workers have room for a task of the step, or for all of a gang.
+// canStartNow reports whether the workers have the capacity to start a task of the step now, or the
+// whole of a gang.
 func canStartNow(s *step, found []permit.Candidate) bool {
 	need := 1
 	if s.spec.IsGang {
@@ -117,15 +125,15 @@
 	return false
 }
 
-// queryCandidateFactor is how many times as many workers with room as one call can name are looked
-// at: each look takes the next ones, as a look at hundreds of workers for each call takes too
-// much of the owner's time.
+// queryCandidateFactor times the number of workers that a query can name is how many workers with
+// free capacity are examined for it. Each query continues in the list of workers where the previous
+// one ended. Examining hundreds of workers for every query takes too much of the owner's time.
 const queryCandidateFactor = 3
 
-// queryCandidates returns workers of which it is not known that they may not run the
-// step, and whose ticket, if there is one, ends before the next could be there. Those
-// without room are among them where some may become free: who is permitted is then known when
-// there is room.
+// queryCandidates returns the workers to consider for a permission query. A worker that is known
+// not to be permitted is left out, and so is one whose permit is still valid by the time at which
+// the next one could arrive. Workers without free capacity are included if capacity may become free
+// there: then it is already known whether they are permitted.
 func (e *Engine) queryCandidates(s *step, policy *order.AdvicePolicy) []permit.Candidate {
 	found := []permit.Candidate{}
 	pool := e.queues[s.job.spec.Queue].Service
@@ -165,8 +173,8 @@
 	return found
 }
 
-// mayFitLater reports whether a task of the step would find room on the worker if all ended there that
-// does not last.
+// mayFitLater reports whether a task of the step would fit on the worker once all other attempts
+// there have ended, except those of long-running tasks.
 func mayFitLater(w *worker, s *step) bool {
 	longRunning, ofStep := leverdyke.Resources{}, 0
 	for _, a := range w.attempts.All() {
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -14,7 +14,8 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// runPass starts what can be started, the most urgent first.
+// runPass is one scheduling pass: it starts the tasks that can be started, the most urgent steps
+// first.
 func (e *Engine) runPass() {
 	if e.isPaused || !e.isOwnershipConfirmed {
 		return
@@ -34,13 +35,13 @@
 		isWaiting = isWaiting || after > 0
 	}
 	if isWaiting || e.rotation.HasLeft() {
-		// What they wait for may come without an event: a pause ends, a lane that did
-		// not answer is asked again.
+		// What these steps wait for may change without an event: a pause ends, or a channel to the
+		// permission service is free again because its query has timed out.
 		e.recheckAt = e.now.Add(recheckPause)
 	}
 }
 
-// enqueue notes that a step has tasks that wait, or wants copies.
+// enqueue adds a step with waiting tasks or wanted speculative copies to stepQueue.
 func (e *Engine) enqueue(s *step) {
 	if !s.isQueued {
 		s.isQueued = true
@@ -48,7 +49,7 @@
 	}
 }
 
-// stepsInOrder returns the steps with waiting tasks in the order of their turn.
+// stepsInOrder returns the steps with waiting tasks or wanted copies in scheduling order.
 func (e *Engine) stepsInOrder() []*step {
 	e.updatePoolUsage()
 	e.stepQueue = slices.DeleteFunc(e.stepQueue, func(s *step) bool {
@@ -68,7 +69,9 @@
 	return slices.DeleteFunc(slices.Clone(e.stepQueue), func(s *step) bool { return e.isBlocked(s.job) })
 }
 
-// arrivedAt is the time by which steps of one priority take turns.
+// arrivedAt is the time from which the age of a step is counted: the due time of its round, or for
+// a job without rounds the time at which the job was accepted. Older steps of equal priority and
+// rank go first.
 func (s *step) arrivedAt() time.Time {
 	if s.job.spec.Rounds > 0 {
 		return s.round.dueAt
@@ -88,7 +91,8 @@
 	}
 }
 
-// startTasks starts what can be started of a step, and prepares what the rest waits for.
+// startTasks starts as many tasks of a step as possible. For the others it queries permissions and
+// reserves capacity.
 func (e *Engine) startTasks(s *step, q *order.Queue) {
 	if s.spec.IsGang {
 		e.placeGang(s, q)
@@ -110,7 +114,7 @@
 		}
 		w := ranked.pick(e, s, i, q)
 		if w == nil && isChoosy(t) {
-			// Only this task may have no worker that suits it.
+			// No worker suits this one task; the step's other tasks may still find one.
 			e.keepQuiet(s, i, q)
 			continue
 		}
@@ -136,9 +140,9 @@
 	}
 }
 
-// taskOrder returns the indexes of the step's tasks in the order in which they are started. Tasks that
-// last come back for as long as their job does: the one that is away for longest goes first. The
-// slice is reused by the next call.
+// taskOrder returns the indexes of the step's tasks in the order in which they are started.
+// Long-running tasks are restarted for as long as their job exists: the one that has not run for
+// the longest time goes first. The slice is reused by the next call.
 func (e *Engine) taskOrder(s *step) []int {
 	e.taskOrderBuffer = e.taskOrderBuffer[:0]
 	for i := range s.tasks {
@@ -150,7 +154,7 @@
 	return e.taskOrderBuffer
 }
 
-// mayRun reports whether the worker is one on which the step may run at all.
+// mayRun reports whether the worker belongs to the pool and has the label that the step requires.
 func (e *Engine) mayRun(w *worker, s *step, pool string) bool {
 	if w.Service != pool {
 		return false
@@ -158,12 +162,13 @@
 	return s.spec.Label == "" || slices.Contains(w.Labels, s.spec.Label)
 }
 
-// fitCount returns how many tasks of the step the worker could take now.
+// fitCount returns how many tasks of the step the worker can take now.
 func (e *Engine) fitCount(w *worker, s *step) int {
 	return e.fitCountBeside(w, s, leverdyke.Resources{})
 }
 
-// fitCountBeside returns how many tasks of the step the worker could take if others took so much.
+// fitCountBeside returns how many tasks of the step the worker can take if other tasks use the
+// given resources as well. A worker on probation takes one task at a time.
 func (e *Engine) fitCountBeside(w *worker, s *step, claimed leverdyke.Resources) int {
 	n := e.fitCountIgnoringHealth(w, s, claimed)
 	if w.health.OnTrial {
@@ -172,7 +177,7 @@
 	return max(n, 0)
 }
 
-// fitCountIgnoringHealth is fitsBeside whatever the health of the worker.
+// fitCountIgnoringHealth is fitCountBeside without regard to the worker's health.
 func (e *Engine) fitCountIgnoringHealth(w *worker, s *step, claimed leverdyke.Resources) int {
 	if w.isOvercommitted() {
 		return 0
@@ -191,9 +196,9 @@
 	return max(n, 0)
 }
 
-// isOvercommitted reports whether what the worker has been given takes more than it has: its
-// room may shrink after a place was worked out and before the order leaves, which is
-// seconds where a place waits for the store.
+// isOvercommitted reports whether the attempts charged to the worker need more than its capacity.
+// Its capacity may shrink between the choice of a placement and the sending of the order; these are
+// seconds apart if the placement has to wait for the store.
 func (w *worker) isOvercommitted() bool {
 	used := w.used
 	used.Slots = 0
@@ -210,7 +215,8 @@
 	return n
 }
 
-// chooseWorker picks the worker for a task, or returns nil.
+// chooseWorker returns the worker with the best score for a task, or nil if none can take it. gang
+// is nil for a task that is not a member of a gang.
 func (e *Engine) chooseWorker(s *step, i int, q *order.Queue, gang *partialGang) *worker {
 	id := s.taskID(i)
 	t := &s.tasks[i]
@@ -238,8 +244,9 @@
 	return best
 }
 
-// permittedWorkers returns the workers that may be given tasks of the step now. The
-// slice is reused by the next call.
+// permittedWorkers returns the workers that may be given tasks of the step now: all that are
+// usable, or only those with a valid permit where the queue requires permits. The slice is reused
+// by the next call.
 func (e *Engine) permittedWorkers(s *step, q *order.Queue) []*worker {
 	found := e.permittedBuffer[:0]
 	if q.Advice == nil {
@@ -258,8 +265,9 @@
 	return found
 }
 
-// Weights of a placement's score, in parts of a worker's room. What makes a task
-// slower or likely to fail outweighs packing.
+// Weights of the terms of a worker's score. The unit is a whole worker: the term for packing is the
+// used fraction of the worker. What makes a task slower or more likely to fail outweighs tight
+// packing.
 const (
 	weightEjected      = 8.0
 	weightFailedHere   = 4.0
@@ -268,16 +276,19 @@
 	weightRemoteData   = 1.0
 	weightInterference = 1.5
 	weightZone         = 0.01
-	// weightRiskThreeLeft, weightScarce and weightLast are for the risk that a worker fails
-	// the task, which has three attempts left or more, two, or one: the job fails
-	// with the last one.
+	// weightRiskThreeLeft, weightRiskTwoLeft and weightRiskLastAttempt apply to the risk that the
+	// task fails on the worker, for a task with three or more, two, or one attempt left. The job
+	// fails with the last attempt.
 	weightRiskThreeLeft   = 0.3
 	weightRiskTwoLeft     = 0.8
 	weightRiskLastAttempt = 5.0
 )
 
-// score is higher the better the worker suits: packed tightly, near the data,
-// away from where the task failed and from what it would disturb. t is nil for
+// score returns how well the worker suits the task; higher is better. It prefers workers that are
+// tightly packed and near the data. It avoids workers that are ejected, slow or likely to fail the
+// task, those where the task has failed, and those with tasks that would disturb it or be disturbed
+// by it. Long-running tasks, best-effort tasks and tasks that
+// may crash their worker go to the emptiest worker instead. t is nil if the score is to hold for
 // any task of the step.
 func (e *Engine) score(w *worker, s *step, t *task) float64 {
 	score := w.utilization()
@@ -309,8 +320,8 @@
 	return score
 }
 
-// riskWeight is the weight of the risk that a task fails; t is nil for a task that has
-// not failed yet.
+// riskWeight returns the weight of the risk that a task fails; t is nil for a task that has not
+// failed yet.
 func (e *Engine) riskWeight(s *step, t *task) float64 {
 	limit := e.queues[s.job.spec.Queue].MaxAttempts
 	if s.spec.IsLasting || limit <= 0 {
@@ -329,8 +340,8 @@
 	return weightRiskThreeLeft
 }
 
-// utilization is the part of the worker's room that is taken, by the dimension that
-// is taken most.
+// utilization returns the used fraction of the worker's capacity, in whichever of processors and
+// memory is used most.
 func (w *worker) utilization() float64 {
 	fraction := 0.0
 	if w.Capacity.MilliCPU > 0 {
@@ -342,8 +353,8 @@
 	return fraction
 }
 
-// interference is 1 when the worker has tasks that the step would disturb or be
-// disturbed by.
+// interference returns 1 if best-effort tasks and tasks with a latency target would share the
+// worker, otherwise 0.
 func (w *worker) interference(s *step) float64 {
 	for _, a := range w.attempts.All() {
 		if a.step == nil {
@@ -368,7 +379,7 @@
 	return run
 }
 
-// startTask orders a waiting task to startTask.
+// startTask plans an attempt of a waiting task on a worker.
 func (e *Engine) startTask(w *worker, s *step, i int, run uint64) {
 	t := &s.tasks[i]
 	t.state = taskPlaced
@@ -376,8 +387,9 @@
 	s.waiting--
 }
 
-// planAttempt charges the worker for an attempt. The start is ordered once the store
-// has its place, so that the next owner knows where the task may run.
+// planAttempt creates an attempt and charges it to the worker. The order to start is sent only
+// after the placement is persisted, so that the next owner knows where the task may run; in
+// write-behind mode it may be sent earlier.
 func (e *Engine) planAttempt(w *worker, s *step, i int, run uint64) *attempt {
 	t := &s.tasks[i]
 	a := &attempt{
@@ -398,8 +410,8 @@
 	return a
 }
 
-// addPlacement puts the place of an attempt into the batch. One that is ordered
-// already counts as unkept until then.
+// addPlacement adds the placement of an attempt to the batch. An attempt that is already ordered
+// counts as unpersisted until the batch is committed.
 func (e *Engine) addPlacement(a *attempt) {
 	e.touch(a.step.job)
 	b := e.currentBatch()
@@ -416,7 +428,7 @@
 	}
 }
 
-// placementPersisted says that the place of an attempt is in the store.
+// placementPersisted records that the placement of an attempt is in the store.
 func (e *Engine) placementPersisted(a *attempt) {
 	a.isKept = true
 	if a.isUnkept {
@@ -425,7 +437,8 @@
 	}
 }
 
-// queueStart orders a planned start when there are few enough without an answer.
+// queueStart queues the order to start a planned attempt. It is sent as soon as the number of
+// unanswered orders is below the window's limit.
 func (e *Engine) queueStart(a *attempt) {
 	e.readyStarts = append(e.readyStarts, a)
 	e.sendReadyStarts()
@@ -439,14 +452,16 @@
 	}
 }
 
-// sendStart orders a planned start, if it still makes sense.
+// sendStart issues the order to start a planned attempt, unless something has happened since that
+// rules it out.
 func (e *Engine) sendStart(a *attempt) {
 	if a.phase != phasePlanned || a.worker.attempts.Get(a.id) != a {
 		return
 	}
 	if !a.isKept && !e.mayStartUnkept(a) {
-		// The store is waited for again: it has its turn when its place is kept. An owner that
-		// does not say that it runs ahead must not.
+		// Write-behind mode has ended since the attempt was queued. It is queued again once its
+		// placement is persisted. An owner that has not announced that it runs in write-behind mode
+		// must not start it earlier.
 		return
 	}
 	q := e.queues[a.step.job.spec.Queue]
@@ -471,8 +486,9 @@
 	})
 }
 
-// abandonPlanned gives up an attempt that was not ordered. The other members of its run of a
-// gang would wait for it in vain, up to gang time: they are given up, too.
+// abandonPlanned drops an attempt that was not ordered. If it belongs to a gang, the other members
+// of the same run are stopped, too: they would wait for it in vain, up to the time limit within
+// which a gang must assemble.
 func (e *Engine) abandonPlanned(a *attempt, why string) {
 	e.release(a)
 	e.attemptOver(a)
@@ -481,8 +497,8 @@
 	}
 }
 
-// isGangStarted reports whether other members of the attempt's run of a gang are ordered:
-// they would wait for this one in vain.
+// isGangStarted reports whether other members of the same run of the attempt's gang have been
+// ordered. They would wait in vain for a member that is not started.
 func (e *Engine) isGangStarted(a *attempt) bool {
 	if !a.step.spec.IsGang {
 		return false
@@ -492,11 +508,12 @@
 	})
 }
 
-// HasReadyStarts reports whether starts whose places are kept wait for their turn.
+// HasReadyStarts reports whether starts that may be sent wait because too many orders are
+// unanswered.
 func (e *Engine) HasReadyStarts() bool { return len(e.readyStarts) > 0 }
 
-// savedStateOf returns where a task goes on from. The members of a gang must all go
-// on from the same text.
+// savedStateOf returns the saved state from which a task resumes. All members of a gang must resume
+// from the same saved state.
 func (s *step) savedStateOf(i int) string {
 	if !s.spec.IsGang {
 		return s.tasks[i].saved
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -14,34 +14,35 @@
 	"github.com/leverdyke/leverdyke/internal/reserve"
 )
 
-// Room is kept for large tasks and gangs that wait, and small tasks that save their
-// state make way: room becomes free in small parts, which small tasks take at once.
+// Capacity is reserved for large tasks and gangs that wait, and small tasks that save their state
+// are preempted for them. Without reservations they would starve: capacity becomes free in small
+// parts, which small tasks take at once.
 const (
-	// largeTaskShare is the part of a worker from which a task is large: smaller ones find
-	// room soon where others end one by one.
+	// largeTaskShare is the fraction of a worker from which a task counts as large. Smaller tasks
+	// soon find capacity where others end one by one.
 	largeTaskShare = 0.25
-	// reservationInterval is the time between two times at which room is kept anew, which costs more
-	// than the rest of a look at all that waits.
+	// reservationInterval is the time between two computations of all reservations, which cost more
+	// than the rest of a scheduling pass.
 	reservationInterval = 50 * time.Millisecond
-	// maxReservedSteps bounds the steps for which room is kept at once, and so what one
-	// look at all that waits costs.
+	// maxReservedSteps limits the number of steps with reservations, and so the cost of a
+	// scheduling pass.
 	maxReservedSteps = 12
-	// maxPreemptions is how often a task makes way: it costs up to saveEvery of work
-	// and a start each time.
+	// maxPreemptions limits how often a task is preempted. Each preemption costs up to saveInterval
+	// of work and a restart.
 	maxPreemptions = 2
-	// saveInterval is the time of work after which workers save a task's state.
+	// saveInterval is the time of work after which workers save the state of a task.
 	saveInterval = 500 * time.Millisecond
-	// restartCost is what stopping and starting a task costs beside work that is lost.
+	// restartCost is what stopping and starting a task costs besides the work that is lost.
 	restartCost = time.Second
-	// minPreemptionSlack is how much earlier than its objective a task must be likely to end to
-	// make way: it waits for room again.
+	// minPreemptionSlack is how much earlier than its objective a task must be expected to end so
+	// that it may be preempted, because it has to wait for capacity again afterwards.
 	minPreemptionSlack = 3 * time.Second
-	// minShare stands for needs that are too small to count.
+	// minShare is used for needs that are too small to count.
 	minShare = 0.01
 )
 
-// resetReservations forgets the room that is kept when it is time to keep it anew, in
-// this look at all that waits.
+// resetReservations drops all reservations if it is time to compute them again in this scheduling
+// pass.
 func (e *Engine) resetReservations() {
 	e.isReserving = !e.now.Before(e.reservationDueAt)
 	if !e.isReserving {
@@ -55,7 +56,8 @@
 	clear(e.largestCapacity)
 }
 
-// largestCapacityOf returns the most that a worker of a service has of each dimension.
+// largestCapacityOf returns the largest capacity that any worker of a service has, dimension by
+// dimension.
 func (e *Engine) largestCapacityOf(service string) leverdyke.Resources {
 	if r, ok := e.largestCapacity[service]; ok {
 		return r
@@ -70,8 +72,9 @@
 	return r
 }
 
-// freeCapacityFor returns the room of the worker that the step may take: not what is kept for
-// others, unless its tasks will have ended when that is needed.
+// freeCapacityFor returns the capacity of the worker that the step may take. Capacity that is
+// reserved for other steps is excluded, unless the step's tasks are expected to end before it is
+// needed.
 func (e *Engine) freeCapacityFor(w *worker, s *step) leverdyke.Resources {
 	free := w.Capacity.Sub(w.used)
 	if w.reservedAt.IsZero() {
@@ -84,16 +87,16 @@
 	return free.Sub(e.reservedAgainst(w, s))
 }
 
-// reservation is room on a worker that is kept for tasks of a step, with the priority
-// of its queue.
+// reservation is capacity on a worker that is reserved for one task of a step, with the priority of
+// the step's queue.
 type reservation struct {
 	step     *step
 	priority int
 	capacity leverdyke.Resources
 }
 
-// reservedAgainst returns the room of the worker that the step must leave to others: not
-// to those that are less urgent.
+// reservedAgainst returns the capacity of the worker that is reserved for other steps and that the
+// step must not take. Reservations of less urgent queues do not hold against it.
 func (e *Engine) reservedAgainst(w *worker, s *step) leverdyke.Resources {
 	priority := e.queues[s.job.spec.Queue].Priority
 	sum := leverdyke.Resources{}
@@ -105,7 +108,8 @@
 	return sum
 }
 
-// reserveFor keeps room for tasks that wait, and stops tasks that make way for them.
+// reserveFor reserves capacity for waiting tasks of a step, and preempts the tasks that have to be
+// stopped for it.
 func (e *Engine) reserveFor(s *step, q *order.Queue, count int) {
 	if !e.isReserving || e.reservedSteps >= maxReservedSteps || !e.needsReservation(s, q) {
 		return
@@ -134,8 +138,8 @@
 	}
 }
 
-// needsReservation reports whether the step's tasks need more than a small part of a
-// worker, so that room that becomes free in parts goes to others.
+// needsReservation reports whether the step is a gang or its tasks need a large part of a worker.
+// Capacity that becomes free in small parts would otherwise always go to others.
 func (e *Engine) needsReservation(s *step, q *order.Queue) bool {
 	if s.spec.IsLasting || s.spec.IsFiller || !e.isEnabled(MechanismReservations) {
 		return false
@@ -143,28 +147,29 @@
 	return s.spec.IsGang || dominantShare(s.spec.Charge(), e.largestCapacityOf(q.Service)) >= largeTaskShare
 }
 
-// preempt stops an attempt so that a task of another step can start.
+// preempt stops an attempt so that a task of the other step can start.
 func (e *Engine) preempt(a *attempt, other *step) {
 	a.step.tasks[a.id.Index].preemptions++
 	e.options.Log(events.TaskPreempted, "task", a.id, "run", a.run, "worker", a.worker.ID, "for", other.id, "percent", a.percent)
-	e.stop(a, "makes way")
+	e.stop(a, "preempted for a more urgent task")
 }
 
-// reservableWorker is a worker on which tasks that wait may run, with the attempts that
-// are on it.
+// reservableWorker is a worker on which waiting tasks may run, with the attempts on it that will
+// end or can be stopped.
 type reservableWorker struct {
 	worker    *worker
 	occupants []*attempt
 }
 
-// mayTryAny reports whether a task of the step that waits may start on the worker now.
-// Room that none of them takes is left to others, which may prove the worker sound.
+// mayTryAny reports whether a waiting task of the step may start on the worker now. If none may,
+// the worker's capacity is left to other tasks, whose success may show that the worker is healthy.
 func (e *Engine) mayTryAny(w *worker, s *step) bool {
 	return slices.ContainsFunc(s.tasks, func(t task) bool { return t.state == taskWaiting && e.mayTry(w, s, &t) })
 }
 
-// reservableWorkers returns the workers of which room can be kept for a step: those that are
-// known to be permitted, in the order of their IDs.
+// reservableWorkers returns the workers on which capacity can be reserved for a step, ordered by
+// ID. Where the queue requires permits, these are the workers that are known to be permitted, even
+// if their permit has expired.
 func (e *Engine) reservableWorkers(s *step, q *order.Queue) ([]reservableWorker, []reserve.Worker) {
 	found := []reservableWorker{}
 	add := func(w *worker) {
@@ -190,6 +195,8 @@
 	return found, models
 }
 
+// capacityModel describes the worker to package reserve: its free capacity, and when each attempt on
+// it will likely end or what stopping it costs.
 func (e *Engine) capacityModel(r *reservableWorker, s *step, q *order.Queue) reserve.Worker {
 	w := r.worker
 	m := reserve.Worker{Free: w.Capacity.Sub(w.used).Sub(e.reservedAgainst(w, s)), Most: len(s.tasks)}
@@ -212,8 +219,8 @@
 	return m
 }
 
-// dominantShare returns the part of a worker's room that a need takes, by the dimension of
-// which it takes most; it is over 0.
+// dominantShare returns the fraction of a worker's capacity that a need takes, in the dimension in
+// which it is largest. The result is at least minShare, so never 0.
 func dominantShare(need, capacity leverdyke.Resources) float64 {
 	fraction := minShare
 	for _, d := range [...][2]int64{
@@ -226,7 +233,7 @@
 	return fraction
 }
 
-// remainingTime returns how long an attempt will likely still take.
+// remainingTime returns how much longer an attempt is expected to run.
 func (e *Engine) remainingTime(a *attempt) time.Duration {
 	if a.isStopping {
 		return max(a.stopSentAt.Add(e.options.StopTime).Sub(e.now), 0)
@@ -239,7 +246,7 @@
 	return max(remaining, 0)
 }
 
-// preemptionCost returns the work that stopping an attempt costs.
+// preemptionCost returns the work that is lost by stopping an attempt, including its restart.
 func (e *Engine) preemptionCost(a *attempt) time.Duration {
 	ran := e.now.Sub(a.orderedAt)
 	if a.step.tasks[a.id.Index].saved != "" {
@@ -248,8 +255,9 @@
 	return ran + restartCost
 }
 
-// mayPreempt reports whether an attempt may be stopped for a task of the queue: one
-// that goes on from where it was saved, of a queue that is less urgent.
+// mayPreempt reports whether an attempt may be stopped for a task of the queue. Its task must
+// resume from a saved state, belong to a less urgent queue, and have time to spare until its
+// objective.
 func (e *Engine) mayPreempt(a *attempt, q *order.Queue) bool {
 	s := a.step
 	if !e.isEnabled(MechanismPreemption) || a.phase != phaseRunning || a.isStopping || !s.spec.KeepsProgress || s.spec.IsGang || a.hasCopy() {
@@ -259,8 +267,8 @@
 	return ownQueue.Priority > q.Priority && s.tasks[a.id.Index].preemptions < maxPreemptions && e.slack(a, &ownQueue) > minPreemptionSlack
 }
 
-// slack returns how much earlier than the objective of its queue the step of an attempt
-// will likely end.
+// slack returns how much earlier than the objective of its queue the step of an attempt is expected
+// to end.
 func (e *Engine) slack(a *attempt, q *order.Queue) time.Duration {
 	objective := q.Latency + time.Duration(q.Stretch*float64(e.expected(a.step)))
 	return a.step.arrivedAt().Add(objective).Sub(e.now) - e.remainingTime(a)
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -13,26 +13,28 @@
 )
 
 const (
-	// rankInterval is how long the rank of a step holds: it changes slowly, and is asked for in
-	// each look at all that waits.
+	// rankInterval is how long the computed rank of a step remains valid. The rank changes slowly
+	// and is needed in every scheduling pass.
 	rankInterval = 50 * time.Millisecond
-	// typicalQuerySize is how many workers the call for permission of a step names that its
-	// objective counts.
+	// typicalQuerySize is the number of workers in a permission query that is assumed when the time
+	// that a step should take is computed.
 	typicalQuerySize = 30
-	// starvationTimeout is how long a job may have nothing running while there is room, until it goes
-	// first: callers take one that stands still for longer as lost.
+	// starvationTimeout is how long a job may have nothing running while its pool has free capacity
+	// before it goes first. Callers consider a job lost if it makes no progress for longer.
 	starvationTimeout = 1500 * time.Millisecond
-	// underusedShare is the part of a pool in use below which there is room: what waits does so for
-	// permission.
+	// underusedShare is the used fraction of a pool below which the pool counts as having free
+	// capacity: tasks then wait for permission, not for capacity.
 	underusedShare = 0.6
-	// maxJobAge bounds how long ago a job was accepted by its record: times of day differ.
+	// maxJobAge limits the age of a restored job as computed from its record, because the clocks of
+	// nodes differ.
 	maxJobAge = 10 * time.Minute
 )
 
-// compareSteps is negative when step a has its turn before step b.
+// compareSteps is negative if step a is to be placed before step b.
 func (e *Engine) compareSteps(a, b *step) int {
 	if x, y := e.overShare[a.customer()], e.overShare[b.customer()]; x != y && !e.isLateFirst {
-		// Whatever its priority, it would take from others what is theirs.
+		// Whatever its priority, a customer above its share would take capacity that others are
+		// entitled to.
 		return orderFirst(y)
 	}
 	if a.priority != b.priority {
@@ -47,7 +49,8 @@
 	return a.arrivedAt().Compare(b.arrivedAt())
 }
 
-// orderFirst is negative when the orderFirst of two is the one with the property.
+// orderFirst returns the result of a comparison in which the element that has a property sorts
+// first: -1 if that is the first element, otherwise 1.
 func orderFirst(isFirst bool) int {
 	if isFirst {
 		return -1
@@ -55,7 +58,7 @@
 	return 1
 }
 
-// updateRank works out the rank of a step anew when it is time to.
+// updateRank recomputes the rank of a step once its last rank is older than rankInterval.
 func (e *Engine) updateRank(s *step) {
 	if !s.rankedAt.IsZero() && e.now.Sub(s.rankedAt) < rankInterval {
 		return
@@ -71,7 +74,8 @@
 	s.rank, s.rankedAt = w.Rank(), e.now
 }
 
-// isStarved reports whether nothing of the step's job has run for long while there is room.
+// isStarved reports whether nothing of the step's job has run for starvationTimeout although the
+// pool has free capacity.
 func (e *Engine) isStarved(s *step, pool string) bool {
 	idleAt := s.openAt
 	if s.job.idleAt.After(idleAt) {
@@ -80,7 +84,8 @@
 	return s.job.attempts == 0 && e.now.Sub(idleAt) >= starvationTimeout && e.poolUsage[pool] < underusedShare
 }
 
-// updatePoolUsage finds out now and then what part of each pool is in use.
+// updatePoolUsage recomputes the used fraction of each pool if the last result is older than
+// rankInterval.
 func (e *Engine) updatePoolUsage() {
 	if e.now.Before(e.poolUsageDueAt) {
 		return
@@ -96,7 +101,9 @@
 	}
 }
 
-// criticalPath returns how long the longest criticalPath of steps of a round takes, and what is left of it.
+// criticalPath returns how long the longest chain of dependent steps of a round takes in total, and
+// how much of it remains. A step takes longer if the limit of its customer lets only some of its
+// tasks run at once, or if its queue requires permits.
 func (e *Engine) criticalPath(r *round, q *order.Queue) (total, remaining time.Duration) {
 	for _, s := range r.steps {
 		s.chainEnd, s.leftEnd = 0, 0
@@ -116,7 +123,8 @@
 	return total, remaining
 }
 
-// restoredAcceptTime returns when a job of an earlier owner was accepted, by the engine's time.
+// restoredAcceptTime converts the time of day at which a job of a previous owner was accepted into
+// the engine's time.
 func (e *Engine) restoredAcceptTime(at time.Time) time.Time {
 	if at.IsZero() {
 		return e.now
--- a/internal/dispatch/usable.go
+++ b/internal/dispatch/usable.go
@@ -5,7 +5,10 @@
 
 import "slices"
 
-// isUsable reports whether the worker may get something new of the step.
+// isUsable reports whether the worker may be given new tasks of the step. It may not if it cannot
+// be reached, runs attempts of unknown size, is being probed, is reserved for another step, or is
+// ejected because of its health. A step for which mayProbeEarly holds may use an ejected worker all
+// the same, one task at a time.
 func (e *Engine) isUsable(w *worker, s *step) bool {
 	isEarlyProbe := s.mayTryEarly && w.health.MayTryEarly(e.now)
 	switch {
@@ -19,8 +22,10 @@
 	return true
 }
 
-// mayProbeEarly reports whether tasks of the step may be tried on workers that are set aside before
-// their pause is over: nothing else has taken them.
+// mayProbeEarly reports whether tasks of the step may run as probes on ejected workers before the
+// ejection time has ended. That is so if the step's job has had nothing running for long although
+// its pool has free capacity or, for a long-running step, if one of its tasks has not run for some
+// seconds: evidently no other worker takes it.
 func (e *Engine) mayProbeEarly(s *step, pool string) bool {
 	if !s.spec.IsLasting {
 		return e.isStarved(s, pool)
@@ -29,12 +34,12 @@
 	return slices.ContainsFunc(s.tasks, isNotRunning)
 }
 
-// isReachable reports whether the worker takes orders, whatever its health.
+// isReachable reports whether orders can be sent to the worker, regardless of its health.
 func (e *Engine) isReachable(w *worker) bool {
 	return w.session.IsListed() && !w.isGone && !w.IsDraining && !w.IsUnclear && !w.session.IsSilent() && e.now.Sub(w.session.HeardAt()) <= unreachableAfter
 }
 
-// probeCount returns how many attempts the worker is on trial with.
+// probeCount returns how many attempts on the worker are probes of its health.
 func (w *worker) probeCount() int {
 	n := 0
 	for _, a := range w.attempts.All() {
--- a/internal/dispatch/waits.go
+++ b/internal/dispatch/waits.go
@@ -10,7 +10,7 @@
 	"github.com/leverdyke/leverdyke/internal/waits"
 )
 
-// recordWaits adds the time since the last call for all tasks that wait.
+// recordWaits adds the time since the last call to the waiting time of all tasks that wait.
 func (e *Engine) recordWaits(since time.Duration) {
 	for _, s := range e.stepQueue {
 		if s.waiting > 0 && !s.job.state.IsFinal() {
@@ -19,10 +19,11 @@
 	}
 }
 
-// TakeWaits returns how long tasks have waited since the last call.
+// TakeWaits returns the times that tasks have waited since the last call.
 func (e *Engine) TakeWaits() []waits.Wait { return e.waits.Take() }
 
-// waitReason returns what the tasks of a step wait for that were just looked at.
+// waitReason returns why the tasks of a step still wait after the scheduling pass has tried to
+// place them.
 func (e *Engine) waitReason(s *step, q *order.Queue) waits.Reason {
 	switch {
 	case s.hasUncertainTask():
--- a/internal/dispatch/worker_index.go
+++ b/internal/dispatch/worker_index.go
@@ -5,11 +5,12 @@
 
 import "slices"
 
-// workerIndex finds the workers of which one lives at most: the lives of one machine, and the
-// starts of one worker. A new owner looks for them with each worker's first answer.
+// workerIndex finds workers that exclude each other: of the workers on one machine, and of the
+// incarnations of one worker, at most one is alive. A new owner looks them up with the first answer
+// of each worker.
 type workerIndex struct {
-	// byName has the workers by what the platform calls them, byMachine by their machines,
-	// where these are known.
+	// byName has the workers by the platform's name for them, byMachine by machine where that is
+	// known.
 	byName, byMachine map[string][]*worker
 }
 
@@ -39,7 +40,8 @@
 	index[key] = remaining
 }
 
-// previousIncarnations returns the workers that are over since w has answered.
+// previousIncarnations returns the workers that must have ended since w has answered: the others on
+// its machine, and the other incarnations of the same worker.
 func (x *workerIndex) previousIncarnations(w *worker) []*worker {
 	found := []*worker{}
 	for _, other := range x.byMachine[w.Machine] {
