--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -239,7 +239,7 @@
 	if w.isSuperseded {
 		return
 	}
-	for _, other := range e.index.previousIncarnations(w) {
+	for _, other := range e.index.replacedBy(w) {
 		e.lifeOver(other.ID, w)
 	}
 	e.crashKnown(w)
--- a/internal/dispatch/worker_index.go
+++ b/internal/dispatch/worker_index.go
@@ -40,9 +40,9 @@
 	index[key] = remaining
 }
 
-// previousIncarnations returns the workers that must have ended since w has answered: the others on
-// its machine, and the other incarnations of the same worker.
-func (x *workerIndex) previousIncarnations(w *worker) []*worker {
+// replacedBy returns the workers that must have ended since w has answered: the others on its
+// machine, and the other incarnations of the same worker.
+func (x *workerIndex) replacedBy(w *worker) []*worker {
 	found := []*worker{}
 	for _, other := range x.byMachine[w.Machine] {
 		if other != w {
