--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -79,7 +79,9 @@
 }
 
 // Push must not be called: candidates are only removed.
-func (*candidates) Push(any) { panic("dispatch: candidates only become fewer") }
+func (*candidates) Push(any) {
+	panic("dispatch: Push called on candidates, from which workers are only removed")
+}
 
 // Pop removes the last candidate. Its result is not used.
 func (c *candidates) Pop() any {
--- a/internal/dispatch/mechanism.go
+++ b/internal/dispatch/mechanism.go
@@ -28,7 +28,7 @@
 	// lost.
 	MechanismSpeculativeCopies Mechanism = "copies"
 	// MechanismHealth counts the failures of tasks against their workers, which are ejected after
-	// several.
+	// failures in a row.
 	MechanismHealth Mechanism = "health"
 	// MechanismSpeed detects slow workers.
 	MechanismSpeed Mechanism = "speed"
