--- a/internal/dispatch/batch.go
+++ b/internal/dispatch/batch.go
@@ -10,56 +10,61 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Batch is what must be kept together.
+// Batch is a set of changes that must be persisted together.
 type Batch struct {
-	// Specs are new jobs.
-	Specs []*work.Spec
-	// Progress has, by job, what is known of it.
+	// NewJobs are the specifications of newly submitted jobs.
+	NewJobs []*work.Spec
+	// Progress has the current progress of the jobs that have changed.
 	Progress map[work.JobID]*work.Progress
-	// Forgotten are jobs that are over and no longer asked for.
-	Forgotten []work.JobID
+	// ExpiredJobs are ended jobs whose state is no longer retained.
+	ExpiredJobs []work.JobID
 
+	// jobs are those whose progress is written with the batch.
 	jobs []*job
-	seen ordered.Map[*worker, uint64]
-	// planned are attempts whose places are in Progress. Those that were not ordered
-	// yet are when it is committed.
+	// handledEnds has, by worker, the number of the last end that was processed. The worker may
+	// forget its ends up to that number once the batch is committed.
+	handledEnds ordered.Map[*worker, uint64]
+	// planned are the attempts whose placements are in Progress. Those that were not ordered yet
+	// are ordered when the batch is committed.
 	planned []*attempt
-	// isUrgent means that there are new jobs or urgent ones.
+	// isUrgent means that the batch has new jobs, or jobs whose changes must not wait for
+	// flushInterval.
 	isUrgent bool
-	// isAllLearned means that nothing of what workers have told of an earlier owner's orders is
-	// left to keep after it.
-	isAllLearned bool
+	// hasAllReports means that after this batch everything that workers have reported about a
+	// previous owner's orders is persisted.
+	hasAllReports bool
 }
 
-// IsEmpty reports whether the batch has nothing to keep.
+// IsEmpty reports whether the batch has nothing to persist.
 func (b *Batch) IsEmpty() bool {
-	return len(b.Specs) == 0 && len(b.Progress) == 0 && len(b.Forgotten) == 0
+	return len(b.NewJobs) == 0 && len(b.Progress) == 0 && len(b.ExpiredJobs) == 0
 }
 
-func (e *Engine) batchNow() *Batch {
+// currentBatch returns the batch that collects changes for the store.
+func (e *Engine) currentBatch() *Batch {
 	if e.batch == nil {
 		e.batch = &Batch{}
 	}
 	return e.batch
 }
 
-// TakeBatch returns what is to be kept now, or nil. The caller must answer with
-// Committed or Refused before it takes the next.
+// TakeBatch returns the batch to persist now, or nil. The caller must call Committed or Refused
+// with it before it takes the next one.
 func (e *Engine) TakeBatch() *Batch {
 	b := e.batch
-	isDue := e.now.Sub(e.lastFlush) >= flushPause
+	isDue := e.now.Sub(e.lastFlush) >= flushInterval
 	if b == nil || !b.isUrgent && !isDue {
 		return nil
 	}
 	e.batch = nil
 	if isDue {
 		e.lastFlush = e.now
-		b.isAllLearned = e.hasLearned
+		b.hasAllReports = e.hasUnpersistedReports
 	} else {
-		e.batch = b.leavePatient()
+		e.batch = b.splitDeferrable()
 	}
 	b.Progress = map[work.JobID]*work.Progress{}
-	// A job that was refused meanwhile is not kept; another may have its ID by now.
+	// A job that has been refused since is not persisted; by now another job may have its ID.
 	b.jobs = slices.DeleteFunc(b.jobs, func(j *job) bool { return e.jobs[j.spec.ID] != j })
 	for _, j := range b.jobs {
 		j.isDirty, j.isUrgent = false, false
@@ -68,58 +73,59 @@
 	return b
 }
 
-// leavePatient takes out of the batch what can wait for flushPause, and returns it: jobs
-// of which only tasks have ended, and the confirmations of all ends. A job is written
-// whole each time.
-func (b *Batch) leavePatient() *Batch {
-	rest := &Batch{seen: b.seen}
-	b.seen = ordered.Map[*worker, uint64]{}
-	isPatient := func(j *job) bool { return !j.isUrgent }
+// splitDeferrable removes from the batch what can wait for flushInterval, and returns it: jobs in
+// which only single tasks have ended, and the confirmations of all ends. Deferring reduces the
+// writes, since every write contains the whole progress of a job.
+func (b *Batch) splitDeferrable() *Batch {
+	deferred := &Batch{handledEnds: b.handledEnds}
+	b.handledEnds = ordered.Map[*worker, uint64]{}
+	isDeferrable := func(j *job) bool { return !j.isUrgent }
 	for _, j := range b.jobs {
-		if isPatient(j) {
-			rest.jobs = append(rest.jobs, j)
+		if isDeferrable(j) {
+			deferred.jobs = append(deferred.jobs, j)
 		}
 	}
-	b.jobs = slices.DeleteFunc(b.jobs, isPatient)
+	b.jobs = slices.DeleteFunc(b.jobs, isDeferrable)
 	for _, a := range b.planned {
-		if isPatient(a.step.job) {
-			rest.planned = append(rest.planned, a)
+		if isDeferrable(a.step.job) {
+			deferred.planned = append(deferred.planned, a)
 		}
 	}
-	b.planned = slices.DeleteFunc(b.planned, func(a *attempt) bool { return isPatient(a.step.job) })
-	return rest
+	b.planned = slices.DeleteFunc(b.planned, func(a *attempt) bool { return isDeferrable(a.step.job) })
+	return deferred
 }
 
-// Committed says that the batch is in the store.
+// Committed records that the batch is in the store, and starts what was waiting for that.
 func (e *Engine) Committed(b *Batch) {
-	if b.isAllLearned {
-		e.hasLearned = false
+	if b.hasAllReports {
+		e.hasUnpersistedReports = false
 	}
-	for _, spec := range b.Specs {
+	for _, spec := range b.NewJobs {
 		j := e.jobs[spec.ID]
 		if j == nil || j.isPersisted {
 			continue
 		}
 		j.isPersisted = true
 		if !j.state.IsFinal() {
-			e.live = append(e.live, j)
+			e.activeJobs = append(e.activeJobs, j)
 			e.openRounds(j)
 		}
 	}
 	for _, j := range b.jobs {
-		e.progressKept(j, b.Progress[j.spec.ID].State)
+		e.progressPersisted(j, b.Progress[j.spec.ID].State)
 	}
-	for w, n := range b.seen.All() {
+	for w, n := range b.handledEnds.All() {
 		e.confirmEnds(w, n)
 	}
 	for _, a := range b.planned {
-		e.placeKept(a)
-		e.sendSoon(a)
+		e.placementPersisted(a)
+		e.queueStart(a)
 	}
 }
 
-// progressKept says that a state of a job is kept.
-func (e *Engine) progressKept(j *job, state work.JobState) {
+// progressPersisted records that a state of a job is in the store. A final state is visible to
+// callers from then on.
+func (e *Engine) progressPersisted(j *job, state work.JobState) {
 	if e.jobs[j.spec.ID] != j || !state.IsFinal() {
 		return
 	}
@@ -127,28 +133,28 @@
 	j.isPersisted = j.isPersisted || state != work.JobWithdrawn
 }
 
-// Refused says that the batch is certainly not in the store. Its new jobs are
-// dropped as never accepted; its progress goes into the next batch.
+// Refused records that the batch is certainly not in the store. Its new jobs are dropped as if
+// never accepted; its progress goes into the next batch.
 func (e *Engine) Refused(b *Batch) {
-	for _, spec := range b.Specs {
+	for _, spec := range b.NewJobs {
 		if j := e.jobs[spec.ID]; j != nil && !j.isPersisted {
 			e.dropUnpersisted(j)
 		}
 	}
-	next := e.batchNow()
-	next.Forgotten = append(next.Forgotten, b.Forgotten...)
+	next := e.currentBatch()
+	next.ExpiredJobs = append(next.ExpiredJobs, b.ExpiredJobs...)
 	next.planned = append(next.planned, b.planned...)
 	for _, j := range b.jobs {
 		if e.jobs[j.spec.ID] == j {
 			e.markUrgent(j)
 		}
 	}
-	for w, n := range b.seen.All() {
-		next.seen.Set(w, max(next.seen.Get(w), n))
+	for w, n := range b.handledEnds.All() {
+		next.handledEnds.Set(w, max(next.handledEnds.Get(w), n))
 	}
 }
 
-// progress returns what must last of a job.
+// progress returns what must be persisted of a job.
 func (j *job) progress() *work.Progress {
 	p := &work.Progress{State: j.state}
 	if j.state.IsFinal() {
@@ -201,25 +207,25 @@
 	return p
 }
 
-// RefuseNew drops the new jobs of the batch that is not taken yet and returns
-// them: they were never accepted. Those that were cancelled stay withdrawn.
+// RefuseNew drops the new jobs of the batch that has not been taken yet and returns their IDs. They
+// were never accepted. A job that was cancelled in the meantime stays recorded as withdrawn.
 func (e *Engine) RefuseNew() []work.JobID {
 	if e.batch == nil {
 		return nil
 	}
-	refused := make([]work.JobID, 0, len(e.batch.Specs))
-	for _, spec := range e.batch.Specs {
+	refused := make([]work.JobID, 0, len(e.batch.NewJobs))
+	for _, spec := range e.batch.NewJobs {
 		refused = append(refused, spec.ID)
 		if j := e.jobs[spec.ID]; j != nil {
 			e.dropUnpersisted(j)
 		}
 	}
-	e.batch.Specs = nil
+	e.batch.NewJobs = nil
 	return refused
 }
 
-// IsKept reports whether a job is in the store.
-func (e *Engine) IsKept(id work.JobID) bool {
+// IsPersisted reports whether a job is in the store.
+func (e *Engine) IsPersisted(id work.JobID) bool {
 	j := e.jobs[id]
 	return j != nil && j.isPersisted
 }
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -9,25 +9,25 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// Copies: where the caller allows it, a second attempt of a task runs beside one
-// that may be lost or is slow. Whichever is done first counts.
+// Speculative copies: where the caller allows it, a second attempt of a task runs beside an attempt
+// that may be lost or is slow. The result of whichever ends first counts.
 
-// hasCopy reports whether the attempt is one of two of its task.
+// hasCopy reports whether the attempt's task has, or wants, a speculative copy.
 func (a *attempt) hasCopy() bool {
 	t := &a.step.tasks[a.id.Index]
 	return t.copy != nil || t.wantsCopy
 }
 
-// wantCopy asks for a copy beside the attempt. It reports false where copies are
-// not allowed.
-func (e *Engine) wantCopy(a *attempt) bool {
+// requestCopy requests a speculative copy beside the attempt. It returns false if the task may not
+// have one.
+func (e *Engine) requestCopy(a *attempt) bool {
 	s := a.step
-	if s == nil || !e.has(MechanismCopies) || !s.spec.AllowsSpeculation || s.spec.IsGang || s.spec.IsLongRunning {
+	if s == nil || !e.isEnabled(MechanismSpeculativeCopies) || !s.spec.AllowsSpeculation || s.spec.IsGang || s.spec.IsLongRunning {
 		return false
 	}
 	t := &s.tasks[a.id.Index]
 	if len(t.crashes) > 0 {
-		// The copy might take another worker with it.
+		// The task may have crashed its worker; a copy could crash another one.
 		return false
 	}
 	if t.attempt != a || t.copy != nil || t.wantsCopy || t.state != taskPlaced {
@@ -36,33 +36,33 @@
 	t.wantsCopy = true
 	s.copiesWanted++
 	e.enqueue(s)
-	e.isDirty = true
+	e.needsScheduling = true
 	return true
 }
 
-// copyIfSilent asks for a copy of an attempt on a worker that does not answer.
-func (e *Engine) copyIfSilent(a *attempt) {
+// requestCopyIfSilent requests a copy of an attempt whose worker does not answer.
+func (e *Engine) requestCopyIfSilent(a *attempt) {
 	if a.step != nil && a.worker.session.IsSilent() && !a.isStopping {
-		e.wantCopy(a)
+		e.requestCopy(a)
 	}
 }
 
-// dropCopyWish ends the wish for a copy.
-func (s *step) dropCopyWish(t *task) {
+// cancelCopyRequest withdraws the request for a copy of a task.
+func (s *step) cancelCopyRequest(t *task) {
 	if t.wantsCopy {
 		t.wantsCopy = false
 		s.copiesWanted--
 	}
 }
 
-// placeCopies starts the copies that are wanted and have room.
+// placeCopies starts the requested copies for which there is a worker with free capacity.
 func (e *Engine) placeCopies(s *step, q *order.Queue) {
 	for i := range s.tasks {
 		t := &s.tasks[i]
-		if !t.wantsCopy || e.quotaRoom(s) == 0 {
+		if !t.wantsCopy || e.allowedByQuota(s) == 0 {
 			continue
 		}
-		w := e.choose(s, i, q, nil)
+		w := e.chooseWorker(s, i, q, nil)
 		if needsIndividualPlacement(t) && w == nil {
 			continue
 		}
@@ -70,7 +70,7 @@
 			return
 		}
 		e.options.Log(events.CopyStarted, "task", t.attempt.id, "run", t.run+1, "worker", w.ID, "beside", t.attempt.worker.ID)
-		s.dropCopyWish(t)
-		t.copy = e.order(w, s, i, t.run+1)
+		s.cancelCopyRequest(t)
+		t.copy = e.planAttempt(w, s, i, t.run+1)
 	}
 }
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -68,7 +68,7 @@
 		// A second crash on the same machine would be no further evidence.
 		return false
 	}
-	isAllowedNow := !crash.NeedsSoleTrial(t.crashes) || !e.now.Before(e.soloUntil)
+	isAllowedNow := !crash.NeedsSoleTrial(t.crashes) || !e.now.Before(e.soloProbeUntil)
 	return isAllowedNow && w.hasNoRecentStart(e.now) && e.now.Sub(w.lastSuspectAt) >= crash.WeakWindow
 }
 
@@ -77,7 +77,7 @@
 // while the store is slow or unavailable: the next owner would otherwise not know of the start,
 // and would run the task again as if nothing had happened.
 func (e *Engine) mayStartUnpersisted(a *attempt) bool {
-	return e.isUnlogged && !crash.HasEvidence(a.step.tasks[a.id.Index].crashes)
+	return e.isWriteBehind && !crash.HasEvidence(a.step.tasks[a.id.Index].crashes)
 }
 
 // clearRefutedCrashes clears the crashes recorded for a long-running task that its current run has
@@ -102,13 +102,13 @@
 // in this way at a time.
 func (e *Engine) reserveForSuspect(s *step, i int, q *order.Queue) {
 	t := &s.tasks[i]
-	if e.now.Before(e.keptUntil) || !isSuspect(t) || e.now.Sub(t.lastCrashAt) < otherWorkerTimeout || e.notRunningFor(s, t) < otherWorkerTimeout {
+	if e.now.Before(e.probeReservedUntil) || !isSuspect(t) || e.now.Sub(t.lastCrashAt) < otherWorkerTimeout || e.notRunningFor(s, t) < otherWorkerTimeout {
 		return
 	}
 	var best *worker
 	bestScore := 0.0
-	for _, w := range e.permitted(s, q) {
-		if w.attempts.Get(s.taskID(i)) != nil || e.fits(w, s) == 0 || e.now.Sub(w.lastSuspectAt) < crash.WeakWindow {
+	for _, w := range e.permittedWorkers(s, q) {
+		if w.attempts.Get(s.taskID(i)) != nil || e.fitCount(w, s) == 0 || e.now.Sub(w.lastSuspectAt) < crash.WeakWindow {
 			continue
 		}
 		if score := e.score(w, s, t); best == nil || score > bestScore {
@@ -116,8 +116,8 @@
 		}
 	}
 	if best != nil {
-		e.keptUntil = e.now.Add(suspectReservationTime)
-		best.exclusiveStep, best.exclusiveUntil = s, e.keptUntil
+		e.probeReservedUntil = e.now.Add(suspectReservationTime)
+		best.exclusiveStep, best.exclusiveUntil = s, e.probeReservedUntil
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	a.worker.lastSuspectAt, a.worker.isolatedUntil = e.now, e.now.Add(crash.IsolationTime)
 	if crash.NeedsSoleTrial(t.crashes) {
-		e.soloUntil = a.worker.isolatedUntil
+		e.soloProbeUntil = a.worker.isolatedUntil
 	}
 }
 
@@ -176,7 +176,7 @@
 		tasks = append(tasks, id)
 	}
 	if !isConfirmed && len(tasks) > 0 {
-		e.cutOff.Set(w.ID, &possibleCrash{w.Machine, tasks, e.now})
+		e.possiblyCrashed.Set(w.ID, &possibleCrash{w.Machine, tasks, e.now})
 	}
 	return tasks
 }
@@ -227,7 +227,7 @@
 		}
 	}
 	if !isConfirmed {
-		e.cutOff.Set(id, &possibleCrash{machine, tasks, e.now})
+		e.possiblyCrashed.Set(id, &possibleCrash{machine, tasks, e.now})
 	}
 	e.failCrashingJobs(id, tasks)
 }
@@ -239,10 +239,10 @@
 		return
 	}
 	id := order.WorkerID(c.Worker)
-	if e.cutOff.Get(id) == nil {
-		e.cutOff.Set(id, &possibleCrash{machine: c.Machine, since: e.now})
+	if e.possiblyCrashed.Get(id) == nil {
+		e.possiblyCrashed.Set(id, &possibleCrash{machine: c.Machine, since: e.now})
 	}
-	e.cutOff.Get(id).tasks = append(e.cutOff.Get(id).tasks, s.taskID(c.Index))
+	e.possiblyCrashed.Get(id).tasks = append(e.possiblyCrashed.Get(id).tasks, s.taskID(c.Index))
 }
 
 // failCrashingJobs fails the jobs of those tasks on a crashed worker that are found to crash
@@ -276,12 +276,12 @@
 // machine or under its name have ended, so that crashes of them that were only possible are
 // confirmed.
 func (e *Engine) confirmCrashes(w *worker) {
-	for id, c := range e.cutOff.All() {
+	for id, c := range e.possiblyCrashed.All() {
 		isPrevious := c.machine == w.Machine && w.Machine != "" && id != w.ID || w.ID.IsOtherIncarnation(id)
 		if !isPrevious {
 			continue
 		}
-		e.cutOff.Delete(id)
+		e.possiblyCrashed.Delete(id)
 		for _, task := range c.tasks {
 			if _, t := e.findTask(task); t != nil {
 				t.confirmCrash(id)
@@ -306,11 +306,11 @@
 // retractCrash removes the recorded crash of a worker that answers again after its leases had
 // expired: it was only unreachable.
 func (e *Engine) retractCrash(id order.WorkerID) {
-	c := e.cutOff.Get(id)
+	c := e.possiblyCrashed.Get(id)
 	if c == nil {
 		return
 	}
-	e.cutOff.Delete(id)
+	e.possiblyCrashed.Delete(id)
 	for _, task := range c.tasks {
 		if s, t := e.findTask(task); t != nil {
 			t.crashes = slices.DeleteFunc(t.crashes, func(c work.Crash) bool { return c.Worker == string(id) })
@@ -322,9 +322,9 @@
 // expirePossibleCrashes forgets workers that possibly crashed, or became silent, too long ago.
 func (e *Engine) expirePossibleCrashes() {
 	e.silences.DropBefore(e.now.Add(-possibleCrashRetention))
-	for id, c := range e.cutOff.All() {
+	for id, c := range e.possiblyCrashed.All() {
 		if e.now.Sub(c.since) > possibleCrashRetention {
-			e.cutOff.Delete(id)
+			e.possiblyCrashed.Delete(id)
 		}
 	}
 }
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -1,14 +1,16 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package dispatch decides which task runs on which worker and when. It is pure:
-// what happened comes in by calls with the time, what is to be done goes out as
-// actions. One goroutine calls it.
+// Package dispatch is the scheduling engine: it decides which task runs on which worker and when.
+// It does no I/O and reads no clock. The caller passes in events together with the current time and
+// carries out the actions that the engine returns. The engine is not safe for concurrent use: one
+// goroutine calls it.
 //
-// Its promises: a worker's room is charged from the order until the end is
-// known; a task has at most one attempt of which it is not known that it is over
-// (but where copies are allowed); what must last is handed out as a batch, and
-// an end is only confirmed to a worker when the batch with it is committed.
+// It guarantees the following. The capacity of a worker is charged for an attempt from the moment
+// the attempt is planned until it is known to have ended. A task has at most one attempt that is
+// not known to have ended, except where its caller allows speculative copies. Everything that must
+// survive a change of owner is handed out as a batch for the store, and the engine confirms the end
+// of an attempt to its worker only after the batch with that end is committed.
 package dispatch
 
 import (
@@ -29,165 +31,189 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Durations and limits of the engine.
+// Timeouts and intervals of the engine.
 const (
-	// overdueAfter is how long a worker may be silent before it gets nothing new;
-	// a listing comes at least every 2 s.
-	overdueAfter = 2600 * time.Millisecond
-	// doubtPatience is how long a listing may take that tells whether a doubtful
-	// order was carried out.
-	doubtPatience = 150 * time.Millisecond
-	// stopRetry is the pause before a stop without an answer is sent again.
-	stopRetry = 120 * time.Millisecond
-	// flushPause is the longest that progress waits for its batch; a job's end
-	// does not wait.
-	flushPause = 60 * time.Millisecond
-	// keepFinal is how long the state of a job that is over is kept: the time for
-	// which callers may ask, and a margin.
-	keepFinal = 140 * time.Second
+	// unreachableAfter is how long a worker may be silent before it is given no new tasks. A worker
+	// that answers sends a listing at least every 2 s.
+	unreachableAfter = 2600 * time.Millisecond
+	// unacknowledgedTimeout is how long the engine waits for a listing that shows whether an
+	// unacknowledged start was carried out. After that it stops the attempt.
+	unacknowledgedTimeout = 150 * time.Millisecond
+	// stopRetryInterval is how long a stop order may stay unanswered before it is sent again.
+	stopRetryInterval = 120 * time.Millisecond
+	// flushInterval is the longest time that ordinary progress of jobs is held back to be written
+	// in one batch. The end of a job is written without this delay.
+	flushInterval = 60 * time.Millisecond
+	// finalStateRetention is how long the state of an ended job is kept: the time during which
+	// callers may query it, plus a margin.
+	finalStateRetention = 140 * time.Second
 )
 
-// Options configures an Engine. The zero value works.
+// Options configures an Engine. The zero value is usable.
 type Options struct {
-	// Log takes a line of the log; nil drops it.
+	// Log writes a log line for an event. If it is nil, nothing is logged.
 	Log func(e events.Event, keysAndValues ...any)
-	// NodeZone is the zone of this node: a tie goes to a worker near by.
+	// NodeZone is the availability zone of this node. Of workers that suit a task equally well, one
+	// in this zone is preferred.
 	NodeZone string
-	// StopTime is the longest that a worker takes to stop a task.
+	// StopTime is the longest time that a worker takes to stop a task.
 	StopTime time.Duration
-	// Heartbeat is the time between two heartbeats of a worker; 0 when not known.
-	Heartbeat time.Duration
-	// Without switches mechanisms off, for tests and measurements.
-	Without []Mechanism
+	// HeartbeatInterval is the time between two heartbeats of a worker; 0 if it is not known.
+	HeartbeatInterval time.Duration
+	// Disabled lists mechanisms that are switched off, for tests and measurements.
+	Disabled []Mechanism
 }
 
-// has reports whether a mechanism is in use.
-func (e *Engine) has(m Mechanism) bool { return !slices.Contains(e.options.Without, m) }
+// isEnabled reports whether a mechanism is in use.
+func (e *Engine) isEnabled(m Mechanism) bool { return !slices.Contains(e.options.Disabled, m) }
 
-// Engine decides for one shard: its jobs and its workers.
+// Engine schedules the jobs of one shard on the workers of that shard.
 type Engine struct {
 	options Options
 	now     time.Time
-	// day is how far the time of day is ahead of now: rounds are due by that.
-	day  time.Duration
-	jobs map[work.JobID]*job
-	// live are the jobs that are not over, in the order in which they came.
-	live []*job
-	// queue has the steps of kept jobs that are open and have tasks that wait, or want
-	// copies, and perhaps some that no longer do.
-	queue   []*step
+	// wallClockOffset is added to now to get the time of day, by which the rounds of a job are due.
+	wallClockOffset time.Duration
+	jobs            map[work.JobID]*job
+	// activeJobs are the persisted jobs that have not ended, in order of arrival. A job that has
+	// ended stays here until its last attempt has ended.
+	activeJobs []*job
+	// stepQueue has every open step of a persisted job that has waiting tasks or wants speculative
+	// copies. It may also contain steps that no longer do; these are removed in the next scheduling
+	// pass.
+	stepQueue []*step
+	// workers has the known incarnations of workers. One that has ended, or that the platform no
+	// longer lists, stays until no attempt is charged to it.
 	workers ordered.Map[order.WorkerID, *worker]
 	index   workerIndex
-	// over has lives that are over while the platform's list still has them.
-	over   map[order.WorkerID]bool
-	queues map[string]order.Queue
-	// quota counts what may be running for each customer.
+	// endedIncarnations are the workers' incarnations that are known to have ended and are still in
+	// the platform's list.
+	endedIncarnations map[order.WorkerID]bool
+	queues            map[string]order.Queue
+	// quota counts the resources that may be in use by each customer.
 	quota quota.Ledger
-	// customers are those in force. overShare has those with more in use than their share, looked
-	// at anew at sharesAt.
-	customers []order.Customer
-	overShare map[work.CustomerName]bool
-	sharesAt  time.Time
-	// inUse is what part of each pool is in use, looked at anew at useAt.
-	inUse map[string]float64
-	useAt time.Time
-	// admitted is the buffer of withinLimits, heldLogAt when what is held back is told next.
-	admitted  []*step
-	heldLogAt time.Time
-	// awayLogAt is when it is told next of which tasks that last nothing runs.
-	awayLogAt time.Time
-	lanes     permit.Channels
-	// claims has the room that calls for permission are likely to use.
+	// customers is the current configuration of customers. overShare has those that use more than
+	// their share; it is recomputed at sharesDueAt.
+	customers   []order.Customer
+	overShare   map[work.CustomerName]bool
+	sharesDueAt time.Time
+	// poolUsage is the used fraction of each pool, by the name of its service; it is recomputed at
+	// poolUsageDueAt.
+	poolUsage      map[string]float64
+	poolUsageDueAt time.Time
+	// admittedBuffer is the reusable result slice of withinLimits. The next log line about a step
+	// that a limit holds back is written no earlier than limitLogDueAt.
+	admittedBuffer []*step
+	limitLogDueAt  time.Time
+	// notRunningLogDueAt is the earliest time of the next log lines about long-running tasks that
+	// do not run.
+	notRunningLogDueAt time.Time
+	// channels are the nodes through which the permission service is queried.
+	channels permit.Channels
+	// claims has the capacity that the permission queries in flight are likely to use.
 	claims permit.Claims
-	// unsettled are workers on which an earlier owner may have started tasks that
-	// are not known yet, with these tasks.
-	unsettled ordered.Map[order.WorkerID, []work.TaskID]
-	// strays has what may still be on its way to workers and is not wanted any more.
-	strays abandoned.Starts
-	// cutOff has workers that may have crashed, or only be cut off.
-	cutOff ordered.Map[order.WorkerID, *possibleCrash]
-	// silences are workers that fell silent lately, whether they live or not.
+	// uncertainTasks has, by worker, the tasks that a previous owner may have started there and
+	// that the worker has not reported on yet.
+	uncertainTasks ordered.Map[order.WorkerID, []work.TaskID]
+	// abandonedStarts are the orders to start that are no longer wanted and may still arrive at a
+	// worker.
+	abandonedStarts abandoned.Starts
+	// possiblyCrashed are workers that have stopped answering. They may have crashed, or only be
+	// cut off from the network.
+	possiblyCrashed ordered.Map[order.WorkerID, *possibleCrash]
+	// silences are the recent periods during which a worker did not answer, whether it turned out
+	// to be alive or not.
 	silences crash.SilentWorkers
-	// soloUntil is until when a task under which several workers have crashed is tried, and
-	// no other such one.
-	soloUntil time.Time
-	// keptUntil is until when a worker is kept for a task that may crash it.
-	keptUntil time.Time
-	// inheritedUntil is when all leases that the earlier owner gave are over.
-	inheritedUntil time.Time
-	// inherited is set while any task may run anywhere by an earlier owner's order.
+	// soloProbeUntil is when the current probe of a task under which several workers have crashed
+	// ends. Until then no other such task is started.
+	soloProbeUntil time.Time
+	// probeReservedUntil is when the reservation of a worker for a task that may crash it ends.
+	// Only one worker at a time is reserved for this.
+	probeReservedUntil time.Time
+	// inheritedLeasesUntil is when all leases that the previous owner granted have expired.
+	inheritedLeasesUntil time.Time
+	// inherited is set while it is not known on which workers tasks may run that a previous owner
+	// started.
 	inherited *inheritedUncertainty
-	// hasLearned means that what workers have told of its orders is not kept yet.
-	hasLearned bool
-	actions    []order.Action
-	// fresh are the attempts whose orders to start are in actions.
-	fresh []*attempt
-	// ready are starts whose places are kept and that wait for their turn, and
-	// unanswered counts those that were ordered and not answered.
-	ready      []*attempt
-	unanswered int
-	// reservations counts the steps for which room is kept, on the workers reserved, and
-	// largest has, by service, the most that a worker has of each dimension, all until
-	// reserveAt. isReserving means that this look at all that waits keeps room anew.
-	reserveAt    time.Time
-	isReserving  bool
-	reservations int
-	reserved     []*worker
-	largest      map[string]leverdyke.Resources
-	// askFrom is how many workers the next look at whom to ask about passes over at first.
-	askFrom int
-	// lanesMissedAt is when a step of a pool with room found no free lane last.
-	lanesMissedAt time.Time
-	// asksLeft is how many calls for permission this look may still prepare, putOffsLeft how many
-	// steps it may put off besides.
-	asksLeft, putOffsLeft int
-	// rotation chooses at which of many steps that wait is looked.
+	// hasUnpersistedReports means that workers have reported attempts of the previous owner that
+	// are not in the store yet.
+	hasUnpersistedReports bool
+	actions               []order.Action
+	// startsInActions are the attempts whose start orders are in actions.
+	startsInActions []*attempt
+	// readyStarts are planned attempts that may be started and wait until the window allows another
+	// unanswered order. startsInFlight counts the start orders that have been issued and not
+	// answered yet.
+	readyStarts    []*attempt
+	startsInFlight int
+	// At reservationDueAt all reservations are dropped and computed again; isReserving means that
+	// the current scheduling pass does so. Until then reservedSteps counts the steps that have
+	// reservations, reservedWorkers are the workers with reservations, and largestCapacity has, by
+	// service, the largest capacity of any worker in each dimension.
+	reservationDueAt time.Time
+	isReserving      bool
+	reservedSteps    int
+	reservedWorkers  []*worker
+	largestCapacity  map[string]leverdyke.Resources
+	// queryOffset is the position in the list of workers at which the next permission query starts
+	// to look for candidates.
+	queryOffset int
+	// channelsBusyAt is when a step whose pool has free capacity last found no free channel to the
+	// permission service.
+	channelsBusyAt time.Time
+	// queriesLeft is how many permission queries this scheduling pass may still prepare.
+	// deferralsLeft is how many further steps it may defer without counting them against
+	// queriesLeft.
+	queriesLeft, deferralsLeft int
+	// rotation selects which of the waiting steps a scheduling pass tries to place.
 	rotation rotation.Rotation
-	// isLateTurn means that late steps go first in this look.
-	isLateTurn bool
-	// found is the buffer of permitted, turns that of turnsOf.
-	found []*worker
-	turns []int
-	// recheckAt is when to look again for workers for tasks that wait; zero when none
-	// does.
+	// isLateFirst means that steps that will miss their deadline go first in this scheduling pass.
+	isLateFirst bool
+	// permittedBuffer and taskOrderBuffer are the reusable result slices of permittedWorkers and
+	// taskOrder.
+	permittedBuffer []*worker
+	taskOrderBuffer []int
+	// recheckAt is when the next scheduling pass runs even if no event calls for one; zero if no
+	// task waits.
 	recheckAt time.Time
-	// isDirty means that something may be placed that could not be before.
-	isDirty  bool
-	isPaused bool
-	// isTrusted means that this node is known to own the shard still. Without it
-	// nothing is started and no lease is renewed.
-	isTrusted bool
-	// isUnlogged means that starts are ordered, and ends shown, before they are kept.
-	isUnlogged bool
-	// unkept counts attempts that were ordered and whose places are not kept yet.
-	unkept int
-	// allAnswer is what AllAnswer returns.
-	allAnswer bool
-	batch     *Batch
-	lastFlush time.Time
-	// pending counts, by queue, jobs none of whose tasks has begun.
-	nextWalk, walkedAt time.Time
-	counts             Counts
-	// waits is how long tasks have waited, by queue and reason.
+	// needsScheduling means that an event may have made it possible to place a task that could not
+	// be placed before.
+	needsScheduling bool
+	isPaused        bool
+	// isOwnershipConfirmed means that this node is known to still own the shard. Without it no
+	// attempt is started and no lease is renewed.
+	isOwnershipConfirmed bool
+	// isWriteBehind means that attempts are started before their placements are persisted.
+	isWriteBehind bool
+	// unpersisted counts the attempts that were ordered and whose placements are not persisted yet.
+	unpersisted int
+	// allResponsive is the result of AllResponsive.
+	allResponsive bool
+	batch         *Batch
+	lastFlush     time.Time
+	// nextJobScan is when all jobs are next scanned for rounds that are due and for jobs to delete;
+	// scannedAt is when they last were.
+	nextJobScan, scannedAt time.Time
+	counts                 Counts
+	// waits sums up how long tasks have waited, by queue and reason.
 	waits waits.Totals
-	// tickedAt is when Tick was called last, stalledUntil until when answers are late
-	// because this node was kept from running.
+	// tickedAt is when Tick was last called. Until stalledUntil, answers may be processed late
+	// because this node did not get processor time.
 	tickedAt, stalledUntil time.Time
-	// answers tells how long workers take to answer an order to start.
-	answers estimate.ResponseTime
-	// window bounds the orders to start that are not answered.
-	window estimate.Window
-	// lossyUntil is until when answers of workers may be lost.
+	// answerTimes estimates how long workers take to answer an order to start.
+	answerTimes estimate.ResponseTime
+	// startWindow limits the number of start orders without an answer.
+	startWindow estimate.Window
+	// Until lossyUntil the answers of workers may get lost, because one was lost recently.
 	lossyUntil time.Time
-	// estimates has, by queue, how good the callers' estimates are.
+	// estimates has, by queue, how accurate the callers' estimates of run times are.
 	estimates map[string]*estimate.RunTimes
 }
 
-// Counts are totals since the engine was made.
+// Counts are totals since the engine was created.
 type Counts struct {
-	Starts, Done, Failed, Stopped, Lapsed, Doubtful, Asks int
-	// Plans counts the times at which it was worked out where room is to be kept.
-	Plans int
+	Starts, Done, Failed, Stopped, Expired, Unacknowledged, PermissionQueries int
+	// ReservationPlans counts how often the engine computed where to reserve capacity for a step.
+	ReservationPlans int
 }
 
 // NewEngine returns an engine without jobs or workers.
@@ -197,164 +223,171 @@
 	}
 	return &Engine{
 		options: options, jobs: map[work.JobID]*job{}, index: newWorkerIndex(),
-		queues: map[string]order.Queue{}, over: map[order.WorkerID]bool{}, largest: map[string]leverdyke.Resources{}, estimates: map[string]*estimate.RunTimes{},
-		overShare: map[work.CustomerName]bool{}, inUse: map[string]float64{},
+		queues: map[string]order.Queue{}, endedIncarnations: map[order.WorkerID]bool{}, largestCapacity: map[string]leverdyke.Resources{}, estimates: map[string]*estimate.RunTimes{},
+		overShare: map[work.CustomerName]bool{}, poolUsage: map[string]float64{},
 	}
 }
 
 // Advance sets the time. It is called before any other call.
 func (e *Engine) Advance(now time.Time) { e.now = now }
 
-// SetTimeOfDay says what the time of day is now. Until then it is the time by which the
-// engine goes.
-func (e *Engine) SetTimeOfDay(t time.Time) { e.day = t.Round(0).Sub(e.now.Round(0)) }
+// SetTimeOfDay sets the current time of day. Before the first call the engine takes the time that
+// Advance sets as the time of day.
+func (e *Engine) SetTimeOfDay(t time.Time) { e.wallClockOffset = t.Round(0).Sub(e.now.Round(0)) }
 
-// SetPaused ends or resumes new starts: an owner that hands over starts nothing.
+// SetPaused suspends or resumes the start of tasks. An owner that hands over its shard starts
+// nothing.
 func (e *Engine) SetPaused(isPaused bool) {
 	e.isPaused = isPaused
-	e.isDirty = true
+	e.needsScheduling = true
 }
 
-// SetTrusted says whether this node is known to own the shard still.
-func (e *Engine) SetTrusted(isTrusted bool) {
-	if e.isTrusted == isTrusted {
+// SetOwnershipConfirmed sets whether this node is known to still own the shard.
+func (e *Engine) SetOwnershipConfirmed(isConfirmed bool) {
+	if e.isOwnershipConfirmed == isConfirmed {
 		return
 	}
-	e.isTrusted = isTrusted
-	e.isDirty = true
+	e.isOwnershipConfirmed = isConfirmed
+	e.needsScheduling = true
 }
 
-// SetUnlogged says whether starts are ordered before their places are kept, which
-// is for a store that is slow or out. What an owner that does so had started is not
-// known to the next one while HasUnkept. Ends are told only when they are kept.
-func (e *Engine) SetUnlogged(isUnlogged bool) {
-	if e.isUnlogged == isUnlogged {
+// SetWriteBehind sets whether tasks are started before their placements are persisted. This is for
+// a store that is slow or unavailable. While HasUnpersisted is true, the next owner would not know
+// everything that this one has started. A task that may crash its workers still waits for the
+// store, and callers learn that a job has ended only after its end is persisted.
+func (e *Engine) SetWriteBehind(isWriteBehind bool) {
+	if e.isWriteBehind == isWriteBehind {
 		return
 	}
-	e.isUnlogged = isUnlogged && e.has(MechanismAheadOfStore)
-	if !e.isUnlogged {
+	e.isWriteBehind = isWriteBehind && e.isEnabled(MechanismWriteBehind)
+	if !e.isWriteBehind {
 		return
 	}
 	for _, w := range e.workers.All() {
 		for _, a := range w.attempts.All() {
 			if a.phase == phasePlanned && e.mayStartUnpersisted(a) {
-				e.sendSoon(a)
+				e.queueStart(a)
 			}
 		}
 	}
 }
 
-// AllAnswer reports whether all workers had told what they run, and none was
-// silent, at the last Tick.
-func (e *Engine) AllAnswer() bool { return e.allAnswer }
+// AllResponsive reports whether, at the last Tick, every worker had reported what it runs and none
+// had missed its last poll.
+func (e *Engine) AllResponsive() bool { return e.allResponsive }
 
-// HasUnkept reports whether tasks may run, or have ended, in places that are not kept, by this
-// owner's orders or by an earlier one's.
-func (e *Engine) HasUnkept() bool { return e.unkept > 0 || e.inherited != nil || e.hasLearned }
+// HasUnpersisted reports whether tasks may run, or have ended, in placements that are not in the
+// store, by orders of this owner or of a previous one.
+func (e *Engine) HasUnpersisted() bool {
+	return e.unpersisted > 0 || e.inherited != nil || e.hasUnpersistedReports
+}
 
 // Counts returns the totals.
 func (e *Engine) Counts() Counts { return e.counts }
 
-// SetQueues puts a configuration in force. A queue that is no longer in it keeps
-// its last policy for the jobs that it has.
+// SetQueues applies a configuration of queues. A queue that is missing from it keeps its last
+// policy for the jobs that it still has.
 func (e *Engine) SetQueues(queues []order.Queue) {
 	for _, q := range queues {
 		e.queues[q.Name] = q
 	}
-	e.isDirty = true
+	e.needsScheduling = true
 }
 
-// Tick does what is due by time alone. It is called every 50 ms or so.
+// Tick does everything that is due because of the passage of time: timeouts, retries and regular
+// scans. It is called about every 50 ms or more often.
 func (e *Engine) Tick() {
-	e.noteStall()
-	e.adviceLost(e.lanes.Expire(e.now))
+	e.detectStall()
+	e.queriesLost(e.channels.Expire(e.now))
 	e.tickInherited()
-	e.allAnswer = true
+	e.allResponsive = true
 	for _, w := range e.workers.All() {
 		if e.isTickDue(w) {
 			e.tickWorker(w)
 		}
-		e.allAnswer = e.allAnswer && w.session.IsListed() && !w.session.HasMissed()
+		e.allResponsive = e.allResponsive && w.session.IsListed() && !w.session.HasMissed()
 	}
 	if !e.recheckAt.IsZero() && !e.now.Before(e.recheckAt) {
-		e.recheckAt, e.isDirty = time.Time{}, true
+		e.recheckAt, e.needsScheduling = time.Time{}, true
 	}
-	if !e.now.Before(e.nextWalk) {
-		if !e.walkedAt.IsZero() {
-			e.noteWaits(e.now.Sub(e.walkedAt))
+	if !e.now.Before(e.nextJobScan) {
+		if !e.scannedAt.IsZero() {
+			e.recordWaits(e.now.Sub(e.scannedAt))
 		}
-		e.walkedAt, e.nextWalk = e.now, e.now.Add(walkPause)
-		e.walkJobs()
+		e.scannedAt, e.nextJobScan = e.now, e.now.Add(jobScanInterval)
+		e.scanJobs()
 	}
 }
 
 const (
-	// longTick is the time between two ticks from which this node was kept from
-	// running; the owner ticks every 20 ms.
-	longTick = 60 * time.Millisecond
-	// longestStall bounds what one such time counts.
-	longestStall = 300 * time.Millisecond
+	// stallThreshold is the time between two ticks above which this node is taken to have been
+	// without processor time in between. The owner ticks every 20 ms.
+	stallThreshold = 60 * time.Millisecond
+	// maxStall limits how much time one such gap adds.
+	maxStall = 300 * time.Millisecond
 )
 
-// noteStall finds out from the time since the last tick whether this node was kept
-// from running. Answers that came meanwhile are taken in as late as that: no order
-// counts as unanswered for as long again.
-func (e *Engine) noteStall() {
+// detectStall finds out from the time since the last tick whether this node was without processor
+// time. Answers that arrived during the gap are processed later by up to its length, so for the
+// same time no order is treated as unacknowledged.
+func (e *Engine) detectStall() {
 	gap := e.now.Sub(e.tickedAt)
-	if !e.tickedAt.IsZero() && gap > longTick {
-		e.stalledUntil = e.now.Add(min(gap, longestStall))
+	if !e.tickedAt.IsZero() && gap > stallThreshold {
+		e.stalledUntil = e.now.Add(min(gap, maxStall))
 	}
 	e.tickedAt = e.now
 }
 
-// walkPause is the time between two looks at all jobs for rounds that are due
-// and for jobs to forget.
-const walkPause = 50 * time.Millisecond
+// jobScanInterval is the time between two scans of all jobs for rounds that are due and for jobs to
+// delete.
+const jobScanInterval = 50 * time.Millisecond
 
-func (e *Engine) walkJobs() {
-	for _, j := range e.live {
+func (e *Engine) scanJobs() {
+	for _, j := range e.activeJobs {
 		if j.spec.Rounds > 0 && !j.state.IsFinal() {
 			e.openRounds(j)
 		}
 	}
-	e.live = slices.DeleteFunc(e.live, func(j *job) bool { return j.state.IsFinal() && j.attempts == 0 })
+	e.activeJobs = slices.DeleteFunc(e.activeJobs, func(j *job) bool { return j.state.IsFinal() && j.attempts == 0 })
 	e.expirePossibleCrashes()
 	e.logNotRunning()
-	e.strays.DropExpired(e.now)
+	e.abandonedStarts.DropExpired(e.now)
 	for id, j := range e.jobs {
-		if j.state.IsFinal() && j.isFinalPersisted && e.now.Sub(j.endedAt) > keepFinal && j.attempts == 0 {
+		if j.state.IsFinal() && j.isFinalPersisted && e.now.Sub(j.endedAt) > finalStateRetention && j.attempts == 0 {
 			delete(e.jobs, id)
-			e.batchNow().Forgotten = append(e.batchNow().Forgotten, id)
+			e.currentBatch().ExpiredJobs = append(e.currentBatch().ExpiredJobs, id)
 		}
 	}
 }
 
-// MustDecide reports whether something may be placed that could not be before.
-func (e *Engine) MustDecide() bool { return e.isDirty }
+// NeedsScheduling reports whether a task may now be placeable that was not before.
+func (e *Engine) NeedsScheduling() bool { return e.needsScheduling }
 
-// Decide places what can be placed. It is called after events, once for many.
-func (e *Engine) Decide() {
-	if !e.isDirty {
+// Schedule runs a scheduling pass if one is needed. The caller handles a group of events first and
+// then calls it once.
+func (e *Engine) Schedule() {
+	if !e.needsScheduling {
 		return
 	}
-	e.isDirty = false
-	e.place()
+	e.needsScheduling = false
+	e.runPass()
 }
 
-// Actions returns what is to be done since the last call.
+// Actions returns the actions to be carried out that have accumulated since the last call.
 func (e *Engine) Actions() []order.Action {
-	a := e.actions
+	actions := e.actions
 	e.actions = nil
-	for _, ordered := range e.fresh {
-		ordered.isSent = true
+	for _, started := range e.startsInActions {
+		started.isSent = true
 	}
-	e.fresh = e.fresh[:0]
-	return a
+	e.startsInActions = e.startsInActions[:0]
+	return actions
 }
 
-func (e *Engine) do(a order.Action) { e.actions = append(e.actions, a) }
+func (e *Engine) emit(a order.Action) { e.actions = append(e.actions, a) }
 
-// doStop tells a worker to stop a run, and to refuse it where it does not run.
-func (e *Engine) doStop(w *worker, task work.TaskID, run uint64) {
-	e.do(order.Stop{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Task: task, Run: run})
+// emitStop orders a worker to stop an attempt, and to refuse its start if the order to start
+// arrives later.
+func (e *Engine) emitStop(w *worker, task work.TaskID, run uint64) {
+	e.emit(order.Stop{Worker: w.ID, Addr: w.Addr, Generation: e.abandonedStarts.Generation(w.ID), Task: task, Run: run})
 }
--- a/internal/dispatch/evacuate.go
+++ b/internal/dispatch/evacuate.go
@@ -8,7 +8,7 @@
 // worker ends, and could not start elsewhere before its lease has expired. Other tasks mostly end
 // before the worker does.
 func (e *Engine) evacuate(w *worker) {
-	if !e.has(MechanismEvacuation) {
+	if !e.isEnabled(MechanismEvacuation) {
 		return
 	}
 	for _, a := range w.attempts.All() {
--- a/internal/dispatch/inherit.go
+++ b/internal/dispatch/inherit.go
@@ -22,11 +22,11 @@
 // have sent their listings, or before until. listedWorkers is how many workers the previous
 // owner's list had.
 func (e *Engine) Inherit(until time.Time, areStartsPersisted bool, listedWorkers int) {
-	e.inheritedUntil = until
+	e.inheritedLeasesUntil = until
 	if !areStartsPersisted {
 		e.inherited = &inheritedUncertainty{leasesExpireAt: until, previouslyListed: listedWorkers, listCompleteAt: e.now.Add(listRecoveryTime)}
 	}
-	for _, j := range e.live {
+	for _, j := range e.activeJobs {
 		j.isInherited, j.mayHaveUnpersistedStarts = true, !areStartsPersisted
 	}
 }
@@ -63,7 +63,7 @@
 	if e.inherited == nil || w.session.IsListed() || w.IsDraining {
 		return
 	}
-	e.inherited.unlistedLeasesUntil = e.now.Add(session.OwnLeaseBound - (heartbeatsUntilRemoval-1)*e.options.Heartbeat)
+	e.inherited.unlistedLeasesUntil = e.now.Add(session.OwnLeaseBound - (heartbeatsUntilRemoval-1)*e.options.HeartbeatInterval)
 }
 
 // isUncertaintyResolved reports whether all workers have sent their listings, or nothing that the
@@ -93,7 +93,7 @@
 	}
 	t.mayRunOn = append(t.mayRunOn, worker)
 	e.chargeCustomer(s)
-	e.unsettled.Set(worker, append(e.unsettled.Get(worker), id))
+	e.uncertainTasks.Set(worker, append(e.uncertainTasks.Get(worker), id))
 }
 
 // isBlocked reports whether tasks of the job may run on any worker by a previous owner's order, so
@@ -104,28 +104,28 @@
 
 // resolveInherited records that it is now known which of a previous owner's tasks the worker runs.
 func (e *Engine) resolveInherited(id order.WorkerID, reason string) {
-	tasks, ok := e.unsettled.Find(id)
+	tasks, ok := e.uncertainTasks.Find(id)
 	if !ok {
 		return
 	}
-	e.unsettled.Delete(id)
+	e.uncertainTasks.Delete(id)
 	for _, task := range tasks {
 		if s, t := e.findTask(task); t != nil {
 			t.mayRunOn = slices.DeleteFunc(t.mayRunOn, func(w order.WorkerID) bool { return w == id })
 			e.releaseCustomer(s)
 			if w := e.workers.Get(id); w == nil || w.attempts.Get(task) == nil {
-				e.strays.Add(id, task, t.run, e.now, e.now)
+				e.abandonedStarts.Add(id, task, t.run, e.now, e.now)
 			}
 		}
 	}
 	if reason != resolvedByListing {
 		e.recordInheritedCrashes(id, tasks, reason == resolvedByIncarnationEnd)
 	}
-	e.isDirty = true
+	e.needsScheduling = true
 	if reason != resolvedByListing {
 		e.options.Log(events.InheritedSettled, "worker", id, "tasks", len(tasks), "why", reason)
 	}
-	if e.unsettled.Len() == 0 {
+	if e.uncertainTasks.Len() == 0 {
 		e.options.Log(events.Inherited, "last", id, "why", reason)
 	}
 }
@@ -143,14 +143,14 @@
 	if e.inherited != nil && e.isUncertaintyResolved() {
 		e.options.Log(events.DoubtOver, "entries", e.inherited.currentlyListed, "earlier", e.inherited.previouslyListed, "left", e.inherited.leasesExpireAt.Sub(e.now))
 		e.inherited = nil
-		e.isDirty = true
-		e.hasLearned = true
-		e.batchNow()
+		e.needsScheduling = true
+		e.hasUnpersistedReports = true
+		e.currentBatch()
 	}
-	if e.now.Before(e.inheritedUntil) {
+	if e.now.Before(e.inheritedLeasesUntil) {
 		return
 	}
-	for id := range e.unsettled.All() {
+	for id := range e.uncertainTasks.All() {
 		if w := e.workers.Get(id); w == nil || e.now.After(w.session.ExpiresAt()) {
 			e.resolveInherited(id, resolvedByLeaseExpiry)
 		}
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -188,8 +188,8 @@
 	}
 	j := e.newJob(spec)
 	e.jobs[spec.ID] = j
-	b := e.batchNow()
-	b.Specs = append(b.Specs, spec)
+	b := e.currentBatch()
+	b.NewJobs = append(b.NewJobs, spec)
 	b.isUrgent = true
 	return true
 }
@@ -200,7 +200,7 @@
 		return
 	}
 	j := e.newJob(spec)
-	j.acceptedAt = e.acceptedBefore(spec.AcceptedAt)
+	j.acceptedAt = e.restoredAcceptTime(spec.AcceptedAt)
 	e.jobs[spec.ID] = j
 	if p != nil {
 		e.restoreProgress(j, p)
@@ -209,7 +209,7 @@
 	if j.state.IsFinal() {
 		return
 	}
-	e.live = append(e.live, j)
+	e.activeJobs = append(e.activeJobs, j)
 	e.openRounds(j)
 }
 
@@ -288,7 +288,7 @@
 	}
 	for j.nextRound < j.spec.Rounds {
 		due := j.dueAt(j.nextRound)
-		if e.now.Add(e.day).Before(due) {
+		if e.now.Add(e.wallClockOffset).Before(due) {
 			return
 		}
 		k := j.nextRound
@@ -336,7 +336,7 @@
 		s.isOpen = true
 		s.openedAt, s.waitReason = e.now, waits.Priority
 		e.enqueue(s)
-		e.isDirty = true
+		e.needsScheduling = true
 	}
 }
 
@@ -403,14 +403,14 @@
 	if t.state == taskWaiting {
 		s.waiting--
 	}
-	s.dropCopyWish(t)
+	s.cancelCopyRequest(t)
 	t.state = taskDone
 	s.tasksLeft--
 	e.markDirty(s.job)
 	if s.tasksLeft > 0 {
 		return
 	}
-	e.isDirty = true
+	e.needsScheduling = true
 	s.round.stepsLeft--
 	if s.round.stepsLeft > 0 {
 		e.openSteps(s.round)
@@ -422,7 +422,7 @@
 func (e *Engine) markRoundDone(j *job, r *round) {
 	j.roundsDone.SetDone(r.number)
 	j.roundsLeft--
-	e.batchNow().isUrgent = true
+	e.currentBatch().isUrgent = true
 	if j.roundsLeft > 0 {
 		return
 	}
@@ -436,7 +436,7 @@
 	}
 	j.state, j.endedAt = state, e.now
 	e.markUrgent(j)
-	e.isDirty = true
+	e.needsScheduling = true
 	e.options.Log(events.JobEnded, "job", j.spec.ID, "state", state, "why", reason, "took", e.now.Sub(j.acceptedAt), "attempts", j.attempts)
 	if j.attempts == 0 {
 		return
@@ -456,7 +456,7 @@
 		return
 	}
 	j.isDirty = true
-	b := e.batchNow()
+	b := e.currentBatch()
 	b.jobs = append(b.jobs, j)
 }
 
@@ -465,7 +465,7 @@
 func (e *Engine) markUrgent(j *job) {
 	e.markDirty(j)
 	j.isUrgent = true
-	e.batchNow().isUrgent = true
+	e.currentBatch().isUrgent = true
 }
 
 // MayAccess reports whether a caller may see, cancel and submit again the job of that ID. It is
@@ -529,7 +529,7 @@
 // Pending returns how many accepted jobs of a queue have not begun.
 func (e *Engine) Pending(queue string) int {
 	n := 0
-	for _, j := range e.live {
+	for _, j := range e.activeJobs {
 		if j.spec.Queue == queue && j.isPersisted && !j.hasBegun && !j.state.IsFinal() {
 			n++
 		}
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -15,8 +15,8 @@
 // StartAnswered handles the answer to an order to start, once for each order. clock is the
 // worker's clock in the answer, 0 if the answer has none.
 func (e *Engine) StartAnswered(id order.WorkerID, task work.TaskID, run uint64, outcome order.StartOutcome, clock order.WorkerTime) {
-	e.unanswered--
-	defer e.sendReady()
+	e.startsInFlight--
+	defer e.sendReadyStarts()
 	if outcome == order.StartIncarnationEnded {
 		e.IncarnationEnded(id)
 		return
@@ -35,8 +35,8 @@
 		return
 	}
 	if a.phase == phaseOrdered && outcome != order.StartUnknown {
-		e.answers.Observe(e.now.Sub(a.orderedAt))
-		e.window.Observe(e.now.Sub(a.orderedAt), e.now)
+		e.answerTimes.Observe(e.now.Sub(a.orderedAt))
+		e.startWindow.Observe(e.now.Sub(a.orderedAt), e.now)
 	}
 	switch outcome {
 	case order.StartSucceeded:
@@ -140,7 +140,7 @@
 	e.reconcileMissing(w, listing, running, askedAt)
 	if !w.session.IsListed() {
 		w.session.SetListed(true)
-		e.isDirty = true
+		e.needsScheduling = true
 	}
 	e.resolveIncarnations(w)
 	e.detectSlowWorker(w)
@@ -191,7 +191,7 @@
 	s, t := e.findTask(running.Task)
 	if s == nil {
 		w.unknownRuns[running.Task] = running.Run
-		e.doStop(w, running.Task, running.Run)
+		e.emitStop(w, running.Task, running.Run)
 		return nil
 	}
 	if previous := w.attempts.Get(running.Task); previous != nil {
@@ -203,16 +203,16 @@
 		id: running.Task, step: s, run: running.Run, worker: w, charge: s.spec.Charge(), phase: phaseRunning,
 		orderedAt: e.now, startConfirmedClock: w.session.Clock(), startConfirmedAt: e.now, percentChangedAt: e.now, pace: fullPace, isAdopted: true,
 	}
-	w.session.NoteOtherLeases(e.inheritedUntil)
+	w.session.NoteOtherLeases(e.inheritedLeasesUntil)
 	e.charge(a)
 	if slices.Contains(t.mayRunOn, w.ID) {
 		a.isPersisted = true
 	} else {
-		e.keepPlace(a)
+		e.addPlacement(a)
 	}
 	t.run = max(t.run, running.Run)
 	if s.spec.AllowsSpeculation && t.state == taskPlaced && t.copy == nil && !s.job.state.IsFinal() {
-		s.dropCopyWish(t)
+		s.cancelCopyRequest(t)
 		t.copy = a
 		return a
 	}
@@ -247,7 +247,7 @@
 	if !w.session.AcceptEnd(end.Number) {
 		return
 	}
-	e.batchNow().seen.Set(w, end.Number)
+	e.currentBatch().handledEnds.Set(w, end.Number)
 	a := w.attempts.Get(end.Task)
 	if a != nil && a.run == end.Run {
 		a.isAcknowledged = true
@@ -321,7 +321,7 @@
 	if !isNew {
 		return
 	}
-	if e.has(MechanismHealth) {
+	if e.isEnabled(MechanismHealth) {
 		w.health.NoteFailure(e.now, s.job.spec.ID)
 	}
 	s.tasks[i].avoidWorker, s.tasks[i].lastFailedAt = w.ID, e.now
--- a/internal/dispatch/not_running.go
+++ b/internal/dispatch/not_running.go
@@ -31,12 +31,12 @@
 // logNotRunning logs which long-running tasks have not been running for long, and which workers
 // could run them.
 func (e *Engine) logNotRunning() {
-	if e.now.Before(e.awayLogAt) {
+	if e.now.Before(e.notRunningLogDueAt) {
 		return
 	}
-	e.awayLogAt = e.now.Add(notRunningLogInterval)
+	e.notRunningLogDueAt = e.now.Add(notRunningLogInterval)
 	logged := 0
-	for _, j := range e.live {
+	for _, j := range e.activeJobs {
 		for _, r := range j.rounds {
 			for _, s := range r.steps {
 				if logged < maxNotRunningLogged && s.spec.IsLongRunning && e.logNotRunningStep(s) {
@@ -100,7 +100,7 @@
 		return counts
 	}
 	for id, w := range e.workers.All() {
-		if !e.isReachable(w) || !e.mayRun(w, s, q.Service) || e.roomBeside(w, s, leverdyke.Resources{}) == 0 {
+		if !e.isReachable(w) || !e.mayRun(w, s, q.Service) || e.fitCountIgnoringHealth(w, s, leverdyke.Resources{}) == 0 {
 			continue
 		}
 		counts.withCapacity++
--- a/internal/dispatch/pace.go
+++ b/internal/dispatch/pace.go
@@ -9,63 +9,65 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// How tasks that fill are paced when they disturb tasks that serve users.
+// Parameters for throttling best-effort tasks that disturb tasks serving users. A pace is a
+// percentage of full speed.
 const (
 	fullPace = 100
-	// highShare of its target is where a tail counts as too long; lowShare where
-	// there is room again.
-	highShare = 0.9
-	lowShare  = 0.6
-	// pacePause is the time between two changes: the figure that a worker tells
-	// is over the last half second.
-	pacePause = 600 * time.Millisecond
-	// paceStep is how much is given back at a time.
+	// A tail latency above throttleRatio times its target is too long; below restoreRatio times the
+	// target the best-effort tasks may run faster again.
+	throttleRatio = 0.9
+	restoreRatio  = 0.6
+	// paceInterval is the time between two changes of pace, because the tail latency that a worker
+	// reports covers the last half second.
+	paceInterval = 600 * time.Millisecond
+	// paceStep is how many percentage points one increase of the pace adds.
 	paceStep = 25
-	// paceCut divides the pace at each cut; below paceFloor it is 0.
-	paceCut   = 4
-	paceFloor = 10
+	// Each cut divides the pace by paceDivisor; a result below minPace becomes 0.
+	paceDivisor = 4
+	minPace     = 10
 )
 
-// setPaces paces the tasks that fill on a worker by the tails of those that serve.
+// setPaces adjusts the pace of the best-effort tasks on a worker to the tail latencies of the tasks
+// that serve users there.
 func (e *Engine) setPaces(w *worker) {
-	worst := 0.0
-	hasFillers := false
+	worstRatio := 0.0
+	hasBestEffort := false
 	for _, a := range w.attempts.All() {
 		if a.step == nil || a.phase != phaseRunning {
 			continue
 		}
-		hasFillers = hasFillers || a.step.spec.IsBestEffort
+		hasBestEffort = hasBestEffort || a.step.spec.IsBestEffort
 		if target := a.step.spec.TailTarget; target > 0 && a.percent >= 100 {
-			worst = max(worst, float64(a.metric)/float64(target.Milliseconds()))
+			worstRatio = max(worstRatio, float64(a.metric)/float64(target.Milliseconds()))
 		}
 	}
-	if !hasFillers {
+	if !hasBestEffort {
 		return
 	}
 	for _, a := range w.attempts.All() {
 		if a.step != nil && a.step.spec.IsBestEffort && a.phase == phaseRunning && !a.isStopping {
-			e.setPace(a, worst)
+			e.setPace(a, worstRatio)
 		}
 	}
 }
 
-func (e *Engine) setPace(a *attempt, worst float64) {
-	if e.now.Sub(a.paceChangedAt) < pacePause {
+func (e *Engine) setPace(a *attempt, worstRatio float64) {
+	if e.now.Sub(a.paceChangedAt) < paceInterval {
 		return
 	}
-	want := a.pace
+	newPace := a.pace
 	switch {
-	case worst > highShare:
-		want = a.pace / paceCut
-		if want < paceFloor {
-			want = 0
+	case worstRatio > throttleRatio:
+		newPace = a.pace / paceDivisor
+		if newPace < minPace {
+			newPace = 0
 		}
-	case worst < lowShare:
-		want = min(a.pace+paceStep, fullPace)
+	case worstRatio < restoreRatio:
+		newPace = min(a.pace+paceStep, fullPace)
 	}
-	if want == a.pace {
+	if newPace == a.pace {
 		return
 	}
-	a.pace, a.paceChangedAt = want, e.now
-	e.do(order.Pace{Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.strays.Generation(a.worker.ID), Task: a.id, Run: a.run, Percent: want})
+	a.pace, a.paceChangedAt = newPace, e.now
+	e.emit(order.Pace{Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.abandonedStarts.Generation(a.worker.ID), Task: a.id, Run: a.run, Percent: newPace})
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -14,15 +14,16 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// place starts what can be started, the most urgent first.
-func (e *Engine) place() {
-	if e.isPaused || !e.isTrusted {
+// runPass is one scheduling pass: it starts the tasks that can be started, the most urgent steps
+// first.
+func (e *Engine) runPass() {
+	if e.isPaused || !e.isOwnershipConfirmed {
 		return
 	}
-	e.refreshReservations()
-	e.asksLeft, e.putOffsLeft = maxAsks, maxPutOffs
-	e.noteDoubts()
-	waiting := e.stepsByTurn()
+	e.resetReservations()
+	e.queriesLeft, e.deferralsLeft = maxQueriesPerPass, maxDeferralsPerPass
+	e.updateUncertainUsage()
+	waiting := e.stepsInOrder()
 	steps := e.withinLimits(waiting)
 	isWaiting := len(steps) < len(waiting)
 	for _, i := range e.rotation.Next(len(steps)) {
@@ -34,42 +35,44 @@
 		isWaiting = isWaiting || after > 0
 	}
 	if isWaiting || e.rotation.HasSkipped() {
-		// What they wait for may come without an event: a pause ends, a lane that did
-		// not answer is asked again.
+		// What these steps wait for may change without an event: a pause ends, or a channel to the
+		// permission service is free again because its query has timed out.
 		e.recheckAt = e.now.Add(recheckInterval)
 	}
 }
 
-// enqueue notes that a step has tasks that wait, or wants copies.
+// enqueue adds a step with waiting tasks or wanted speculative copies to stepQueue.
 func (e *Engine) enqueue(s *step) {
 	if !s.isQueued {
 		s.isQueued = true
-		e.queue = append(e.queue, s)
+		e.stepQueue = append(e.stepQueue, s)
 	}
 }
 
-// stepsByTurn returns the steps with waiting tasks in the order of their turn.
-func (e *Engine) stepsByTurn() []*step {
-	e.noteUse()
-	e.queue = slices.DeleteFunc(e.queue, func(s *step) bool {
+// stepsInOrder returns the steps with waiting tasks or wanted copies in scheduling order.
+func (e *Engine) stepsInOrder() []*step {
+	e.updatePoolUsage()
+	e.stepQueue = slices.DeleteFunc(e.stepQueue, func(s *step) bool {
 		s.isQueued = !s.job.state.IsFinal() && (s.waiting > 0 || s.copiesWanted > 0)
 		s.priority = e.queues[s.job.spec.Queue].Priority
 		if s.isQueued {
-			e.setRank(s)
+			e.updateRank(s)
 		}
 		return !s.isQueued
 	})
-	e.noteShares()
-	e.isLateTurn = urgency.IsLateFirst(time.Duration(e.now.UnixNano()))
-	slices.SortStableFunc(e.queue, e.compareTurns)
+	e.updateShares()
+	e.isLateFirst = urgency.IsLateFirst(time.Duration(e.now.UnixNano()))
+	slices.SortStableFunc(e.stepQueue, e.compareSteps)
 	if e.inherited == nil {
-		return e.queue
+		return e.stepQueue
 	}
-	return slices.DeleteFunc(slices.Clone(e.queue), func(s *step) bool { return e.isBlocked(s.job) })
+	return slices.DeleteFunc(slices.Clone(e.stepQueue), func(s *step) bool { return e.isBlocked(s.job) })
 }
 
-// openedFor is the time by which steps of one priority take turns.
-func (s *step) openedFor() time.Time {
+// arrivedAt is the time from which the age of a step is counted: the due time of its round, or for
+// a job without rounds the time at which the job was accepted. Older steps of equal priority and
+// rank go first.
+func (s *step) arrivedAt() time.Time {
 	if s.job.spec.Rounds > 0 {
 		return s.round.dueAt
 	}
@@ -81,44 +84,45 @@
 	if !ok {
 		return
 	}
-	s.mayProbeEarly = e.mayTryEarly(s, q.Service)
+	s.mayProbeEarly = e.mayProbeEarly(s, q.Service)
 	e.startTasks(s, &q)
 	if s.waiting > 0 {
-		s.waitReason = e.whyWaiting(s, &q)
+		s.waitReason = e.waitReason(s, &q)
 	}
 }
 
-// startTasks starts what can be started of a step, and prepares what the rest waits for.
+// startTasks starts as many tasks of a step as possible. For the others it queries permissions and
+// reserves capacity.
 func (e *Engine) startTasks(s *step, q *order.Queue) {
 	if s.spec.IsGang {
 		e.placeGang(s, q)
 		return
 	}
 	placed := 0
-	mayStart := e.quotaRoom(s)
-	var candidates *candidates
-	for _, i := range e.turnsOf(s) {
+	allowed := e.allowedByQuota(s)
+	var ranked *candidates
+	for _, i := range e.taskOrder(s) {
 		t := &s.tasks[i]
 		if t.state != taskWaiting || len(t.mayRunOn) > 0 {
 			continue
 		}
-		if placed >= mayStart {
+		if placed >= allowed {
 			break
 		}
-		if candidates == nil {
-			candidates = e.newCandidates(s, q)
+		if ranked == nil {
+			ranked = e.newCandidates(s, q)
 		}
-		w := candidates.take(e, s, i, q)
+		w := ranked.pick(e, s, i, q)
 		if w == nil && needsIndividualPlacement(t) {
-			// Only this task may have no worker that suits it.
+			// No worker suits this one task; the step's other tasks may still find one.
 			e.reserveForSuspect(s, i, q)
 			continue
 		}
 		if w == nil {
 			break
 		}
-		e.start(w, s, i, t.run+1)
-		candidates.changed(e, s)
+		e.startTask(w, s, i, t.run+1)
+		ranked.rescoreTop(e, s)
 		placed++
 	}
 	if placed > 0 {
@@ -127,30 +131,30 @@
 	if s.copiesWanted > 0 {
 		e.placeCopies(s, q)
 	}
-	mayStart = e.quotaRoom(s)
-	if missing := min(s.waiting+s.copiesWanted, mayStart); missing > 0 && q.Permission != nil {
-		e.askAdvice(s, q.Permission, missing)
+	allowed = e.allowedByQuota(s)
+	if missing := min(s.waiting+s.copiesWanted, allowed); missing > 0 && q.Permission != nil {
+		e.queryPermission(s, q.Permission, missing)
 	}
-	if missing := min(s.waiting, mayStart); missing > 0 {
+	if missing := min(s.waiting, allowed); missing > 0 {
 		e.reserveFor(s, q, missing)
 	}
 }
 
-// turnsOf returns the indexes of the step's tasks in the order in which they are started. Tasks that
-// last come back for as long as their job does: the one that is away for longest goes first. The
-// slice is reused by the next call.
-func (e *Engine) turnsOf(s *step) []int {
-	e.turns = e.turns[:0]
+// taskOrder returns the indexes of the step's tasks in the order in which they are started.
+// Long-running tasks are restarted for as long as their job exists: the one that has not run for
+// the longest time goes first. The slice is reused by the next call.
+func (e *Engine) taskOrder(s *step) []int {
+	e.taskOrderBuffer = e.taskOrderBuffer[:0]
 	for i := range s.tasks {
-		e.turns = append(e.turns, i)
+		e.taskOrderBuffer = append(e.taskOrderBuffer, i)
 	}
 	if s.spec.IsLongRunning {
-		slices.SortStableFunc(e.turns, func(i, k int) int { return s.tasks[i].lastRanAt.Compare(s.tasks[k].lastRanAt) })
+		slices.SortStableFunc(e.taskOrderBuffer, func(i, k int) int { return s.tasks[i].lastRanAt.Compare(s.tasks[k].lastRanAt) })
 	}
-	return e.turns
+	return e.taskOrderBuffer
 }
 
-// mayRun reports whether the worker is one on which the step may run at all.
+// mayRun reports whether the worker belongs to the pool and has the label that the step requires.
 func (e *Engine) mayRun(w *worker, s *step, pool string) bool {
 	if w.Service != pool {
 		return false
@@ -158,47 +162,50 @@
 	return s.spec.Label == "" || slices.Contains(w.Labels, s.spec.Label)
 }
 
-// fits returns how many tasks of the step the worker could take now.
-func (e *Engine) fits(w *worker, s *step) int { return e.fitsBeside(w, s, leverdyke.Resources{}) }
+// fitCount returns how many tasks of the step the worker can take now.
+func (e *Engine) fitCount(w *worker, s *step) int {
+	return e.fitCountBeside(w, s, leverdyke.Resources{})
+}
 
-// fitsBeside returns how many tasks of the step the worker could take if others took so much.
-func (e *Engine) fitsBeside(w *worker, s *step, others leverdyke.Resources) int {
-	n := e.roomBeside(w, s, others)
+// fitCountBeside returns how many tasks of the step the worker can take if other tasks use the
+// given resources as well. A worker on probation takes one task at a time.
+func (e *Engine) fitCountBeside(w *worker, s *step, claimed leverdyke.Resources) int {
+	n := e.fitCountIgnoringHealth(w, s, claimed)
 	if w.health.IsOnProbation {
-		n = min(n, 1-w.trials())
+		n = min(n, 1-w.probeCount())
 	}
 	return max(n, 0)
 }
 
-// roomBeside is fitsBeside whatever the health of the worker.
-func (e *Engine) roomBeside(w *worker, s *step, others leverdyke.Resources) int {
-	if w.isOverfull() {
+// fitCountIgnoringHealth is fitCountBeside without regard to the worker's health.
+func (e *Engine) fitCountIgnoringHealth(w *worker, s *step, claimed leverdyke.Resources) int {
+	if w.isOvercommitted() {
 		return 0
 	}
 	n := len(s.tasks)
 	charge := s.spec.Charge()
 	if charge.MilliCPU > 0 || charge.MemoryMiB > 0 || charge.Accelerators > 0 {
-		free := e.freeFor(w, s).Sub(others)
+		free := e.freeCapacityFor(w, s).Sub(claimed)
 		free.Slots = 0
 		charge.Slots = 0
 		n = int(min(int64(n), charge.Count(free)))
 	}
 	if s.spec.MaxPerWorker > 0 {
-		n = min(n, s.spec.MaxPerWorker-w.countOf(s))
+		n = min(n, s.spec.MaxPerWorker-w.attemptCountOf(s))
 	}
 	return max(n, 0)
 }
 
-// isOverfull reports whether what the worker has been given takes more than it has: its
-// room may shrink after a place was worked out and before the order leaves, which is
-// seconds where a place waits for the store.
-func (w *worker) isOverfull() bool {
+// isOvercommitted reports whether the attempts charged to the worker need more than its capacity.
+// Its capacity may shrink between the choice of a placement and the sending of the order; these are
+// seconds apart if the placement has to wait for the store.
+func (w *worker) isOvercommitted() bool {
 	used := w.used
 	used.Slots = 0
 	return !used.FitsIn(w.Capacity)
 }
 
-func (w *worker) countOf(s *step) int {
+func (w *worker) attemptCountOf(s *step) int {
 	n := 0
 	for _, a := range w.attempts.All() {
 		if a.step == s {
@@ -208,24 +215,25 @@
 	return n
 }
 
-// choose picks the worker for a task, or returns nil.
-func (e *Engine) choose(s *step, i int, q *order.Queue, gang *gangSoFar) *worker {
+// chooseWorker returns the worker with the best score for a task, or nil if none can take it. gang
+// is nil for a task that is not a member of a gang.
+func (e *Engine) chooseWorker(s *step, i int, q *order.Queue, gang *partialGang) *worker {
 	id := s.taskID(i)
 	t := &s.tasks[i]
 	var best *worker
 	bestScore := 0.0
-	for _, w := range e.permitted(s, q) {
+	for _, w := range e.permittedWorkers(s, q) {
 		if w.attempts.Get(id) != nil || !e.mayRetryOn(w, s, t) {
 			continue
 		}
-		room := e.fits(w, s)
+		fitting := e.fitCount(w, s)
 		if gang != nil {
 			if gang.rack != "" && w.Rack != gang.rack {
 				continue
 			}
-			room -= gang.taken[w]
+			fitting -= gang.assigned[w]
 		}
-		if room <= 0 {
+		if fitting <= 0 {
 			continue
 		}
 		score := e.score(w, s, t)
@@ -236,10 +244,11 @@
 	return best
 }
 
-// permitted returns the workers that may be given tasks of the step now. The
-// slice is reused by the next call.
-func (e *Engine) permitted(s *step, q *order.Queue) []*worker {
-	found := e.found[:0]
+// permittedWorkers returns the workers that may be given tasks of the step now: all that are
+// usable, or only those with a valid permit where the queue requires permits. The slice is reused
+// by the next call.
+func (e *Engine) permittedWorkers(s *step, q *order.Queue) []*worker {
+	found := e.permittedBuffer[:0]
 	if q.Permission == nil {
 		for _, w := range e.workers.All() {
 			if e.isUsable(w, s) && e.mayRun(w, s, q.Service) {
@@ -252,33 +261,37 @@
 			found = append(found, w)
 		}
 	})
-	e.found = found
+	e.permittedBuffer = found
 	return found
 }
 
-// Weights of a placement's score, in parts of a worker's room. What makes a task
-// slower or likely to fail outweighs packing.
+// Weights of the terms of a worker's score. The unit is a whole worker: the term for packing is the
+// used fraction of the worker. What makes a task slower or more likely to fail outweighs tight
+// packing.
 const (
-	weightAside   = 8.0
-	weightAvoid   = 4.0
-	weightSlow    = 3.0
-	weightSuspect = 1.5
-	weightFar     = 1.0
-	weightShared  = 1.5
-	weightZone    = 0.01
-	// weightSpare, weightScarce and weightLast are for the risk that a worker fails
-	// the task, which has three attempts left or more, two, or one: the job fails
-	// with the last one.
-	weightSpare  = 0.3
-	weightScarce = 0.8
-	weightLast   = 5.0
+	weightEjected      = 8.0
+	weightFailedHere   = 4.0
+	weightSlow         = 3.0
+	weightMaybeSlow    = 1.5
+	weightRemoteData   = 1.0
+	weightInterference = 1.5
+	weightZone         = 0.01
+	// weightRiskThreeLeft, weightRiskTwoLeft and weightRiskLastAttempt apply to the risk that the
+	// task fails on the worker, for a task with three or more, two, or one attempt left. The job
+	// fails with the last attempt.
+	weightRiskThreeLeft   = 0.3
+	weightRiskTwoLeft     = 0.8
+	weightRiskLastAttempt = 5.0
 )
 
-// score is higher the better the worker suits: packed tightly, near the data,
-// away from where the task failed and from what it would disturb. t is nil for
+// score returns how well the worker suits the task; higher is better. It prefers workers that are
+// tightly packed and near the data. It avoids workers that are ejected, slow or likely to fail the
+// task, those where the task has failed, and those with tasks that would disturb it or be disturbed
+// by it. Long-running tasks, best-effort tasks and tasks that
+// may crash their worker go to the emptiest worker instead. t is nil if the score is to hold for
 // any task of the step.
 func (e *Engine) score(w *worker, s *step, t *task) float64 {
-	score := w.fullness()
+	score := w.utilization()
 	if s.spec.IsLongRunning || s.spec.IsBestEffort || t != nil && isSuspect(t) {
 		score = -score
 	}
@@ -286,33 +299,33 @@
 	case w.speed.IsSlow(e.now):
 		score -= weightSlow
 	case w.speed.IsSuspectedSlow:
-		score -= weightSuspect
+		score -= weightMaybeSlow
 	}
 	if w.health.IsPaused(e.now) {
-		score -= weightAside
+		score -= weightEjected
 	}
 	if t != nil && (t.avoidWorker == w.ID || hasCrashedOn(t, w.Machine)) {
-		score -= weightAvoid
+		score -= weightFailedHere
 	}
 	if s.spec.DataRack != "" && w.Rack != s.spec.DataRack {
-		score -= weightFar
+		score -= weightRemoteData
 	}
 	if w.Zone == e.options.NodeZone {
 		score += weightZone
 	}
-	score -= e.stake(s, t) * w.health.Risk(e.now)
+	score -= e.riskWeight(s, t) * w.health.Risk(e.now)
 	if s.spec.IsBestEffort || s.spec.TailTarget > 0 {
-		score -= weightShared * w.conflicts(s)
+		score -= weightInterference * w.interference(s)
 	}
 	return score
 }
 
-// stake is the weight of the risk that a task fails; t is nil for a task that has
-// not failed yet.
-func (e *Engine) stake(s *step, t *task) float64 {
+// riskWeight returns the weight of the risk that a task fails; t is nil for a task that has not
+// failed yet.
+func (e *Engine) riskWeight(s *step, t *task) float64 {
 	limit := e.queues[s.job.spec.Queue].MaxAttempts
 	if s.spec.IsLongRunning || limit <= 0 {
-		return weightSpare
+		return weightRiskThreeLeft
 	}
 	left := limit
 	if t != nil {
@@ -320,29 +333,29 @@
 	}
 	switch {
 	case left <= 1:
-		return weightLast
+		return weightRiskLastAttempt
 	case left == 2:
-		return weightScarce
+		return weightRiskTwoLeft
 	}
-	return weightSpare
+	return weightRiskThreeLeft
 }
 
-// fullness is the part of the worker's room that is taken, by the dimension that
-// is taken most.
-func (w *worker) fullness() float64 {
-	full := 0.0
+// utilization returns the used fraction of the worker's capacity, in whichever of processors and
+// memory is used most.
+func (w *worker) utilization() float64 {
+	fraction := 0.0
 	if w.Capacity.MilliCPU > 0 {
-		full = float64(w.used.MilliCPU) / float64(w.Capacity.MilliCPU)
+		fraction = float64(w.used.MilliCPU) / float64(w.Capacity.MilliCPU)
 	}
 	if w.Capacity.MemoryMiB > 0 {
-		full = max(full, float64(w.used.MemoryMiB)/float64(w.Capacity.MemoryMiB))
+		fraction = max(fraction, float64(w.used.MemoryMiB)/float64(w.Capacity.MemoryMiB))
 	}
-	return full
+	return fraction
 }
 
-// conflicts is 1 when the worker has tasks that the step would disturb or be
-// disturbed by.
-func (w *worker) conflicts(s *step) float64 {
+// interference returns 1 if best-effort tasks and tasks with a latency target would share the
+// worker, otherwise 0.
+func (w *worker) interference(s *step) float64 {
 	for _, a := range w.attempts.All() {
 		if a.step == nil {
 			continue
@@ -366,17 +379,18 @@
 	return run
 }
 
-// start orders a waiting task to start.
-func (e *Engine) start(w *worker, s *step, i int, run uint64) {
+// startTask plans an attempt of a waiting task on a worker.
+func (e *Engine) startTask(w *worker, s *step, i int, run uint64) {
 	t := &s.tasks[i]
 	t.state = taskPlaced
-	t.attempt = e.order(w, s, i, run)
+	t.attempt = e.planAttempt(w, s, i, run)
 	s.waiting--
 }
 
-// order charges the worker for an attempt. The start is ordered once the store
-// has its place, so that the next owner knows where the task may run.
-func (e *Engine) order(w *worker, s *step, i int, run uint64) *attempt {
+// planAttempt creates an attempt and charges it to the worker. The order to start is sent only
+// after the placement is persisted, so that the next owner knows where the task may run; in
+// write-behind mode it may be sent earlier.
+func (e *Engine) planAttempt(w *worker, s *step, i int, run uint64) *attempt {
 	t := &s.tasks[i]
 	a := &attempt{
 		id: s.taskID(i), step: s, run: run, worker: w, charge: s.spec.Charge(), phase: phasePlanned, orderedAt: e.now, pace: fullPace,
@@ -388,90 +402,94 @@
 	w.lastStartAt = e.now
 	e.isolateSuspect(a)
 	t.run = max(t.run, run)
-	e.keepPlace(a)
+	e.addPlacement(a)
 	e.markUrgent(s.job)
 	if e.mayStartUnpersisted(a) {
-		e.sendSoon(a)
+		e.queueStart(a)
 	}
 	return a
 }
 
-// keepPlace puts the place of an attempt into the batch. One that is ordered
-// already counts as unkept until then.
-func (e *Engine) keepPlace(a *attempt) {
+// addPlacement adds the placement of an attempt to the batch. An attempt that is already ordered
+// counts as unpersisted until the batch is committed.
+func (e *Engine) addPlacement(a *attempt) {
 	e.markDirty(a.step.job)
-	b := e.batchNow()
+	b := e.currentBatch()
 	b.planned = append(b.planned, a)
 	if a.phase != phasePlanned {
-		e.noteUnkept(a)
+		e.countUnpersisted(a)
 	}
 }
 
-func (e *Engine) noteUnkept(a *attempt) {
+func (e *Engine) countUnpersisted(a *attempt) {
 	if !a.isPersisted && !a.isWriteBehind {
 		a.isWriteBehind = true
-		e.unkept++
+		e.unpersisted++
 	}
 }
 
-// placeKept says that the place of an attempt is in the store.
-func (e *Engine) placeKept(a *attempt) {
+// placementPersisted records that the placement of an attempt is in the store.
+func (e *Engine) placementPersisted(a *attempt) {
 	a.isPersisted = true
 	if a.isWriteBehind {
 		a.isWriteBehind = false
-		e.unkept--
+		e.unpersisted--
 	}
 }
 
-// sendSoon orders a planned start when there are few enough without an answer.
-func (e *Engine) sendSoon(a *attempt) {
-	e.ready = append(e.ready, a)
-	e.sendReady()
+// queueStart queues the order to start a planned attempt. It is sent as soon as the number of
+// unanswered orders is below the window's limit.
+func (e *Engine) queueStart(a *attempt) {
+	e.readyStarts = append(e.readyStarts, a)
+	e.sendReadyStarts()
 }
 
-func (e *Engine) sendReady() {
-	for len(e.ready) > 0 && e.unanswered < e.window.Limit() {
-		a := e.ready[0]
-		e.ready = e.ready[1:]
-		e.send(a)
+func (e *Engine) sendReadyStarts() {
+	for len(e.readyStarts) > 0 && e.startsInFlight < e.startWindow.Limit() {
+		a := e.readyStarts[0]
+		e.readyStarts = e.readyStarts[1:]
+		e.sendStart(a)
 	}
 }
 
-// send orders a planned start, if it still makes sense.
-func (e *Engine) send(a *attempt) {
+// sendStart issues the order to start a planned attempt, unless something has happened since that
+// rules it out.
+func (e *Engine) sendStart(a *attempt) {
 	if a.phase != phasePlanned || a.worker.attempts.Get(a.id) != a {
 		return
 	}
 	if !a.isPersisted && !e.mayStartUnpersisted(a) {
-		// The store is waited for again: it has its turn when its place is kept. An owner that
-		// does not say that it runs ahead must not.
+		// Write-behind mode has ended since the attempt was queued. It is queued again once its
+		// placement is persisted. An owner that has not announced that it runs in write-behind mode
+		// must not start it earlier.
 		return
 	}
 	q := e.queues[a.step.job.spec.Queue]
-	text, hasTicket := a.step.permissions.ValidPermit(a.worker.ID, e.now)
-	isHeldBack := e.isPaused && !e.isGangUnderWay(a)
-	isOverLimit := e.quota.IsOverLimit(a.step.customer()) && !e.isGangUnderWay(a)
-	if !e.isReachable(a.worker) || !e.isTrusted || isHeldBack || q.Permission != nil && !hasTicket || a.worker.isOverfull() || isOverLimit {
-		e.dropPlanned(a, "a member was not ordered")
+	permitText, hasPermit := a.step.permissions.ValidPermit(a.worker.ID, e.now)
+	isStartPaused := e.isPaused && !e.isGangStarted(a)
+	isOverLimit := e.quota.IsOverLimit(a.step.customer()) && !e.isGangStarted(a)
+	if !e.isReachable(a.worker) || !e.isOwnershipConfirmed || isStartPaused || q.Permission != nil && !hasPermit || a.worker.isOvercommitted() || isOverLimit {
+		e.abandonPlanned(a, "a member was not ordered")
 		return
 	}
 	a.phase, a.orderedAt, a.worker.lastStartAt = phaseOrdered, e.now, e.now
 	e.isolateSuspect(a)
 	e.durationsOf(a.step).Ordered(e.now)
-	e.noteUnkept(a)
-	a.isResumed = a.step.savedFor(a.id.Index) != ""
+	e.countUnpersisted(a)
+	a.isResumed = a.step.savedStateOf(a.id.Index) != ""
 	e.counts.Starts++
-	e.unanswered++
-	e.fresh = append(e.fresh, a)
-	e.do(order.Start{
-		Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.strays.Generation(a.worker.ID), Task: a.id, Run: a.run, Payload: a.step.job.spec.Payload,
-		Checkpoint: a.step.savedFor(a.id.Index), Permit: text, Deadline: a.worker.session.Renew(e.now),
+	e.startsInFlight++
+	e.startsInActions = append(e.startsInActions, a)
+	e.emit(order.Start{
+		Worker: a.worker.ID, Addr: a.worker.Addr, Generation: e.abandonedStarts.Generation(a.worker.ID), Task: a.id, Run: a.run, Payload: a.step.job.spec.Payload,
+		Checkpoint: a.step.savedStateOf(a.id.Index), Permit: permitText, Deadline: a.worker.session.Renew(e.now),
 	})
 }
 
-// dropPlanned gives up an attempt that was not ordered. The other members of its run of a
-// gang would wait for it in vain, up to gang time: they are given up, too.
-func (e *Engine) dropPlanned(a *attempt, why string) {
+// abandonPlanned drops an attempt that was not ordered. If it belongs to a gang, the other members
+// of the same run are stopped, too: they would wait for it in vain, up to the time limit within
+// which a gang must assemble.
+func (e *Engine) abandonPlanned(a *attempt, why string) {
 	e.release(a)
 	e.detachAttempt(a)
 	if a.step != nil && a.step.spec.IsGang {
@@ -479,9 +497,9 @@
 	}
 }
 
-// isGangUnderWay reports whether other members of the attempt's run of a gang are ordered:
-// they would wait for this one in vain.
-func (e *Engine) isGangUnderWay(a *attempt) bool {
+// isGangStarted reports whether other members of the same run of the attempt's gang have been
+// ordered. They would wait in vain for a member that is not started.
+func (e *Engine) isGangStarted(a *attempt) bool {
 	if !a.step.spec.IsGang {
 		return false
 	}
@@ -490,18 +508,19 @@
 	})
 }
 
-// HasReady reports whether starts whose places are kept wait for their turn.
-func (e *Engine) HasReady() bool { return len(e.ready) > 0 }
+// HasReadyStarts reports whether starts that may be sent wait because too many orders are
+// unanswered.
+func (e *Engine) HasReadyStarts() bool { return len(e.readyStarts) > 0 }
 
-// savedFor returns where a task goes on from. The members of a gang must all go
-// on from the same text.
-func (s *step) savedFor(i int) string {
+// savedStateOf returns the saved state from which a task resumes. All members of a gang must resume
+// from the same saved state.
+func (s *step) savedStateOf(i int) string {
 	if !s.spec.IsGang {
 		return s.tasks[i].checkpoint
 	}
 	for t := range s.tasks {
-		if text := s.tasks[t].checkpoint; text != "" {
-			return text
+		if saved := s.tasks[t].checkpoint; saved != "" {
+			return saved
 		}
 	}
 	return ""
--- a/internal/dispatch/poll.go
+++ b/internal/dispatch/poll.go
@@ -46,13 +46,13 @@
 		return
 	}
 	w.session.BeginLongPoll(e.now)
-	poll := order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.ConfirmableEnd(e.now), Wait: e.longPollWait(w), Timeout: e.pollTimeout(), AskedAt: e.now}
+	poll := order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.abandonedStarts.Generation(w.ID), Confirmed: w.session.ConfirmableEnd(e.now), Wait: e.longPollWait(w), Timeout: e.pollTimeout(), AskedAt: e.now}
 	// The lease of a worker that does not answer is not renewed: the sooner it expires, the sooner
 	// it is certain that its tasks have ended.
-	if !w.session.LastHeardAt().IsZero() && e.isTrusted && !w.session.HasMissed() {
+	if !w.session.LastHeardAt().IsZero() && e.isOwnershipConfirmed && !w.session.HasMissed() {
 		poll.Deadline = w.session.Renew(e.now)
 	}
-	e.do(poll)
+	e.emit(poll)
 }
 
 // pollNow polls a worker for an immediate answer. If such a poll is outstanding, this waits until
@@ -62,12 +62,12 @@
 		w.needsTick = true
 		return
 	}
-	e.do(order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.strays.Generation(w.ID), Confirmed: w.session.ConfirmableEnd(e.now), IsImmediate: true, Timeout: e.pollTimeout(), AskedAt: e.now})
+	e.emit(order.Poll{Worker: w.ID, Addr: w.Addr, Generation: e.abandonedStarts.Generation(w.ID), Confirmed: w.session.ConfirmableEnd(e.now), IsImmediate: true, Timeout: e.pollTimeout(), AskedAt: e.now})
 }
 
 // pollTimeout returns how much longer than its wait a poll may take.
 func (e *Engine) pollTimeout() time.Duration {
-	return max(pollTimeoutFactor*e.answers.Timeout(), minPollTimeout)
+	return max(pollTimeoutFactor*e.answerTimes.Timeout(), minPollTimeout)
 }
 
 // longPollWait returns how long the worker may wait for an end before it answers a long poll.
@@ -107,7 +107,7 @@
 		if !w.session.HasMissed() {
 			e.silences.Add(w.ID, w.session.LastHeardAt(), e.now)
 		}
-		e.strays.NextGeneration(w.ID)
+		e.abandonedStarts.NextGeneration(w.ID)
 		w.session.CountMiss(e.now)
 		e.refuseAbandoned(w)
 	}
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -158,7 +158,7 @@
 	a.isReplaced = true
 	t := &a.step.tasks[a.id.Index]
 	t.avoidWorker = a.worker.ID
-	if e.wantCopy(a) {
+	if e.requestCopy(a) {
 		return
 	}
 	t.replacements++
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -28,7 +28,7 @@
 // have begun. The refusals are sent before that one is known, as an abandoned order may be the
 // first message to reach it.
 func (e *Engine) refuseAbandoned(w *worker) {
-	w.refusals.Add(e.strays.ForWorker(w.ID, e.now))
+	w.refusals.Add(e.abandonedStarts.ForWorker(w.ID, e.now))
 	w.needsTick = w.needsTick || w.refusals.HasPending()
 	e.sendRefusals(w)
 }
@@ -39,8 +39,8 @@
 	if !w.refusals.HasPending() {
 		return
 	}
-	for _, o := range w.refusals.Due(e.now, stopRetry, w.session.HasMissed()) {
-		e.doStop(w, o.Task, o.Run)
+	for _, o := range w.refusals.Due(e.now, stopRetryInterval, w.session.HasMissed()) {
+		e.emitStop(w, o.Task, o.Run)
 	}
 }
 
@@ -54,7 +54,7 @@
 	}
 	e.options.Log(events.WorkerRestarted, "worker", newID, "before", id, "attempts", old.attempts.Len(), "handled", old.session.LastAcceptedEnd(), "clockBefore", time.Duration(old.session.Clock()))
 	successor := e.workers.Get(newID)
-	if successor == nil && !e.over[newID] {
+	if successor == nil && !e.endedIncarnations[newID] {
 		entry := old.Worker
 		entry.ID, entry.IsDraining, entry.IsUncertain = newID, false, true
 		successor = e.addWorker(&entry)
@@ -74,7 +74,7 @@
 			successor.session.NoteOtherLeases(a.orderedAt.Add(abandoned.MaxDelay + session.AnyLeaseBound))
 		}
 	}
-	for _, o := range e.strays.ForWorker(successor.ID, e.now) {
+	for _, o := range e.abandonedStarts.ForWorker(successor.ID, e.now) {
 		successor.session.NoteOtherLeases(o.Until.Add(session.AnyLeaseBound))
 	}
 	if old.session.IsLongPolling() && !old.session.HasMissed() {
@@ -104,7 +104,7 @@
 // resolveIncarnations resolves what previous owners may have started on any incarnation of a
 // worker that has sent its listing.
 func (e *Engine) resolveIncarnations(w *worker) {
-	for id := range e.unsettled.All() {
+	for id := range e.uncertainTasks.All() {
 		switch {
 		case !id.IsSameWorker(w.ID):
 		case id.IsOtherIncarnation(w.ID):
@@ -118,7 +118,7 @@
 // waitForOtherLeases waits for leases that a previous owner may have given by the clock of another
 // incarnation, on which it may have started tasks.
 func (e *Engine) waitForOtherLeases(w *worker) {
-	for id := range e.unsettled.All() {
+	for id := range e.uncertainTasks.All() {
 		if id.IsOtherIncarnation(w.ID) {
 			w.session.NoteOtherLeases(e.now.Add(session.AnyLeaseBound))
 		}
@@ -128,7 +128,7 @@
 // hasUnresolved reports whether a previous owner may have started tasks on any incarnation of a
 // worker.
 func (e *Engine) hasUnresolved(worker order.WorkerID) bool {
-	for id := range e.unsettled.All() {
+	for id := range e.uncertainTasks.All() {
 		if id.IsSameWorker(worker) {
 			return true
 		}
--- a/internal/dispatch/speed.go
+++ b/internal/dispatch/speed.go
@@ -60,12 +60,12 @@
 	if !isConclusive || 2*slow <= judged {
 		return
 	}
-	if !e.has(MechanismSpeed) {
+	if !e.isEnabled(MechanismSpeed) {
 		return
 	}
 	if !w.speed.IsSlow(e.now) {
 		e.options.Log(events.WorkerSlow, "worker", w.ID, "slow", slow, "judged", judged)
 	}
 	w.speed.MarkSlow(e.now)
-	e.isDirty = true
+	e.needsScheduling = true
 }
--- a/internal/dispatch/urgency.go
+++ b/internal/dispatch/urgency.go
@@ -13,114 +13,122 @@
 )
 
 const (
-	// rankPause is how long the rank of a step holds: it changes slowly, and is asked for in
-	// each look at all that waits.
-	rankPause = 50 * time.Millisecond
-	// askedWorkers is how many workers the call for permission of a step names that its
-	// objective counts.
-	askedWorkers = 30
-	// starvedAfter is how long a job may have nothing running while there is room, until it goes
-	// first: callers take one that stands still for longer as lost.
-	starvedAfter = 1500 * time.Millisecond
-	// roomyShare is the part of a pool in use below which there is room: what waits does so for
-	// permission.
-	roomyShare = 0.6
-	// longestAge bounds how long ago a job was accepted by its record: times of day differ.
-	longestAge = 10 * time.Minute
+	// rankInterval is how long the computed rank of a step remains valid. The rank changes slowly
+	// and is needed in every scheduling pass.
+	rankInterval = 50 * time.Millisecond
+	// typicalQuerySize is the number of workers in a permission query that is assumed when the time
+	// that a step should take is computed.
+	typicalQuerySize = 30
+	// starvationTimeout is how long a job may have nothing running while its pool has free capacity
+	// before it goes first. Callers consider a job lost if it makes no progress for longer.
+	starvationTimeout = 1500 * time.Millisecond
+	// underusedShare is the used fraction of a pool below which the pool counts as having free
+	// capacity: tasks then wait for permission, not for capacity.
+	underusedShare = 0.6
+	// maxJobAge limits the age of a restored job as computed from its record, because the clocks of
+	// nodes differ.
+	maxJobAge = 10 * time.Minute
 )
 
-// compareTurns is negative when step a has its turn before step b.
-func (e *Engine) compareTurns(a, b *step) int {
-	if x, y := e.overShare[a.customer()], e.overShare[b.customer()]; x != y && !e.isLateTurn {
-		// Whatever its priority, it would take from others what is theirs.
-		return first(y)
+// compareSteps is negative if step a is to be placed before step b.
+func (e *Engine) compareSteps(a, b *step) int {
+	if x, y := e.overShare[a.customer()], e.overShare[b.customer()]; x != y && !e.isLateFirst {
+		// Whatever its priority, a customer above its share would take capacity that others are
+		// entitled to.
+		return orderFirst(y)
 	}
 	if a.priority != b.priority {
 		return cmp.Compare(a.priority, b.priority)
 	}
-	if e.isLateTurn && a.rank.IsLate() != b.rank.IsLate() {
-		return first(a.rank.IsLate())
+	if e.isLateFirst && a.rank.IsLate() != b.rank.IsLate() {
+		return orderFirst(a.rank.IsLate())
 	}
 	if c := a.rank.Compare(b.rank); c != 0 {
 		return c
 	}
-	return a.openedFor().Compare(b.openedFor())
+	return a.arrivedAt().Compare(b.arrivedAt())
 }
 
-// first is negative when the first of two is the one with the property.
-func first(isFirst bool) int {
+// orderFirst returns the result of a comparison in which the element that has a property sorts
+// first: -1 if that is the first element, otherwise 1.
+func orderFirst(isFirst bool) int {
 	if isFirst {
 		return -1
 	}
 	return 1
 }
 
-// setRank works out the rank of a step anew when it is time to.
-func (e *Engine) setRank(s *step) {
-	if !s.rankedAt.IsZero() && e.now.Sub(s.rankedAt) < rankPause {
+// updateRank recomputes the rank of a step once its last rank is older than rankInterval.
+func (e *Engine) updateRank(s *step) {
+	if !s.rankedAt.IsZero() && e.now.Sub(s.rankedAt) < rankInterval {
 		return
 	}
 	q := e.queues[s.job.spec.Queue]
-	whole, left := e.chain(s.round, &q)
+	total, remaining := e.criticalPath(s.round, &q)
 	w := urgency.Work{
-		Age: e.now.Sub(s.openedFor()), Remaining: left, IsImmediate: s.spec.IsLongRunning || e.isStarved(s, q.Service), MustNotYield: s.spec.IsGang,
+		Age: e.now.Sub(s.arrivedAt()), Remaining: remaining, IsImmediate: s.spec.IsLongRunning || e.isStarved(s, q.Service), MustNotYield: s.spec.IsGang,
 	}
-	if q.Stretch > 0 && e.has(MechanismUrgency) {
-		w.Objective = q.TargetLatency + time.Duration(q.Stretch*float64(whole))
+	if q.Stretch > 0 && e.isEnabled(MechanismUrgency) {
+		w.Objective = q.TargetLatency + time.Duration(q.Stretch*float64(total))
 	}
 	s.rank, s.rankedAt = w.Rank(), e.now
 }
 
-// isStarved reports whether nothing of the step's job has run for long while there is room.
+// isStarved reports whether nothing of the step's job has run for starvationTimeout although the
+// pool has free capacity.
 func (e *Engine) isStarved(s *step, pool string) bool {
 	idleAt := s.openedAt
 	if s.job.idleSince.After(idleAt) {
 		idleAt = s.job.idleSince
 	}
-	return s.job.attempts == 0 && e.now.Sub(idleAt) >= starvedAfter && e.inUse[pool] < roomyShare
+	return s.job.attempts == 0 && e.now.Sub(idleAt) >= starvationTimeout && e.poolUsage[pool] < underusedShare
 }
 
-// noteUse finds out now and then what part of each pool is in use.
-func (e *Engine) noteUse() {
-	if e.now.Before(e.useAt) {
+// updatePoolUsage recomputes the used fraction of each pool if the last result is older than
+// rankInterval.
+func (e *Engine) updatePoolUsage() {
+	if e.now.Before(e.poolUsageDueAt) {
 		return
 	}
-	e.useAt = e.now.Add(rankPause)
-	used, room := map[string]leverdyke.Resources{}, map[string]leverdyke.Resources{}
+	e.poolUsageDueAt = e.now.Add(rankInterval)
+	used, capacity := map[string]leverdyke.Resources{}, map[string]leverdyke.Resources{}
 	for _, w := range e.workers.All() {
-		used[w.Service], room[w.Service] = used[w.Service].Add(w.used), room[w.Service].Add(w.Capacity)
+		used[w.Service], capacity[w.Service] = used[w.Service].Add(w.used), capacity[w.Service].Add(w.Capacity)
 	}
-	clear(e.inUse)
-	for pool := range room {
-		e.inUse[pool] = share(used[pool], room[pool])
+	clear(e.poolUsage)
+	for pool := range capacity {
+		e.poolUsage[pool] = dominantShare(used[pool], capacity[pool])
 	}
 }
 
-// chain returns how long the longest chain of steps of a round takes, and what is left of it.
-func (e *Engine) chain(r *round, q *order.Queue) (whole, left time.Duration) {
+// criticalPath returns how long the longest chain of dependent steps of a round takes in total, and
+// how much of it remains. A step takes longer if the limit of its customer lets only some of its
+// tasks run at once, or if its queue requires permits.
+func (e *Engine) criticalPath(r *round, q *order.Queue) (total, remaining time.Duration) {
 	for _, s := range r.steps {
 		s.chainEnd, s.remainingEnd = 0, 0
 		for _, i := range s.spec.After {
 			s.chainEnd, s.remainingEnd = max(s.chainEnd, r.steps[i].chainEnd), max(s.remainingEnd, r.steps[i].remainingEnd)
 		}
-		takes := time.Duration(e.quota.Batches(s.customer(), s.spec.Need, len(s.tasks))) * e.expectedDuration(s)
+		duration := time.Duration(e.quota.Batches(s.customer(), s.spec.Need, len(s.tasks))) * e.expectedDuration(s)
 		if q.Permission != nil {
-			takes += q.Permission.BaseTime + askedWorkers*q.Permission.TimePerWorker
+			duration += q.Permission.BaseTime + typicalQuerySize*q.Permission.TimePerWorker
 		}
-		s.chainEnd += takes
+		s.chainEnd += duration
 		if s.tasksLeft > 0 {
-			s.remainingEnd += takes
+			s.remainingEnd += duration
 		}
-		whole, left = max(whole, s.chainEnd), max(left, s.remainingEnd)
+		total, remaining = max(total, s.chainEnd), max(remaining, s.remainingEnd)
 	}
-	return whole, left
+	return total, remaining
 }
 
-// acceptedBefore returns when a job of an earlier owner was accepted, by the engine's time.
-func (e *Engine) acceptedBefore(at time.Time) time.Time {
+// restoredAcceptTime converts the time of day at which a job of a previous owner was accepted into
+// the engine's time.
+func (e *Engine) restoredAcceptTime(at time.Time) time.Time {
 	if at.IsZero() {
 		return e.now
 	}
-	age := e.now.Round(0).Add(e.day).Sub(at.Round(0))
-	return e.now.Add(-min(max(age, 0), longestAge))
+	age := e.now.Round(0).Add(e.wallClockOffset).Sub(at.Round(0))
+	return e.now.Add(-min(max(age, 0), maxJobAge))
 }
--- a/internal/dispatch/waits.go
+++ b/internal/dispatch/waits.go
@@ -10,30 +10,31 @@
 	"github.com/leverdyke/leverdyke/internal/waits"
 )
 
-// noteWaits adds the time since the last call for all tasks that wait.
-func (e *Engine) noteWaits(since time.Duration) {
-	for _, s := range e.queue {
+// recordWaits adds the time since the last call to the waiting time of all tasks that wait.
+func (e *Engine) recordWaits(since time.Duration) {
+	for _, s := range e.stepQueue {
 		if s.waiting > 0 && !s.job.state.IsFinal() {
 			e.waits.Add(s.job.spec.Queue, s.waitReason, s.waiting, since)
 		}
 	}
 }
 
-// TakeWaits returns how long tasks have waited since the last call.
+// TakeWaits returns the times that tasks have waited since the last call.
 func (e *Engine) TakeWaits() []waits.Wait { return e.waits.Take() }
 
-// whyWaiting returns what the tasks of a step wait for that were just looked at.
-func (e *Engine) whyWaiting(s *step, q *order.Queue) waits.Reason {
+// waitReason returns why the tasks of a step still wait after the scheduling pass has tried to
+// place them.
+func (e *Engine) waitReason(s *step, q *order.Queue) waits.Reason {
 	switch {
-	case s.hasHeld():
+	case s.hasUncertainTask():
 		return waits.Uncertainty
-	case e.quotaRoom(s) == 0:
+	case e.allowedByQuota(s) == 0:
 		return waits.Limit
-	case q.Permission == nil || len(e.permitted(s, q)) > 0:
+	case q.Permission == nil || len(e.permittedWorkers(s, q)) > 0:
 		return waits.Capacity
 	case s.permissions.IsQuerying():
 		return waits.Permission
-	case e.lanes.FreeChannel(q.Permission) == "":
+	case e.channels.FreeChannel(q.Permission) == "":
 		return waits.Channel
 	}
 	return waits.Capacity
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -137,7 +137,7 @@
 			continue
 		}
 		seen[entry.ID] = true
-		if !e.over[entry.ID] {
+		if !e.endedIncarnations[entry.ID] {
 			e.updateWorker(entry)
 		}
 		hasUnclear = hasUnclear || entry.IsUncertain && e.workers.Get(entry.ID) == nil
@@ -148,9 +148,9 @@
 	if e.inherited != nil {
 		e.inherited.currentlyListed, e.inherited.hasUnclear = len(seen), hasUnclear
 	}
-	for id := range e.over {
+	for id := range e.endedIncarnations {
 		if !seen[id] {
-			delete(e.over, id)
+			delete(e.endedIncarnations, id)
 		}
 	}
 	for id, w := range e.workers.All() {
@@ -163,7 +163,7 @@
 // handleUnlisted handles a worker that is no longer in the list. replacement is the list's entry
 // of another incarnation of it, nil if there is none.
 func (e *Engine) handleUnlisted(w *worker, replacement *order.Worker) {
-	if replacement != nil && e.over[replacement.ID] {
+	if replacement != nil && e.endedIncarnations[replacement.ID] {
 		// The list still has the entry of an incarnation that has ended: w is a newer one, which
 		// has not written its own entry yet.
 		return
@@ -191,11 +191,11 @@
 		e.options.Log(events.WorkerLeaving, "worker", entry.ID, "attempts", w.attempts.Len())
 	}
 	if w.Capacity != entry.Capacity && !entry.IsUncertain {
-		e.isDirty = true
+		e.needsScheduling = true
 		e.options.Log(events.WorkerResized, "worker", entry.ID, "from", w.Capacity, "to", entry.Capacity, "used", w.used)
 	}
 	if w.isUnlisted || w.IsDraining != entry.IsDraining || w.IsUncertain != entry.IsUncertain {
-		e.isDirty = true
+		e.needsScheduling = true
 	}
 	if w.Machine != entry.Machine {
 		e.index.remove(w)
@@ -210,7 +210,7 @@
 	w := &worker{Worker: *entry, unknownRuns: map[work.TaskID]uint64{}, needsTick: true}
 	e.workers.Set(entry.ID, w)
 	e.index.add(w)
-	e.strays.NextGeneration(entry.ID)
+	e.abandonedStarts.NextGeneration(entry.ID)
 	e.refuseAbandoned(w)
 	e.longPoll(w)
 	return w
@@ -240,7 +240,7 @@
 		return
 	}
 	sinceHeartbeat := e.now.Sub(entry.HeartbeatAt)
-	if sinceHeartbeat >= heartbeatsUntilRemoval*e.options.Heartbeat-removalSlack {
+	if sinceHeartbeat >= heartbeatsUntilRemoval*e.options.HeartbeatInterval-removalSlack {
 		return
 	}
 	w.hasShutDown = true
@@ -259,7 +259,7 @@
 	if w.isSuperseded {
 		return
 	}
-	for _, other := range e.index.earlierLives(w) {
+	for _, other := range e.index.replacedBy(w) {
 		e.endIncarnation(other.ID, w)
 	}
 	e.confirmCrashes(w)
@@ -276,7 +276,7 @@
 		// may have reached that one: its listing has to show it first.
 		e.resolveInherited(id, resolvedByIncarnationEnd)
 	}
-	e.over[id] = true
+	e.endedIncarnations[id] = true
 	w := e.workers.Get(id)
 	if w == nil {
 		return
@@ -297,7 +297,7 @@
 	if !w.isUnlisted || w.attempts.Len() > 0 || len(w.unknownRuns) > 0 {
 		return
 	}
-	if _, ok := e.unsettled.Find(w.ID); ok {
+	if _, ok := e.uncertainTasks.Find(w.ID); ok {
 		return
 	}
 	e.workers.Delete(w.ID)
@@ -355,15 +355,15 @@
 		}
 		return
 	}
-	if a.phase == phaseOrdered && e.now.Sub(a.orderedAt) > e.answers.Timeout() && !e.now.Before(e.stalledUntil) {
+	if a.phase == phaseOrdered && e.now.Sub(a.orderedAt) > e.answerTimes.Timeout() && !e.now.Before(e.stalledUntil) {
 		e.markUnacknowledged(a)
 	}
-	if a.phase == phaseUnacknowledged && !a.isStopping && e.now.Sub(a.unacknowledgedAt) > doubtPatience {
+	if a.phase == phaseUnacknowledged && !a.isStopping && e.now.Sub(a.unacknowledgedAt) > unacknowledgedTimeout {
 		e.stop(a, "order was not answered")
 		return
 	}
-	e.copyIfSilent(a)
-	if a.isStopping && a.stopConfirmedClock == 0 && e.now.Sub(a.stopSentAt) > stopRetry {
+	e.requestCopyIfSilent(a)
+	if a.isStopping && a.stopConfirmedClock == 0 && e.now.Sub(a.stopSentAt) > stopRetryInterval {
 		e.sendStop(a)
 	}
 	if a.isStopping && a.stopConfirmedClock > 0 && a.phase == phaseUnacknowledged {
@@ -380,10 +380,10 @@
 func (e *Engine) markUnacknowledged(a *attempt) {
 	a.phase = phaseUnacknowledged
 	a.unacknowledgedAt = e.now
-	e.window.Observe(e.now.Sub(a.orderedAt), e.now)
-	e.counts.Doubtful++
+	e.startWindow.Observe(e.now.Sub(a.orderedAt), e.now)
+	e.counts.Unacknowledged++
 	e.options.Log(events.OrderDoubtful, "task", a.id, "run", a.run, "worker", a.worker.ID, "age", e.now.Sub(a.orderedAt))
-	e.wantCopy(a)
+	e.requestCopy(a)
 	e.pollNow(a.worker)
 }
 
@@ -397,13 +397,13 @@
 func (e *Engine) endAllAttempts(w *worker, reason string) {
 	e.logEndedAttempts(w, reason)
 	for _, a := range w.attempts.All() {
-		e.counts.Lapsed++
+		e.counts.Expired++
 		e.release(a)
 		e.detachAttempt(a)
 	}
 	clear(w.unknownRuns)
 	w.session.SetListed(false)
-	e.isDirty = true
+	e.needsScheduling = true
 }
 
 // maxEndedLogged bounds the log lines about attempts that end with one worker. A worker has about
@@ -428,7 +428,7 @@
 		return
 	}
 	if a.phase == phasePlanned || e.withdrawStart(a) {
-		e.dropPlanned(a, reason)
+		e.abandonPlanned(a, reason)
 		return
 	}
 	a.isStopping = true
@@ -450,12 +450,12 @@
 		return ok && s.Task == a.id && s.Run == a.run && s.Worker == a.worker.ID
 	}
 	e.actions = slices.DeleteFunc(e.actions, isOrder)
-	e.fresh = slices.DeleteFunc(e.fresh, func(x *attempt) bool { return x == a })
+	e.startsInActions = slices.DeleteFunc(e.startsInActions, func(x *attempt) bool { return x == a })
 	e.counts.Starts--
-	e.unanswered--
+	e.startsInFlight--
 	if a.isWriteBehind && !a.isPersisted {
 		a.isWriteBehind = false
-		e.unkept--
+		e.unpersisted--
 	}
 	a.phase = phasePlanned
 	return true
@@ -463,7 +463,7 @@
 
 func (e *Engine) sendStop(a *attempt) {
 	a.stopSentAt = e.now
-	e.doStop(a.worker, a.id, a.run)
+	e.emitStop(a.worker, a.id, a.run)
 }
 
 // release returns the resources of an attempt to its worker.
@@ -478,7 +478,7 @@
 	w.attempts.Delete(a.id)
 	w.used = w.used.Sub(a.charge)
 	if a.mayBeInFlight() {
-		e.strays.Add(w.ID, a.id, a.run, a.orderedAt, e.now)
+		e.abandonedStarts.Add(w.ID, a.id, a.run, a.orderedAt, e.now)
 	}
 	if a.step != nil {
 		a.step.job.attempts--
@@ -488,7 +488,7 @@
 		}
 		e.releaseCustomer(a.step)
 	}
-	e.isDirty = true
+	e.needsScheduling = true
 }
 
 // detachAttempt removes a released attempt from its task, which waits again if it has no attempt
@@ -509,7 +509,7 @@
 	if t.state != taskPlaced || t.attempt != nil {
 		return
 	}
-	a.step.dropCopyWish(t)
+	a.step.cancelCopyRequest(t)
 	if len(t.unwanted) > 0 {
 		return
 	}
--- a/internal/owner/delegates.go
+++ b/internal/owner/delegates.go
@@ -35,7 +35,7 @@
 		return
 	}
 	o.nextNodeCheck = o.now.Add(nodeCheckPeriod)
-	o.engine.SetLanes(o.options.PermissionChannels.Names())
+	o.engine.SetChannels(o.options.PermissionChannels.Names())
 	if o.options.Delegates != nil {
 		o.checkDelegates()
 	}
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -24,7 +24,7 @@
 		ev.reply <- errIDTaken()
 		return
 	}
-	if o.engine.IsKept(id) {
+	if o.engine.IsPersisted(id) {
 		ev.reply <- nil
 		return
 	}
@@ -146,7 +146,7 @@
 }
 
 func (ev permissionEvent) apply(o *Owner) {
-	o.engine.Advised(ev.query.Channel, ev.query.Step, ev.query.Workers, ev.permits, ev.validFor, ev.err == nil)
+	o.engine.PermissionAnswered(ev.query.Channel, ev.query.Step, ev.query.Workers, ev.permits, ev.validFor, ev.err == nil)
 }
 
 type handOverEvent struct{ done chan bool }
@@ -168,7 +168,7 @@
 	if o.handOverDone == nil {
 		return
 	}
-	isSettled := o.pendingStarts == 0 && !o.engine.HasReady() && o.inFlight == nil && len(o.pendingSubmits) == 0 && len(o.pendingCancels) == 0
+	isSettled := o.pendingStarts == 0 && !o.engine.HasReadyStarts() && o.inFlight == nil && len(o.pendingSubmits) == 0 && len(o.pendingCancels) == 0
 	if !isSettled && o.now.Sub(o.handOverStartedAt) < handOverTimeout {
 		return
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -107,7 +107,7 @@
 	return &Owner{
 		options: options,
 		engine: dispatch.NewEngine(dispatch.Options{
-			Log: options.Log, NodeZone: options.NodeZone, StopTime: options.StopTime, Heartbeat: options.Heartbeat,
+			Log: options.Log, NodeZone: options.NodeZone, StopTime: options.StopTime, HeartbeatInterval: options.Heartbeat,
 		}),
 		router: carrier.NewRouter(options.DirectWorkers, options.Claim.Record.Epoch),
 		inbox:  ring.NewRing[event](inboxSize), ctx: ctx, cancel: cancel,
@@ -229,7 +229,7 @@
 // so that a later analysis does not need the metrics.
 func (o *Owner) logTotals() {
 	if o.now.Sub(o.customersSampledAt) >= customerUsePeriod {
-		fullest := o.engine.FullestCustomers(maxCustomersReported)
+		fullest := o.engine.TopCustomersByUsage(maxCustomersReported)
 		o.customersSampledAt = o.now
 		o.customerUse.Store(&fullest)
 	}
@@ -239,7 +239,7 @@
 	o.totalsLoggedAt = o.now
 	c := o.engine.Counts()
 	o.options.Log(events.Totals, "epoch", o.Epoch(), "starts", c.Starts, "done", c.Done, "failed", c.Failed, "stopped", c.Stopped,
-		"lapsed", c.Lapsed, "doubtful", c.Doubtful, "asks", c.Asks, "orders", o.pendingStarts)
+		"lapsed", c.Expired, "doubtful", c.Unacknowledged, "asks", c.PermissionQueries, "orders", o.pendingStarts)
 	for _, w := range o.engine.TakeWaits() {
 		o.options.Log(events.TasksWaited, "queue", w.Queue, "reason", w.Reason, "waited", w.Time)
 	}
@@ -257,12 +257,12 @@
 // started without waiting for it.
 func (o *Owner) updateWriteBehind() {
 	isSlow := o.isStoreDown || o.inFlight != nil && o.now.Sub(o.inFlightSince) > slowAppendTime || o.now.Sub(o.confirmedAt) > heartbeatOverdue
-	hasUnpersisted := o.engine.HasUnkept()
+	hasUnpersisted := o.engine.HasUnpersisted()
 	o.mu.Lock()
 	if isSlow {
 		o.writeBehind.noteSlow(o.now)
 	}
-	o.writeBehind.update(o.now, hasUnpersisted, o.engine.AllAnswer())
+	o.writeBehind.update(o.now, hasUnpersisted, o.engine.AllResponsive())
 	isWriteBehind := o.writeBehind.mayWriteBehind(o.now)
 	o.mu.Unlock()
 	if isWriteBehind != o.isWriteBehind {
@@ -270,7 +270,7 @@
 		o.options.Log(events.StartsUnlogged, "epoch", o.Epoch(), "ahead", isWriteBehind, "confirmed", o.now.Sub(o.confirmedAt), "out", o.isStoreDown)
 	}
 	o.mayHaveUnpersisted.Store(isWriteBehind || hasUnpersisted)
-	o.engine.SetUnlogged(isWriteBehind)
+	o.engine.SetWriteBehind(isWriteBehind)
 }
 
 // MayHaveUnpersisted reports whether tasks may run on placements that are not in the store.
@@ -291,7 +291,7 @@
 	o.applyPolicy()
 	mayActAsOwner := o.mayActAsOwner()
 	o.mayAct.Store(mayActAsOwner)
-	o.engine.SetTrusted(mayActAsOwner)
+	o.engine.SetOwnershipConfirmed(mayActAsOwner)
 	o.schedule()
 	for _, a := range o.engine.Actions() {
 		o.execute(a)
@@ -304,13 +304,13 @@
 // schedule runs a scheduling pass, unless the owner pauses after an expensive one.
 func (o *Owner) schedule() {
 	if !o.throttle.mayRun(o.now) {
-		if o.pauseEnds == nil && o.engine.MustDecide() {
+		if o.pauseEnds == nil && o.engine.NeedsScheduling() {
 			o.pauseEnds = o.options.Clock.After(o.throttle.pausedUntil.Sub(o.now))
 		}
 		return
 	}
 	startedAt := o.options.Clock.Now()
-	o.engine.Decide()
+	o.engine.Schedule()
 	o.throttle.afterPass(o.options.Clock.Now().Sub(startedAt), o.now)
 }
 
--- a/internal/owner/persist.go
+++ b/internal/owner/persist.go
@@ -317,13 +317,13 @@
 // batch.
 func (o *Owner) batchPersisted(b *dispatch.Batch) {
 	o.engine.Committed(b)
-	for _, spec := range b.Specs {
+	for _, spec := range b.NewJobs {
 		o.answer(o.pendingSubmits, spec.ID, nil)
-		o.options.Log(events.JobAccepted, "job", spec.ID, "queue", spec.Queue, "steps", len(spec.Steps), "batch", len(b.Specs), "took", o.now.Sub(o.inFlightSince))
+		o.options.Log(events.JobAccepted, "job", spec.ID, "queue", spec.Queue, "steps", len(spec.Steps), "batch", len(b.NewJobs), "took", o.now.Sub(o.inFlightSince))
 	}
 	for id := range b.Progress {
 		o.answerCancel(id)
-		if o.engine.IsKept(id) {
+		if o.engine.IsPersisted(id) {
 			// The job was cancelled before its submission arrived.
 			o.answer(o.pendingSubmits, id, nil)
 		}
@@ -336,11 +336,11 @@
 	const why = "the store does not take new jobs"
 	o.nextWriteAt = o.now.Add(storeRetryDelay)
 	o.engine.Refused(b)
-	for _, spec := range b.Specs {
+	for _, spec := range b.NewJobs {
 		o.answer(o.pendingSubmits, spec.ID, leverdyke.NotRun(why, storeDownRetrySeconds))
 	}
 	for id := range b.Progress {
-		if !o.engine.IsKept(id) {
+		if !o.engine.IsPersisted(id) {
 			// The job was cancelled before its submission arrived, and never runs.
 			o.answer(o.pendingSubmits, id, leverdyke.NotRun(why, storeDownRetrySeconds))
 		}
