--- a/internal/dispatch/ahead_test.go
+++ b/internal/dispatch/ahead_test.go
@@ -12,26 +12,26 @@
 // stops. Starts that waited for their turn meanwhile left without their places being kept, so
 // that the next owner could take all places as known.
 func TestNothingStartsUnkeptOnceTheStoreIsWaitedForAgain(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(40, room)
+	w := newSim(1)
+	w.addWorkers(40, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(160, time.Minute))
-	w.step()
-	w.isOut, w.runsAhead, w.lostShare = true, true, 1
+	w.submit("a", newStep(160, time.Minute))
+	w.runTick()
+	w.isStoreDown, w.isWriteBehind, w.lostAnswerShare = true, true, 1
 	w.run(100 * time.Millisecond)
-	before := w.starts
+	before := w.startCount
 	if before == 0 || before == 160 {
 		t.Fatalf("starts ahead of the store: got: %d, want: as many as go without an answer", before)
 	}
-	w.runsAhead = false
+	w.isWriteBehind = false
 	w.run(3 * time.Second)
-	if w.starts != before {
-		t.Errorf("starts while the store is waited for: got: %d, want: none", w.starts-before)
+	if w.startCount != before {
+		t.Errorf("starts while the store is waited for: got: %d, want: none", w.startCount-before)
 	}
-	w.isOut, w.lostShare = false, 0
+	w.isStoreDown, w.lostAnswerShare = false, 0
 	w.run(3 * time.Second)
-	if w.starts < 160 {
-		t.Errorf("starts once the places are kept: got: %d, want: 160", w.starts)
+	if w.startCount < 160 {
+		t.Errorf("starts once the places are kept: got: %d, want: 160", w.startCount)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -13,24 +13,24 @@
 // A store in which each job is written whole carries many times what has changed: what
 // has only ended waits a little, what starts or is over does not.
 func TestOnlyUrgentJobsAreWrittenAtOnce(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(30, room)
+	w := newSim(1)
+	w.addWorkers(30, workerCapacity)
 	w.run(time.Second)
-	w.writes = map[work.JobID]int{}
-	w.submit("a", step(60, time.Second))
+	w.writeCounts = map[work.JobID]int{}
+	w.submit("a", newStep(60, time.Second))
 	w.run(500 * time.Millisecond)
-	if got := w.writes["a"]; got != 1 {
+	if got := w.writeCounts["a"]; got != 1 {
 		t.Errorf("writes of a job whose tasks all start at once: got: %d, want: 1", got)
 	}
 	for i := range 50 {
-		w.submit(string(rune('A'+i)), step(1, 50*time.Millisecond))
+		w.submit(string(rune('A'+i)), newStep(1, 50*time.Millisecond))
 		w.run(20 * time.Millisecond)
 	}
 	w.run(time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
 	expectState(t, w, "A", work.JobSucceeded)
-	if got := w.writes["a"]; got > 4 {
+	if got := w.writeCounts["a"]; got > 4 {
 		t.Errorf("writes of a job of 60 tasks that end within 0.25 s: got: %d, want: at most 4 (7 where all are written at once)", got)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -25,14 +25,14 @@
 }
 
 // benchCell is an engine whose actions are carried out at once.
-type benchCell struct {
-	engine *dispatch.Engine
-	clock  *clock.Fake
-	ends   map[order.WorkerID]uint64
-	lasts  map[work.JobID]bool
+type benchCluster struct {
+	engine        *dispatch.Engine
+	clock         *clock.Fake
+	endCounts     map[order.WorkerID]uint64
+	isLongRunning map[work.JobID]bool
 }
 
-func (c *benchCell) settle() {
+func (c *benchCluster) settle() {
 	c.engine.Advance(c.clock.Now())
 	for {
 		c.engine.Decide()
@@ -45,20 +45,20 @@
 			return
 		}
 		for _, a := range actions {
-			c.carryOut(a)
+			c.execute(a)
 		}
 	}
 }
 
-func (c *benchCell) carryOut(a order.Action) {
+func (c *benchCluster) execute(a order.Action) {
 	switch a := a.(type) {
 	case order.Start:
 		at := order.WorkerTime(c.clock.Now().UnixNano())
 		c.engine.StartAnswered(a.Worker, a.Task, a.Run, order.StartSucceeded, at)
-		if !c.lasts[a.Task.Job] {
-			c.ends[a.Worker]++
+		if !c.isLongRunning[a.Task.Job] {
+			c.endCounts[a.Worker]++
 			c.engine.PollAnswered(&order.Poll{Worker: a.Worker, IsImmediate: true}, &order.Listing{Finished: []order.End{{
-				Number: c.ends[a.Worker], Task: a.Task, Run: a.Run, Kind: order.EndSucceeded,
+				Number: c.endCounts[a.Worker], Task: a.Task, Run: a.Run, Kind: order.EndSucceeded,
 			}}})
 		}
 	case order.Poll:
@@ -69,9 +69,9 @@
 }
 
 func benchTask(b *testing.B, workers int) {
-	c := &benchCell{
-		engine: dispatch.NewEngine(dispatch.Options{}), clock: clock.NewFake(), ends: map[order.WorkerID]uint64{},
-		lasts: map[work.JobID]bool{},
+	c := &benchCluster{
+		engine: dispatch.NewEngine(dispatch.Options{}), clock: clock.NewFake(), endCounts: map[order.WorkerID]uint64{},
+		isLongRunning: map[work.JobID]bool{},
 	}
 	c.engine.Advance(c.clock.Now())
 	c.engine.SetTrusted(true)
@@ -85,7 +85,7 @@
 	}
 	c.engine.SetWorkers(list, true)
 	c.settle()
-	c.lasts["base"] = true
+	c.isLongRunning["base"] = true
 	need := leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 500}
 	c.engine.AddJob(&work.Spec{ID: "base", Queue: "q", Steps: []work.Step{{Count: 9 * workers, Need: need, IsLongRunning: true, MaxUnavailable: -1}}})
 	c.settle()
@@ -120,7 +120,7 @@
 				})
 			}
 			for b.Loop() {
-				c := &benchCell{engine: dispatch.NewEngine(dispatch.Options{}), clock: clock.NewFake()}
+				c := &benchCluster{engine: dispatch.NewEngine(dispatch.Options{}), clock: clock.NewFake()}
 				c.engine.Advance(c.clock.Now())
 				c.engine.SetTrusted(true)
 				c.engine.SetWorkers(list, true)
--- a/internal/dispatch/claims_test.go
+++ b/internal/dispatch/claims_test.go
@@ -14,19 +14,19 @@
 // Steps that ask at the same time leave room to each other: asked about the same workers, all
 // but the first of them find these taken half a second later.
 func TestStepsThatAskTogetherNameOtherWorkers(t *testing.T) {
-	w := newWorld(1)
+	w := newSim(1)
 	asking := testQueue
 	asking.Permission = &order.PermissionPolicy{BaseTime: 500 * time.Millisecond, TimePerWorker: 7 * time.Millisecond, ValidFor: 2 * time.Second}
-	w.queues, w.lanes = []order.Queue{asking}, []string{"a", "b", "c", "d", "e"}
+	w.queues, w.channels = []order.Queue{asking}, []string{"a", "b", "c", "d", "e"}
 	w.takeOver()
-	w.addWorkers(40, room)
+	w.addWorkers(40, workerCapacity)
 	w.run(time.Second)
-	large := step(3, time.Second)
-	large.Need = room
+	large := newStep(3, time.Second)
+	large.Need = workerCapacity
 	w.submit("first", large)
 	w.submit("second", large)
 	named := map[string][]order.WorkerID{}
-	w.onAdvise = func(a order.QueryPermission) { named[string(a.Step.Job)] = a.Workers }
+	w.onPermissionQuery = func(a order.QueryPermission) { named[string(a.Step.Job)] = a.Workers }
 	w.run(100 * time.Millisecond)
 	first, second := named["first"], named["second"]
 	if len(first) < 6 || len(second) < 6 {
--- a/internal/dispatch/crash_simulation_test.go
+++ b/internal/dispatch/crash_simulation_test.go
@@ -15,74 +15,74 @@
 // Bounds that callers rely on: a task under which that many workers have crashed is
 // started fewer times more than moreStarts.
 const (
-	crashesAllowed = 3
-	moreStarts     = 3
+	crashLimit     = 3
+	maxExtraStarts = 3
 )
 
 // crashes is what a world knows of tasks that crash each worker that starts them.
-type crashes struct {
+type crashFaults struct {
 	// isCrashing tells such tasks.
 	isCrashing func(work.TaskID) bool
 	// after is how long after its start the worker crashes, backAfter how long after that
 	// its next life begins, and unlistedAfter how long the entry of the old one stays.
-	after, backAfter, unlistedAfter time.Duration
+	crashDelay, restartDelay, unlistDelay time.Duration
 	// under counts, by such a task, the workers that crashed while it ran there, and more
 	// the starts since as many as are allowed.
-	under, more map[work.TaskID]int
+	crashesUnder, extraStarts map[work.TaskID]int
 	// isDark means that a worker that crashed is silent, and does not refuse connections.
-	isDark bool
+	isSilent bool
 	// isUnderName means that workers that crashed start again under their names.
-	isUnderName bool
+	keepsName bool
 	// workers counts all that crashed.
-	workers int
+	crashCount int
 }
 
 // crashing makes the tasks for which isCrashing holds crash their workers.
-func (w *world) crashing(isCrashing func(work.TaskID) bool) {
-	w.crashes = &crashes{
-		isCrashing: isCrashing, after: 10 * time.Millisecond, backAfter: 3 * time.Second, unlistedAfter: 4500 * time.Millisecond,
-		under: map[work.TaskID]int{}, more: map[work.TaskID]int{},
+func (w *sim) crashWorkersOf(isCrashing func(work.TaskID) bool) {
+	w.crashFaults = &crashFaults{
+		isCrashing: isCrashing, crashDelay: 10 * time.Millisecond, restartDelay: 3 * time.Second, unlistDelay: 4500 * time.Millisecond,
+		crashesUnder: map[work.TaskID]int{}, extraStarts: map[work.TaskID]int{},
 	}
 }
 
 // crashingTask makes one task crash its workers.
-func (w *world) crashingTask(id work.TaskID) {
-	w.crashing(func(other work.TaskID) bool { return other == id })
+func (w *sim) crashWorkersOfTask(id work.TaskID) {
+	w.crashWorkersOf(func(other work.TaskID) bool { return other == id })
 }
 
 // noteCrashing takes the start of a task that may crash its worker.
-func (w *world) noteCrashing(m *modelWorker, id work.TaskID) {
-	c := w.crashes
+func (w *sim) recordCrashingStart(m *modelWorker, id work.TaskID) {
+	c := w.crashFaults
 	if c == nil || !c.isCrashing(id) {
 		return
 	}
-	if c.under[id] >= crashesAllowed {
-		c.more[id]++
+	if c.crashesUnder[id] >= crashLimit {
+		c.extraStarts[id]++
 	}
-	if c.more[id] >= moreStarts {
-		w.breaks("%s is started %d times more after %d workers have crashed under it", id, c.more[id], crashesAllowed)
+	if c.extraStarts[id] >= maxExtraStarts {
+		w.reportViolation("%s is started %d times more after %d workers have crashed under it", id, c.extraStarts[id], crashLimit)
 	}
-	w.orderLater(c.after, func() { w.crashUnder(m, id) })
+	w.schedule(c.crashDelay, func() { w.crashRunning(m, id) })
 }
 
 // crashUnder ends a worker's life, if the task still runs there.
-func (w *world) crashUnder(m *modelWorker, id work.TaskID) {
+func (w *sim) crashRunning(m *modelWorker, id work.TaskID) {
 	if m.isDead || m.running[id] == nil {
 		return
 	}
-	for task := range m.runs() {
-		if w.crashes.isCrashing(task) {
-			w.crashes.under[task]++
+	for task := range m.sortedRuns() {
+		if w.crashFaults.isCrashing(task) {
+			w.crashFaults.crashesUnder[task]++
 		}
 	}
 	w.breakGangs(id)
-	w.crashAndReturn(m)
+	w.crashAndRestart(m)
 }
 
 // living returns the names of the workers that live, in their order.
-func (w *world) living() []string {
+func (w *sim) liveWorkers() []string {
 	ids := []string{}
-	for id, m := range w.each() {
+	for id, m := range w.allWorkers() {
 		if !m.isDead {
 			ids = append(ids, id)
 		}
@@ -92,59 +92,59 @@
 }
 
 // crashSome crashes workers that live, by no task's doing.
-func (w *world) crashSome(n int) {
-	ids := w.living()
+func (w *sim) crashRandomWorkers(n int) {
+	ids := w.liveWorkers()
 	w.rng.Shuffle(len(ids), func(i, k int) { ids[i], ids[k] = ids[k], ids[i] })
 	for _, id := range ids[:min(n, len(ids))] {
-		w.crashAndReturn(w.workers[id])
+		w.crashAndRestart(w.workers[id])
 	}
 }
 
 // crashAndReturn ends a worker's life, and begins the next one of its machine later.
-func (w *world) crashAndReturn(m *modelWorker) {
-	c := w.crashes
-	c.workers++
-	if c.isUnderName {
-		w.restart(m, c.backAfter, time.Duration(w.rng.IntN(200))*time.Hour)
+func (w *sim) crashAndRestart(m *modelWorker) {
+	c := w.crashFaults
+	c.crashCount++
+	if c.keepsName {
+		w.restart(m, c.restartDelay, time.Duration(w.rng.IntN(200))*time.Hour)
 		return
 	}
 	old := m.entry
-	m.refuses = !c.isDark
+	m.refusesConnections = !c.isSilent
 	m.isDead, m.running = true, map[work.TaskID]*modelRun{}
-	w.lingering = append(w.lingering, old)
-	next := fmt.Sprintf("%s.%d", old.Machine, c.workers)
-	w.orderLater(c.backAfter, func() { w.bear(next, m) })
-	w.orderLater(c.unlistedAfter, func() { w.unlist(old.ID) })
+	w.staleEntries = append(w.staleEntries, old)
+	next := fmt.Sprintf("%s.%d", old.Machine, c.crashCount)
+	w.schedule(c.restartDelay, func() { w.replaceWorker(next, m) })
+	w.schedule(c.unlistDelay, func() { w.removeStaleEntry(old.ID) })
 }
 
 // breakGangs ends the other members of a gang of which one is gone.
-func (w *world) breakGangs(id work.TaskID) {
+func (w *sim) breakGangs(id work.TaskID) {
 	if !w.specs[id.Job].Steps[id.Step].IsGang {
 		return
 	}
-	for _, m := range w.each() {
-		for other, r := range m.runs() {
+	for _, m := range w.allWorkers() {
+		for other, r := range m.sortedRuns() {
 			if other.StepID() == id.StepID() {
-				m.end(other, r, order.EndGangBroken)
+				m.endRun(other, r, order.EndGangBroken)
 			}
 		}
 	}
 }
 
 // bear begins the next life on the machine of a worker that crashed.
-func (w *world) bear(id string, m *modelWorker) {
-	born := newModelWorker(id, m.entry.Capacity, -w.since(), m.drift)
-	born.entry.Machine = m.entry.Machine
-	w.workers[born.name] = born
+func (w *sim) replaceWorker(id string, m *modelWorker) {
+	replacement := newModelWorker(id, m.entry.Capacity, -w.elapsed(), m.drift)
+	replacement.entry.Machine = m.entry.Machine
+	w.workers[replacement.name] = replacement
 }
 
 // unlist takes the entry of a life that is over out of the list.
-func (w *world) unlist(id order.WorkerID) {
-	kept := w.lingering[:0:0]
-	for _, entry := range w.lingering {
+func (w *sim) removeStaleEntry(id order.WorkerID) {
+	kept := w.staleEntries[:0:0]
+	for _, entry := range w.staleEntries {
 		if entry.ID != id {
 			kept = append(kept, entry)
 		}
 	}
-	w.lingering = kept
+	w.staleEntries = kept
 }
--- a/internal/dispatch/customer_simulation_test.go
+++ b/internal/dispatch/customer_simulation_test.go
@@ -13,11 +13,11 @@
 )
 
 // limitGrace is how long an order that left under the limits before may be on its way.
-const limitGrace = 20 * time.Millisecond
+const limitChangeGrace = 20 * time.Millisecond
 
 // limit puts limits of customers in force.
-func (w *world) limit(customers ...order.Customer) {
-	w.before, w.changedAt = w.customers, w.clock.Now()
+func (w *sim) limit(customers ...order.Customer) {
+	w.previousCustomers, w.customersChangedAt = w.customers, w.clock.Now()
 	w.customers = customers
 	w.engine.SetCustomers(customers)
 }
@@ -28,24 +28,24 @@
 }
 
 // checkLimit checks a start against the limits that may be in force.
-func (w *world) checkLimit(m *modelWorker, id work.TaskID) {
+func (w *sim) checkLimit(m *modelWorker, id work.TaskID) {
 	name := w.specs[id.Job].Customer
-	has := w.usedBy(name)
+	used := w.capacityUsedBy(name)
 	isWithin := func(customers []order.Customer) bool {
 		i := slices.IndexFunc(customers, func(c order.Customer) bool { return c.Name == name })
-		return i < 0 || customers[i].Limit.MilliCPU == 0 || has.MilliCPU <= customers[i].Limit.MilliCPU
+		return i < 0 || customers[i].Limit.MilliCPU == 0 || used.MilliCPU <= customers[i].Limit.MilliCPU
 	}
-	isRecent := w.clock.Now().Sub(w.changedAt) <= limitGrace
-	if !isWithin(w.customers) && !(isRecent && isWithin(w.before)) {
-		w.breaks("%s on %s brings customer %s over its limit: %v", id, m.entry.ID, name, has)
+	isRecent := w.clock.Now().Sub(w.customersChangedAt) <= limitChangeGrace
+	if !isWithin(w.customers) && !(isRecent && isWithin(w.previousCustomers)) {
+		w.reportViolation("%s on %s brings customer %s over its limit: %v", id, m.entry.ID, name, used)
 	}
 }
 
 // usedBy returns what a customer has running on all workers, those that are cut off among them.
-func (w *world) usedBy(name work.CustomerName) leverdyke.Resources {
+func (w *sim) capacityUsedBy(name work.CustomerName) leverdyke.Resources {
 	sum := leverdyke.Resources{}
-	for _, m := range w.each() {
-		for task, r := range m.runs() {
+	for _, m := range w.allWorkers() {
+		for task, r := range m.sortedRuns() {
 			if !m.isDead && w.specs[task.Job].Customer == name {
 				sum = sum.Add(r.need)
 			}
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -15,79 +15,79 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-var room = leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 8000}
+var workerCapacity = leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 8000}
 
-func step(count int, d time.Duration) work.Step {
+func newStep(count int, d time.Duration) work.Step {
 	return work.Step{Count: count, Need: leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 500}, Estimate: d, MaxUnavailable: -1}
 }
 
-func state(w *world, id work.JobID) work.JobState {
+func jobState(w *sim, id work.JobID) work.JobState {
 	s, _ := w.engine.State(id)
 	return s
 }
 
-func expectState(t *testing.T, w *world, id work.JobID, want work.JobState) {
+func expectState(t *testing.T, w *sim, id work.JobID, want work.JobState) {
 	t.Helper()
-	if got := state(w, id); got != want {
+	if got := jobState(w, id); got != want {
 		t.Errorf("job %s: got: %v, want: %v", id, got, want)
 	}
 }
 
-func expectWhole(t *testing.T, w *world) {
+func expectNoViolations(t *testing.T, w *sim) {
 	t.Helper()
-	for _, b := range w.broken {
+	for _, b := range w.violations {
 		t.Error(b)
 	}
 }
 
-func TestAJobRunsStepByStep(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(3, room)
+func TestStepsRunInDependencyOrder(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(5, 300*time.Millisecond), step(2, 300*time.Millisecond))
+	w.submit("a", newStep(5, 300*time.Millisecond), newStep(2, 300*time.Millisecond))
 	w.run(200 * time.Millisecond)
 	expectState(t, w, "a", work.JobRunning)
-	if w.starts != 5 {
-		t.Errorf("starts before the first step is done: got: %d, want: 5", w.starts)
+	if w.startCount != 5 {
+		t.Errorf("starts before the first step is done: got: %d, want: 5", w.startCount)
 	}
 	w.run(2 * time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
-func TestAJobIsNotStartedBeforeItIsKept(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(3, room)
+func TestJobStartedBeforePersisted(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
-	w.isOut = true
-	w.submit("a", step(1, time.Second))
+	w.isStoreDown = true
+	w.submit("a", newStep(1, time.Second))
 	w.run(time.Second)
-	if w.starts != 0 {
-		t.Errorf("starts: got: %d, want: 0", w.starts)
+	if w.startCount != 0 {
+		t.Errorf("starts: got: %d, want: 0", w.startCount)
 	}
 	if refused := w.engine.RefuseNew(); len(refused) != 1 {
 		t.Errorf("refused: got: %v, want: one job", refused)
 	}
-	w.isOut = false
+	w.isStoreDown = false
 	w.run(2 * time.Second)
-	if w.starts != 0 {
-		t.Errorf("starts of a refused job: got: %d, want: 0", w.starts)
+	if w.startCount != 0 {
+		t.Errorf("starts of a refused job: got: %d, want: 0", w.startCount)
 	}
 }
 
-func TestEndsAreConfirmedAfterTheyAreKept(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(1, room)
+func TestEndConfirmedBeforePersisted(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(1, 100*time.Millisecond))
+	w.submit("a", newStep(1, 100*time.Millisecond))
 	w.run(100 * time.Millisecond)
-	w.isOut = true
+	w.isStoreDown = true
 	w.run(time.Second)
 	if got := len(w.workers["w00"].finished); got != 1 {
 		t.Errorf("ends that the worker keeps while the store is out: got: %d, want: 1", got)
 	}
 	expectState(t, w, "a", work.JobRunning)
-	w.isOut = false
+	w.isStoreDown = false
 	w.run(time.Second)
 	if got := len(w.workers["w00"].finished); got != 0 {
 		t.Errorf("ends that the worker keeps afterwards: got: %d, want: 0", got)
@@ -97,86 +97,86 @@
 
 // A listing with ends that are not confirmed comes back at once: asking again
 // without a pause made 21 listings a second of each worker.
-func TestUnconfirmedEndsAreNotAskedForAgainAndAgain(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(1, room)
+func TestUnconfirmedEndsCauseBusyPolling(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
-	w.isOut = true
-	w.submit("a", step(1, 100*time.Millisecond))
-	w.isOut = false
+	w.isStoreDown = true
+	w.submit("a", newStep(1, 100*time.Millisecond))
+	w.isStoreDown = false
 	w.run(150 * time.Millisecond)
-	w.isOut = true
-	before := w.holds("w00")
+	w.isStoreDown = true
+	before := w.pollCount("w00")
 	w.run(2 * time.Second)
-	if got := w.holds("w00") - before; got > 8 {
+	if got := w.pollCount("w00") - before; got > 8 {
 		t.Errorf("listings in 2 s with an end that is not kept: got: %d, want: at most 8", got)
 	}
 }
 
-func TestAnOrderWithoutAnswerKeepsItsRoomUntilItsFateIsKnown(t *testing.T) {
-	w := newWorld(1)
+func TestUnacknowledgedStartLosesItsCapacity(t *testing.T) {
+	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
 	w.run(time.Second)
-	w.lostShare, w.lateShare = 1, 1
-	w.submit("a", step(1, time.Second))
+	w.lostAnswerShare, w.lateOrderShare = 1, 1
+	w.submit("a", newStep(1, time.Second))
 	w.run(200 * time.Millisecond)
-	w.lostShare = 0
+	w.lostAnswerShare = 0
 	w.run(20 * time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
-func TestATaskFailsItsJobAfterAsManyAttemptsAsItMay(t *testing.T) {
-	w := newWorld(1)
-	w.failShare = 1
-	w.addWorkers(6, room)
+func TestJobNotFailedAfterMaxAttempts(t *testing.T) {
+	w := newSim(1)
+	w.failureShare = 1
+	w.addWorkers(6, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(1, 100*time.Millisecond))
+	w.submit("a", newStep(1, 100*time.Millisecond))
 	w.run(5 * time.Second)
 	expectState(t, w, "a", work.JobFailed)
-	if w.starts != testQueue.MaxAttempts {
-		t.Errorf("starts: got: %d, want: %d", w.starts, testQueue.MaxAttempts)
+	if w.startCount != testQueue.MaxAttempts {
+		t.Errorf("starts: got: %d, want: %d", w.startCount, testQueue.MaxAttempts)
 	}
 }
 
-func TestAFailureThatIsListedAgainAfterATakeoverCountsOnce(t *testing.T) {
-	w := newWorld(1)
-	w.failShare = 1
-	w.addWorkers(6, room)
+func TestFailureCountedTwiceAfterTakeover(t *testing.T) {
+	w := newSim(1)
+	w.failureShare = 1
+	w.addWorkers(6, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(1, 400*time.Millisecond))
-	for w.starts < 2 {
+	w.submit("a", newStep(1, 400*time.Millisecond))
+	for w.startCount < 2 {
 		w.run(tick)
 	}
-	w.failShare = 0
-	for w.starts < 3 {
+	w.failureShare = 0
+	for w.startCount < 3 {
 		w.run(tick)
 	}
 	// Both failures are kept, the workers have not been told: they list them again.
 	id := work.TaskID{Job: "a"}
-	for _, m := range w.each() {
-		if run := m.barred[id]; run > 0 {
+	for _, m := range w.allWorkers() {
+		if run := m.highestEndedRun[id]; run > 0 {
 			m.finished = []order.End{{Number: 1, Task: id, Run: run, Kind: order.EndFailed}}
 		}
 	}
 	w.takeOver()
 	w.run(5 * time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
-func TestCancelStopsWhatRuns(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(2, room)
+func TestCancelLeavesTasksRunning(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(6, time.Minute))
+	w.submit("a", newStep(6, time.Minute))
 	w.run(500 * time.Millisecond)
 	if !w.engine.Cancel("a", "") {
 		t.Fatal("cancel: got: no such job, want: true")
 	}
 	w.run(time.Second)
 	expectState(t, w, "a", work.JobCancelled)
-	for id, m := range w.each() {
+	for id, m := range w.allWorkers() {
 		if len(m.running) > 0 {
 			t.Errorf("%s: got: %d running, want: 0", id, len(m.running))
 		}
@@ -186,33 +186,33 @@
 	}
 }
 
-func TestATakeoverGoesOnWithWhatRuns(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(2, room)
+func TestTakeoverRestartsRunningTasks(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(6, 3*time.Second))
+	w.submit("a", newStep(6, 3*time.Second))
 	w.run(time.Second)
 	w.takeOver()
 	w.run(5 * time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
-	if w.starts != 6 {
-		t.Errorf("starts: got: %d, want: 6", w.starts)
+	if w.startCount != 6 {
+		t.Errorf("starts: got: %d, want: 6", w.startCount)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // A new owner has given no lease yet: it took the leases of the earlier one as
 // lapsed, and would have started their tasks a second time.
-func TestATakeoverCountsTheEarlierOwnersLeases(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(2, room)
+func TestTakeoverIgnoresPreviousOwnersLeases(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(6, 20*time.Second))
+	w.submit("a", newStep(6, 20*time.Second))
 	w.run(time.Second)
 	w.takeOver()
 	w.run(30 * time.Millisecond)
-	for _, m := range w.each() {
-		m.isCut = true
+	for _, m := range w.allWorkers() {
+		m.isPartitioned = true
 	}
 	w.run(4 * time.Second)
 	if got := w.engine.Counts().Lapsed; got != 0 {
@@ -222,17 +222,17 @@
 
 // Before a new owner is trusted it renews nothing: the earlier owner's leases are
 // all that keeps tasks from being started a second time.
-func TestAnOwnerWithoutTrustCountsTheEarlierOwnersLeases(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(2, room)
+func TestUntrustedOwnerIgnoresPreviousOwnersLeases(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(6, 20*time.Second))
+	w.submit("a", newStep(6, 20*time.Second))
 	w.run(time.Second)
 	w.takeOver()
 	w.engine.SetTrusted(false)
 	w.run(300 * time.Millisecond)
-	for _, m := range w.each() {
-		m.isCut = true
+	for _, m := range w.allWorkers() {
+		m.isPartitioned = true
 	}
 	w.run(3 * time.Second)
 	if got := w.engine.Counts().Lapsed; got != 0 {
@@ -242,59 +242,59 @@
 
 // One worker of the roster that was draining when the owner died held up all
 // tasks of all jobs for 9.7 s.
-func TestAWorkerThatGotNothingNewHoldsUpOnlyItsOwnTasks(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(3, room)
+func TestDrainingWorkerDelaysOtherTasksAfterTakeover(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(1, 30*time.Second))
+	w.submit("a", newStep(1, 30*time.Second))
 	w.run(300 * time.Millisecond)
 	drained := w.workerOf(work.TaskID{Job: "a"})
 	drained.entry.IsDraining = true
-	w.submit("b", step(2, 300*time.Millisecond), step(2, 300*time.Millisecond))
+	w.submit("b", newStep(2, 300*time.Millisecond), newStep(2, 300*time.Millisecond))
 	w.run(800 * time.Millisecond)
-	drained.isCut = true
+	drained.isPartitioned = true
 	w.takeOver()
 	w.run(3 * time.Second)
 	expectState(t, w, "b", work.JobSucceeded)
-	if got := w.starts; got != 5 {
+	if got := w.startCount; got != 5 {
 		t.Errorf("starts while the drained worker's lease runs: got: %d, want: 5", got)
 	}
 	w.run(10 * time.Second)
-	if got := w.starts; got != 6 {
+	if got := w.startCount; got != 6 {
 		t.Errorf("starts after its lease: got: %d, want: 6", got)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
-func TestAWorkerThatDrainsGetsNothingNew(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(1, room)
+func TestDrainingWorkerGetsNewTasks(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
 	w.workers["w00"].entry.IsDraining = true
 	w.run(100 * time.Millisecond)
-	w.submit("a", step(1, time.Second))
+	w.submit("a", newStep(1, time.Second))
 	w.run(2 * time.Second)
-	if w.starts != 0 {
-		t.Errorf("starts: got: %d, want: 0", w.starts)
+	if w.startCount != 0 {
+		t.Errorf("starts: got: %d, want: 0", w.startCount)
 	}
 }
 
 // A worker that leaves ran its lasting tasks until its end; they were away until
 // its lease was over, for 6 s.
-func TestLastingTasksLeaveAWorkerThatDrains(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(3, room)
+func TestLongRunningTasksInterruptedByDraining(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
-	lasting := step(4, time.Hour)
-	lasting.IsLongRunning = true
-	w.submit("a", lasting)
+	longRunning := newStep(4, time.Hour)
+	longRunning.IsLongRunning = true
+	w.submit("a", longRunning)
 	w.run(time.Second)
 	leaving := w.workerOf(work.TaskID{Job: "a"})
 	leaving.entry.IsDraining = true
 	for range 60 {
 		w.run(100 * time.Millisecond)
 		running := 0
-		for _, m := range w.each() {
+		for _, m := range w.allWorkers() {
 			running += len(m.running)
 		}
 		if running < 3 {
@@ -304,19 +304,19 @@
 	if got := len(leaving.running); got != 0 {
 		t.Errorf("tasks on the leaving worker: got: %d, want: 0", got)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
-func TestNothingStartsWithoutTrust(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(1, room)
+func TestUntrustedOwnerStartsTasks(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
 	w.engine.SetTrusted(false)
 	deadline := w.workers["w00"].deadline
-	w.submit("a", step(1, time.Second))
+	w.submit("a", newStep(1, time.Second))
 	w.run(3 * time.Second)
-	if w.starts != 0 {
-		t.Errorf("starts: got: %d, want: 0", w.starts)
+	if w.startCount != 0 {
+		t.Errorf("starts: got: %d, want: 0", w.startCount)
 	}
 	if got := w.workers["w00"].deadline - deadline; got > order.WorkerTime(300*time.Millisecond) {
 		t.Errorf("lease renewed by: got: %v, want: nothing", time.Duration(got))
@@ -326,142 +326,142 @@
 // The entry of a crashed worker stays in the list for some seconds beside that of
 // the machine's next life. Each took the other for the later one in turn, so that
 // tasks of the live one were started again.
-func TestTheEntryOfAnEarlierLifeEndsNothing(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(2, room)
+func TestStaleWorkerEntryEndsTasksOfReplacement(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(8, 20*time.Second))
+	w.submit("a", newStep(8, 20*time.Second))
 	w.run(time.Second)
 	old := w.workers["w00"]
-	w.crash("w00", "x00")
-	w.lingering = []order.Worker{old.entry}
+	w.crashAndReplace("w00", "x00")
+	w.staleEntries = []order.Worker{old.entry}
 	w.run(3 * time.Second)
-	for _, m := range w.each() {
+	for _, m := range w.allWorkers() {
 		if !m.isDead && len(m.running) != 4 {
 			t.Errorf("%s: got: %d running, want: 4", m.entry.ID, len(m.running))
 		}
 	}
-	if w.starts != 12 {
-		t.Errorf("starts: got: %d, want: 8 and 4 again", w.starts)
+	if w.startCount != 12 {
+		t.Errorf("starts: got: %d, want: 8 and 4 again", w.startCount)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // The answers to orders told the worker's clock but no progress: tasks on a worker
 // that got many orders and no listing counted as stuck.
-func TestATaskIsNotStuckBecauseNoListingCame(t *testing.T) {
-	w := newWorld(1)
+func TestTaskCountedAsStuckWithoutListing(t *testing.T) {
+	w := newSim(1)
 	w.addWorkers(1, leverdyke.Resources{MilliCPU: 20_000, MemoryMiB: 20_000})
 	w.run(time.Second)
-	w.submit("a", step(1, 10*time.Second))
+	w.submit("a", newStep(1, 10*time.Second))
 	w.run(300 * time.Millisecond)
-	w.holdDelay = 5 * time.Second
+	w.pollDelay = 5 * time.Second
 	w.run(300 * time.Millisecond)
 	for i := range 18 {
-		w.submit(fmt.Sprintf("b%02d", i), step(1, 10*time.Second))
+		w.submit(fmt.Sprintf("b%02d", i), newStep(1, 10*time.Second))
 		w.run(170 * time.Millisecond)
 	}
-	if w.starts < 10 {
-		t.Fatalf("orders that were answered meanwhile: got: %d, want: 10 or more", w.starts)
+	if w.startCount < 10 {
+		t.Fatalf("orders that were answered meanwhile: got: %d, want: 10 or more", w.startCount)
 	}
 	if got := w.engine.Counts().Stopped; got != 0 {
 		t.Errorf("attempts stopped: got: %d, want: 0", got)
 	}
 }
 
-func TestATaskThatStandsStillStartsElsewhere(t *testing.T) {
-	w := newWorld(1)
+func TestStuckTaskNotStartedElsewhere(t *testing.T) {
+	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
 	w.run(time.Second)
-	w.submit("a", step(1, 400*time.Millisecond))
+	w.submit("a", newStep(1, 400*time.Millisecond))
 	w.run(100 * time.Millisecond)
 	stuck := w.workerOf(work.TaskID{Job: "a"})
 	stuck.running[work.TaskID{Job: "a"}].isStuck = true
 	w.run(3 * time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // Two workers died with the owner: all tasks of all jobs waited 9.8 s for their
 // leases, as any of them might have been started there.
-func TestAWorkerThatDiesWithTheOwnerHoldsUpOnlyItsOwnTasks(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(4, room)
+func TestWorkerLostWithOwnerDelaysOtherTasks(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(4, workerCapacity)
 	w.run(time.Second)
-	whole := step(1, 30*time.Second)
-	whole.Need = room
-	w.submit("a", whole)
+	wholeWorkerStep := newStep(1, 30*time.Second)
+	wholeWorkerStep.Need = workerCapacity
+	w.submit("a", wholeWorkerStep)
 	w.run(300 * time.Millisecond)
-	w.submit("b", step(2, 600*time.Millisecond), step(2, 300*time.Millisecond))
+	w.submit("b", newStep(2, 600*time.Millisecond), newStep(2, 300*time.Millisecond))
 	w.run(300 * time.Millisecond)
-	w.workerOf(work.TaskID{Job: "a"}).isCut = true
+	w.workerOf(work.TaskID{Job: "a"}).isPartitioned = true
 	w.takeOver()
 	w.run(3 * time.Second)
 	expectState(t, w, "b", work.JobSucceeded)
 	w.run(12 * time.Second)
-	if got := w.starts; got != 6 {
+	if got := w.startCount; got != 6 {
 		t.Errorf("starts in all, the task of the dead worker's twice: got: %d, want: 6", got)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
-func TestNothingIsOrderedBeforeItsPlaceIsKept(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(2, room)
+func TestStartOrderedBeforePlacementPersisted(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(2, 200*time.Millisecond), step(2, 200*time.Millisecond))
-	for w.starts < 2 {
+	w.submit("a", newStep(2, 200*time.Millisecond), newStep(2, 200*time.Millisecond))
+	for w.startCount < 2 {
 		w.run(tick)
 	}
-	w.isOut = true
+	w.isStoreDown = true
 	w.run(2 * time.Second)
-	if w.starts != 2 {
-		t.Errorf("starts while places cannot be kept: got: %d, want: 2", w.starts)
+	if w.startCount != 2 {
+		t.Errorf("starts while places cannot be kept: got: %d, want: 2", w.startCount)
 	}
-	w.runsAhead = true
+	w.isWriteBehind = true
 	w.run(time.Second)
-	if w.starts != 4 {
-		t.Errorf("starts after the store has been out for long: got: %d, want: 4", w.starts)
+	if w.startCount != 4 {
+		t.Errorf("starts after the store has been out for long: got: %d, want: 4", w.startCount)
 	}
 }
 
-func TestAnOwnerThatStartedWithoutTheStoreLeavesAllTasksInDoubt(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(2, room)
+func TestUnpersistedStartsRunTwiceAfterTakeover(t *testing.T) {
+	w := newSim(1)
+	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(1, 200*time.Millisecond), step(1, 200*time.Millisecond))
+	w.submit("a", newStep(1, 200*time.Millisecond), newStep(1, 200*time.Millisecond))
 	w.run(100 * time.Millisecond)
-	w.isOut, w.runsAhead = true, true
+	w.isStoreDown, w.isWriteBehind = true, true
 	w.run(250 * time.Millisecond)
-	for _, m := range w.each() {
-		m.isCut = true
+	for _, m := range w.allWorkers() {
+		m.isPartitioned = true
 	}
-	w.isOut, w.isInexact = false, true
+	w.isStoreDown, w.mayHaveUnpersistedStarts = false, true
 	w.takeOver()
-	before := w.starts
+	before := w.startCount
 	w.run(9 * time.Second)
-	if w.starts != before {
-		t.Errorf("starts while leases may run: got: %d, want: none", w.starts-before)
+	if w.startCount != before {
+		t.Errorf("starts while leases may run: got: %d, want: none", w.startCount-before)
 	}
 }
 
 // A worker stamps a listing when it answers, after it has put it together: a
 // listing that was asked for before a start was confirmed did not have the
 // attempt, and the task started a second time (soak seed 1 on a busy machine).
-func TestAListingAskedForBeforeAStartEndsNothing(t *testing.T) {
+func TestListingRequestedBeforeStartEndsAttempt(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
-	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}, {ID: "v", Service: "pool", Capacity: room}}, true)
+	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: workerCapacity}, {ID: "v", Service: "pool", Capacity: workerCapacity}}, true)
 	listed := func(id order.WorkerID, at order.WorkerTime, askedAt time.Time) {
 		e.PollAnswered(&order.Poll{Worker: id, AskedAt: askedAt}, &order.Listing{At: at})
 	}
 	askedAt := c.Now()
 	listed("w", 10, askedAt)
 	listed("v", 10, askedAt)
-	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}})
+	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{newStep(1, time.Second)}})
 	starts := []order.Start{}
 	settle := func() {
 		e.Decide()
@@ -498,16 +498,16 @@
 
 // After a stop was confirmed the engine waited up to 0.9 s for a listing whose
 // answer was lost before it asked for another one.
-func TestALostListingIsAskedForAgain(t *testing.T) {
+func TestLostImmediatePollNotRetried(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
-	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
+	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: workerCapacity}}, true)
 	e.PollAnswered(&order.Poll{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
-	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}})
-	looks := 0
+	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{newStep(1, time.Second)}})
+	immediatePolls := 0
 	advance := func(d time.Duration) {
 		c.Advance(d)
 		e.Advance(c.Now())
@@ -524,7 +524,7 @@
 				e.StopAnswered(a.Worker, a.Task, a.Run, true, 20)
 			case order.Poll:
 				if a.IsImmediate {
-					looks++
+					immediatePolls++
 				}
 			case order.QueryPermission, order.Pace:
 			}
@@ -533,38 +533,38 @@
 	for range 60 {
 		advance(10 * time.Millisecond)
 	}
-	if looks < 3 {
-		t.Errorf("listings asked for without an answer in 0.6 s: got: %d, want: 3 or more", looks)
+	if immediatePolls < 3 {
+		t.Errorf("listings asked for without an answer in 0.6 s: got: %d, want: 3 or more", immediatePolls)
 	}
-	if looks > 4 {
-		t.Errorf("listings asked for without an answer in 0.6 s: got: %d, want: at most 4", looks)
+	if immediatePolls > 4 {
+		t.Errorf("listings asked for without an answer in 0.6 s: got: %d, want: at most 4", immediatePolls)
 	}
 }
 
 // Listings of many workers that only tell of progress are asked for less often: at
 // 0.5 s for each of 1,100 workers they were two of three messages of an owner.
-func TestListingsOfManyWorkersAreAskedForLessOften(t *testing.T) {
+func TestManyWorkersPolledTooOften(t *testing.T) {
 	for workers, want := range map[int]time.Duration{48: 500 * time.Millisecond, 1100: 1100 * time.Millisecond, 5000: 2 * time.Second} {
 		c := clock.NewFake()
 		e := dispatch.NewEngine(dispatch.Options{})
 		e.Advance(c.Now())
 		e.SetTrusted(true)
 		e.SetQueues([]order.Queue{testQueue})
-		e.RestoreJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}}, nil)
+		e.RestoreJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{newStep(1, time.Second)}}, nil)
 		list := []order.Worker{}
 		for i := range workers {
-			list = append(list, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: room})
+			list = append(list, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: workerCapacity})
 		}
 		e.SetWorkers(list, true)
 		running := []order.Running{{Task: work.TaskID{Job: "a"}, Run: 1}}
 		for _, a := range e.Actions() {
-			if h := a.(order.Poll); h.Worker == "0" {
-				e.PollAnswered(&h, &order.Listing{At: 1, Running: running})
+			if p := a.(order.Poll); p.Worker == "0" {
+				e.PollAnswered(&p, &order.Listing{At: 1, Running: running})
 			}
 		}
 		for _, a := range e.Actions() {
-			if h, ok := a.(order.Poll); ok && h.Wait != want {
-				t.Errorf("%d workers: wait of a busy one: got: %v, want: %v", workers, h.Wait, want)
+			if p, ok := a.(order.Poll); ok && p.Wait != want {
+				t.Errorf("%d workers: wait of a busy one: got: %v, want: %v", workers, p.Wait, want)
 			}
 		}
 	}
--- a/internal/dispatch/export_test.go
+++ b/internal/dispatch/export_test.go
@@ -13,28 +13,28 @@
 // store; nil when none is.
 func (e *Engine) Inconsistencies(writing *Batch) []string {
 	found := []string{}
-	add := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
+	report := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
 	for _, j := range e.jobs {
 		if j.state.IsFinal() {
 			continue
 		}
 		for _, r := range j.rounds {
 			for _, s := range r.steps {
-				e.checkStep(s, writing, add)
+				e.checkStep(s, writing, report)
 			}
 		}
 	}
 	for id, w := range e.workers.All() {
 		for task, a := range w.attempts.All() {
 			if a.worker != w || a.id != task {
-				add("%s has an attempt of %s on %s", id, a.id, a.worker.ID)
+				report("%s has an attempt of %s on %s", id, a.id, a.worker.ID)
 			}
 		}
 	}
 	return found
 }
 
-func (e *Engine) checkStep(s *step, writing *Batch, add func(format string, args ...any)) {
+func (e *Engine) checkStep(s *step, writing *Batch, report func(format string, args ...any)) {
 	waiting, copies := 0, 0
 	for i := range s.tasks {
 		t := &s.tasks[i]
@@ -44,46 +44,46 @@
 		if t.wantsCopy {
 			copies++
 		}
-		e.checkTask(s, i, writing, add)
+		e.checkTask(s, i, writing, report)
 	}
 	if s.waiting != waiting || s.copiesWanted != copies {
-		add("%s: %d wait and %d copies are wanted, counted: %d and %d", s.id, waiting, copies, s.waiting, s.copiesWanted)
+		report("%s: %d wait and %d copies are wanted, counted: %d and %d", s.id, waiting, copies, s.waiting, s.copiesWanted)
 	}
 	isWanted := s.isOpen && s.job.isPersisted && (waiting > 0 || copies > 0)
 	if isWanted && !(s.isQueued && slices.Contains(e.queue, s)) {
-		add("%s: %d wait and %d copies are wanted, and it is not in the queue", s.id, waiting, copies)
+		report("%s: %d wait and %d copies are wanted, and it is not in the queue", s.id, waiting, copies)
 	}
 }
 
-func (e *Engine) checkTask(s *step, i int, writing *Batch, add func(format string, args ...any)) {
+func (e *Engine) checkTask(s *step, i int, writing *Batch, report func(format string, args ...any)) {
 	t, id := &s.tasks[i], s.taskID(i)
 	if t.state == taskPlaced && t.attempt == nil && len(t.unwanted) == 0 {
-		add("%s is placed and has no attempt", id)
+		report("%s is placed and has no attempt", id)
 	}
 	if t.state != taskPlaced && t.attempt != nil && t.state != taskDone {
-		add("%s is %s and has an attempt", id, t.state)
+		report("%s is %s and has an attempt", id, t.state)
 	}
 	for _, a := range append([]*attempt{t.attempt, t.copy}, t.unwanted...) {
 		if a != nil && t.state == taskPlaced {
-			e.checkAttempt(a, writing, add)
+			e.checkAttempt(a, writing, report)
 		}
 	}
 	for _, w := range t.mayRunOn {
 		if !slices.Contains(e.unsettled.Get(w), id) {
-			add("%s is held by %s, of which nothing is to be settled", id, w)
+			report("%s is held by %s, of which nothing is to be settled", id, w)
 		}
 	}
 }
 
-func (e *Engine) checkAttempt(a *attempt, writing *Batch, add func(format string, args ...any)) {
+func (e *Engine) checkAttempt(a *attempt, writing *Batch, report func(format string, args ...any)) {
 	if e.workers.Get(a.worker.ID) != a.worker || a.worker.attempts.Get(a.id) != a {
-		add("%s has an attempt, %s, on %s, which does not have it", a.id, a.phase, a.worker.ID)
+		report("%s has an attempt, %s, on %s, which does not have it", a.id, a.phase, a.worker.ID)
 	}
 	if a.phase != phasePlanned {
 		return
 	}
-	isToKeep := slices.ContainsFunc([]*Batch{e.batch, writing}, func(b *Batch) bool { return b != nil && slices.Contains(b.planned, a) })
-	if !isToKeep && !slices.Contains(e.ready, a) {
-		add("%s is planned on %s, and nothing orders it", a.id, a.worker.ID)
+	isToPersist := slices.ContainsFunc([]*Batch{e.batch, writing}, func(b *Batch) bool { return b != nil && slices.Contains(b.planned, a) })
+	if !isToPersist && !slices.Contains(e.ready, a) {
+		report("%s is planned on %s, and nothing orders it", a.id, a.worker.ID)
 	}
 }
--- a/internal/dispatch/inherit_test.go
+++ b/internal/dispatch/inherit_test.go
@@ -26,7 +26,7 @@
 	e.Advance(c.Now())
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
-	e.RestoreJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}}, nil)
+	e.RestoreJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{newStep(1, time.Second)}}, nil)
 	e.Inherit(c.Now().Add(9*time.Second), false, listed)
 	return &heir{e, c}
 }
@@ -53,7 +53,7 @@
 func (h *heir) list(ids ...order.WorkerID) {
 	list := []order.Worker{}
 	for _, id := range ids {
-		list = append(list, order.Worker{ID: id, Service: "pool", Capacity: room})
+		list = append(list, order.Worker{ID: id, Service: "pool", Capacity: workerCapacity})
 	}
 	h.SetWorkers(list, true)
 }
@@ -139,7 +139,7 @@
 // owner had started ahead of the store. That one's end was told while the place waited for the
 // store, and the task started all the same, as the numbers of both were the same.
 func TestAPlannedAttemptGoesWhenAnotherOfItsNumberIsDone(t *testing.T) {
-	expectOtherStart(t, func(m *modelWorker, id work.TaskID) { m.end(id, &modelRun{run: 1}, order.EndSucceeded) })
+	expectOtherStart(t, func(m *modelWorker, id work.TaskID) { m.endRun(id, &modelRun{run: 1}, order.EndSucceeded) })
 }
 
 // The same, but the earlier owner's attempt still runs: it is gone on with.
@@ -153,20 +153,20 @@
 // for the store.
 func expectOtherStart(t *testing.T, play func(m *modelWorker, id work.TaskID)) {
 	t.Helper()
-	w := newTellingWorld(1)
-	w.addWorkers(2, room)
+	w := newSimWithStartTimes(1)
+	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(2, 300*time.Millisecond))
+	w.submit("a", newStep(2, 300*time.Millisecond))
 	w.run(tick)
-	w.isOut = true
+	w.isStoreDown = true
 	w.run(500 * time.Millisecond)
 	m, id := w.workers["w01"], work.TaskID{Job: "a"}
 	play(m, id)
 	w.run(500 * time.Millisecond)
-	w.isOut = false
+	w.isStoreDown = false
 	w.run(time.Second)
-	if w.starts != 1 {
-		t.Errorf("starts: got: %d, want: that of the other task", w.starts)
+	if w.startCount != 1 {
+		t.Errorf("starts: got: %d, want: that of the other task", w.startCount)
 	}
 	expectState(t, w, "a", work.JobSucceeded)
 }
--- a/internal/dispatch/lanes_test.go
+++ b/internal/dispatch/lanes_test.go
@@ -15,29 +15,29 @@
 // Steps that wait for room in a full pool took all lanes with calls that served nothing, while jobs
 // of a pool that was empty had none.
 func TestStepsThatWaitForRoomLeaveLanesToAnEmptyPool(t *testing.T) {
-	w := newWorld(1)
-	office := part
+	w := newSim(1)
+	office := fractionQueue
 	office.Name, office.Service = "office", "office"
-	w.queues, w.lanes = []order.Queue{whole, office}, []string{"a", "b", "c", "d", "e", "f", "g", "h"}
+	w.queues, w.channels = []order.Queue{wholeWorkerQueue, office}, []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	w.takeOver()
-	w.addWorkers(40, accelerated)
-	for name, m := range w.each() {
+	w.addWorkers(40, acceleratorCapacity)
+	for name, m := range w.allWorkers() {
 		if name >= "w20" {
 			m.entry.Service = "office"
 		}
 	}
 	w.run(time.Second)
-	w.submitTo("whole", "running", wholeStep(20, time.Hour))
+	w.submitTo("whole", "running", wholeWorkerStep(20, time.Hour))
 	w.run(3 * time.Second)
 	for i := range 60 {
-		gang := wholeStep(2, time.Hour)
+		gang := wholeWorkerStep(2, time.Hour)
 		gang.IsGang = true
 		w.submitTo("whole", fmt.Sprintf("gang%02d", i), gang)
 	}
 	w.run(3 * time.Second)
-	handedIn := w.since()
+	handedIn := w.elapsed()
 	for i := range 20 {
-		w.submitTo("office", fmt.Sprintf("job%02d", i), partStep(2, 500*time.Millisecond))
+		w.submitTo("office", fmt.Sprintf("job%02d", i), fractionStep(2, 500*time.Millisecond))
 	}
 	w.run(15 * time.Second)
 	longest := time.Duration(0)
@@ -50,5 +50,5 @@
 	if longest > 5*time.Second {
 		t.Errorf("longest of 20 jobs of 0.5 s on empty workers: got: %v, want: at most 5s", longest)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
--- a/internal/dispatch/lasting_test.go
+++ b/internal/dispatch/lasting_test.go
@@ -14,26 +14,26 @@
 
 // lastingStep is a step of tasks that last.
 func lastingStep(count int) work.Step {
-	s := step(count, time.Hour)
+	s := newStep(count, time.Hour)
 	s.IsLongRunning = true
 	return s
 }
 
 // A worker beside whose tasks others had failed got nothing more for as long as any of them lasted.
 func TestAWorkerThatWasSetAsideIsTriedBesideATaskThatLasts(t *testing.T) {
-	for name, failing := range map[string]work.Step{"short tasks": step(1, time.Second), "a task that lasts": lastingStep(1)} {
-		w := newWorld(1)
-		w.addWorkers(1, room.Times(2))
+	for name, failing := range map[string]work.Step{"short tasks": newStep(1, time.Second), "a task that lasts": lastingStep(1)} {
+		w := newSim(1)
+		w.addWorkers(1, workerCapacity.Times(2))
 		w.submit("stays", lastingStep(1))
 		w.run(time.Second)
-		w.workers["w00"].isSick = true
+		w.workers["w00"].isDegraded = true
 		w.submit("a", failing)
 		w.submit("b", failing)
 		w.run(time.Second)
-		w.workers["w00"].isSick = false
+		w.workers["w00"].isDegraded = false
 		w.submit("late", lastingStep(2))
 		w.run(6 * time.Second)
-		if got := w.running("late"); got != 2 {
+		if got := w.runningTasks("late"); got != 2 {
 			t.Errorf("beside %s that failed: tasks that run 6 s after the worker is well: got: %d, want: 2", name, got)
 		}
 	}
@@ -41,47 +41,47 @@
 
 // Calls for permission named the workers on which tasks of the step ran already, and no others.
 func TestATaskIsAskedForWhereThereIsRoomNotWhereItsStepRuns(t *testing.T) {
-	o := newOffice(1, 100)
-	o.idle(time.Second)
+	o := newLoadSim(1, 100)
+	o.runWithoutArrivals(time.Second)
 	s := work.Step{Count: 15, Need: longStepNeed, Estimate: time.Hour, IsLongRunning: true, MaxPerWorker: 1, MaxUnavailable: -1}
 	asked := map[order.WorkerID]bool{}
-	o.onAdvise = func(a order.QueryPermission) {
+	o.onPermissionQuery = func(a order.QueryPermission) {
 		for _, id := range a.Workers {
 			asked[id] = true
 		}
 	}
 	o.submitTo("lasting", "a", s)
-	o.idle(4 * time.Second)
-	if got := o.running("a"); got != s.Count || len(asked) == o.size {
-		t.Fatalf("got: %d tasks that run, %d workers asked about, want: %d, and fewer than %d", got, len(asked), s.Count, o.size)
+	o.runWithoutArrivals(4 * time.Second)
+	if got := o.runningTasks("a"); got != s.Count || len(asked) == o.workerCount {
+		t.Fatalf("got: %d tasks that run, %d workers asked about, want: %d, and fewer than %d", got, len(asked), s.Count, o.workerCount)
 	}
 	for id := range asked {
-		if m := o.named(id); len(m.running) == 0 {
+		if m := o.workerByID(id); len(m.running) == 0 {
 			m.entry.IsDraining = true
 		}
 	}
-	o.crash(o.workerOf(work.TaskID{Job: "a", Index: 3}).entry.ID, "again")
-	o.idle(9 * time.Second)
-	if got := o.running("a"); got != s.Count {
+	o.crashAndReplace(o.workerOf(work.TaskID{Job: "a", Index: 3}).entry.ID, "again")
+	o.runWithoutArrivals(9 * time.Second)
+	if got := o.runningTasks("a"); got != s.Count {
 		t.Errorf("tasks that run 9 s after one was lost: got: %d, want: %d", got, s.Count)
 	}
 }
 
 // A worker that had failed all for a while got nothing for up to 12 s after it was well again.
 func TestNothingStandsStillForALongPauseOfTheOnlyWorker(t *testing.T) {
-	for name, late := range map[string]work.Step{"a task that lasts": lastingStep(1), "a short task": step(1, 10*time.Second)} {
+	for name, late := range map[string]work.Step{"a task that lasts": lastingStep(1), "a short task": newStep(1, 10*time.Second)} {
 		for sick := 20 * time.Second; sick < 32*time.Second; sick += time.Second {
-			w := newWorld(1)
-			w.addWorkers(1, room.Times(2))
+			w := newSim(1)
+			w.addWorkers(1, workerCapacity.Times(2))
 			w.run(time.Second)
-			w.workers["w00"].isSick = true
+			w.workers["w00"].isDegraded = true
 			w.submit("a", lastingStep(1))
 			w.submit("b", lastingStep(1))
 			w.run(sick)
-			w.workers["w00"].isSick = false
+			w.workers["w00"].isDegraded = false
 			w.submit("late", late)
 			w.run(7 * time.Second)
-			if got := w.running("late"); got != 1 {
+			if got := w.runningTasks("late"); got != 1 {
 				t.Errorf("%s, 7 s after the worker was well, sick for %v: got: %d that run, want: 1", name, sick, got)
 			}
 		}
@@ -91,14 +91,14 @@
 // Where a step has more tasks than find room, the last ones stayed away for good while others that
 // had failed were started again.
 func TestOfTasksThatLastTheOneLongestAwayGoesFirst(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(1, room)
-	w.lastingFailShare, w.lastingFailTime = 1, time.Second
+	w := newSim(1)
+	w.addWorkers(1, workerCapacity)
+	w.longRunningFailureShare, w.maxLongRunningFailureTime = 1, time.Second
 	w.submit("a", lastingStep(6))
 	starts := map[int]int{}
 	for range 30 {
 		w.run(time.Second)
-		for _, m := range w.each() {
+		for _, m := range w.allWorkers() {
 			for id := range m.running {
 				starts[id.Index]++
 			}
@@ -115,28 +115,28 @@
 // just started.
 func TestATaskThatLastsAndIsSuspectedComesBackToABusyWorker(t *testing.T) {
 	for name, ran := range map[string]time.Duration{"it ran for long since": 15 * time.Second, "it did not": 2 * time.Second} {
-		w := newWorld(1)
-		w.crashing(func(work.TaskID) bool { return false })
-		w.addWorkers(1, room.Times(2))
+		w := newSim(1)
+		w.crashWorkersOf(func(work.TaskID) bool { return false })
+		w.addWorkers(1, workerCapacity.Times(2))
 		w.run(time.Second)
 		w.submit("a", lastingStep(1))
-		for w.running("a") == 0 {
+		for w.runningTasks("a") == 0 {
 			w.run(tick)
 		}
-		w.crashSome(1)
-		for w.running("a") == 0 && w.since() < 20*time.Second {
+		w.crashRandomWorkers(1)
+		for w.runningTasks("a") == 0 && w.elapsed() < 20*time.Second {
 			w.run(tick)
 		}
 		flow := func(d time.Duration) {
 			for range d / (100 * time.Millisecond) {
-				w.submit(fmt.Sprintf("short%v", w.since()), step(1, 200*time.Millisecond))
+				w.submit(fmt.Sprintf("short%v", w.elapsed()), newStep(1, 200*time.Millisecond))
 				w.run(100 * time.Millisecond)
 			}
 		}
 		flow(ran)
 		w.workerOf(work.TaskID{Job: "a"}).fail(work.TaskID{Job: "a"})
 		flow(6 * time.Second)
-		if got := w.running("a"); got != 1 {
+		if got := w.runningTasks("a"); got != 1 {
 			t.Errorf("%s: got: %d that run 6 s after it failed, want: 1", name, got)
 		}
 	}
@@ -146,12 +146,12 @@
 // have room.
 func TestNoTaskThatLastsStaysAway(t *testing.T) {
 	t.Parallel()
-	for trouble, seeds := range map[lastingTrouble][]uint64{sickWorkers: {26, 86, 97}, crashedWorkers: {22, 97}, newOwners: {1}} {
+	for trouble, seeds := range map[longRunningFault][]uint64{degradedWorkers: {26, 86, 97}, crashes: {22, 97}, takeovers: {1}} {
 		for _, seed := range seeds {
 			t.Run(fmt.Sprintf("%s, seed %d", trouble, seed), func(t *testing.T) {
 				t.Parallel()
-				for id, away := range playLasting(seed, trouble).lost {
-					t.Errorf("%s: got: away for %v, want: less than %v", id, away, longestAway)
+				for id, away := range runLongRunning(seed, trouble).overdue {
+					t.Errorf("%s: got: away for %v, want: less than %v", id, away, maxNotRunning)
 				}
 			})
 		}
@@ -161,18 +161,18 @@
 // Callers were shown a job as failed of which a task had been on crashed workers three times, had run
 // well since, and was on one more that was lost with its owner.
 func TestATaskThatRunsOnIsNotGivenUpForEarlierCrashes(t *testing.T) {
-	w := newWorld(1)
-	w.crashing(func(work.TaskID) bool { return false })
-	w.addWorkers(6, room)
+	w := newSim(1)
+	w.crashWorkersOf(func(work.TaskID) bool { return false })
+	w.addWorkers(6, workerCapacity)
 	w.run(time.Second)
 	w.submit("a", lastingStep(1))
 	task := work.TaskID{Job: "a"}
 	crashAfter := func(ran time.Duration) {
-		for w.workerOf(task) == nil && w.since() < time.Minute {
+		for w.workerOf(task) == nil && w.elapsed() < time.Minute {
 			w.run(tick)
 		}
 		w.run(ran)
-		w.crashAndReturn(w.workerOf(task))
+		w.crashAndRestart(w.workerOf(task))
 	}
 	for range 3 {
 		crashAfter(500 * time.Millisecond)
@@ -181,7 +181,7 @@
 	w.takeOver()
 	w.run(20 * time.Second)
 	expectState(t, w, "a", work.JobRunning)
-	if got := w.running("a"); got != 1 {
+	if got := w.runningTasks("a"); got != 1 {
 		t.Errorf("tasks that run: got: %d, want: 1", got)
 	}
 }
--- a/internal/dispatch/leave_test.go
+++ b/internal/dispatch/leave_test.go
@@ -28,8 +28,8 @@
 		c := newRetryCell("v", "w")
 		c.submit("a", false)
 		leaving := c.starts[0].Worker
-		entry := order.Worker{ID: leaving, Service: "pool", Capacity: step(1, 0).Need, IsDraining: tc.isDraining}
-		other := order.Worker{ID: "v", Service: "pool", Capacity: step(1, 0).Need}
+		entry := order.Worker{ID: leaving, Service: "pool", Capacity: newStep(1, 0).Need, IsDraining: tc.isDraining}
+		other := order.Worker{ID: "v", Service: "pool", Capacity: newStep(1, 0).Need}
 		if leaving == "v" {
 			other.ID = "w"
 		}
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -20,25 +20,25 @@
 // office is a load of two kinds of jobs on many workers, of which each step may use only some:
 // short jobs of a few small tasks, and long ones of many large tasks, about which a call for
 // permission takes half a second.
-type office struct {
-	*world
+type loadSim struct {
+	*sim
 	// size is the number of workers; the rates of jobs go by it.
-	size int
-	jobs map[work.JobID]*officeJob
-	next int
+	workerCount int
+	jobs        map[work.JobID]*loadJob
+	nextJob     int
 }
 
 // officeJob is a job with what its caller expects.
-type officeJob struct {
-	queue     string
-	customer  work.CustomerName
-	handedAt  time.Duration
-	objective time.Duration
-	work      float64
+type loadJob struct {
+	queue       string
+	customer    work.CustomerName
+	submittedAt time.Duration
+	objective   time.Duration
+	cpuSeconds  float64
 }
 
 // officeWorkers is the size of which the rates are told.
-const officeWorkers = 350
+const referenceWorkerCount = 350
 
 var (
 	shortQueue = order.Queue{
@@ -49,31 +49,31 @@
 		Name: "long", Service: "pool", Priority: 2, MaxAttempts: 4, Stretch: 2.2, TargetLatency: 1200 * time.Millisecond,
 		Permission: &order.PermissionPolicy{BaseTime: 494 * time.Millisecond, TimePerWorker: 7150 * time.Microsecond, ValidFor: 2500 * time.Millisecond},
 	}
-	lastingQueue = order.Queue{
+	longRunningQueue = order.Queue{
 		Name: "lasting", Service: "pool", Priority: 1, MaxAttempts: 2, Stretch: 2.2, TargetLatency: 2500 * time.Millisecond,
 		Permission: &order.PermissionPolicy{BaseTime: 585 * time.Millisecond, TimePerWorker: 8450 * time.Microsecond, ValidFor: 2500 * time.Millisecond},
 	}
-	longStepNeed = leverdyke.Resources{MilliCPU: 9000, MemoryMiB: 9100}
-	officeRoom   = leverdyke.Resources{MilliCPU: 32_000, MemoryMiB: 64_000}
+	longStepNeed       = leverdyke.Resources{MilliCPU: 9000, MemoryMiB: 9100}
+	loadWorkerCapacity = leverdyke.Resources{MilliCPU: 32_000, MemoryMiB: 64_000}
 )
 
 // newOffice returns an idle office. Rates and ways to ask go by its size.
-func newOffice(seed uint64, size int, without ...dispatch.Mechanism) *office {
-	o := &office{world: newWorld(seed), size: size, jobs: map[work.JobID]*officeJob{}}
-	o.without = without
-	o.queues = []order.Queue{shortQueue, longQueue, lastingQueue}
-	for i := range max(29*size/officeWorkers, 3) {
-		o.lanes = append(o.lanes, fmt.Sprintf("n%02d", i))
+func newLoadSim(seed uint64, size int, without ...dispatch.Mechanism) *loadSim {
+	o := &loadSim{sim: newSim(seed), workerCount: size, jobs: map[work.JobID]*loadJob{}}
+	o.disabledMechanisms = without
+	o.queues = []order.Queue{shortQueue, longQueue, longRunningQueue}
+	for i := range max(29*size/referenceWorkerCount, 3) {
+		o.channels = append(o.channels, fmt.Sprintf("n%02d", i))
 	}
-	o.mayRunStep = permits
+	o.isStepPermitted = isStepPermittedOn
 	o.takeOver()
-	o.addWorkers(size, officeRoom)
+	o.addWorkers(size, loadWorkerCapacity)
 	return o
 }
 
 // permits tells whether a worker may run a step: seven of ten those of the short kind, one of
 // three of the others.
-func permits(q *order.Queue, s work.StepID, id order.WorkerID) bool {
+func isStepPermittedOn(q *order.Queue, s work.StepID, id order.WorkerID) bool {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s %s", s, id)
 	share := 0.34
@@ -84,14 +84,14 @@
 }
 
 // spread draws around a mean, as the sizes of jobs do.
-func (o *office) spread(mean, spread, most float64) float64 {
+func (o *loadSim) drawLogNormal(mean, spread, most float64) float64 {
 	return min(mean*math.Exp(spread*o.rng.NormFloat64()-spread*spread/2), most)
 }
 
-func (o *office) steps(mean float64, count func() int, cpu, mem, cpuMost float64, takes func() time.Duration) []work.Step {
-	n := max(int(math.Round(o.spread(mean, 0.4, 5))), 1)
+func (o *loadSim) drawSteps(mean float64, count func() int, cpu, mem, cpuMost float64, takes func() time.Duration) []work.Step {
+	n := max(int(math.Round(o.drawLogNormal(mean, 0.4, 5))), 1)
 	out := []work.Step{}
-	each := leverdyke.Resources{MilliCPU: int64(o.spread(cpu, 0.45, cpuMost)), MemoryMiB: int64(o.spread(mem, 0.5, 18_000))}
+	each := leverdyke.Resources{MilliCPU: int64(o.drawLogNormal(cpu, 0.45, cpuMost)), MemoryMiB: int64(o.drawLogNormal(mem, 0.5, 18_000))}
 	for i := range n {
 		s := work.Step{Count: count(), Need: each, Estimate: takes(), MaxUnavailable: -1}
 		if i > 0 {
@@ -103,34 +103,38 @@
 }
 
 // handIn hands in a job of a kind.
-func (o *office) handIn(queue string, customer work.CustomerName) {
+func (o *loadSim) submitRandomJob(queue string, customer work.CustomerName) {
 	var steps []work.Step
 	q := shortQueue
 	if queue == "short" {
-		steps = o.steps(1.6, func() int { return max(int(o.spread(9.5, 0.8, 57)), 1) }, 4500, 6400, 13_000,
-			func() time.Duration { return time.Duration(o.spread(640, 0.5, 1600) * float64(time.Millisecond)) })
+		steps = o.drawSteps(1.6, func() int { return max(int(o.drawLogNormal(9.5, 0.8, 57)), 1) }, 4500, 6400, 13_000,
+			func() time.Duration {
+				return time.Duration(o.drawLogNormal(640, 0.5, 1600) * float64(time.Millisecond))
+			})
 	} else {
 		q = longQueue
-		steps = o.steps(2, func() int { return max(int(o.spread(21, 0.6, 100)), 1) }, 9000, 9100, 15_000,
-			func() time.Duration { return time.Duration(o.spread(3800, 0.5, 9600) * float64(time.Millisecond)) })
+		steps = o.drawSteps(2, func() int { return max(int(o.drawLogNormal(21, 0.6, 100)), 1) }, 9000, 9100, 15_000,
+			func() time.Duration {
+				return time.Duration(o.drawLogNormal(3800, 0.5, 9600) * float64(time.Millisecond))
+			})
 		for i := range steps {
 			steps[i].IsResumable = o.rng.Float64() < 0.8
 		}
 	}
-	id := work.JobID(fmt.Sprintf("%s%05d", queue, o.next))
-	o.next++
-	chain, amount := time.Duration(0), 0.0
+	id := work.JobID(fmt.Sprintf("%s%05d", queue, o.nextJob))
+	o.nextJob++
+	chain, cpuSeconds := time.Duration(0), 0.0
 	for i := range steps {
 		chain += steps[i].Estimate + q.Permission.BaseTime + 30*q.Permission.TimePerWorker
-		amount += float64(steps[i].Count) * float64(steps[i].Need.MilliCPU) / 1000 * steps[i].Estimate.Seconds()
+		cpuSeconds += float64(steps[i].Count) * float64(steps[i].Need.MilliCPU) / 1000 * steps[i].Estimate.Seconds()
 	}
-	o.jobs[id] = &officeJob{queue, customer, o.since(), time.Duration(q.Stretch*float64(chain)) + q.TargetLatency, amount}
+	o.jobs[id] = &loadJob{queue, customer, o.elapsed(), time.Duration(q.Stretch*float64(chain)) + q.TargetLatency, cpuSeconds}
 	o.submitFor(customer, queue, string(id), steps...)
 }
 
 // due returns how many jobs come in one tick at a rate.
-func (o *office) due(perSecond float64) int {
-	mean := perSecond * float64(o.size) / officeWorkers * tick.Seconds()
+func (o *loadSim) drawArrivals(perSecond float64) int {
+	mean := perSecond * float64(o.workerCount) / referenceWorkerCount * tick.Seconds()
 	n := int(mean)
 	if o.rng.Float64() < mean-float64(n) {
 		n++
@@ -139,133 +143,133 @@
 }
 
 // play lets jobs come for a while.
-func (o *office) play(length time.Duration, shortRate, longRate float64, customer func() work.CustomerName) {
-	for end := o.since() + length; o.since() < end; {
-		for range o.due(shortRate) {
-			o.handIn("short", customer())
+func (o *loadSim) runLoad(length time.Duration, shortRate, longRate float64, customer func() work.CustomerName) {
+	for end := o.elapsed() + length; o.elapsed() < end; {
+		for range o.drawArrivals(shortRate) {
+			o.submitRandomJob("short", customer())
 		}
-		for range o.due(longRate) {
-			o.handIn("long", customer())
+		for range o.drawArrivals(longRate) {
+			o.submitRandomJob("long", customer())
 		}
-		o.stepFast()
+		o.runTickUnchecked()
 	}
 }
 
 // idle lets time pass without new jobs.
-func (o *office) idle(length time.Duration) {
-	for end := o.since() + length; o.since() < end; {
-		o.stepFast()
+func (o *loadSim) runWithoutArrivals(length time.Duration) {
+	for end := o.elapsed() + length; o.elapsed() < end; {
+		o.runTickUnchecked()
 	}
 }
 
 // finish lets all jobs end, or a minute pass.
-func (o *office) finish() {
-	isOver := func() bool {
+func (o *loadSim) runUntilJobsEnd() {
+	haveAllEnded := func() bool {
 		for id := range o.jobs {
-			if o.told[id] == "" {
+			if o.acknowledged[id] == "" {
 				return false
 			}
 		}
 		return true
 	}
-	for end := o.since() + time.Minute; o.since() < end && !isOver(); {
-		o.idle(500 * time.Millisecond)
+	for end := o.elapsed() + time.Minute; o.elapsed() < end && !haveAllEnded(); {
+		o.runWithoutArrivals(500 * time.Millisecond)
 	}
 }
 
 // stepFast is step without the checks, which take most of its time at this size.
-func (o *office) stepFast() {
+func (o *loadSim) runTickUnchecked() {
 	o.clock.Advance(tick)
 	o.engine.Advance(o.clock.Now())
 	o.stepWorkers()
-	if o.since()%(400*time.Millisecond) < tick {
-		o.engine.SetWorkers(o.list(), true)
+	if o.elapsed()%(400*time.Millisecond) < tick {
+		o.engine.SetWorkers(o.workerList(), true)
 	}
 	o.engine.Tick()
 	o.engine.Decide()
 	for _, a := range o.engine.Actions() {
-		o.carryOut(a)
+		o.execute(a)
 	}
 	o.trace = o.trace[:0]
-	o.keep()
+	o.commitBatch()
 	for id := range o.jobs {
-		if o.told[id] == "" {
-			o.tell(id)
+		if o.acknowledged[id] == "" {
+			o.queryState(id)
 		}
 	}
 }
 
 // inTime returns the share of what is owed for a kind that was done within its objective.
-func (o *office) inTime(queue string) float64 { return o.inTimeOf(queue, "") }
+func (o *loadSim) onTimeShare(queue string) float64 { return o.onTimeShareOf(queue, "") }
 
 // inTimeOf is inTime of one customer; an empty one means all.
-func (o *office) inTimeOf(queue string, customer work.CustomerName) float64 {
+func (o *loadSim) onTimeShareOf(queue string, customer work.CustomerName) float64 {
 	owed, done := 0.0, 0.0
 	for id, j := range o.jobs {
 		if j.queue != queue || customer != "" && j.customer != customer {
 			continue
 		}
-		owed += j.work
-		if o.told[id] == work.JobSucceeded && o.endedAt[id]-j.handedAt <= j.objective {
-			done += j.work
+		owed += j.cpuSeconds
+		if o.acknowledged[id] == work.JobSucceeded && o.endedAt[id]-j.submittedAt <= j.objective {
+			done += j.cpuSeconds
 		}
 	}
 	return done / max(owed, 1)
 }
 
 // nobody is the customer of jobs that have none.
-func nobody() work.CustomerName { return "" }
+func noCustomer() work.CustomerName { return "" }
 
 // The rates of jobs a second at officeWorkers, and a burst of long ones.
 const (
-	shortRate = 33.0
-	longRate  = 6.0
-	burst     = 3.0
+	shortRate   = 33.0
+	longRate    = 6.0
+	burstFactor = 3.0
 )
 
 // playBurst lets jobs come with a burst of long ones, and then all end.
-func playBurst(o *office) {
-	o.idle(time.Second)
-	share := float64(o.size) / officeWorkers
+func runBurst(o *loadSim) {
+	o.runWithoutArrivals(time.Second)
+	share := float64(o.workerCount) / referenceWorkerCount
 	o.submitTo("lasting", "lasting", work.Step{Count: int(220 * share), Need: longStepNeed, Estimate: time.Hour, IsLongRunning: true, MaxUnavailable: -1})
-	o.idle(4 * time.Second)
-	o.play(8*time.Second, shortRate, longRate, nobody)
-	o.play(4*time.Second, shortRate, longRate*burst, nobody)
-	o.play(8*time.Second, shortRate, longRate, nobody)
-	o.finish()
+	o.runWithoutArrivals(4 * time.Second)
+	o.runLoad(8*time.Second, shortRate, longRate, noCustomer)
+	o.runLoad(4*time.Second, shortRate, longRate*burstFactor, noCustomer)
+	o.runLoad(8*time.Second, shortRate, longRate, noCustomer)
+	o.runUntilJobsEnd()
 }
 
-const testSize = 70
+const testWorkerCount = 70
 
 // playBursts plays playBurst with so many seeds at once.
-func playBursts(seeds int, without ...dispatch.Mechanism) []*office {
-	offices := make([]*office, seeds)
+func runBursts(seeds int, without ...dispatch.Mechanism) []*loadSim {
+	simulations := make([]*loadSim, seeds)
 	var wg sync.WaitGroup
-	for i := range offices {
+	for i := range simulations {
 		wg.Go(func() {
-			offices[i] = newOffice(uint64(i), testSize, without...)
-			playBurst(offices[i])
+			simulations[i] = newLoadSim(uint64(i), testWorkerCount, without...)
+			runBurst(simulations[i])
 		})
 	}
 	wg.Wait()
-	return offices
+	return simulations
 }
 
 // In the order of arrival a burst makes all long jobs late that come after it. What can be done
 // in time goes first, and what is late ends all the same.
-func TestWhatCanBeDoneInTimeGoesFirst(t *testing.T) {
+func TestBurstMakesAllLaterLongJobsLate(t *testing.T) {
 	t.Parallel()
 	const seeds = 16
-	offices, before := playBursts(seeds), playBursts(seeds, dispatch.MechanismUrgency)
+	byUrgency, byAge := runBursts(seeds), runBursts(seeds, dispatch.MechanismUrgency)
 	long, longByAge, short, shortByAge := 0.0, 0.0, 0.0, 0.0
-	for i, o := range offices {
-		long += o.inTime("long") / seeds
-		short += o.inTime("short") / seeds
-		longByAge += before[i].inTime("long") / seeds
-		shortByAge += before[i].inTime("short") / seeds
+	for i, o := range byUrgency {
+		long += o.onTimeShare("long") / seeds
+		short += o.onTimeShare("short") / seeds
+		longByAge += byAge[i].onTimeShare("long") / seeds
+		shortByAge += byAge[i].onTimeShare("short") / seeds
 		for id := range o.jobs {
-			if o.told[id] != work.JobSucceeded {
-				t.Errorf("%s: got: %q at the end, want: %s", id, o.told[id], work.JobSucceeded)
+			if o.acknowledged[id] != work.JobSucceeded {
+				t.Errorf("%s: got: %q at the end, want: %s", id, o.acknowledged[id], work.JobSucceeded)
 			}
 		}
 	}
@@ -281,110 +285,110 @@
 const (
 	// customers is how many there are, hot the one that sends hotRatio times its usual, which is
 	// hotShare times that of another one.
-	customers = 20
-	hot       = work.CustomerName("c00")
-	hotRatio  = 8
-	hotShare  = 5
-	shares    = customers - 1 + hotShare
+	customerCount = 20
+	hotCustomer   = work.CustomerName("c00")
+	hotLoadRatio  = 8
+	hotWeight     = 5
+	totalWeight   = customerCount - 1 + hotWeight
 )
 
 // customerOf returns the nth customer.
-func customerOf(n int) work.CustomerName { return work.CustomerName(fmt.Sprintf("c%02d", n)) }
+func customerName(n int) work.CustomerName { return work.CustomerName(fmt.Sprintf("c%02d", n)) }
 
 // playHot lets jobs of customers come, each within its share but for the hot one, which sends
 // ratio times its usual for a while, and then all end.
-func playHot(o *office, ratio float64) {
-	weights := []order.Customer{}
-	each := 2 * (shortRate + longRate) / shares * float64(o.size) / officeWorkers
-	weights = append(weights, order.Customer{Name: hot, Weight: hotShare * each})
-	for i := 1; i < customers; i++ {
-		weights = append(weights, order.Customer{Name: customerOf(i), Weight: each})
+func runHotCustomer(o *loadSim, ratio float64) {
+	customers := []order.Customer{}
+	each := 2 * (shortRate + longRate) / totalWeight * float64(o.workerCount) / referenceWorkerCount
+	customers = append(customers, order.Customer{Name: hotCustomer, Weight: hotWeight * each})
+	for i := 1; i < customerCount; i++ {
+		customers = append(customers, order.Customer{Name: customerName(i), Weight: each})
 	}
-	o.limit(weights...)
-	anyone := func() work.CustomerName { return customerOf(max(o.rng.IntN(shares)-hotShare+1, 0)) }
-	o.idle(2 * time.Second)
-	o.play(6*time.Second, shortRate, longRate, anyone)
+	o.limit(customers...)
+	randomCustomer := func() work.CustomerName { return customerName(max(o.rng.IntN(totalWeight)-hotWeight+1, 0)) }
+	o.runWithoutArrivals(2 * time.Second)
+	o.runLoad(6*time.Second, shortRate, longRate, randomCustomer)
 	for range 80 {
-		o.play(100*time.Millisecond, shortRate, longRate, anyone)
-		more := (ratio - 1) * hotShare / shares
-		o.play(tick, shortRate*more*10, longRate*more*10, func() work.CustomerName { return hot })
+		o.runLoad(100*time.Millisecond, shortRate, longRate, randomCustomer)
+		extra := (ratio - 1) * hotWeight / totalWeight
+		o.runLoad(tick, shortRate*extra*10, longRate*extra*10, func() work.CustomerName { return hotCustomer })
 	}
-	o.play(6*time.Second, shortRate, longRate, anyone)
-	o.finish()
+	o.runLoad(6*time.Second, shortRate, longRate, randomCustomer)
+	o.runUntilJobsEnd()
 }
 
 // inTimeOfOthers is inTime of all customers but the hot one, by their jobs.
-func (o *office) inTimeOfOthers(queue string) float64 {
+func (o *loadSim) onTimeShareOfOthers(queue string) float64 {
 	sum := 0.0
-	for i := 1; i < customers; i++ {
-		sum += o.inTimeOf(queue, customerOf(i)) / (customers - 1)
+	for i := 1; i < customerCount; i++ {
+		sum += o.onTimeShareOf(queue, customerName(i)) / (customerCount - 1)
 	}
 	return sum
 }
 
 // One customer that sends eight times its usual takes nothing from nineteen calm ones; what
 // they leave it has.
-func TestAHotCustomerTakesNothingFromTheOthers(t *testing.T) {
+func TestHotCustomerSlowsOthers(t *testing.T) {
 	t.Parallel()
 	const seeds = 2
 	type result struct{ long, short, own float64 }
-	play := func(ratio float64, without ...dispatch.Mechanism) result {
+	run := func(ratio float64, without ...dispatch.Mechanism) result {
 		r := result{}
 		for seed := range uint64(seeds) {
-			o := newOffice(seed, testSize, without...)
-			playHot(o, ratio)
-			r.long += o.inTimeOfOthers("long") / seeds
-			r.short += o.inTimeOfOthers("short") / seeds
-			r.own += o.inTimeOf("short", hot) / seeds
+			o := newLoadSim(seed, testWorkerCount, without...)
+			runHotCustomer(o, ratio)
+			r.long += o.onTimeShareOfOthers("long") / seeds
+			r.short += o.onTimeShareOfOthers("short") / seeds
+			r.own += o.onTimeShareOf("short", hotCustomer) / seeds
 			for id := range o.jobs {
-				if o.told[id] != work.JobSucceeded {
-					t.Errorf("%s: got: %q at the end, want: %s", id, o.told[id], work.JobSucceeded)
+				if o.acknowledged[id] != work.JobSucceeded {
+					t.Errorf("%s: got: %q at the end, want: %s", id, o.acknowledged[id], work.JobSucceeded)
 				}
 			}
 		}
 		return r
 	}
-	calm, shared, unshared := play(1), play(hotRatio), play(hotRatio, dispatch.MechanismShares)
+	calm, shared, unshared := run(1), run(hotLoadRatio), run(hotLoadRatio, dispatch.MechanismShares)
 	t.Logf("others, long and short in time: calm %.2f %.2f, beside a hot one %.2f %.2f, without shares %.2f %.2f; its own short ones %.2f, %.2f",
 		calm.long, calm.short, shared.long, shared.short, unshared.long, unshared.short, shared.own, unshared.own)
 	if shared.long < calm.long-0.1 || shared.short < calm.short-0.1 {
 		t.Errorf("others in time, long and short: got: %.2f, %.2f, want: no tenth less than %.2f, %.2f without a hot one", shared.long, shared.short, calm.long, calm.short)
 	}
-	if shared.own < 1.0/hotRatio {
+	if shared.own < 1.0/hotLoadRatio {
 		t.Errorf("its own short jobs in time: got: %.2f, want: its share at least", shared.own)
 	}
 }
 
 // standStillRate is the rate of long jobs that two ways to ask cannot do.
-const standStillRate = 4 * longRate
+const stallRate = 4 * longRate
 
 // Where permission binds and most room is free, a job of which nothing runs goes first after a
 // while, however late it is: callers take one that stands still as lost.
-func TestNothingStandsStillWhileThereIsRoom(t *testing.T) {
+func TestLateJobStallsWhileCapacityIsFree(t *testing.T) {
 	t.Parallel()
 	longest := func(without ...dispatch.Mechanism) time.Duration {
-		o := newOffice(1, testSize, without...)
-		o.lanes = o.lanes[:2]
-		o.engine.SetLanes(o.lanes)
-		o.idle(time.Second)
-		idle, most := map[work.JobID]time.Duration{}, time.Duration(0)
-		for o.since() < 20*time.Second {
-			if o.since() < 12*time.Second {
-				for range o.due(standStillRate) {
-					o.handIn("long", nobody())
+		o := newLoadSim(1, testWorkerCount, without...)
+		o.channels = o.channels[:2]
+		o.engine.SetLanes(o.channels)
+		o.runWithoutArrivals(time.Second)
+		notRunning, longestNotRunning := map[work.JobID]time.Duration{}, time.Duration(0)
+		for o.elapsed() < 20*time.Second {
+			if o.elapsed() < 12*time.Second {
+				for range o.drawArrivals(stallRate) {
+					o.submitRandomJob("long", noCustomer())
 				}
 			}
-			o.stepFast()
+			o.runTickUnchecked()
 			for id := range o.jobs {
-				if o.told[id] != "" || o.running(id) > 0 {
-					idle[id] = 0
+				if o.acknowledged[id] != "" || o.runningTasks(id) > 0 {
+					notRunning[id] = 0
 					continue
 				}
-				idle[id] += tick
-				most = max(most, idle[id])
+				notRunning[id] += tick
+				longestNotRunning = max(longestNotRunning, notRunning[id])
 			}
 		}
-		return most
+		return longestNotRunning
 	}
 	got, byAge := longest(), longest(dispatch.MechanismUrgency)
 	t.Logf("longest with nothing running: %v, in the order of arrival %v", got, byAge)
--- a/internal/dispatch/long_running_simulation_test.go
+++ b/internal/dispatch/long_running_simulation_test.go
@@ -14,81 +14,81 @@
 const (
 	// longestAway is how long nothing of a task that lasts may run, if there has been room for two
 	// such tasks in the last roomTime of that.
-	longestAway = 9 * time.Second
-	roomTime    = 3 * time.Second
+	maxNotRunning      = 9 * time.Second
+	steadyCapacityTime = 3 * time.Second
 )
 
 // lastingWatch finds from outside tasks that last of which nothing runs for too long although
 // workers that may run them have had room all the while.
-type lastingWatch struct {
-	w *world
+type longRunningMonitor struct {
+	w *sim
 	// awayFrom is since when nothing of a task runs, roomFrom since when a worker has had room for
 	// a task of a step.
-	awayFrom map[work.TaskID]time.Duration
-	roomFrom map[place]time.Duration
+	notRunningSince map[work.TaskID]time.Duration
+	capacitySince   map[placement]time.Duration
 	// lost has the tasks that were away for too long, and for how long.
-	lost map[work.TaskID]time.Duration
+	overdue map[work.TaskID]time.Duration
 }
 
 // place is where a task of a step may run.
-type place struct {
+type placement struct {
 	step   work.StepID
 	worker order.WorkerID
 }
 
-func newLastingWatch(w *world) *lastingWatch {
-	return &lastingWatch{w: w, awayFrom: map[work.TaskID]time.Duration{}, roomFrom: map[place]time.Duration{}, lost: map[work.TaskID]time.Duration{}}
+func newLongRunningMonitor(w *sim) *longRunningMonitor {
+	return &longRunningMonitor{w: w, notRunningSince: map[work.TaskID]time.Duration{}, capacitySince: map[placement]time.Duration{}, overdue: map[work.TaskID]time.Duration{}}
 }
 
 // look takes the state of the world now.
-func (l *lastingWatch) look() {
+func (l *longRunningMonitor) observe() {
 	running := map[work.TaskID]bool{}
-	for _, m := range l.w.each() {
+	for _, m := range l.w.allWorkers() {
 		for id := range m.running {
 			running[id] = running[id] || !m.isDead
 		}
 	}
-	for _, job := range l.w.order {
+	for _, job := range l.w.jobOrder {
 		for s := range l.w.specs[job].Steps {
-			if l.w.specs[job].Steps[s].IsLongRunning && l.w.told[job] == "" {
-				l.lookAt(work.StepID{Job: job, Step: s}, running)
+			if l.w.specs[job].Steps[s].IsLongRunning && l.w.acknowledged[job] == "" {
+				l.observeStep(work.StepID{Job: job, Step: s}, running)
 			}
 		}
 	}
 }
 
-func (l *lastingWatch) lookAt(step work.StepID, running map[work.TaskID]bool) {
-	spec, now := &l.w.specs[step.Job].Steps[step.Step], l.w.since()
-	places := l.standing(step, spec)
+func (l *longRunningMonitor) observeStep(step work.StepID, running map[work.TaskID]bool) {
+	spec, now := &l.w.specs[step.Job].Steps[step.Step], l.w.elapsed()
+	capacity := l.steadyCapacity(step, spec)
 	for i := range spec.Count {
 		id := work.TaskID{Job: step.Job, Round: step.Round, Step: step.Step, Index: i}
 		if running[id] {
-			delete(l.awayFrom, id)
+			delete(l.notRunningSince, id)
 			continue
 		}
-		if _, ok := l.awayFrom[id]; !ok {
-			l.awayFrom[id] = now
+		if _, ok := l.notRunningSince[id]; !ok {
+			l.notRunningSince[id] = now
 		}
-		if away := now - l.awayFrom[id]; away >= longestAway && places >= 2 {
-			l.lost[id] = away
+		if notRunning := now - l.notRunningSince[id]; notRunning >= maxNotRunning && capacity >= 2 {
+			l.overdue[id] = notRunning
 		}
 	}
 }
 
 // standing returns how many tasks of a step workers have had room for all of roomTime.
-func (l *lastingWatch) standing(step work.StepID, spec *work.Step) int {
-	queue, now, n := l.w.queueOf(step.Job), l.w.since(), 0
-	for _, m := range l.w.each() {
-		p := place{step, m.entry.ID}
-		fits := m.fits(step, spec)
-		if fits == 0 || m.isDead || m.isCut || m.isSick || m.entry.IsDraining || queue.Permission != nil && !l.w.permits(queue, step, m.entry.ID) {
-			delete(l.roomFrom, p)
+func (l *longRunningMonitor) steadyCapacity(step work.StepID, spec *work.Step) int {
+	queue, now, n := l.w.queueOf(step.Job), l.w.elapsed(), 0
+	for _, m := range l.w.allWorkers() {
+		p := placement{step, m.entry.ID}
+		fits := m.fittingTasks(step, spec)
+		if fits == 0 || m.isDead || m.isPartitioned || m.isDegraded || m.entry.IsDraining || queue.Permission != nil && !l.w.isWorkerPermitted(queue, step, m.entry.ID) {
+			delete(l.capacitySince, p)
 			continue
 		}
-		if _, ok := l.roomFrom[p]; !ok {
-			l.roomFrom[p] = now
+		if _, ok := l.capacitySince[p]; !ok {
+			l.capacitySince[p] = now
 		}
-		if now-l.roomFrom[p] >= roomTime {
+		if now-l.capacitySince[p] >= steadyCapacityTime {
 			n += fits
 		}
 	}
@@ -96,15 +96,15 @@
 }
 
 // permits reports whether the worker may run the step.
-func (w *world) permits(q *order.Queue, s work.StepID, id order.WorkerID) bool {
-	if w.mayRunStep != nil {
-		return w.mayRunStep(q, s, id)
+func (w *sim) isWorkerPermitted(q *order.Queue, s work.StepID, id order.WorkerID) bool {
+	if w.isStepPermitted != nil {
+		return w.isStepPermitted(q, s, id)
 	}
-	return w.mayRun == nil || w.mayRun(id)
+	return w.isPermitted == nil || w.isPermitted(id)
 }
 
 // fits returns how many tasks of the step the worker has room for.
-func (m *modelWorker) fits(s work.StepID, spec *work.Step) int {
+func (m *modelWorker) fittingTasks(s work.StepID, spec *work.Step) int {
 	free, need := m.entry.Capacity.Sub(m.used()), spec.Need
 	free.Slots, need.Slots = 0, 0
 	if !need.FitsIn(free) {
@@ -114,53 +114,53 @@
 	if spec.MaxPerWorker == 0 {
 		return n
 	}
-	most := spec.MaxPerWorker
+	remaining := spec.MaxPerWorker
 	for id := range m.running {
 		if id.StepID() == s {
-			most--
+			remaining--
 		}
 	}
-	return max(min(n, most), 0)
+	return max(min(n, remaining), 0)
 }
 
 // lastingTrouble is what happens in each round of playLasting.
-type lastingTrouble string
+type longRunningFault string
 
 const (
-	sickWorkers    lastingTrouble = "workers fail all for some seconds"
-	crashedWorkers lastingTrouble = "workers crash"
-	newOwners      lastingTrouble = "another owner takes over"
+	degradedWorkers longRunningFault = "workers fail all for some seconds"
+	crashes         longRunningFault = "workers crash"
+	takeovers       longRunningFault = "another owner takes over"
 )
 
 // playLasting plays a minute of an office in which tasks that last fail after some seconds, with six
 // rounds of a trouble in the first half of it, and watches that none of them stays away.
-func playLasting(seed uint64, trouble lastingTrouble) *lastingWatch {
+func runLongRunning(seed uint64, trouble longRunningFault) *longRunningMonitor {
 	const short, long = 25.0, 5.0
-	o := newOffice(seed, testSize)
-	o.idle(time.Second)
+	o := newLoadSim(seed, testWorkerCount)
+	o.runWithoutArrivals(time.Second)
 	for i := range 2 {
-		s := work.Step{Count: max(int(o.spread(12, 0.8, 18)), 1), Need: longStepNeed, Estimate: time.Hour, IsLongRunning: true, MaxUnavailable: -1}
+		s := work.Step{Count: max(int(o.drawLogNormal(12, 0.8, 18)), 1), Need: longStepNeed, Estimate: time.Hour, IsLongRunning: true, MaxUnavailable: -1}
 		if o.rng.Float64() < 0.6 {
 			s.MaxPerWorker = 1
 		}
 		o.submitTo("lasting", fmt.Sprintf("lasting%02d", i), s)
 	}
-	o.lastingFailTime, o.lastingFailShare = 20*time.Second, 0.7
-	o.crashing(func(work.TaskID) bool { return false })
-	l := newLastingWatch(o.world)
-	o.play(4*time.Second, short, long, nobody)
-	o.failShare = 0.02
+	o.maxLongRunningFailureTime, o.longRunningFailureShare = 20*time.Second, 0.7
+	o.crashWorkersOf(func(work.TaskID) bool { return false })
+	l := newLongRunningMonitor(o.sim)
+	o.runLoad(4*time.Second, short, long, noCustomer)
+	o.failureShare = 0.02
 	watch := func(until time.Duration) {
-		for o.since() < until {
-			o.play(50*time.Millisecond, short, long, nobody)
-			l.look()
+		for o.elapsed() < until {
+			o.runLoad(50*time.Millisecond, short, long, noCustomer)
+			l.observe()
 		}
 	}
 	for range 6 {
-		sick := o.strike(trouble)
-		watch(o.since() + time.Duration(3000+o.rng.IntN(4000))*time.Millisecond)
-		for _, m := range sick {
-			m.isSick = false
+		degraded := o.injectFault(trouble)
+		watch(o.elapsed() + time.Duration(3000+o.rng.IntN(4000))*time.Millisecond)
+		for _, m := range degraded {
+			m.isDegraded = false
 		}
 	}
 	watch(time.Minute)
@@ -168,20 +168,20 @@
 }
 
 // strike begins a trouble with an eighth of the workers, and returns those that are sick.
-func (o *office) strike(trouble lastingTrouble) []*modelWorker {
+func (o *loadSim) injectFault(trouble longRunningFault) []*modelWorker {
 	switch trouble {
-	case crashedWorkers:
-		o.crashSome(o.size / 8)
-	case newOwners:
+	case crashes:
+		o.crashRandomWorkers(o.workerCount / 8)
+	case takeovers:
 		o.takeOver()
-	case sickWorkers:
-		ids, sick := o.living(), []*modelWorker{}
-		for range o.size / 8 {
+	case degradedWorkers:
+		ids, degraded := o.liveWorkers(), []*modelWorker{}
+		for range o.workerCount / 8 {
 			m := o.workers[ids[o.rng.IntN(len(ids))]]
-			m.isSick = true
-			sick = append(sick, m)
+			m.isDegraded = true
+			degraded = append(degraded, m)
 		}
-		return sick
+		return degraded
 	}
 	return nil
 }
--- a/internal/dispatch/not_running_test.go
+++ b/internal/dispatch/not_running_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestALastingTaskThatIsAwayIsTold(t *testing.T) {
-	w := newWorld(1)
+	w := newSim(1)
 	told := 0
 	w.log = func(e events.Event, _ ...any) {
 		if e == events.TaskAway {
@@ -19,8 +19,8 @@
 		}
 	}
 	w.takeOver()
-	w.addWorkers(1, room)
-	lasting := step(1, time.Hour)
+	w.addWorkers(1, workerCapacity)
+	lasting := newStep(1, time.Hour)
 	lasting.IsLongRunning = true
 	w.submit("a", lasting)
 	w.run(6 * time.Second)
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -15,25 +15,25 @@
 
 // TestPromisesHoldInAnyWorld plays random jobs with lost and late orders, cut and
 // crashed workers, an unreachable store and takeovers, and checks from outside.
-func TestPromisesHoldInAnyWorld(t *testing.T) {
+func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
 	properties.Property("no promise is broken and all jobs end", prop.ForAll(
-		func(seed uint64) (bool, error) { return keepsPromises(playRandomDay(seed), seed) }, gen.UInt64()))
+		func(seed uint64) (bool, error) { return holdsInvariants(runRandomFaults(seed), seed) }, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
 // A seed plays the same each time, or what it shows once could not be traced: nothing of the
 // engine goes by the order of a built-in map.
-func TestASeedPlaysTheSameEachTime(t *testing.T) {
+func TestSameSeedGivesDifferentTrace(t *testing.T) {
 	t.Parallel()
-	for name, play := range map[string]func(uint64) *world{
-		"days": playRandomDay, "workers that start again": playRestarts, "rooms that change": playResizingDay, "crashes": playCrashingDay,
+	for name, run := range map[string]func(uint64) *sim{
+		"days": runRandomFaults, "workers that start again": playRestarts, "rooms that change": playResizingDay, "crashes": playCrashingDay,
 	} {
 		for seed := range uint64(3) {
-			first, second := play(seed).trace, play(seed).trace
+			first, second := run(seed).trace, run(seed).trace
 			for i := range min(len(first), len(second)) {
 				if first[i] != second[i] {
 					t.Errorf("%s, seed %d, action %d: got: %+v, want: %+v", name, seed, i, second[i], first[i])
@@ -48,12 +48,12 @@
 }
 
 // keepsPromises reports whether no promise was broken and all jobs have ended.
-func keepsPromises(w *world, seed uint64) (bool, error) {
-	if len(w.broken) > 0 {
-		return false, fmt.Errorf("seed %d: %s (and %d more)", seed, w.broken[0], len(w.broken)-1)
+func holdsInvariants(w *sim, seed uint64) (bool, error) {
+	if len(w.violations) > 0 {
+		return false, fmt.Errorf("seed %d: %s (and %d more)", seed, w.violations[0], len(w.violations)-1)
 	}
-	for _, id := range w.order {
-		if s := state(w, id); !s.IsFinal() {
+	for _, id := range w.jobOrder {
+		if s := jobState(w, id); !s.IsFinal() {
 			return false, fmt.Errorf("seed %d: job %s is %s at the end", seed, id, s)
 		}
 	}
@@ -61,55 +61,55 @@
 }
 
 // playRandomDay plays 40 s of troubles and then lets all end.
-func playRandomDay(seed uint64) *world {
-	w := newWorld(seed)
-	w.addWorkers(6, room)
+func runRandomFaults(seed uint64) *sim {
+	w := newSim(seed)
+	w.addWorkers(6, workerCapacity)
 	w.run(time.Second)
 	for i := range 40 {
-		w.submit(fmt.Sprintf("j%02d", i), step(1+w.rng.IntN(6), time.Duration(100+w.rng.IntN(2500))*time.Millisecond), step(1+w.rng.IntN(3), 300*time.Millisecond))
-		w.trouble(i)
+		w.submit(fmt.Sprintf("j%02d", i), newStep(1+w.rng.IntN(6), time.Duration(100+w.rng.IntN(2500))*time.Millisecond), newStep(1+w.rng.IntN(3), 300*time.Millisecond))
+		w.injectRandomFault(i)
 		w.run(time.Second)
 	}
-	w.heal()
+	w.clearFaults()
 	w.run(40 * time.Second)
 	return w
 }
 
 // heal ends all troubles.
-func (w *world) heal() {
-	w.lostShare, w.failShare, w.isOut, w.refusedShare = 0, 0, false, 0
-	for _, m := range w.each() {
-		m.isCut = false
+func (w *sim) clearFaults() {
+	w.lostAnswerShare, w.failureShare, w.isStoreDown, w.refusedShare = 0, 0, false, 0
+	for _, m := range w.allWorkers() {
+		m.isPartitioned = false
 	}
 }
 
 // trouble does something to the world, or ends it.
-func (w *world) trouble(i int) {
-	ids := w.living()
-	if len(ids) == 0 {
+func (w *sim) injectRandomFault(i int) {
+	names := w.liveWorkers()
+	if len(names) == 0 {
 		return
 	}
-	m := w.workers[ids[w.rng.IntN(len(ids))]]
+	m := w.workers[names[w.rng.IntN(len(names))]]
 	switch w.rng.IntN(10) {
 	case 0:
-		w.lostShare, w.lateShare = 0.1*w.rng.Float64(), w.rng.Float64()
+		w.lostAnswerShare, w.lateOrderShare = 0.1*w.rng.Float64(), w.rng.Float64()
 	case 1:
-		w.lostShare = 0
+		w.lostAnswerShare = 0
 	case 2:
-		m.isCut = true
+		m.isPartitioned = true
 	case 3, 4:
-		for _, o := range w.each() {
-			o.isCut = false
+		for _, o := range w.allWorkers() {
+			o.isPartitioned = false
 		}
 	case 5:
-		w.crash(m.entry.ID, fmt.Sprintf("x%02d", i))
+		w.crashAndReplace(m.entry.ID, fmt.Sprintf("x%02d", i))
 	case 6:
 		w.takeOver()
 	case 7:
-		w.isOut, w.runsAhead = !w.isOut, w.rng.IntN(2) == 0
+		w.isStoreDown, w.isWriteBehind = !w.isStoreDown, w.rng.IntN(2) == 0
 	case 8:
-		w.failShare = 0.1 * w.rng.Float64()
+		w.failureShare = 0.1 * w.rng.Float64()
 	case 9:
-		w.storeDelay, w.refusedShare = time.Duration(w.rng.IntN(300))*time.Millisecond, 0.2*w.rng.Float64()
+		w.maxStoreDelay, w.refusedShare = time.Duration(w.rng.IntN(300))*time.Millisecond, 0.2*w.rng.Float64()
 	}
 }
--- a/internal/dispatch/refused_test.go
+++ b/internal/dispatch/refused_test.go
@@ -21,7 +21,7 @@
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
 	spec := func() *work.Spec {
-		return &work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, 0)}}
+		return &work.Spec{ID: "a", Queue: "q", Steps: []work.Step{newStep(1, 0)}}
 	}
 	e.AddJob(spec())
 	e.Cancel("a", "")
@@ -55,7 +55,7 @@
 	if state, ok := e.State("a"); ok || !e.IsFinalPersisted("a") {
 		t.Errorf("cancelled before it came: got: %v, %v, want: settled, and no such job", state, ok)
 	}
-	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, 0)}})
+	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{newStep(1, 0)}})
 	if state, _ := e.State("a"); state.IsFinal() || e.IsFinalPersisted("a") || e.IsKept("a") {
 		t.Errorf("handed in, not kept: got: %v, settled: %v, want: not yet", state, e.IsFinalPersisted("a"))
 	}
--- a/internal/dispatch/resize_test.go
+++ b/internal/dispatch/resize_test.go
@@ -21,8 +21,8 @@
 const shrinkGrace = time.Second
 
 // resize changes the room of a worker.
-func (w *world) resize(m *modelWorker, r leverdyke.Resources) {
-	m.resized = append(m.resized, resizing{w.clock.Now(), m.entry.Capacity})
+func (w *sim) resize(m *modelWorker, r leverdyke.Resources) {
+	m.capacityChanges = append(m.capacityChanges, resizing{w.clock.Now(), m.entry.Capacity})
 	m.entry.Capacity = r
 }
 
@@ -35,7 +35,7 @@
 // allowed returns the most room that a start may go by now.
 func (m *modelWorker) allowed(now time.Time) leverdyke.Resources {
 	r := m.entry.Capacity
-	for _, old := range m.resized {
+	for _, old := range m.capacityChanges {
 		if now.Sub(old.at) < shrinkGrace {
 			r = r.Max(old.from)
 		}
@@ -46,44 +46,44 @@
 // Places were worked out while the store was out and orders left seconds later, when it had
 // kept them: by then the worker had said that it has half of the room.
 func TestAStartIsNotOrderedIntoRoomThatHasShrunk(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(1, room)
+	w := newSim(1)
+	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(2, 20*time.Second))
+	w.submit("a", newStep(2, 20*time.Second))
 	w.run(500 * time.Millisecond)
-	w.submit("b", step(2, 300*time.Millisecond))
-	w.keep()
-	w.isOut = true
+	w.submit("b", newStep(2, 300*time.Millisecond))
+	w.commitBatch()
+	w.isStoreDown = true
 	w.run(100 * time.Millisecond)
 	w.resize(w.workers["w00"], leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 4000})
 	w.run(3 * time.Second)
-	w.isOut = false
+	w.isStoreDown = false
 	w.run(3 * time.Second)
 	expectState(t, w, "b", work.JobQueued)
-	w.resize(w.workers["w00"], room)
+	w.resize(w.workers["w00"], workerCapacity)
 	w.run(2 * time.Second)
 	expectState(t, w, "b", work.JobSucceeded)
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // A worker of which one dimension is overfull gets nothing at all, also no task that needs
 // none of that.
 func TestAnOverfullWorkerGetsNothing(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(1, room)
+	w := newSim(1)
+	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(4, 5*time.Second))
+	w.submit("a", newStep(4, 5*time.Second))
 	w.run(500 * time.Millisecond)
 	w.resize(w.workers["w00"], leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 8000})
 	w.run(2 * time.Second)
-	filler := step(1, 100*time.Millisecond)
+	filler := newStep(1, 100*time.Millisecond)
 	filler.IsBestEffort = true
 	w.submit("b", filler)
 	w.run(2 * time.Second)
 	expectState(t, w, "b", work.JobQueued)
 	w.run(3 * time.Second)
 	expectState(t, w, "b", work.JobSucceeded)
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // TestPromisesHoldWhereRoomShrinksAndGrows plays rooms that change, with the troubles of
@@ -93,35 +93,35 @@
 	parameters.MinSuccessfulTests = 20
 	properties := gopter.NewProperties(parameters)
 	properties.Property("no promise is broken and all jobs end", prop.ForAll(
-		func(seed uint64) (bool, error) { return keepsPromises(playResizingDay(seed), seed) }, gen.UInt64()))
+		func(seed uint64) (bool, error) { return holdsInvariants(playResizingDay(seed), seed) }, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
 // playResizingDay plays 30 s of troubles and of rooms that change, and then lets all end.
-func playResizingDay(seed uint64) *world {
-	w := newWorld(seed)
-	w.addWorkers(6, room)
+func playResizingDay(seed uint64) *sim {
+	w := newSim(seed)
+	w.addWorkers(6, workerCapacity)
 	w.run(time.Second)
 	for i := range 60 {
-		w.submit(fmt.Sprintf("j%02d", i), step(1+w.rng.IntN(6), time.Duration(100+w.rng.IntN(2500))*time.Millisecond))
+		w.submit(fmt.Sprintf("j%02d", i), newStep(1+w.rng.IntN(6), time.Duration(100+w.rng.IntN(2500))*time.Millisecond))
 		w.resizeOne()
 		if i%2 == 0 {
-			w.trouble(i)
+			w.injectRandomFault(i)
 		}
 		w.run(500 * time.Millisecond)
 	}
-	w.lostShare, w.failShare, w.isOut, w.refusedShare = 0, 0, false, 0
-	for _, m := range w.each() {
-		m.isCut = false
-		w.resize(m, room)
+	w.lostAnswerShare, w.failureShare, w.isStoreDown, w.refusedShare = 0, 0, false, 0
+	for _, m := range w.allWorkers() {
+		m.isPartitioned = false
+		w.resize(m, workerCapacity)
 	}
 	w.run(60 * time.Second)
 	return w
 }
 
 // resizeOne changes the room of some worker that lives, down to nothing at times.
-func (w *world) resizeOne() {
-	ids := w.living()
+func (w *sim) resizeOne() {
+	ids := w.liveWorkers()
 	m := w.workers[ids[w.rng.IntN(len(ids))]]
 	w.resize(m, leverdyke.Resources{MilliCPU: int64(1000 * w.rng.IntN(5)), MemoryMiB: int64(2000 * w.rng.IntN(5))})
 }
--- a/internal/dispatch/restart_simulation_test.go
+++ b/internal/dispatch/restart_simulation_test.go
@@ -11,37 +11,37 @@
 )
 
 // newTellingWorld returns a world in which workers tell when they started.
-func newTellingWorld(seed uint64) *world {
-	w := newWorld(seed)
-	w.bornAt = w.begin
+func newSimWithStartTimes(seed uint64) *sim {
+	w := newSim(seed)
+	w.workersStartedAt = w.startedAt
 	return w
 }
 
 // named returns the worker to which an order goes: the platform knows it by its name, and
 // whichever start is there gets it.
-func (w *world) named(id order.WorkerID) *modelWorker { return w.workers[id.Name()] }
+func (w *sim) workerByID(id order.WorkerID) *modelWorker { return w.workers[id.Name()] }
 
 // restart ends all that a worker runs and starts it again some time later under its ID, with
 // a clock that shows clock then. What is on its way to it meanwhile is lost; what comes later
 // reaches the newer start.
-func (w *world) restart(m *modelWorker, after, clock time.Duration) {
+func (w *sim) restart(m *modelWorker, after, clock time.Duration) {
 	if m.isDead {
 		return
 	}
 	m.isDead, m.isRestarting = true, true
 	m.running = map[work.TaskID]*modelRun{}
-	w.orderLater(after, func() {
-		m.begin(w.clock.Now(), w.since(), clock)
-		m.listedFrom = w.clock.Now().Add(max(w.listLag, listLag))
+	w.schedule(after, func() {
+		m.startIncarnation(w.clock.Now(), w.elapsed(), clock)
+		m.listedFrom = w.clock.Now().Add(max(w.listLag, defaultListLag))
 	})
 }
 
 // listLag is how long after a worker has started again the list has its new entry, where a
 // world does not say otherwise.
-const listLag = 400 * time.Millisecond
+const defaultListLag = 400 * time.Millisecond
 
 // loseOwner replaces the owner by one that does nothing for a while.
-func (w *world) loseOwner(gap time.Duration) {
+func (w *sim) takeOverAfterGap(gap time.Duration) {
 	w.takeOver()
 	for end := w.clock.Now().Add(gap); w.clock.Now().Before(end); {
 		w.clock.Advance(tick)
@@ -51,34 +51,34 @@
 
 // stopsTo lets the engine go on at the world's time and returns the orders to stop that go to a
 // worker.
-func (w *world) stopsTo(name string) []order.Stop {
+func (w *sim) stopsTo(name string) []order.Stop {
 	w.engine.Advance(w.clock.Now())
 	w.stepWorkers()
-	w.engine.SetWorkers(w.list(), true)
+	w.engine.SetWorkers(w.workerList(), true)
 	w.engine.Tick()
 	stops := []order.Stop{}
 	for _, a := range w.engine.Actions() {
 		if s, ok := a.(order.Stop); ok && s.Worker.Name() == name {
 			stops = append(stops, s)
 		}
-		w.carryOut(a)
+		w.execute(a)
 	}
 	return stops
 }
 
 // listed returns the worker's entry as the list has it.
-func (m *modelWorker) listed(now time.Time) order.Worker {
+func (m *modelWorker) listedEntry(now time.Time) order.Worker {
 	if now.Before(m.listedFrom) {
-		return m.before
+		return m.previousEntry
 	}
 	return m.entry
 }
 
 // restartSome lets a worker start again, one second in three. Orders are not held up for
 // seconds: TestAnOrderThatIsFirstToReachANewerStartRunsNothingTwice has those.
-func (w *world) restartSome() {
-	w.lateShare = 0
-	ids := w.living()
+func (w *sim) restartRandomWorker() {
+	w.lateOrderShare = 0
+	ids := w.liveWorkers()
 	if len(ids) == 0 || w.rng.IntN(3) > 0 {
 		return
 	}
@@ -87,20 +87,20 @@
 }
 
 // begin begins another start of the worker: it knows nothing of before.
-func (m *modelWorker) begin(now time.Time, since, clock time.Duration) {
+func (m *modelWorker) startIncarnation(now time.Time, since, clock time.Duration) {
 	m.isDead, m.isRestarting = false, false
-	m.before = m.entry
+	m.previousEntry = m.entry
 	m.entry.ID = order.NewWorkerID(m.name, now)
-	m.clock = clock - time.Duration(float64(since)*(1-m.drift))
+	m.clockOffset = clock - time.Duration(float64(since)*(1-m.drift))
 	m.fence, m.deadline = 0, 0
-	m.running, m.barred = map[work.TaskID]*modelRun{}, map[work.TaskID]uint64{}
-	m.finished, m.next, m.lastSeen = nil, 1, 0
+	m.running, m.highestEndedRun = map[work.TaskID]*modelRun{}, map[work.TaskID]uint64{}
+	m.finished, m.nextEndNumber, m.confirmedUpTo = nil, 1, 0
 }
 
 // running returns how many tasks of a job run.
-func (w *world) running(id work.JobID) int {
+func (w *sim) runningTasks(id work.JobID) int {
 	n := 0
-	for _, m := range w.each() {
+	for _, m := range w.allWorkers() {
 		for task := range m.running {
 			if task.Job == id {
 				n++
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -31,26 +31,26 @@
 func TestAWorkerStartsAgainUnderItsID(t *testing.T) {
 	for name, clock := range map[string]time.Duration{"clock behind": 0, "clock ahead": 100 * time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			w := newTellingWorld(1)
-			w.addWorkers(3, room)
+			w := newSimWithStartTimes(1)
+			w.addWorkers(3, workerCapacity)
 			w.run(time.Second)
-			lasting := step(3, time.Hour)
+			lasting := newStep(3, time.Hour)
 			lasting.IsLongRunning = true
 			w.submit("lasting", lasting)
 			for i := range 4 {
-				w.submit(fmt.Sprintf("before%d", i), step(6, 300*time.Millisecond))
+				w.submit(fmt.Sprintf("before%d", i), newStep(6, 300*time.Millisecond))
 				w.run(time.Second)
 			}
 			for _, id := range []string{"w00", "w01", "w02"} {
 				w.restart(w.workers[id], 600*time.Millisecond, clock)
-				w.submit("after"+id, step(9, 300*time.Millisecond), step(3, 300*time.Millisecond))
+				w.submit("after"+id, newStep(9, 300*time.Millisecond), newStep(3, 300*time.Millisecond))
 				w.run(3 * time.Second)
-				if got := w.running("lasting"); got != 3 {
+				if got := w.runningTasks("lasting"); got != 3 {
 					t.Errorf("lasting tasks that run 2.4 s after %s has started again: got: %d, want: 3", id, got)
 				}
 				expectState(t, w, work.JobID("after"+id), work.JobSucceeded)
 			}
-			expectWhole(t, w)
+			expectNoViolations(t, w)
 		})
 	}
 }
@@ -63,19 +63,19 @@
 	for name, between := range map[string]time.Duration{"in doubt": 60 * time.Millisecond, "given up, and started elsewhere": 900 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				w := newTellingWorld(seed)
-				w.addWorkers(3, room)
+				w := newSimWithStartTimes(seed)
+				w.addWorkers(3, workerCapacity)
 				w.run(time.Second)
-				w.lostShare, w.lateShare = 1, 1
-				w.submit("a", step(9, 4*time.Second))
+				w.lostAnswerShare, w.lateOrderShare = 1, 1
+				w.submit("a", newStep(9, 4*time.Second))
 				w.run(40 * time.Millisecond)
-				w.lostShare = 0
+				w.lostAnswerShare = 0
 				w.run(between)
 				w.restart(w.workers["w00"], 200*time.Millisecond, 0)
 				w.restart(w.workers["w01"], 300*time.Millisecond, 100*time.Hour)
 				w.run(40 * time.Second)
 				expectState(t, w, "a", work.JobSucceeded)
-				expectWhole(t, w)
+				expectNoViolations(t, w)
 			}
 		})
 	}
@@ -87,19 +87,19 @@
 	t.Parallel()
 	broken := 0
 	for seed := range uint64(200) {
-		w := newTellingWorld(seed)
-		w.addWorkers(3, room)
+		w := newSimWithStartTimes(seed)
+		w.addWorkers(3, workerCapacity)
 		w.run(time.Second)
-		w.lostShare, w.lateShare = 1, 1
-		w.submit("a", step(9, 4*time.Second))
+		w.lostAnswerShare, w.lateOrderShare = 1, 1
+		w.submit("a", newStep(9, 4*time.Second))
 		w.run(40 * time.Millisecond)
-		w.lostShare = 0
+		w.lostAnswerShare = 0
 		w.run(900 * time.Millisecond)
-		for _, m := range w.each() {
+		for _, m := range w.allWorkers() {
 			w.restart(m, time.Duration(1000+w.rng.IntN(3000))*time.Millisecond, 0)
 		}
 		w.run(20 * time.Second)
-		broken += min(len(w.broken), 1)
+		broken += min(len(w.violations), 1)
 	}
 	if broken > 0 {
 		t.Errorf("days on which a task ran twice: got: %d, want: 0 of 200", broken)
@@ -111,13 +111,13 @@
 func TestASilentWorkerIsToldAtEachTickToRefuseOrders(t *testing.T) {
 	// Four at each look at it, of which there are two in a tick when a question fails.
 	const ownerTick, most = 20 * time.Millisecond, 8
-	w := newTellingWorld(1)
-	w.addWorkers(2, room.Add(room))
+	w := newSimWithStartTimes(1)
+	w.addWorkers(2, workerCapacity.Add(workerCapacity))
 	w.run(time.Second)
-	w.lostShare, w.lateShare = 1, 1
-	w.submit("a", step(16, 4*time.Second))
+	w.lostAnswerShare, w.lateOrderShare = 1, 1
+	w.submit("a", newStep(16, 4*time.Second))
 	w.run(40 * time.Millisecond)
-	w.lostShare = 0
+	w.lostAnswerShare = 0
 	w.run(900 * time.Millisecond)
 	m := w.workers["w00"]
 	m.isDead, m.running = true, map[work.TaskID]*modelRun{}
@@ -129,7 +129,7 @@
 		// The second runs are attempts of which nothing is known yet, and no strays.
 		stops = slices.DeleteFunc(stops, func(s order.Stop) bool { return s.Run > 1 })
 		if len(stops) == 0 || len(stops) > most {
-			t.Fatalf("stops at %v: got: %d, want: 1 to %d", w.since(), len(stops), most)
+			t.Fatalf("stops at %v: got: %d, want: 1 to %d", w.elapsed(), len(stops), most)
 		}
 		for _, s := range stops {
 			told[s.Task]++
@@ -145,50 +145,50 @@
 func TestAQuestionThatIsHeldUpMakesANewerStartForgetNothing(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
-		w := newTellingWorld(seed)
-		w.addWorkers(3, room)
+		w := newSimWithStartTimes(seed)
+		w.addWorkers(3, workerCapacity)
 		w.run(time.Second)
 		for i := range 3 {
-			w.submit(fmt.Sprintf("before%d", i), step(6, 100*time.Millisecond))
+			w.submit(fmt.Sprintf("before%d", i), newStep(6, 100*time.Millisecond))
 			w.run(300 * time.Millisecond)
 		}
-		w.submit("unheard", step(9, 50*time.Millisecond))
-		w.lostShare, w.lateHoldShare = 0.5, 1
+		w.submit("unheard", newStep(9, 50*time.Millisecond))
+		w.lostAnswerShare, w.latePollShare = 0.5, 1
 		w.run(150 * time.Millisecond)
-		w.lostShare, w.lateHoldShare = 0, 0
-		for _, m := range w.each() {
+		w.lostAnswerShare, w.latePollShare = 0, 0
+		for _, m := range w.allWorkers() {
 			w.restart(m, 200*time.Millisecond, 0)
 		}
 		w.run(1500 * time.Millisecond)
 		for i := range 40 {
-			w.submit(fmt.Sprintf("after%02d", i), step(6, 100*time.Millisecond))
+			w.submit(fmt.Sprintf("after%02d", i), newStep(6, 100*time.Millisecond))
 			w.run(300 * time.Millisecond)
 		}
 		w.run(2 * time.Second)
-		expectWhole(t, w)
+		expectNoViolations(t, w)
 	}
 }
 
 // A worker tells of a second attempt of a task, which is stopped; meanwhile the first one ends
 // with its worker. The task does not start again while the second one still runs.
 func TestATaskWaitsForAnAttemptThatIsNotWanted(t *testing.T) {
-	w := newTellingWorld(1)
-	w.addWorkers(3, room)
+	w := newSimWithStartTimes(1)
+	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(1, 4*time.Second))
+	w.submit("a", newStep(1, 4*time.Second))
 	w.run(100 * time.Millisecond)
 	id := work.TaskID{Job: "a"}
 	first := w.workerOf(id)
 	second := w.workers[map[bool]string{true: "w01", false: "w00"}[first.name == "w00"]]
 	second.running[id] = &modelRun{run: 1, beganAt: w.clock.Now(), endsAt: w.clock.Now().Add(time.Minute)}
-	for second.running[id].stops.IsZero() {
+	for second.running[id].stopsAt.IsZero() {
 		w.run(tick)
 	}
 	first.isDead, first.running = true, map[work.TaskID]*modelRun{}
 	w.engine.IncarnationEnded(first.entry.ID)
 	w.run(10 * time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // An order of an owner that has ended reaches a newer start before the next owner does. That
@@ -196,20 +196,20 @@
 // what that one runs is not known yet.
 func TestAnOwnerWaitsForTheWordOfANewerStart(t *testing.T) {
 	for seed := range uint64(20) {
-		w := newTellingWorld(seed)
-		w.addWorkers(5, room)
+		w := newSimWithStartTimes(seed)
+		w.addWorkers(5, workerCapacity)
 		w.run(time.Second)
 		w.listLag = 30 * time.Second
-		w.lostShare, w.lateShare = 1, 1
-		w.submit("a", step(9, 20*time.Second))
+		w.lostAnswerShare, w.lateOrderShare = 1, 1
+		w.submit("a", newStep(9, 20*time.Second))
 		w.run(40 * time.Millisecond)
-		w.lostShare = 0
+		w.lostAnswerShare = 0
 		w.restart(w.workers["w00"], 300*time.Millisecond, 0)
 		w.restart(w.workers["w01"], 300*time.Millisecond, 0)
-		w.loseOwner(8 * time.Second)
+		w.takeOverAfterGap(8 * time.Second)
 		w.run(60 * time.Second)
 		expectState(t, w, "a", work.JobSucceeded)
-		expectWhole(t, w)
+		expectNoViolations(t, w)
 	}
 }
 
@@ -218,22 +218,22 @@
 func TestALeaseGivenToAnEarlierStartIsWaitedFor(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
-		w := newTellingWorld(seed)
-		w.addWorkers(3, room)
+		w := newSimWithStartTimes(seed)
+		w.addWorkers(3, workerCapacity)
 		w.run(time.Second)
-		w.submit("a", step(6, time.Hour))
+		w.submit("a", newStep(6, time.Hour))
 		w.run(time.Second)
-		w.lostShare, w.lateShare = 0.5, 1
-		w.submit("b", step(6, 20*time.Second))
+		w.lostAnswerShare, w.lateOrderShare = 0.5, 1
+		w.submit("b", newStep(6, 20*time.Second))
 		w.run(300 * time.Millisecond)
-		w.lostShare = 0
-		for _, m := range w.each() {
+		w.lostAnswerShare = 0
+		for _, m := range w.allWorkers() {
 			w.restart(m, 200*time.Millisecond, 0)
 		}
 		w.run(4 * time.Second)
-		w.workers["w00"].isCut = true
+		w.workers["w00"].isPartitioned = true
 		w.run(30 * time.Second)
-		expectWhole(t, w)
+		expectNoViolations(t, w)
 	}
 }
 
@@ -242,67 +242,67 @@
 // took its lease as over after 6 s.
 func TestALeaseRenewedByTheEarlierClockIsWaitedFor(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newTellingWorld(seed)
-		w.addWorkers(4, room)
+		w := newSimWithStartTimes(seed)
+		w.addWorkers(4, workerCapacity)
 		w.run(time.Second)
-		w.submit("a", step(8, 300*time.Millisecond))
+		w.submit("a", newStep(8, 300*time.Millisecond))
 		w.run(100 * time.Millisecond)
 		// Ends that are not kept make the owner pause between two listings.
-		w.isOut, w.runsAhead = true, true
+		w.isStoreDown, w.isWriteBehind = true, true
 		w.run(time.Duration(300+10*seed) * time.Millisecond)
 		m := w.workers["w01"]
 		w.restart(m, tick, 0)
 		w.run(2 * tick)
-		w.isOut = false
-		w.submit("b", step(8, 15*time.Second))
-		for m.running[work.TaskID{Job: "b"}] == nil && w.since() < 4*time.Second {
+		w.isStoreDown = false
+		w.submit("b", newStep(8, 15*time.Second))
+		for m.running[work.TaskID{Job: "b"}] == nil && w.elapsed() < 4*time.Second {
 			w.run(tick)
 		}
 		w.run(100 * time.Millisecond)
-		m.isCut = true
+		m.isPartitioned = true
 		w.run(20 * time.Second)
-		expectWhole(t, w)
+		expectNoViolations(t, w)
 	}
 }
 
 // A worker that starts again and then goes for good had nothing on its way to it: what runs
 // there starts elsewhere as soon as that of any other worker would.
 func TestAWorkerThatStartsAgainIsNotWaitedForLonger(t *testing.T) {
-	w := newTellingWorld(1)
-	w.addWorkers(3, room)
+	w := newSimWithStartTimes(1)
+	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
-	lasting := step(3, time.Hour)
+	lasting := newStep(3, time.Hour)
 	lasting.IsLongRunning = true
 	w.submit("lasting", lasting)
 	w.run(2 * time.Second)
 	w.restart(w.workers["w00"], 600*time.Millisecond, 0)
 	w.run(3 * time.Second)
-	w.workers["w01"].isCut = true
+	w.workers["w01"].isPartitioned = true
 	w.run(3 * time.Second)
 	w.restart(w.workers["w01"], 500*time.Millisecond, 0)
-	w.workers["w01"].isCut = false
+	w.workers["w01"].isPartitioned = false
 	w.run(3 * time.Second)
 	for _, name := range []string{"w00", "w01"} {
 		m := w.workers[name]
 		m.isDead, m.running = true, map[work.TaskID]*modelRun{}
 	}
 	w.run(7500 * time.Millisecond)
-	if got := w.running("lasting"); got != 3 {
+	if got := w.runningTasks("lasting"); got != 3 {
 		t.Errorf("lasting tasks that run 7.5 s after two workers have gone: got: %d, want: 3", got)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // An order is given and, before it has left, the worker is known to be over: it left all the
 // same, and reached the newer start beside the attempt that took its place.
 func TestAnOrderToAStartThatIsOverDoesNotLeave(t *testing.T) {
-	w := newTellingWorld(1)
-	w.addWorkers(1, room)
+	w := newSimWithStartTimes(1)
+	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(2, time.Second))
-	w.step()
+	w.submit("a", newStep(2, time.Second))
+	w.runTick()
 	// The places are worked out, and not kept yet.
-	w.isOut = true
+	w.isStoreDown = true
 	w.run(2 * tick)
 	batch := w.engine.TakeBatch()
 	if batch == nil || len(batch.Progress) != 1 {
@@ -320,30 +320,30 @@
 // An entry of another writer that names a start which never was ends nothing: the worker's own
 // word counts. While the list has it the worker gets nothing new, and it goes on afterwards.
 func TestAnEntryOfAnotherWriterEndsNoStart(t *testing.T) {
-	w := newTellingWorld(1)
-	w.addWorkers(1, room)
+	w := newSimWithStartTimes(1)
+	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
-	w.submit("a", step(2, 4*time.Second))
+	w.submit("a", newStep(2, 4*time.Second))
 	w.run(time.Second)
 	m := w.workers["w00"]
-	m.before, m.listedFrom = m.entry, w.clock.Now().Add(time.Second)
-	m.before.ID = order.NewWorkerID(m.name, w.clock.Now())
+	m.previousEntry, m.listedFrom = m.entry, w.clock.Now().Add(time.Second)
+	m.previousEntry.ID = order.NewWorkerID(m.name, w.clock.Now())
 	w.run(800 * time.Millisecond)
-	w.submit("b", step(2, 300*time.Millisecond))
+	w.submit("b", newStep(2, 300*time.Millisecond))
 	w.run(150 * time.Millisecond)
-	if w.starts != 2 {
-		t.Errorf("starts meanwhile: got: %d, want: the 2 of before", w.starts)
+	if w.startCount != 2 {
+		t.Errorf("starts meanwhile: got: %d, want: the 2 of before", w.startCount)
 	}
 	w.run(time.Second)
 	expectState(t, w, "b", work.JobSucceeded)
 	w.run(3 * time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
-	if w.starts != 4 {
-		t.Errorf("starts in all: got: %d, want: 4", w.starts)
+	if w.startCount != 4 {
+		t.Errorf("starts in all: got: %d, want: 4", w.startCount)
 	}
-	m.isCut = true
+	m.isPartitioned = true
 	w.run(time.Second)
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // TestPromisesHoldWhereWorkersStartAgain plays what TestPromisesHoldInAnyWorld does, with
@@ -355,30 +355,30 @@
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
 	properties.Property("no promise is broken and all jobs end", prop.ForAll(
-		func(seed uint64) (bool, error) { return keepsPromises(playRestarts(seed), seed) }, gen.UInt64()))
+		func(seed uint64) (bool, error) { return holdsInvariants(playRestarts(seed), seed) }, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
 // playRestarts plays 40 s of troubles and then lets all end.
-func playRestarts(seed uint64) *world {
-	w := newTellingWorld(seed)
-	w.addWorkers(6, room)
+func playRestarts(seed uint64) *sim {
+	w := newSimWithStartTimes(seed)
+	w.addWorkers(6, workerCapacity)
 	w.run(time.Second)
-	lasting := step(4, time.Hour)
+	lasting := newStep(4, time.Hour)
 	lasting.IsLongRunning = true
 	w.submit("lasting", lasting)
 	w.run(time.Second)
 	for i := range 40 {
-		w.submit(fmt.Sprintf("j%02d", i), step(1+w.rng.IntN(6), time.Duration(100+w.rng.IntN(2500))*time.Millisecond), step(1+w.rng.IntN(3), 300*time.Millisecond))
-		w.trouble(i)
-		w.restartSome()
+		w.submit(fmt.Sprintf("j%02d", i), newStep(1+w.rng.IntN(6), time.Duration(100+w.rng.IntN(2500))*time.Millisecond), newStep(1+w.rng.IntN(3), 300*time.Millisecond))
+		w.injectRandomFault(i)
+		w.restartRandomWorker()
 		w.run(time.Second)
 	}
-	w.heal()
+	w.clearFaults()
 	w.run(20 * time.Second)
 	// A task that so many crashes hit may be given up for one that crashes its workers.
-	if got := w.running("lasting"); got != 4 && state(w, "lasting") != work.JobFailed {
-		w.breaks("lasting tasks that run at the end: %d of 4", got)
+	if got := w.runningTasks("lasting"); got != 4 && jobState(w, "lasting") != work.JobFailed {
+		w.reportViolation("lasting tasks that run at the end: %d of 4", got)
 	}
 	w.engine.Cancel("lasting", "")
 	w.run(20 * time.Second)
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -32,7 +32,7 @@
 	c.engine.SetQueues([]order.Queue{{Name: "q", Service: "pool", MaxAttempts: 2}})
 	list := []order.Worker{}
 	for _, id := range workers {
-		list = append(list, order.Worker{ID: id, Service: "pool", Capacity: step(1, 0).Need})
+		list = append(list, order.Worker{ID: id, Service: "pool", Capacity: newStep(1, 0).Need})
 	}
 	c.engine.SetWorkers(list, true)
 	for _, id := range workers {
@@ -97,7 +97,7 @@
 }
 
 func (c *retryCell) submit(id work.JobID, lasts bool) {
-	s := step(1, time.Second)
+	s := newStep(1, time.Second)
 	s.IsLongRunning = lasts
 	c.engine.AddJob(&work.Spec{ID: id, Queue: "q", Steps: []work.Step{s}})
 	c.settle()
@@ -182,7 +182,7 @@
 // lost, and all tasks that might run there with it.
 func TestALostFirstListingIsAskedForAgain(t *testing.T) {
 	c := newRetryCell()
-	c.engine.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: step(1, 0).Need}}, true)
+	c.engine.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: newStep(1, 0).Need}}, true)
 	holds := 0
 	for range 40 {
 		c.clock.Advance(tick)
--- a/internal/dispatch/saturated_test.go
+++ b/internal/dispatch/saturated_test.go
@@ -22,19 +22,19 @@
 }
 
 func benchSaturated(b *testing.B, workers int) {
-	w := newWorld(1)
-	w.queues, w.lanes = []order.Queue{whole, part}, []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-	w.mayRun = func(id order.WorkerID) bool { return id[len(id)-1]%3 != 0 }
+	w := newSim(1)
+	w.queues, w.channels = []order.Queue{wholeWorkerQueue, fractionQueue}, []string{"a", "b", "c", "d", "e", "f", "g", "h"}
+	w.isPermitted = func(id order.WorkerID) bool { return id[len(id)-1]%3 != 0 }
 	w.takeOver()
-	w.addWorkers(workers, accelerated)
+	w.addWorkers(workers, acceleratorCapacity)
 	w.run(time.Second)
 	for i := range 10 * workers {
-		w.submitTo("part", fmt.Sprintf("f%d", i), partStep(1, time.Hour))
+		w.submitTo("part", fmt.Sprintf("f%d", i), fractionStep(1, time.Hour))
 	}
 	w.run(time.Second)
 	for i := range 40 {
-		w.submitTo("whole", fmt.Sprintf("w%d", i), wholeStep(4, time.Second))
-		w.submitTo("part", fmt.Sprintf("p%d", i), partStep(8, time.Second))
+		w.submitTo("whole", fmt.Sprintf("w%d", i), wholeWorkerStep(4, time.Second))
+		w.submitTo("part", fmt.Sprintf("p%d", i), fractionStep(8, time.Second))
 	}
 	w.run(5 * time.Second)
 	b.ReportAllocs()
@@ -46,10 +46,10 @@
 		w.engine.SetQueues(w.queues)
 		w.engine.Decide()
 		for _, a := range w.engine.Actions() {
-			w.carryOut(a)
+			w.execute(a)
 		}
 		if i%50 == 0 {
-			w.step()
+			w.runTick()
 		}
 	}
 }
--- a/internal/dispatch/speed_test.go
+++ b/internal/dispatch/speed_test.go
@@ -33,11 +33,11 @@
 		e.Advance(c.Now())
 		e.SetTrusted(true)
 		e.SetQueues([]order.Queue{testQueue})
-		e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
+		e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: workerCapacity}}, true)
 		at := func() order.WorkerTime { return order.WorkerTime(time.Second + c.Now().Sub(begin)) }
 		e.PollAnswered(&order.Poll{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: at()})
 		for _, id := range []work.JobID{"a", "b"} {
-			e.AddJob(&work.Spec{ID: id, Queue: "q", Steps: []work.Step{step(1, time.Second)}})
+			e.AddJob(&work.Spec{ID: id, Queue: "q", Steps: []work.Step{newStep(1, time.Second)}})
 		}
 		e.Decide()
 		for b := e.TakeBatch(); b != nil; b = e.TakeBatch() {
--- a/internal/dispatch/time_of_day_test.go
+++ b/internal/dispatch/time_of_day_test.go
@@ -12,13 +12,13 @@
 
 // The time by which an owner measures counts a suspension, so that its time of day is ahead
 // by as much. A round that is due by the time of day must not start earlier for it.
-func TestRoundsAreDueByTheTimeOfDay(t *testing.T) {
+func TestRoundStartsEarlyAfterSuspension(t *testing.T) {
 	h := newHeir(0)
 	begin := h.clock.Now()
 	h.Inherit(begin, true, 0)
 	h.list("w")
 	h.told("w")
-	s := step(1, time.Second)
+	s := newStep(1, time.Second)
 	h.AddJob(&work.Spec{ID: "timed", Queue: "q", Steps: []work.Step{s}, Rounds: 1, StartAt: begin.Add(8 * time.Second)})
 	before := h.starts(2 * time.Second)
 	h.clock.Advance(8 * time.Second)
--- a/internal/dispatch/told_test.go
+++ b/internal/dispatch/told_test.go
@@ -23,22 +23,22 @@
 		"failed":    {1, work.JobFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(1)
-			w.addWorkers(3, room)
+			w := newSim(1)
+			w.addWorkers(3, workerCapacity)
 			w.run(time.Second)
-			w.failShare = tc.failShare
-			w.submit("a", step(2, 300*time.Millisecond))
+			w.failureShare = tc.failShare
+			w.submit("a", newStep(2, 300*time.Millisecond))
 			w.run(150 * time.Millisecond)
-			w.isOut, w.runsAhead = true, true
+			w.isStoreDown, w.isWriteBehind = true, true
 			w.run(6 * time.Second)
 			for i := range 3 {
-				w.crash(order.WorkerID(fmt.Sprintf("w%02d", i)), fmt.Sprintf("x%02d", i))
+				w.crashAndReplace(order.WorkerID(fmt.Sprintf("w%02d", i)), fmt.Sprintf("x%02d", i))
 			}
 			w.takeOver()
-			w.isOut = false
+			w.isStoreDown = false
 			w.run(20 * time.Second)
 			expectState(t, w, "a", tc.want)
-			expectWhole(t, w)
+			expectNoViolations(t, w)
 		})
 	}
 }
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -17,15 +17,15 @@
 // Three times as many jobs as workers can do: what waits is looked at in turn, what is
 // most urgent each time, and all of it is served in the end.
 func TestALoadThatIsTooMuchIsServedInTurn(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(4, room)
+	w := newSim(1)
+	w.addWorkers(4, workerCapacity)
 	w.run(time.Second)
 	for i := range 400 {
-		w.submit(fmt.Sprintf("j%03d", i), step(2, 200*time.Millisecond))
+		w.submit(fmt.Sprintf("j%03d", i), newStep(2, 200*time.Millisecond))
 	}
 	w.run(2 * time.Second)
 	for i := range 24 {
-		if got := state(w, work.JobID(fmt.Sprintf("j%03d", i))); got == work.JobQueued {
+		if got := jobState(w, work.JobID(fmt.Sprintf("j%03d", i))); got == work.JobQueued {
 			t.Errorf("job %d, one of the first: got: %v, want: begun", i, got)
 		}
 	}
@@ -33,29 +33,29 @@
 	for i := range 400 {
 		expectState(t, w, work.JobID(fmt.Sprintf("j%03d", i)), work.JobSucceeded)
 	}
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // A small task behind many large ones that find no room is found in its turn.
 func TestASmallTaskBehindManyLargeOnesIsStarted(t *testing.T) {
-	w := newWorld(1)
-	w.addWorkers(4, room)
+	w := newSim(1)
+	w.addWorkers(4, workerCapacity)
 	w.run(time.Second)
-	full := step(1, time.Hour)
+	full := newStep(1, time.Hour)
 	full.Need.MilliCPU = 3000
 	for i := range 4 {
 		w.submit(fmt.Sprintf("full%d", i), full)
 	}
 	w.run(500 * time.Millisecond)
-	large := step(1, time.Second)
+	large := newStep(1, time.Second)
 	large.Need.MilliCPU = 2000
 	for i := range 300 {
 		w.submit(fmt.Sprintf("large%d", i), large)
 	}
-	w.submit("small", step(1, 100*time.Millisecond))
+	w.submit("small", newStep(1, 100*time.Millisecond))
 	w.run(3 * time.Second)
 	expectState(t, w, "small", work.JobSucceeded)
-	expectWhole(t, w)
+	expectNoViolations(t, w)
 }
 
 // An owner that hands over orders the rest of a gang of which members are ordered: these
@@ -69,14 +69,14 @@
 	e.SetQueues([]order.Queue{testQueue})
 	list := []order.Worker{}
 	for i := range members {
-		list = append(list, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: step(1, 0).Need})
+		list = append(list, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: newStep(1, 0).Need})
 	}
 	e.SetWorkers(list, true)
 	for _, a := range e.Actions() {
 		h := a.(order.Poll)
 		e.PollAnswered(&h, &order.Listing{At: 1})
 	}
-	gang := step(members, time.Second)
+	gang := newStep(members, time.Second)
 	gang.IsGang = true
 	e.AddJob(&work.Spec{ID: "g", Queue: "q", Steps: []work.Step{gang}})
 	e.Committed(e.TakeBatch())
@@ -113,14 +113,14 @@
 	e.SetQueues([]order.Queue{testQueue})
 	list := []order.Worker{}
 	for i := range 3 {
-		list = append(list, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: step(1, 0).Need})
+		list = append(list, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: newStep(1, 0).Need})
 	}
 	e.SetWorkers(list, true)
 	for _, a := range e.Actions() {
 		h := a.(order.Poll)
 		e.PollAnswered(&h, &order.Listing{At: 1})
 	}
-	gang := step(3, time.Second)
+	gang := newStep(3, time.Second)
 	gang.IsGang = true
 	e.AddJob(&work.Spec{ID: "g", Queue: "q", Steps: []work.Step{gang}})
 	e.Committed(e.TakeBatch())
@@ -152,13 +152,13 @@
 	e.Advance(c.Now())
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
-	e.SetWorkers([]order.Worker{{ID: "v", Service: "pool", Capacity: room}}, true)
+	e.SetWorkers([]order.Worker{{ID: "v", Service: "pool", Capacity: workerCapacity}}, true)
 	for _, a := range e.Actions() {
 		h := a.(order.Poll)
 		e.PollAnswered(&h, &order.Listing{At: 1})
 	}
 	e.Actions()
-	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}})
+	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{newStep(1, time.Second)}})
 	e.Committed(e.TakeBatch())
 	e.Decide()
 	e.Committed(e.TakeBatch())
--- a/internal/dispatch/waits_test.go
+++ b/internal/dispatch/waits_test.go
@@ -15,25 +15,25 @@
 	asking := testQueue
 	asking.Permission = &order.PermissionPolicy{BaseTime: 500 * time.Millisecond, TimePerWorker: time.Millisecond, ValidFor: 2 * time.Second}
 	for name, tc := range map[string]struct {
-		prepare func(w *world)
+		prepare func(w *sim)
 		want    waits.Reason
 	}{
-		"room":  {func(w *world) { w.submit("busy", step(8, time.Minute)) }, waits.Capacity},
-		"limit": {func(w *world) { w.limit(limitOf("a", 0)); w.limit(order.Customer{Name: "a", Limit: step(1, 0).Need}) }, waits.Limit},
-		"permission": {func(w *world) {
+		"room":  {func(w *sim) { w.submit("busy", newStep(8, time.Minute)) }, waits.Capacity},
+		"limit": {func(w *sim) { w.limit(limitOf("a", 0)); w.limit(order.Customer{Name: "a", Limit: newStep(1, 0).Need}) }, waits.Limit},
+		"permission": {func(w *sim) {
 			w.queues = []order.Queue{asking}
 			w.engine.SetQueues(w.queues)
 			w.engine.SetLanes([]string{"n1", "n2", "n3"})
 		}, waits.Permission},
-		"lane": {func(w *world) { w.queues = []order.Queue{asking}; w.engine.SetQueues(w.queues) }, waits.Channel},
+		"lane": {func(w *sim) { w.queues = []order.Queue{asking}; w.engine.SetQueues(w.queues) }, waits.Channel},
 	} {
-		w := newWorld(1)
-		w.addWorkers(2, room)
+		w := newSim(1)
+		w.addWorkers(2, workerCapacity)
 		w.run(time.Second)
 		tc.prepare(w)
 		w.run(200 * time.Millisecond)
 		w.engine.TakeWaits()
-		w.submitFor("a", "q", "j", step(2, time.Minute))
+		w.submitFor("a", "q", "j", newStep(2, time.Minute))
 		w.run(400 * time.Millisecond)
 		waits := w.engine.TakeWaits()
 		if len(waits) == 0 || waits[0].Queue != "q" || waits[0].Reason != tc.want || waits[0].Time < 300*time.Millisecond {
--- a/internal/dispatch/worker_model_test.go
+++ b/internal/dispatch/worker_model_test.go
@@ -16,15 +16,15 @@
 // modelRun is a run of a task on a modelled worker.
 type modelRun struct {
 	// orderedAt is when the order to start it left.
-	orderedAt time.Duration
-	run       uint64
-	need      leverdyke.Resources
-	beganAt   time.Time
-	endsAt    time.Time
-	fails     bool
-	stops     time.Time
-	isStuck   bool
-	lasts     bool
+	orderedAt     time.Duration
+	run           uint64
+	need          leverdyke.Resources
+	beganAt       time.Time
+	endsAt        time.Time
+	fails         bool
+	stopsAt       time.Time
+	isStuck       bool
+	isLongRunning bool
 }
 
 // modelWorker is a worker as the platform's page describes it: it does what the
@@ -34,42 +34,42 @@
 	// name is what the platform calls it, whichever start it is in.
 	name string
 	// clock is how its clock stands to the world's, drift how much slower it runs.
-	clock time.Duration
-	drift float64
+	clockOffset time.Duration
+	drift       float64
 
 	fence    uint64
 	deadline order.WorkerTime
 	running  map[work.TaskID]*modelRun
 	// barred has, by task, the highest run that ended or was stopped here.
-	barred   map[work.TaskID]uint64
-	finished []order.End
+	highestEndedRun map[work.TaskID]uint64
+	finished        []order.End
 	// confirmed are tasks of which a good end was confirmed to the worker.
 	confirmed map[work.TaskID]bool
 	// lastSeen is the highest number up to which ends were confirmed: those are forgotten,
 	// also where they come later.
-	lastSeen uint64
-	next     uint64
-	isCut    bool
-	now      time.Time
-	isDead   bool
+	confirmedUpTo uint64
+	nextEndNumber uint64
+	isPartitioned bool
+	now           time.Time
+	isDead        bool
 	// isRestarting means that it is dead, and starts again under its ID: its entry stays.
 	isRestarting bool
 	// before is the entry of its earlier start, which the list still has until listedFrom.
-	before     order.Worker
-	listedFrom time.Time
+	previousEntry order.Worker
+	listedFrom    time.Time
 	// refuses means that its machine refuses connections while the worker is dead.
-	refuses bool
+	refusesConnections bool
 	// isSick means that it fails all that it starts, sickTime after the start.
-	isSick bool
+	isDegraded bool
 	// resized are the changes of its room.
-	resized []resizing
+	capacityChanges []resizing
 }
 
 func (r *modelRun) percent(now time.Time) int {
 	if r.isStuck {
 		return 20
 	}
-	if r.lasts {
+	if r.isLongRunning {
 		return 100
 	}
 	return int(100 * now.Sub(r.beganAt) / max(r.endsAt.Sub(r.beganAt), 1))
@@ -80,44 +80,44 @@
 		entry: order.Worker{
 			ID: order.NewWorkerID(id, time.Time{}), Machine: "m-" + id, Zone: "z1", Rack: "r1", Service: "pool", Capacity: r,
 		},
-		name: id, clock: clock, drift: drift, running: map[work.TaskID]*modelRun{}, barred: map[work.TaskID]uint64{}, confirmed: map[work.TaskID]bool{}, next: 1,
+		name: id, clockOffset: clock, drift: drift, running: map[work.TaskID]*modelRun{}, highestEndedRun: map[work.TaskID]uint64{}, confirmed: map[work.TaskID]bool{}, nextEndNumber: 1,
 	}
 }
 
 // at returns the worker's clock.
-func (m *modelWorker) at(since time.Duration) order.WorkerTime {
-	return order.WorkerTime(m.clock + time.Duration(float64(since)*(1-m.drift)))
+func (m *modelWorker) clockAt(since time.Duration) order.WorkerTime {
+	return order.WorkerTime(m.clockOffset + time.Duration(float64(since)*(1-m.drift)))
 }
 
-func (m *modelWorker) end(id work.TaskID, r *modelRun, kind order.EndKind) {
+func (m *modelWorker) endRun(id work.TaskID, r *modelRun, kind order.EndKind) {
 	delete(m.running, id)
-	m.barred[id] = max(m.barred[id], r.run)
-	m.finished = append(m.finished, order.End{Number: m.next, Task: id, Run: r.run, Kind: kind})
-	m.next++
+	m.highestEndedRun[id] = max(m.highestEndedRun[id], r.run)
+	m.finished = append(m.finished, order.End{Number: m.nextEndNumber, Task: id, Run: r.run, Kind: kind})
+	m.nextEndNumber++
 }
 
 // fail ends a run as failed.
-func (m *modelWorker) fail(id work.TaskID) { m.end(id, m.running[id], order.EndFailed) }
+func (m *modelWorker) fail(id work.TaskID) { m.endRun(id, m.running[id], order.EndFailed) }
 
 // step lets time pass on the worker.
 func (m *modelWorker) step(now time.Time, since time.Duration) {
 	m.now = now
-	for id, r := range m.runs() {
+	for id, r := range m.sortedRuns() {
 		switch {
-		case m.at(since) >= m.deadline:
-			m.end(id, r, order.EndLeaseExpired)
-		case !r.stops.IsZero() && !now.Before(r.stops):
-			m.end(id, r, order.EndStopped)
+		case m.clockAt(since) >= m.deadline:
+			m.endRun(id, r, order.EndLeaseExpired)
+		case !r.stopsAt.IsZero() && !now.Before(r.stopsAt):
+			m.endRun(id, r, order.EndStopped)
 		case r.isStuck:
 		case !now.Before(r.endsAt) && r.fails:
-			m.end(id, r, order.EndFailed)
+			m.endRun(id, r, order.EndFailed)
 		case !now.Before(r.endsAt):
-			m.end(id, r, order.EndSucceeded)
+			m.endRun(id, r, order.EndSucceeded)
 		}
 	}
 }
 
-func (m *modelWorker) obeys(fence uint64) bool {
+func (m *modelWorker) acceptsFence(fence uint64) bool {
 	if fence < m.fence {
 		return false
 	}
@@ -126,25 +126,25 @@
 }
 
 // sickTime is how long a run takes on a worker that fails all.
-const sickTime = 100 * time.Millisecond
+const degradedRunTime = 100 * time.Millisecond
 
 // maxLease is the longest lease that a worker takes.
 const maxLease = order.WorkerTime(10 * time.Second)
 
 func (m *modelWorker) renew(deadline order.WorkerTime, since time.Duration) {
-	m.deadline = max(m.deadline, min(deadline, m.at(since)+maxLease))
+	m.deadline = max(m.deadline, min(deadline, m.clockAt(since)+maxLease))
 }
 
 // start carries out an order and reports whether a run began.
 func (m *modelWorker) start(fence uint64, s *order.Start, r *modelRun, since time.Duration) (order.StartOutcome, bool) {
-	if !m.obeys(fence) {
+	if !m.acceptsFence(fence) {
 		return order.StartFenced, false
 	}
 	m.renew(s.Deadline, since)
-	if old := m.running[s.Task]; old != nil && old.run == s.Run {
+	if existing := m.running[s.Task]; existing != nil && existing.run == s.Run {
 		return order.StartSucceeded, false
 	}
-	if m.running[s.Task] != nil || s.Run <= m.barred[s.Task] || s.Deadline <= m.at(since) {
+	if m.running[s.Task] != nil || s.Run <= m.highestEndedRun[s.Task] || s.Deadline <= m.clockAt(since) {
 		return order.StartRefused, false
 	}
 	r.run = s.Run
@@ -152,38 +152,38 @@
 	return order.StartSucceeded, true
 }
 
-func (m *modelWorker) stop(fence uint64, s *order.Stop, now time.Time, takes time.Duration) bool {
-	if !m.obeys(fence) {
+func (m *modelWorker) stop(fence uint64, s *order.Stop, now time.Time, stopTime time.Duration) bool {
+	if !m.acceptsFence(fence) {
 		return false
 	}
 	if r := m.running[s.Task]; r != nil && r.run == s.Run {
-		r.stops = now.Add(takes)
+		r.stopsAt = now.Add(stopTime)
 		return true
 	}
-	m.barred[s.Task] = max(m.barred[s.Task], s.Run)
+	m.highestEndedRun[s.Task] = max(m.highestEndedRun[s.Task], s.Run)
 	return true
 }
 
-func (m *modelWorker) hold(fence uint64, h *order.Poll, since time.Duration) *order.Listing {
-	if !m.obeys(fence) {
+func (m *modelWorker) poll(fence uint64, p *order.Poll, since time.Duration) *order.Listing {
+	if !m.acceptsFence(fence) {
 		return nil
 	}
-	m.renew(h.Deadline, since)
-	m.lastSeen = max(m.lastSeen, h.Confirmed)
-	kept := []order.End{}
+	m.renew(p.Deadline, since)
+	m.confirmedUpTo = max(m.confirmedUpTo, p.Confirmed)
+	unconfirmed := []order.End{}
 	for _, e := range m.finished {
-		if e.Number > m.lastSeen {
-			kept = append(kept, e)
+		if e.Number > m.confirmedUpTo {
+			unconfirmed = append(unconfirmed, e)
 		} else if e.Kind == order.EndSucceeded {
 			m.confirmed[e.Task] = true
 		}
 	}
-	m.finished = kept
-	l := &order.Listing{At: m.at(since), Finished: append([]order.End{}, kept...)}
-	for id, r := range m.runs() {
+	m.finished = unconfirmed
+	l := &order.Listing{At: m.clockAt(since), Finished: append([]order.End{}, unconfirmed...)}
+	for id, r := range m.sortedRuns() {
 		l.Running = append(l.Running, order.Running{Task: id, Run: r.run, Percent: r.percent(m.now)})
 	}
-	if m.entry.ID.IsOtherIncarnation(h.Worker) {
+	if m.entry.ID.IsOtherIncarnation(p.Worker) {
 		l.OtherIncarnation = m.entry.ID
 	}
 	return l
@@ -191,7 +191,7 @@
 
 // runs goes through what runs on the worker in the order of the tasks: a seed plays the same each
 // time.
-func (m *modelWorker) runs() iter.Seq2[work.TaskID, *modelRun] {
+func (m *modelWorker) sortedRuns() iter.Seq2[work.TaskID, *modelRun] {
 	ids := make([]work.TaskID, 0, len(m.running))
 	for id := range m.running {
 		ids = append(ids, id)
