--- a/internal/dispatch/accelerator_test.go
+++ b/internal/dispatch/accelerator_test.go
@@ -19,8 +19,8 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// whole and part are queues of a pool of workers with accelerators: the one has tasks
-// that take a whole worker, the other tasks that take an eighth of it.
+// wholeWorkerQueue and fractionQueue are queues of a pool of workers with 8 accelerators each: a
+// task of the first takes all accelerators of a worker, a task of the second takes one of them.
 var (
 	wholeWorkerQueue = order.Queue{
 		Name: "whole", Service: "pool", Priority: 1, MaxAttempts: 3, Stretch: 2.2, TargetLatency: time.Second,
@@ -30,7 +30,7 @@
 		Name: "part", Service: "pool", Priority: 2, MaxAttempts: 3, Stretch: 4, TargetLatency: 3 * time.Second,
 		Permission: &order.PermissionPolicy{BaseTime: 140 * time.Millisecond, TimePerWorker: 2 * time.Millisecond, ValidFor: 2 * time.Second},
 	}
-	// urgent is a queue that goes before both.
+	// urgentQueue has priority over both.
 	urgentQueue         = order.Queue{Name: "urgent", Service: "pool", MaxAttempts: 3}
 	acceleratorCapacity = leverdyke.Resources{MilliCPU: 64_000, MemoryMiB: 128_000, Accelerators: 8}
 )
@@ -45,7 +45,8 @@
 	return work.Step{Count: count, Need: need, Estimate: d, IsResumable: true, MaxUnavailable: -1}
 }
 
-// newLab returns a world with such workers and ways to ask which are permitted.
+// newAcceleratorSim returns a simulation with accelerator workers and with channels to the
+// permission service.
 func newAcceleratorSim(workers int, without ...dispatch.Mechanism) *sim {
 	w := newSim(1)
 	w.queues, w.disabledMechanisms, w.channels = []order.Queue{wholeWorkerQueue, fractionQueue, urgentQueue}, without, []string{"a", "b", "c", "d", "e", "f"}
@@ -55,8 +56,8 @@
 	return w
 }
 
-// Who is permitted was only asked about workers with room: what became free stood
-// idle for as long as a call takes, 0.5 s for these tasks, or went to others.
+// Permission was only queried for workers with free capacity. Capacity that became free then stood
+// idle while the query ran, 0.5 s for these tasks, or was given to other tasks.
 func TestFreeCapacityIdleUntilPermissionQueried(t *testing.T) {
 	w := newAcceleratorSim(1)
 	w.submitTo("whole", "first", wholeWorkerStep(1, 3*time.Second))
@@ -65,14 +66,14 @@
 	w.run(8 * time.Second)
 	gap := w.endedAt["second"] - w.endedAt["first"]
 	if gap == 0 || gap > 3300*time.Millisecond {
-		t.Errorf("from the end of one task of 3 s to that of the next: got: %v, want: at most 3.3 s", gap)
+		t.Errorf("time from the end of one task of 3 s to the end of the next: got: %v, want: at most 3.3 s", gap)
 	}
 	expectNoViolations(t, w)
 }
 
-// playMixedLab lets small tasks come all the time to eight workers, as many as fill
-// seven tenths of them, and large ones that need a worker each and fill the next two. It returns, from the longest
-// to the shortest, how long callers waited for the jobs of a queue.
+// runMixedAcceleratorLoad submits small tasks at a steady rate that takes seven tenths of eight
+// workers, and large tasks, each of which needs a whole worker, that take another two tenths. It
+// returns how long callers waited for the jobs of each kind, longest first.
 func runMixedAcceleratorLoad(w *sim) (large, small []time.Duration) {
 	submittedAt := map[work.JobID]time.Duration{}
 	submit := func(queue string, id string, s work.Step) {
@@ -104,21 +105,21 @@
 	return large, small
 }
 
-// Small tasks that come all the time leave no worker empty: a task that takes a whole
-// one waited until there was none of them by chance.
+// A steady load of small tasks leaves no worker empty. Without a reservation a task that takes a
+// whole worker waited until some worker happened to have no small task.
 func TestLargeTasksStarvedBySmallTasks(t *testing.T) {
 	t.Parallel()
 	w := newAcceleratorSim(8)
 	large, small := runMixedAcceleratorLoad(w)
 	withoutReservations, _ := runMixedAcceleratorLoad(newAcceleratorSim(8, dispatch.MechanismReservations))
-	t.Logf("longest and middle waits: large %v, %v, small %v, %v; large without reservations %v, %v",
+	t.Logf("longest and median waits: large %v, %v, small %v, %v; large without reservations %v, %v",
 		large[0], large[len(large)/2], small[0], small[len(small)/2], withoutReservations[0], withoutReservations[len(withoutReservations)/2])
 	objective := time.Duration(wholeWorkerQueue.Stretch*float64(1900*time.Millisecond)) + wholeWorkerQueue.TargetLatency
 	if large[0] > objective {
 		t.Errorf("longest wait for a large job: got: %v, want: at most %v", large[0], objective)
 	}
 	if withoutReservations[0] < objective {
-		t.Errorf("longest wait without reservations: got: %v, want: over %v, or the load shows nothing", withoutReservations[0], objective)
+		t.Errorf("longest wait without reservations: got: %v, want: over %v, since this load must need reservations", withoutReservations[0], objective)
 	}
 	if small[0] > 4*2100*time.Millisecond+fractionQueue.TargetLatency {
 		t.Errorf("longest wait for a small job: got: %v, want: within its objective", small[0])
@@ -126,9 +127,10 @@
 	expectNoViolations(t, w)
 }
 
-// A task with one attempt left was only asked for at workers that had failed nothing since
-// their last success. The one that it may run on was empty and kept for it, so that
-// nothing else ran there and proved it sound: both waited for ever.
+// For a task with one attempt left, permission was only queried for workers without a failure since
+// their last success. The only worker that the task was permitted on was empty and reserved for it,
+// so that no other task ran there that could have shown the worker to be healthy: both the task and
+// the worker's capacity waited forever.
 func TestLastAttemptReservesWorkerForever(t *testing.T) {
 	w := newAcceleratorSim(1)
 	w.failureShare = 1
@@ -148,8 +150,8 @@
 	expectNoViolations(t, w)
 }
 
-// Room that is kept for others must not hold up what is more urgent, not even until it
-// is kept anew.
+// A reservation for other tasks must not delay tasks of a higher priority, not even until the next
+// time that reservations are planned.
 func TestReservationDelaysUrgentTasks(t *testing.T) {
 	w := newAcceleratorSim(1)
 	nonResumable := fractionStep(3, time.Minute)
@@ -169,8 +171,9 @@
 	expectNoViolations(t, w)
 }
 
-// With 40 large steps that wait, an owner of 98 workers worked out where room is kept for
-// them in each look, 1.2 ms of 500 looks a second, and answered nothing in time any more.
+// With 40 large steps waiting, an owner of 98 workers planned the reservations for them anew in
+// each scheduling pass. That took 1.2 ms in each of 500 passes per second, and the owner no longer
+// answered anything in time.
 func TestReservationsPlannedInEachPass(t *testing.T) {
 	w := newAcceleratorSim(4)
 	for i := range 40 {
@@ -185,30 +188,30 @@
 		w.engine.Decide()
 	}
 	if got := w.engine.Counts().Plans - before; got == 0 || got > 20*12 {
-		t.Errorf("plans in 500 looks of a second: got: %d, want: some, at most 240", got)
+		t.Errorf("reservation plans in 500 scheduling passes within 1 s: got: %d, want: some, at most 240", got)
 	}
 }
 
-// TestPromisesHoldInAnyLab plays tasks that make way for others, gangs and room that is
-// kept, with the troubles of TestPromisesHoldInAnyWorld.
+// TestInvariantsHoldOnAcceleratorWorkers runs preemption, gangs and reservations under the random
+// faults of TestInvariantsHoldUnderRandomFaults.
 func TestInvariantsHoldOnAcceleratorWorkers(t *testing.T) {
 	t.Parallel()
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 15
 	properties := gopter.NewProperties(parameters)
-	properties.Property("no promise is broken and all jobs end", prop.ForAll(
+	properties.Property("no invariant is violated and all jobs end", prop.ForAll(
 		func(seed uint64) (bool, error) {
 			return holdsInvariants(runRandomAcceleratorFaults(newSim(seed)), seed)
 		}, gen.UInt64()))
-	properties.Property("nor where workers start again under their names", prop.ForAll(
+	properties.Property("also when workers restart under their names", prop.ForAll(
 		func(seed uint64) (bool, error) {
 			return holdsInvariants(runRandomAcceleratorFaults(newSimWithStartTimes(seed)), seed)
 		}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-// playRandomLab plays 30 s of troubles and then lets all end. Where workers tell when they
-// started, some start again.
+// runRandomAcceleratorFaults runs 30 s of random faults and then lets all jobs end. Where workers
+// report their start times, some of them restart.
 func runRandomAcceleratorFaults(w *sim) *sim {
 	w.queues, w.channels = []order.Queue{wholeWorkerQueue, fractionQueue}, []string{"a", "b", "c", "d"}
 	w.takeOver()
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -15,16 +15,16 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// BenchmarkTask is what a task costs the engine from its job's acceptance to its
-// end: placed, its place kept, started, listed and done, with nine others running
-// on each worker.
+// BenchmarkTask measures the engine's cost of one task, from the acceptance of its job to its end:
+// it is placed, its placement persisted, it is started, listed and ended, while nine other tasks
+// run on each worker.
 func BenchmarkTask(b *testing.B) {
 	for _, workers := range []int{48, 350, 1100} {
 		b.Run(fmt.Sprintf("%d workers", workers), func(b *testing.B) { benchTask(b, workers) })
 	}
 }
 
-// benchCell is an engine whose actions are carried out at once.
+// benchCluster is an engine whose actions are carried out at once.
 type benchCluster struct {
 	engine        *dispatch.Engine
 	clock         *clock.Fake
@@ -90,7 +90,7 @@
 	c.engine.AddJob(&work.Spec{ID: "base", Queue: "q", Steps: []work.Step{{Count: 9 * workers, Need: need, IsLongRunning: true, MaxUnavailable: -1}}})
 	c.settle()
 	if got := c.engine.Counts().Starts; got != 9*workers {
-		b.Fatalf("running at first: got: %d, want: %d", got, 9*workers)
+		b.Fatalf("running tasks before the benchmark: got: %d, want: %d", got, 9*workers)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -107,8 +107,8 @@
 	}
 }
 
-// BenchmarkFirstListings is what it costs a new owner to hear of all workers for the first time:
-// 2.6 ms for 1,100 and 0.6 ms for 350, 90 and 9.6 ms with a look at all workers for each.
+// BenchmarkFirstListings measures a new owner's cost of the first listings of all workers: 2.6 ms
+// for 1,100 workers and 0.6 ms for 350. Scanning all workers at each listing took 90 ms and 9.6 ms.
 func BenchmarkFirstListings(b *testing.B) {
 	for _, workers := range []int{350, 1100} {
 		b.Run(fmt.Sprintf("%d workers", workers), func(b *testing.B) {
--- a/internal/dispatch/crash_simulation_test.go
+++ b/internal/dispatch/crash_simulation_test.go
@@ -12,32 +12,35 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// Bounds that callers rely on: a task under which that many workers have crashed is
-// started fewer times more than moreStarts.
+// The bound that callers rely on: after crashLimit workers have crashed while they ran a task, the
+// task is started fewer than maxExtraStarts times more.
 const (
 	crashLimit     = 3
 	maxExtraStarts = 3
 )
 
-// crashes is what a world knows of tasks that crash each worker that starts them.
+// crashFaults configures tasks that crash each worker that starts them, and counts the crashes.
 type crashFaults struct {
-	// isCrashing tells such tasks.
+	// isCrashing reports whether a task crashes its workers.
 	isCrashing func(work.TaskID) bool
-	// after is how long after its start the worker crashes, backAfter how long after that
-	// its next life begins, and unlistedAfter how long the entry of the old one stays.
+	// The worker crashes crashDelay after the start. Its machine gets a worker again restartDelay
+	// after the crash, and the entry of the crashed one leaves the list unlistDelay after the
+	// crash.
 	crashDelay, restartDelay, unlistDelay time.Duration
-	// under counts, by such a task, the workers that crashed while it ran there, and more
-	// the starts since as many as are allowed.
+	// crashesUnder counts, for each such task, the workers that crashed while it ran there, and
+	// extraStarts its starts after crashLimit of them.
 	crashesUnder, extraStarts map[work.TaskID]int
-	// isDark means that a worker that crashed is silent, and does not refuse connections.
+	// isSilent means that the machine of a crashed worker does not answer at all, instead of
+	// refusing connections.
 	isSilent bool
-	// isUnderName means that workers that crashed start again under their names.
+	// keepsName means that crashed workers restart under their names; otherwise a worker of another
+	// name replaces them.
 	keepsName bool
-	// workers counts all that crashed.
+	// crashCount counts all crashes of workers.
 	crashCount int
 }
 
-// crashing makes the tasks for which isCrashing holds crash their workers.
+// crashWorkersOf makes the tasks for which isCrashing returns true crash their workers.
 func (w *sim) crashWorkersOf(isCrashing func(work.TaskID) bool) {
 	w.crashFaults = &crashFaults{
 		isCrashing: isCrashing, crashDelay: 10 * time.Millisecond, restartDelay: 3 * time.Second, unlistDelay: 4500 * time.Millisecond,
@@ -45,12 +48,13 @@
 	}
 }
 
-// crashingTask makes one task crash its workers.
+// crashWorkersOfTask makes one task crash its workers.
 func (w *sim) crashWorkersOfTask(id work.TaskID) {
 	w.crashWorkersOf(func(other work.TaskID) bool { return other == id })
 }
 
-// noteCrashing takes the start of a task that may crash its worker.
+// recordCrashingStart checks the bound at the start of a task that crashes its workers, and
+// schedules the crash.
 func (w *sim) recordCrashingStart(m *modelWorker, id work.TaskID) {
 	c := w.crashFaults
 	if c == nil || !c.isCrashing(id) {
@@ -60,12 +64,12 @@
 		c.extraStarts[id]++
 	}
 	if c.extraStarts[id] >= maxExtraStarts {
-		w.reportViolation("%s is started %d times more after %d workers have crashed under it", id, c.extraStarts[id], crashLimit)
+		w.reportViolation("%s is started %d more times after %d workers crashed while running it", id, c.extraStarts[id], crashLimit)
 	}
 	w.schedule(c.crashDelay, func() { w.crashRunning(m, id) })
 }
 
-// crashUnder ends a worker's life, if the task still runs there.
+// crashRunning crashes a worker if the task still runs there.
 func (w *sim) crashRunning(m *modelWorker, id work.TaskID) {
 	if m.isDead || m.running[id] == nil {
 		return
@@ -79,7 +83,7 @@
 	w.crashAndRestart(m)
 }
 
-// living returns the names of the workers that live, in their order.
+// liveWorkers returns the sorted names of the workers that are not dead.
 func (w *sim) liveWorkers() []string {
 	ids := []string{}
 	for id, m := range w.allWorkers() {
@@ -91,7 +95,7 @@
 	return ids
 }
 
-// crashSome crashes workers that live, by no task's doing.
+// crashRandomWorkers crashes n random live workers; no task is the cause.
 func (w *sim) crashRandomWorkers(n int) {
 	ids := w.liveWorkers()
 	w.rng.Shuffle(len(ids), func(i, k int) { ids[i], ids[k] = ids[k], ids[i] })
@@ -100,7 +104,8 @@
 	}
 }
 
-// crashAndReturn ends a worker's life, and begins the next one of its machine later.
+// crashAndRestart crashes a worker, and later starts its next incarnation or its replacement on the
+// same machine.
 func (w *sim) crashAndRestart(m *modelWorker) {
 	c := w.crashFaults
 	c.crashCount++
@@ -117,7 +122,7 @@
 	w.schedule(c.unlistDelay, func() { w.removeStaleEntry(old.ID) })
 }
 
-// breakGangs ends the other members of a gang of which one is gone.
+// breakGangs ends all members of a task's gang that run, as members of a broken gang.
 func (w *sim) breakGangs(id work.TaskID) {
 	if !w.specs[id.Job].Steps[id.Step].IsGang {
 		return
@@ -131,14 +136,14 @@
 	}
 }
 
-// bear begins the next life on the machine of a worker that crashed.
+// replaceWorker starts a worker of a new name on the machine of a worker that crashed.
 func (w *sim) replaceWorker(id string, m *modelWorker) {
 	replacement := newModelWorker(id, m.entry.Capacity, -w.elapsed(), m.drift)
 	replacement.entry.Machine = m.entry.Machine
 	w.workers[replacement.name] = replacement
 }
 
-// unlist takes the entry of a life that is over out of the list.
+// removeStaleEntry removes the entry of a crashed worker from the list.
 func (w *sim) removeStaleEntry(id order.WorkerID) {
 	kept := w.staleEntries[:0:0]
 	for _, entry := range w.staleEntries {
--- a/internal/dispatch/customer_simulation_test.go
+++ b/internal/dispatch/customer_simulation_test.go
@@ -12,22 +12,24 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// limitGrace is how long an order that left under the limits before may be on its way.
+// limitChangeGrace is how long after a change of the limits a start that was ordered under the
+// previous limits may still arrive.
 const limitChangeGrace = 20 * time.Millisecond
 
-// limit puts limits of customers in force.
+// limit puts customers with their limits in force.
 func (w *sim) limit(customers ...order.Customer) {
 	w.previousCustomers, w.customersChangedAt = w.customers, w.clock.Now()
 	w.customers = customers
 	w.engine.SetCustomers(customers)
 }
 
-// limitOf is a customer that may have n tasks of step running.
+// limitOf returns a customer whose limit admits n running tasks as newStep makes them.
 func limitOf(name work.CustomerName, n int64) order.Customer {
 	return order.Customer{Name: name, Weight: 1, Limit: leverdyke.Resources{MilliCPU: 1000 * n}}
 }
 
-// checkLimit checks a start against the limits that may be in force.
+// checkLimit checks at a start that the customer stays within its limit, or, within
+// limitChangeGrace of a change, within its previous limit.
 func (w *sim) checkLimit(m *modelWorker, id work.TaskID) {
 	name := w.specs[id.Job].Customer
 	used := w.capacityUsedBy(name)
@@ -37,11 +39,12 @@
 	}
 	isRecent := w.clock.Now().Sub(w.customersChangedAt) <= limitChangeGrace
 	if !isWithin(w.customers) && !(isRecent && isWithin(w.previousCustomers)) {
-		w.reportViolation("%s on %s brings customer %s over its limit: %v", id, m.entry.ID, name, used)
+		w.reportViolation("start of %s on %s exceeds the limit of customer %s: %v in use", id, m.entry.ID, name, used)
 	}
 }
 
-// usedBy returns what a customer has running on all workers, those that are cut off among them.
+// capacityUsedBy returns the resources of all runs of a customer, including those on partitioned
+// workers.
 func (w *sim) capacityUsedBy(name work.CustomerName) leverdyke.Resources {
 	sum := leverdyke.Resources{}
 	for _, m := range w.allWorkers() {
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -48,13 +48,15 @@
 	w.run(200 * time.Millisecond)
 	expectState(t, w, "a", work.JobRunning)
 	if w.startCount != 5 {
-		t.Errorf("starts before the first step is done: got: %d, want: 5", w.startCount)
+		t.Errorf("starts before the first step has ended: got: %d, want: 5", w.startCount)
 	}
 	w.run(2 * time.Second)
 	expectState(t, w, "a", work.JobSucceeded)
 	expectNoViolations(t, w)
 }
 
+// A task must not start before the store has accepted its job: a job that is refused in the end
+// would have run.
 func TestJobStartedBeforePersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
@@ -75,6 +77,8 @@
 	}
 }
 
+// The engine must not confirm an end to the worker before the store has it: a worker forgets
+// confirmed ends, so that the end would be lost with the owner.
 func TestEndConfirmedBeforePersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
@@ -84,19 +88,20 @@
 	w.isStoreDown = true
 	w.run(time.Second)
 	if got := len(w.workers["w00"].finished); got != 1 {
-		t.Errorf("ends that the worker keeps while the store is out: got: %d, want: 1", got)
+		t.Errorf("unconfirmed ends of the worker while the store is down: got: %d, want: 1", got)
 	}
 	expectState(t, w, "a", work.JobRunning)
 	w.isStoreDown = false
 	w.run(time.Second)
 	if got := len(w.workers["w00"].finished); got != 0 {
-		t.Errorf("ends that the worker keeps afterwards: got: %d, want: 0", got)
+		t.Errorf("unconfirmed ends of the worker after the store is back: got: %d, want: 0", got)
 	}
 	expectState(t, w, "a", work.JobSucceeded)
 }
 
-// A listing with ends that are not confirmed comes back at once: asking again
-// without a pause made 21 listings a second of each worker.
+// A worker answers a poll at once while it has ends that are not confirmed. Polling again without a
+// pause, while the store was down and no end could be confirmed, led to 21 listings per second from
+// each worker.
 func TestUnconfirmedEndsCauseBusyPolling(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
@@ -109,10 +114,12 @@
 	before := w.pollCount("w00")
 	w.run(2 * time.Second)
 	if got := w.pollCount("w00") - before; got > 8 {
-		t.Errorf("listings in 2 s with an end that is not kept: got: %d, want: at most 8", got)
+		t.Errorf("listings in 2 s with an end that is not persisted: got: %d, want: at most 8", got)
 	}
 }
 
+// The answer to a start is lost and the start reaches its worker seconds later. If its capacity
+// were freed in between, the task would run twice or exceed the worker's capacity.
 func TestUnacknowledgedStartLosesItsCapacity(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
@@ -139,6 +146,8 @@
 	}
 }
 
+// Workers list a failure again after a takeover if its confirmation has not reached them. The
+// failure is already in the store: if it counted twice, the job would fail after too few attempts.
 func TestFailureCountedTwiceAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.failureShare = 1
@@ -152,7 +161,8 @@
 	for w.startCount < 3 {
 		w.run(tick)
 	}
-	// Both failures are kept, the workers have not been told: they list them again.
+	// Both failures are in the store, but their confirmations have not reached the workers: they
+	// list the failures again.
 	id := work.TaskID{Job: "a"}
 	for _, m := range w.allWorkers() {
 		if run := m.highestEndedRun[id]; run > 0 {
@@ -182,10 +192,11 @@
 		}
 	}
 	if w.engine.Cancel("b", "") {
-		t.Error("cancel of a job that was never handed in: got: true, want: false")
+		t.Error("cancel of a job that was never submitted: got: true, want: false")
 	}
 }
 
+// A new owner must adopt the tasks that it finds running instead of starting them again.
 func TestTakeoverRestartsRunningTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -201,8 +212,8 @@
 	expectNoViolations(t, w)
 }
 
-// A new owner has given no lease yet: it took the leases of the earlier one as
-// lapsed, and would have started their tasks a second time.
+// A new owner has granted no lease itself. It regarded the leases of the previous owner as expired,
+// and would have started their tasks a second time.
 func TestTakeoverIgnoresPreviousOwnersLeases(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -216,12 +227,13 @@
 	}
 	w.run(4 * time.Second)
 	if got := w.engine.Counts().Lapsed; got != 0 {
-		t.Errorf("leases taken as lapsed 4 s after the takeover: got: %d, want: 0", got)
+		t.Errorf("leases regarded as expired 4 s after the takeover: got: %d, want: 0", got)
 	}
 }
 
-// Before a new owner is trusted it renews nothing: the earlier owner's leases are
-// all that keeps tasks from being started a second time.
+// Until a new owner is trusted to own the shard it renews no lease. Only the previous owner's
+// leases then say that tasks may still run: if the new owner regards them as expired it starts
+// tasks a second time.
 func TestUntrustedOwnerIgnoresPreviousOwnersLeases(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -236,12 +248,13 @@
 	}
 	w.run(3 * time.Second)
 	if got := w.engine.Counts().Lapsed; got != 0 {
-		t.Errorf("leases taken as lapsed 3 s after the takeover: got: %d, want: 0", got)
+		t.Errorf("leases regarded as expired 3 s after the takeover: got: %d, want: 0", got)
 	}
 }
 
-// One worker of the roster that was draining when the owner died held up all
-// tasks of all jobs for 9.7 s.
+// A worker that was draining when the owner was lost, and then became unreachable, delayed all
+// tasks of all jobs by 9.7 s: the new owner waited for its lease before it started anything. Only
+// the tasks that may run on that worker have to wait.
 func TestDrainingWorkerDelaysOtherTasksAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
@@ -257,15 +270,16 @@
 	w.run(3 * time.Second)
 	expectState(t, w, "b", work.JobSucceeded)
 	if got := w.startCount; got != 5 {
-		t.Errorf("starts while the drained worker's lease runs: got: %d, want: 5", got)
+		t.Errorf("starts before the lease of the draining worker has expired: got: %d, want: 5", got)
 	}
 	w.run(10 * time.Second)
 	if got := w.startCount; got != 6 {
-		t.Errorf("starts after its lease: got: %d, want: 6", got)
+		t.Errorf("starts after the lease has expired: got: %d, want: 6", got)
 	}
 	expectNoViolations(t, w)
 }
 
+// No task may be placed on a worker that its platform drains.
 func TestDrainingWorkerGetsNewTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
@@ -279,8 +293,8 @@
 	}
 }
 
-// A worker that leaves ran its lasting tasks until its end; they were away until
-// its lease was over, for 6 s.
+// Long-running tasks ran on a draining worker until it left; they were then not running for 6 s,
+// until its lease had expired. They have to be moved to other workers while it drains.
 func TestLongRunningTasksInterruptedByDraining(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
@@ -298,15 +312,17 @@
 			running += len(m.running)
 		}
 		if running < 3 {
-			t.Fatalf("lasting tasks at work meanwhile: got: %d, want: 3 or more of 4", running)
+			t.Fatalf("running long-running tasks while the worker drains: got: %d, want: 3 or more of 4", running)
 		}
 	}
 	if got := len(leaving.running); got != 0 {
-		t.Errorf("tasks on the leaving worker: got: %d, want: 0", got)
+		t.Errorf("tasks on the draining worker: got: %d, want: 0", got)
 	}
 	expectNoViolations(t, w)
 }
 
+// An owner that may have lost its shard must neither start tasks nor renew leases: another owner may
+// be in charge by then.
 func TestUntrustedOwnerStartsTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
@@ -323,9 +339,9 @@
 	}
 }
 
-// The entry of a crashed worker stays in the list for some seconds beside that of
-// the machine's next life. Each took the other for the later one in turn, so that
-// tasks of the live one were started again.
+// The entry of a crashed worker stays in the list for some seconds beside that of its replacement
+// on the same machine. The engine took each of the two entries in turn for the later one, so that
+// tasks of the live worker were started again.
 func TestStaleWorkerEntryEndsTasksOfReplacement(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -342,13 +358,14 @@
 		}
 	}
 	if w.startCount != 12 {
-		t.Errorf("starts: got: %d, want: 8 and 4 again", w.startCount)
+		t.Errorf("starts: got: %d, want: 12, 8 at first and 4 again after the crash", w.startCount)
 	}
 	expectNoViolations(t, w)
 }
 
-// The answers to orders told the worker's clock but no progress: tasks on a worker
-// that got many orders and no listing counted as stuck.
+// The answers to orders carry the worker's clock but no progress. Tasks on a worker that answered
+// many orders, and sent no listing meanwhile, counted as stuck because the clock advanced without
+// progress.
 func TestTaskCountedAsStuckWithoutListing(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, leverdyke.Resources{MilliCPU: 20_000, MemoryMiB: 20_000})
@@ -362,13 +379,14 @@
 		w.run(170 * time.Millisecond)
 	}
 	if w.startCount < 10 {
-		t.Fatalf("orders that were answered meanwhile: got: %d, want: 10 or more", w.startCount)
+		t.Fatalf("starts while no listing came: got: %d, want: 10 or more", w.startCount)
 	}
 	if got := w.engine.Counts().Stopped; got != 0 {
 		t.Errorf("attempts stopped: got: %d, want: 0", got)
 	}
 }
 
+// A task that makes no progress for too long is stopped and started on another worker.
 func TestStuckTaskNotStartedElsewhere(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
@@ -382,8 +400,9 @@
 	expectNoViolations(t, w)
 }
 
-// Two workers died with the owner: all tasks of all jobs waited 9.8 s for their
-// leases, as any of them might have been started there.
+// Two workers were lost together with the owner: all tasks of all jobs waited 9.8 s for the leases
+// of these workers, because any task might have been started there. Only the tasks that the store
+// has placed on a lost worker need to wait.
 func TestWorkerLostWithOwnerDelaysOtherTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(4, workerCapacity)
@@ -400,11 +419,13 @@
 	expectState(t, w, "b", work.JobSucceeded)
 	w.run(12 * time.Second)
 	if got := w.startCount; got != 6 {
-		t.Errorf("starts in all, the task of the dead worker's twice: got: %d, want: 6", got)
+		t.Errorf("starts in total, with the lost worker's task started twice: got: %d, want: 6", got)
 	}
 	expectNoViolations(t, w)
 }
 
+// A start is only ordered when its placement is in the store: the next owner could not find the run
+// otherwise. After a longer outage the engine runs write-behind, so that jobs go on.
 func TestStartOrderedBeforePlacementPersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -416,15 +437,18 @@
 	w.isStoreDown = true
 	w.run(2 * time.Second)
 	if w.startCount != 2 {
-		t.Errorf("starts while places cannot be kept: got: %d, want: 2", w.startCount)
+		t.Errorf("starts while placements cannot be persisted: got: %d, want: 2", w.startCount)
 	}
 	w.isWriteBehind = true
 	w.run(time.Second)
 	if w.startCount != 4 {
-		t.Errorf("starts after the store has been out for long: got: %d, want: 4", w.startCount)
+		t.Errorf("starts while the engine runs write-behind: got: %d, want: 4", w.startCount)
 	}
 }
 
+// The previous owner ran write-behind, so that any task may run on any worker without the store
+// having the placement. The new owner must start nothing before the previous owner's leases have
+// expired, or tasks would run twice.
 func TestUnpersistedStartsRunTwiceAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -441,13 +465,14 @@
 	before := w.startCount
 	w.run(9 * time.Second)
 	if w.startCount != before {
-		t.Errorf("starts while leases may run: got: %d, want: none", w.startCount-before)
+		t.Errorf("starts before the previous owner's leases have expired: got: %d, want: none", w.startCount-before)
 	}
 }
 
-// A worker stamps a listing when it answers, after it has put it together: a
-// listing that was asked for before a start was confirmed did not have the
-// attempt, and the task started a second time (soak seed 1 on a busy machine).
+// A worker stamps a listing with its clock when it answers, which is after it has assembled the
+// listing. A listing that was requested before a start was confirmed therefore lacked the attempt
+// despite a later time stamp, and the task was started a second time (soak test with seed 1 on a
+// busy machine).
 func TestListingRequestedBeforeStartEndsAttempt(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
@@ -496,8 +521,8 @@
 	}
 }
 
-// After a stop was confirmed the engine waited up to 0.9 s for a listing whose
-// answer was lost before it asked for another one.
+// After a stop was confirmed the engine asked the worker for a listing with an immediate poll. When
+// the answer was lost it waited up to 0.9 s before it polled again.
 func TestLostImmediatePollNotRetried(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
@@ -534,15 +559,15 @@
 		advance(10 * time.Millisecond)
 	}
 	if immediatePolls < 3 {
-		t.Errorf("listings asked for without an answer in 0.6 s: got: %d, want: 3 or more", immediatePolls)
+		t.Errorf("immediate polls in 0.6 s without an answer: got: %d, want: 3 or more", immediatePolls)
 	}
 	if immediatePolls > 4 {
-		t.Errorf("listings asked for without an answer in 0.6 s: got: %d, want: at most 4", immediatePolls)
+		t.Errorf("immediate polls in 0.6 s without an answer: got: %d, want: at most 4", immediatePolls)
 	}
 }
 
-// Listings of many workers that only tell of progress are asked for less often: at
-// 0.5 s for each of 1,100 workers they were two of three messages of an owner.
+// Listings that report only progress are requested less often from many workers: at an interval of
+// 0.5 s for each of 1,100 workers they made up two thirds of an owner's messages.
 func TestManyWorkersPolledTooOften(t *testing.T) {
 	for workers, want := range map[int]time.Duration{48: 500 * time.Millisecond, 1100: 1100 * time.Millisecond, 5000: 2 * time.Second} {
 		c := clock.NewFake()
@@ -564,7 +589,7 @@
 		}
 		for _, a := range e.Actions() {
 			if p, ok := a.(order.Poll); ok && p.Wait != want {
-				t.Errorf("%d workers: wait of a busy one: got: %v, want: %v", workers, p.Wait, want)
+				t.Errorf("%d workers: length of a poll of a busy worker: got: %v, want: %v", workers, p.Wait, want)
 			}
 		}
 	}
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -17,18 +17,18 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// office is a load of two kinds of jobs on many workers, of which each step may use only some:
-// short jobs of a few small tasks, and long ones of many large tasks, about which a call for
-// permission takes half a second.
+// loadSim simulates a load of two kinds of jobs on many workers, where each step is permitted on
+// only some of the workers: short jobs of a few small tasks, and long jobs of many large tasks, for
+// which a permission query takes half a second.
 type loadSim struct {
 	*sim
-	// size is the number of workers; the rates of jobs go by it.
+	// workerCount is the number of workers; the arrival rates of jobs are proportional to it.
 	workerCount int
 	jobs        map[work.JobID]*loadJob
 	nextJob     int
 }
 
-// officeJob is a job with what its caller expects.
+// loadJob is a job with what its caller expects of it.
 type loadJob struct {
 	queue       string
 	customer    work.CustomerName
@@ -37,7 +37,7 @@
 	cpuSeconds  float64
 }
 
-// officeWorkers is the size of which the rates are told.
+// referenceWorkerCount is the number of workers to which the arrival rates refer.
 const referenceWorkerCount = 350
 
 var (
@@ -57,7 +57,8 @@
 	loadWorkerCapacity = leverdyke.Resources{MilliCPU: 32_000, MemoryMiB: 64_000}
 )
 
-// newOffice returns an idle office. Rates and ways to ask go by its size.
+// newLoadSim returns a simulation without jobs. The number of its channels is proportional to the
+// number of workers.
 func newLoadSim(seed uint64, size int, without ...dispatch.Mechanism) *loadSim {
 	o := &loadSim{sim: newSim(seed), workerCount: size, jobs: map[work.JobID]*loadJob{}}
 	o.disabledMechanisms = without
@@ -71,8 +72,8 @@
 	return o
 }
 
-// permits tells whether a worker may run a step: seven of ten those of the short kind, one of
-// three of the others.
+// isStepPermittedOn is the simulated permission service. It permits a step of a short job on seven
+// workers of ten, and any other step on one worker of three.
 func isStepPermittedOn(q *order.Queue, s work.StepID, id order.WorkerID) bool {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%s %s", s, id)
@@ -83,7 +84,8 @@
 	return float64(h.Sum64()%1000) < 1000*share
 }
 
-// spread draws around a mean, as the sizes of jobs do.
+// drawLogNormal draws from a log-normal distribution of the given mean, as the sizes of jobs are
+// distributed, and cuts it off at most.
 func (o *loadSim) drawLogNormal(mean, spread, most float64) float64 {
 	return min(mean*math.Exp(spread*o.rng.NormFloat64()-spread*spread/2), most)
 }
@@ -102,7 +104,7 @@
 	return out
 }
 
-// handIn hands in a job of a kind.
+// submitRandomJob submits a random job to the short or the long queue.
 func (o *loadSim) submitRandomJob(queue string, customer work.CustomerName) {
 	var steps []work.Step
 	q := shortQueue
@@ -132,7 +134,8 @@
 	o.submitFor(customer, queue, string(id), steps...)
 }
 
-// due returns how many jobs come in one tick at a rate.
+// drawArrivals draws how many jobs arrive within one tick. perSecond is the rate at
+// referenceWorkerCount workers.
 func (o *loadSim) drawArrivals(perSecond float64) int {
 	mean := perSecond * float64(o.workerCount) / referenceWorkerCount * tick.Seconds()
 	n := int(mean)
@@ -142,7 +145,7 @@
 	return n
 }
 
-// play lets jobs come for a while.
+// runLoad submits jobs at the given rates for a while.
 func (o *loadSim) runLoad(length time.Duration, shortRate, longRate float64, customer func() work.CustomerName) {
 	for end := o.elapsed() + length; o.elapsed() < end; {
 		for range o.drawArrivals(shortRate) {
@@ -155,14 +158,14 @@
 	}
 }
 
-// idle lets time pass without new jobs.
+// runWithoutArrivals advances the simulation without new jobs.
 func (o *loadSim) runWithoutArrivals(length time.Duration) {
 	for end := o.elapsed() + length; o.elapsed() < end; {
 		o.runTickUnchecked()
 	}
 }
 
-// finish lets all jobs end, or a minute pass.
+// runUntilJobsEnd runs until all jobs have ended, for at most a minute.
 func (o *loadSim) runUntilJobsEnd() {
 	haveAllEnded := func() bool {
 		for id := range o.jobs {
@@ -177,7 +180,8 @@
 	}
 }
 
-// stepFast is step without the checks, which take most of its time at this size.
+// runTickUnchecked is runTick without the invariant checks, which would take most of the time with
+// this many workers and jobs.
 func (o *loadSim) runTickUnchecked() {
 	o.clock.Advance(tick)
 	o.engine.Advance(o.clock.Now())
@@ -199,10 +203,11 @@
 	}
 }
 
-// inTime returns the share of what is owed for a kind that was done within its objective.
+// onTimeShare returns the fraction of the work in a queue, in CPU seconds, whose jobs succeeded
+// within their objective.
 func (o *loadSim) onTimeShare(queue string) float64 { return o.onTimeShareOf(queue, "") }
 
-// inTimeOf is inTime of one customer; an empty one means all.
+// onTimeShareOf is onTimeShare for one customer; an empty name means all customers.
 func (o *loadSim) onTimeShareOf(queue string, customer work.CustomerName) float64 {
 	owed, done := 0.0, 0.0
 	for id, j := range o.jobs {
@@ -217,17 +222,19 @@
 	return done / max(owed, 1)
 }
 
-// nobody is the customer of jobs that have none.
+// noCustomer is the customer of jobs without a customer.
 func noCustomer() work.CustomerName { return "" }
 
-// The rates of jobs a second at officeWorkers, and a burst of long ones.
+// shortRate and longRate are the jobs per second at referenceWorkerCount workers; a burst
+// multiplies the rate of long jobs by burstFactor.
 const (
 	shortRate   = 33.0
 	longRate    = 6.0
 	burstFactor = 3.0
 )
 
-// playBurst lets jobs come with a burst of long ones, and then all end.
+// runBurst runs the load with a burst of long jobs in the middle, and then until all jobs have
+// ended.
 func runBurst(o *loadSim) {
 	o.runWithoutArrivals(time.Second)
 	share := float64(o.workerCount) / referenceWorkerCount
@@ -241,7 +248,7 @@
 
 const testWorkerCount = 70
 
-// playBursts plays playBurst with so many seeds at once.
+// runBursts runs runBurst with each of the first seeds, in parallel.
 func runBursts(seeds int, without ...dispatch.Mechanism) []*loadSim {
 	simulations := make([]*loadSim, seeds)
 	var wg sync.WaitGroup
@@ -255,8 +262,9 @@
 	return simulations
 }
 
-// In the order of arrival a burst makes all long jobs late that come after it. What can be done
-// in time goes first, and what is late ends all the same.
+// Served in the order of arrival, all long jobs that arrive after a burst miss their objectives.
+// Jobs that can still meet their objectives have to go first, and the late jobs must end all the
+// same.
 func TestBurstMakesAllLaterLongJobsLate(t *testing.T) {
 	t.Parallel()
 	const seeds = 16
@@ -273,18 +281,18 @@
 			}
 		}
 	}
-	t.Logf("in time: long %.2f, short %.2f, in the order of arrival %.2f, %.2f", long, short, longByAge, shortByAge)
+	t.Logf("on time: long %.2f, short %.2f, in the order of arrival %.2f, %.2f", long, short, longByAge, shortByAge)
 	if long < longByAge+0.05 {
-		t.Errorf("long jobs in time: got: %.2f, want: a twentieth more than %.2f in the order of arrival", long, longByAge)
+		t.Errorf("share of long jobs on time: got: %.2f, want: at least 0.05 more than %.2f in the order of arrival", long, longByAge)
 	}
 	if short < shortByAge-0.05 {
-		t.Errorf("short jobs in time: got: %.2f, want: no twentieth less than %.2f in the order of arrival", short, shortByAge)
+		t.Errorf("share of short jobs on time: got: %.2f, want: at most 0.05 less than %.2f in the order of arrival", short, shortByAge)
 	}
 }
 
 const (
-	// customers is how many there are, hot the one that sends hotRatio times its usual, which is
-	// hotShare times that of another one.
+	// Of customerCount customers hotCustomer sends hotLoadRatio times its usual load for a while.
+	// Its usual load is hotWeight times that of any other customer.
 	customerCount = 20
 	hotCustomer   = work.CustomerName("c00")
 	hotLoadRatio  = 8
@@ -292,11 +300,11 @@
 	totalWeight   = customerCount - 1 + hotWeight
 )
 
-// customerOf returns the nth customer.
+// customerName returns the name of the nth customer.
 func customerName(n int) work.CustomerName { return work.CustomerName(fmt.Sprintf("c%02d", n)) }
 
-// playHot lets jobs of customers come, each within its share but for the hot one, which sends
-// ratio times its usual for a while, and then all end.
+// runHotCustomer submits jobs of all customers, each within its share. The hot customer sends ratio
+// times its usual load for a while. Then it runs until all jobs have ended.
 func runHotCustomer(o *loadSim, ratio float64) {
 	customers := []order.Customer{}
 	each := 2 * (shortRate + longRate) / totalWeight * float64(o.workerCount) / referenceWorkerCount
@@ -317,7 +325,7 @@
 	o.runUntilJobsEnd()
 }
 
-// inTimeOfOthers is inTime of all customers but the hot one, by their jobs.
+// onTimeShareOfOthers is the mean of onTimeShareOf over all customers but the hot one.
 func (o *loadSim) onTimeShareOfOthers(queue string) float64 {
 	sum := 0.0
 	for i := 1; i < customerCount; i++ {
@@ -326,8 +334,9 @@
 	return sum
 }
 
-// One customer that sends eight times its usual takes nothing from nineteen calm ones; what
-// they leave it has.
+// A customer that sends eight times its usual load must not delay the jobs of nineteen customers
+// with their usual load. The hot customer gets its own share and the capacity that the others
+// leave.
 func TestHotCustomerSlowsOthers(t *testing.T) {
 	t.Parallel()
 	const seeds = 2
@@ -349,21 +358,22 @@
 		return r
 	}
 	calm, shared, unshared := run(1), run(hotLoadRatio), run(hotLoadRatio, dispatch.MechanismShares)
-	t.Logf("others, long and short in time: calm %.2f %.2f, beside a hot one %.2f %.2f, without shares %.2f %.2f; its own short ones %.2f, %.2f",
+	t.Logf("other customers' long and short jobs on time: usual load %.2f %.2f, beside a hot customer %.2f %.2f, without shares %.2f %.2f; the hot customer's short jobs %.2f, %.2f",
 		calm.long, calm.short, shared.long, shared.short, unshared.long, unshared.short, shared.own, unshared.own)
 	if shared.long < calm.long-0.1 || shared.short < calm.short-0.1 {
-		t.Errorf("others in time, long and short: got: %.2f, %.2f, want: no tenth less than %.2f, %.2f without a hot one", shared.long, shared.short, calm.long, calm.short)
+		t.Errorf("other customers' share of long and short jobs on time: got: %.2f, %.2f, want: at most 0.1 less than %.2f, %.2f without a hot customer", shared.long, shared.short, calm.long, calm.short)
 	}
 	if shared.own < 1.0/hotLoadRatio {
-		t.Errorf("its own short jobs in time: got: %.2f, want: its share at least", shared.own)
+		t.Errorf("the hot customer's share of short jobs on time: got: %.2f, want: at least the fraction that its usual load is of what it sends", shared.own)
 	}
 }
 
-// standStillRate is the rate of long jobs that two ways to ask cannot do.
+// stallRate is a rate of long jobs for which two channels cannot query all permissions in time.
 const stallRate = 4 * longRate
 
-// Where permission binds and most room is free, a job of which nothing runs goes first after a
-// while, however late it is: callers take one that stands still as lost.
+// When permission queries are the bottleneck and most capacity is free, jobs that can still meet
+// their objectives would always go before a late one. A job of which nothing runs must get priority
+// after a while, however late it is: callers regard a job that stalls as lost.
 func TestLateJobStallsWhileCapacityIsFree(t *testing.T) {
 	t.Parallel()
 	longest := func(without ...dispatch.Mechanism) time.Duration {
@@ -391,8 +401,8 @@
 		return longestNotRunning
 	}
 	got, byAge := longest(), longest(dispatch.MechanismUrgency)
-	t.Logf("longest with nothing running: %v, in the order of arrival %v", got, byAge)
+	t.Logf("longest time without a running task: %v, in the order of arrival %v", got, byAge)
 	if got > byAge+time.Second {
-		t.Errorf("longest with nothing running: got: %v, want: about %v as in the order of arrival", got, byAge)
+		t.Errorf("longest time without a running task: got: %v, want: about %v as in the order of arrival", got, byAge)
 	}
 }
--- a/internal/dispatch/long_running_simulation_test.go
+++ b/internal/dispatch/long_running_simulation_test.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// longestAway is how long nothing of a task that lasts may run, if there has been room for two
-	// such tasks in the last roomTime of that.
+	// A long-running task must not be without a run for maxNotRunning, if workers have had free
+	// capacity for two such tasks throughout the last steadyCapacityTime.
 	maxNotRunning      = 9 * time.Second
 	steadyCapacityTime = 3 * time.Second
 )
 
-// lastingWatch finds from outside tasks that last of which nothing runs for too long although
-// workers that may run them have had room all the while.
+// longRunningMonitor finds, from outside the engine, long-running tasks that are not running for
+// too long although permitted workers have had free capacity all the while.
 type longRunningMonitor struct {
 	w *sim
-	// awayFrom is since when nothing of a task runs, roomFrom since when a worker has had room for
-	// a task of a step.
+	// notRunningSince is the time since when a task has had no run, capacitySince the time since
+	// when a worker has had free capacity for a task of a step.
 	notRunningSince map[work.TaskID]time.Duration
 	capacitySince   map[placement]time.Duration
-	// lost has the tasks that were away for too long, and for how long.
+	// overdue has the tasks that were not running for too long, and for how long.
 	overdue map[work.TaskID]time.Duration
 }
 
-// place is where a task of a step may run.
+// placement is a worker on which a task of a step may run.
 type placement struct {
 	step   work.StepID
 	worker order.WorkerID
@@ -40,7 +40,7 @@
 	return &longRunningMonitor{w: w, notRunningSince: map[work.TaskID]time.Duration{}, capacitySince: map[placement]time.Duration{}, overdue: map[work.TaskID]time.Duration{}}
 }
 
-// look takes the state of the world now.
+// observe updates the monitor with the current state of the simulation.
 func (l *longRunningMonitor) observe() {
 	running := map[work.TaskID]bool{}
 	for _, m := range l.w.allWorkers() {
@@ -75,7 +75,8 @@
 	}
 }
 
-// standing returns how many tasks of a step workers have had room for all of roomTime.
+// steadyCapacity returns for how many tasks of a step workers have had free capacity throughout
+// steadyCapacityTime.
 func (l *longRunningMonitor) steadyCapacity(step work.StepID, spec *work.Step) int {
 	queue, now, n := l.w.queueOf(step.Job), l.w.elapsed(), 0
 	for _, m := range l.w.allWorkers() {
@@ -95,7 +96,7 @@
 	return n
 }
 
-// permits reports whether the worker may run the step.
+// isWorkerPermitted reports whether a worker may run a step.
 func (w *sim) isWorkerPermitted(q *order.Queue, s work.StepID, id order.WorkerID) bool {
 	if w.isStepPermitted != nil {
 		return w.isStepPermitted(q, s, id)
@@ -103,7 +104,7 @@
 	return w.isPermitted == nil || w.isPermitted(id)
 }
 
-// fits returns how many tasks of the step the worker has room for.
+// fittingTasks returns how many more tasks of a step fit on the worker.
 func (m *modelWorker) fittingTasks(s work.StepID, spec *work.Step) int {
 	free, need := m.entry.Capacity.Sub(m.used()), spec.Need
 	free.Slots, need.Slots = 0, 0
@@ -123,7 +124,7 @@
 	return max(min(n, remaining), 0)
 }
 
-// lastingTrouble is what happens in each round of playLasting.
+// longRunningFault is the fault that runLongRunning injects.
 type longRunningFault string
 
 const (
@@ -132,8 +133,9 @@
 	takeovers       longRunningFault = "another owner takes over"
 )
 
-// playLasting plays a minute of an office in which tasks that last fail after some seconds, with six
-// rounds of a trouble in the first half of it, and watches that none of them stays away.
+// runLongRunning runs a minute of load with long-running tasks that fail after some seconds. It
+// injects a fault six times in the first half of it, and monitors that no long-running task stays
+// without a run.
 func runLongRunning(seed uint64, trouble longRunningFault) *longRunningMonitor {
 	const short, long = 25.0, 5.0
 	o := newLoadSim(seed, testWorkerCount)
@@ -167,7 +169,8 @@
 	return l
 }
 
-// strike begins a trouble with an eighth of the workers, and returns those that are sick.
+// injectFault injects a fault, which affects an eighth of the workers unless it is a takeover. It
+// returns the workers that are degraded, so that the caller can end that.
 func (o *loadSim) injectFault(trouble longRunningFault) []*modelWorker {
 	switch trouble {
 	case crashes:
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -13,20 +13,21 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// TestPromisesHoldInAnyWorld plays random jobs with lost and late orders, cut and
-// crashed workers, an unreachable store and takeovers, and checks from outside.
+// TestInvariantsHoldUnderRandomFaults runs random jobs with lost and late orders, partitioned and
+// crashed workers, an unreachable store and takeovers, and checks the invariants from outside the
+// engine.
 func TestInvariantsHoldUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
-	properties.Property("no promise is broken and all jobs end", prop.ForAll(
+	properties.Property("no invariant is violated and all jobs end", prop.ForAll(
 		func(seed uint64) (bool, error) { return holdsInvariants(runRandomFaults(seed), seed) }, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-// A seed plays the same each time, or what it shows once could not be traced: nothing of the
-// engine goes by the order of a built-in map.
+// A seed must give the same simulation each time, or a violation that it shows once could not be
+// traced. The engine must therefore never depend on the iteration order of a built-in map.
 func TestSameSeedGivesDifferentTrace(t *testing.T) {
 	t.Parallel()
 	for name, run := range map[string]func(uint64) *sim{
@@ -47,7 +48,8 @@
 	}
 }
 
-// keepsPromises reports whether no promise was broken and all jobs have ended.
+// holdsInvariants reports whether no invariant was violated and all jobs have ended; the error says
+// what was wrong.
 func holdsInvariants(w *sim, seed uint64) (bool, error) {
 	if len(w.violations) > 0 {
 		return false, fmt.Errorf("seed %d: %s (and %d more)", seed, w.violations[0], len(w.violations)-1)
@@ -60,7 +62,7 @@
 	return true, nil
 }
 
-// playRandomDay plays 40 s of troubles and then lets all end.
+// runRandomFaults runs 40 s of random faults and then lets all jobs end.
 func runRandomFaults(seed uint64) *sim {
 	w := newSim(seed)
 	w.addWorkers(6, workerCapacity)
@@ -75,7 +77,7 @@
 	return w
 }
 
-// heal ends all troubles.
+// clearFaults ends all faults.
 func (w *sim) clearFaults() {
 	w.lostAnswerShare, w.failureShare, w.isStoreDown, w.refusedShare = 0, 0, false, 0
 	for _, m := range w.allWorkers() {
@@ -83,7 +85,7 @@
 	}
 }
 
-// trouble does something to the world, or ends it.
+// injectRandomFault begins or ends a random fault.
 func (w *sim) injectRandomFault(i int) {
 	names := w.liveWorkers()
 	if len(names) == 0 {
--- a/internal/dispatch/restart_simulation_test.go
+++ b/internal/dispatch/restart_simulation_test.go
@@ -10,20 +10,20 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// newTellingWorld returns a world in which workers tell when they started.
+// newSimWithStartTimes returns a simulation in which workers report their start times.
 func newSimWithStartTimes(seed uint64) *sim {
 	w := newSim(seed)
 	w.workersStartedAt = w.startedAt
 	return w
 }
 
-// named returns the worker to which an order goes: the platform knows it by its name, and
-// whichever start is there gets it.
+// workerByID returns the worker that receives an order to id: the platform addresses a worker by
+// its name, so that the order reaches whichever incarnation runs.
 func (w *sim) workerByID(id order.WorkerID) *modelWorker { return w.workers[id.Name()] }
 
-// restart ends all that a worker runs and starts it again some time later under its ID, with
-// a clock that shows clock then. What is on its way to it meanwhile is lost; what comes later
-// reaches the newer start.
+// restart ends all runs of a worker and starts its next incarnation some time later under the same
+// name; its clock then starts at the given time. Orders that arrive in between are lost; orders
+// that arrive later reach the new incarnation.
 func (w *sim) restart(m *modelWorker, after, clock time.Duration) {
 	if m.isDead {
 		return
@@ -36,11 +36,11 @@
 	})
 }
 
-// listLag is how long after a worker has started again the list has its new entry, where a
-// world does not say otherwise.
+// defaultListLag is the least time after a restart for which the workers' list still has the entry
+// of the previous incarnation; the field listLag can only extend it.
 const defaultListLag = 400 * time.Millisecond
 
-// loseOwner replaces the owner by one that does nothing for a while.
+// takeOverAfterGap replaces the owner by one that does nothing for a while.
 func (w *sim) takeOverAfterGap(gap time.Duration) {
 	w.takeOver()
 	for end := w.clock.Now().Add(gap); w.clock.Now().Before(end); {
@@ -49,8 +49,8 @@
 	}
 }
 
-// stopsTo lets the engine go on at the world's time and returns the orders to stop that go to a
-// worker.
+// stopsTo runs the engine at the current time, without a scheduling pass, and returns the stops
+// that it orders to a worker.
 func (w *sim) stopsTo(name string) []order.Stop {
 	w.engine.Advance(w.clock.Now())
 	w.stepWorkers()
@@ -66,7 +66,7 @@
 	return stops
 }
 
-// listed returns the worker's entry as the list has it.
+// listedEntry returns the worker's entry as the workers' list shows it.
 func (m *modelWorker) listedEntry(now time.Time) order.Worker {
 	if now.Before(m.listedFrom) {
 		return m.previousEntry
@@ -74,8 +74,8 @@
 	return m.entry
 }
 
-// restartSome lets a worker start again, one second in three. Orders are not held up for
-// seconds: TestAnOrderThatIsFirstToReachANewerStartRunsNothingTwice has those.
+// restartRandomWorker restarts a random worker in one call of three. It switches off orders that
+// arrive seconds late: TestAnOrderThatIsFirstToReachANewerStartRunsNothingTwice covers them.
 func (w *sim) restartRandomWorker() {
 	w.lateOrderShare = 0
 	ids := w.liveWorkers()
@@ -86,7 +86,7 @@
 	w.restart(w.workers[ids[w.rng.IntN(len(ids))]], after, time.Duration(w.rng.IntN(4))*time.Hour)
 }
 
-// begin begins another start of the worker: it knows nothing of before.
+// startIncarnation starts the worker's next incarnation, which knows nothing of the previous one.
 func (m *modelWorker) startIncarnation(now time.Time, since, clock time.Duration) {
 	m.isDead, m.isRestarting = false, false
 	m.previousEntry = m.entry
@@ -97,7 +97,7 @@
 	m.finished, m.nextEndNumber, m.confirmedUpTo = nil, 1, 0
 }
 
-// running returns how many tasks of a job run.
+// runningTasks returns how many tasks of a job run.
 func (w *sim) runningTasks(id work.JobID) int {
 	n := 0
 	for _, m := range w.allWorkers() {
--- a/internal/dispatch/saturated_test.go
+++ b/internal/dispatch/saturated_test.go
@@ -12,8 +12,8 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// BenchmarkSaturated is what one look at all that waits costs while large and small
-// jobs wait for a pool that is full. An owner of 350 workers takes some 500 such looks a
+// BenchmarkSaturated measures one scheduling pass over all waiting steps, while large and small
+// jobs wait for a pool without free capacity. An owner of 350 workers runs some 500 such passes per
 // second at its peak.
 func BenchmarkSaturated(b *testing.B) {
 	for _, workers := range []int{13, 98, 350} {
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -19,8 +19,9 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// world is an engine with modelled workers and a store, under a fake clock. It
-// watches from outside that the promises hold.
+// sim runs an engine against simulated workers and a simulated store, on a fake clock. It checks
+// the scheduler's invariants from outside, by what the workers run and what callers are answered:
+// see checkStart and checkInvariants.
 type sim struct {
 	clock     *clock.Fake
 	startedAt time.Time
@@ -28,86 +29,96 @@
 	engine    *dispatch.Engine
 	fence     uint64
 	workers   map[string]*modelWorker
-	// names are the workers' in order: none is ever taken out.
+	// workerNames are the names of all workers, sorted. Workers are never removed from the map, so
+	// the list is stale only while the lengths differ.
 	workerNames []string
-	// mail is what is on its way: answers and orders that come late.
+	// inFlight are the messages between the engine and the workers that have not been delivered
+	// yet.
 	inFlight []message
-	// specs and progress are what the store has.
+	// specs and progress are the content of the store, jobOrder the jobs in the order in which the
+	// store received them.
 	specs       map[work.JobID]*work.Spec
 	jobOrder    []work.JobID
 	progress    map[work.JobID]*work.Progress
 	isStoreDown bool
-	// writing is the batch that is on its way to the store until writtenAt, up to storeDelay; of
-	// the batches, refusedShare are refused.
+	// inFlightBatch is being written to the store; the write ends at batchDoneAt, at most
+	// maxStoreDelay after it began. The store refuses refusedShare of the batches.
 	inFlightBatch *dispatch.Batch
 	batchDoneAt   time.Time
 	maxStoreDelay time.Duration
 	refusedShare  float64
-	// isSlow means that the owner runs ahead of a store that keeps all the same.
+	// isStoreSlow makes the engine run write-behind, as for a slow store, although the store still
+	// accepts batches.
 	isStoreSlow bool
 
-	// lostShare of the answers do not come; lateShare of those orders are carried
-	// out up to 12 s later.
+	// lostAnswerShare of the answers of workers are lost. Of the orders whose answers are lost,
+	// lateOrderShare are carried out up to 12 s later.
 	lostAnswerShare, lateOrderShare float64
 	failureShare                    float64
-	// lastingFailShare of the runs of tasks that last fail, at some time up to lastingFailTime.
+	// longRunningFailureShare of the runs of long-running tasks fail, at a random time up to
+	// maxLongRunningFailureTime after their start.
 	longRunningFailureShare   float64
 	maxLongRunningFailureTime time.Duration
-	// lateHoldShare of the questions for a listing that get no answer reach the worker up to
-	// 12 s later.
+	// latePollShare of the polls without an answer reach the worker up to 12 s later.
 	latePollShare float64
 	persistedDone map[work.TaskID]bool
 	failures      map[work.TaskID]int
 	startCount    int
 	pollCounts    map[order.WorkerID]int
 	violations    []string
-	// lingering are entries of lives that are over.
+	// staleEntries are entries of the workers' list for workers that no longer exist.
 	staleEntries []order.Worker
-	// holdDelay is how much later than asked listings come.
+	// pollDelay is added to the time after which a worker answers a poll.
 	pollDelay time.Duration
-	// isInexact means that owners may have started tasks without the store.
+	// mayHaveUnpersistedStarts means that a previous owner may have started tasks whose placements
+	// are not in the store.
 	mayHaveUnpersistedStarts bool
-	// runsAhead makes the engine run ahead of the store while that is out.
+	// isWriteBehind makes the engine run write-behind while the store is down: it starts tasks
+	// before their placements are persisted.
 	isWriteBehind bool
-	// told is what callers know.
+	// acknowledged are the job states that callers were answered.
 	acknowledged map[work.JobID]work.JobState
-	// queues are the policies in force; mayRun tells which workers are permitted on a
-	// queue that asks, nil means all. endedAt has when callers could know of an end.
+	// queues are the policies in force. isPermitted is the simulated permission service: it reports
+	// which workers may run tasks of a queue that has a permission policy; nil permits all. endedAt
+	// is when a caller could first see that a job had ended.
 	queues      []order.Queue
 	isPermitted func(order.WorkerID) bool
-	// onAdvise sees each call for permission; nil sees none.
+	// onPermissionQuery, if set, is called with each permission query.
 	onPermissionQuery func(order.QueryPermission)
-	// mayRunStep tells it by step instead; nil where mayRun does.
+	// isStepPermitted decides for each step instead of isPermitted, if set.
 	isStepPermitted func(*order.Queue, work.StepID, order.WorkerID) bool
 	endedAt         map[work.JobID]time.Duration
-	// customers are those in force, before those that were until changedAt.
+	// customers are in force since customersChangedAt; previousCustomers were in force before.
 	customers, previousCustomers []order.Customer
 	customersChangedAt           time.Time
-	// without are mechanisms that the engine does not use, lanes its ways to ask who is
-	// permitted.
+	// disabledMechanisms are the engine's mechanisms that are switched off. channels are the nodes
+	// through which the engine can query the permission service.
 	disabledMechanisms []dispatch.Mechanism
 	channels           []string
-	// log takes the lines of the engine's log; nil drops them.
+	// log receives the engine's log lines; nil discards them.
 	log func(e events.Event, keysAndValues ...any)
-	// writes counts how often each job was written; nil counts nothing.
+	// writeCounts counts how often the progress of each job was written; nil disables the count.
 	writeCounts map[work.JobID]int
-	// crashes has the tasks that crash their workers; nil when there are none.
+	// crashFaults configures tasks that crash their workers; nil without such tasks.
 	crashFaults *crashFaults
-	// bornAt is when the workers that are added say that they have started; zero when they do
-	// not tell.
+	// workersStartedAt is the start time in the IDs of the workers that are added; the zero value
+	// stands for workers that do not report a start time.
 	workersStartedAt time.Time
-	// listLag is how long after a worker has started again the list has its new entry.
+	// listLag is how long after a worker's restart the workers' list still has the entry of its
+	// previous incarnation.
 	listLag time.Duration
-	// trace has what the engine has told to do, and when.
+	// trace records the engine's actions with their times.
 	trace []tracedAction
-	// isLateOrder means that the order which is carried out was held up for seconds.
+	// isDelayedOrder means that the start being checked was delayed by shrinkGrace or more before
+	// it reached the worker.
 	isDelayedOrder bool
 }
 
-// traced is an action in brief.
+// tracedAction summarizes an action for the comparison of two traces.
 type tracedAction struct {
 	at time.Duration
-	// worker, task and run are of its order, wait that of a question for a listing.
+	// worker, task and run are those of a start or stop; for a poll, run is the confirmed end
+	// number and wait the length of the poll.
 	worker order.WorkerID
 	task   work.TaskID
 	run    uint64
@@ -126,6 +137,7 @@
 	return tracedAction{at: at}
 }
 
+// message is an answer or an order in flight: deliver is called at the time at.
 type message struct {
 	at      time.Time
 	deliver func()
@@ -146,8 +158,9 @@
 
 var testQueue = order.Queue{Name: "q", Service: "pool", MaxAttempts: 3}
 
-// takeOver replaces the engine by one of a new owner that knows what the store has:
-// nothing else outlasts the nodes.
+// takeOver replaces the engine by that of a new owner, which knows only the content of the store:
+// nothing else survives the loss of the previous owner. A batch that is being written at that
+// moment has reached the store with a probability of one half.
 func (w *sim) takeOver() {
 	w.fence++
 	if w.inFlightBatch != nil && w.rng.IntN(2) == 0 {
@@ -190,7 +203,8 @@
 	return append(append([]order.Worker{}, w.staleEntries...), out...)
 }
 
-// later delivers something after a delay, unless the engine is replaced.
+// deliverToEngine delivers a message to the engine after a delay, unless a takeover has replaced
+// the engine by then.
 func (w *sim) deliverToEngine(d time.Duration, deliver func()) {
 	e := w.engine
 	w.inFlight = append(w.inFlight, message{w.clock.Now().Add(d), func() {
@@ -200,18 +214,18 @@
 	}})
 }
 
-// order carries out an order after a delay, whoever is the owner then.
+// schedule calls deliver after a delay, also if a takeover has replaced the engine by then.
 func (w *sim) schedule(d time.Duration, deliver func()) {
 	w.inFlight = append(w.inFlight, message{w.clock.Now().Add(d), deliver})
 }
 
 const (
 	tick = 10 * time.Millisecond
-	// modelStopTime is how long a modelled worker takes to stop a task.
+	// modelStopTime is how long a simulated worker takes to stop a task.
 	modelStopTime = 150 * time.Millisecond
 )
 
-// run lets time pass.
+// run advances the simulation by d in steps of tick.
 func (w *sim) run(d time.Duration) {
 	for end := w.clock.Now().Add(d); w.clock.Now().Before(end); {
 		w.clock.Advance(tick)
@@ -233,7 +247,8 @@
 	w.checkInvariants()
 }
 
-// stepWorkers lets the workers, and what is on its way, go on without the engine.
+// stepWorkers advances the workers and delivers the messages that are due, without calling the
+// engine otherwise.
 func (w *sim) stepWorkers() {
 	now := w.clock.Now()
 	for _, m := range w.allWorkers() {
@@ -253,7 +268,8 @@
 	}
 }
 
-// keep writes what must last.
+// commitBatch moves the engine's batches to the store: it takes the next batch, or completes the
+// one in flight.
 func (w *sim) commitBatch() {
 	if w.isStoreDown {
 		return
@@ -275,7 +291,7 @@
 	w.engine.Committed(b)
 }
 
-// kept takes that the store has a batch.
+// applyBatch adds the content of a batch to the store.
 func (w *sim) applyBatch(b *dispatch.Batch) {
 	for _, s := range b.Specs {
 		w.specs[s.ID] = s
@@ -289,7 +305,7 @@
 	}
 }
 
-// delay is the way to a worker or back.
+// networkDelay draws the latency of one message between the engine and a worker.
 func (w *sim) networkDelay() time.Duration { return time.Duration(1+w.rng.IntN(20)) * time.Millisecond }
 
 func (w *sim) execute(a order.Action) {
@@ -307,7 +323,7 @@
 	}
 }
 
-// advise answers which workers are permitted, after the time that the policy tells.
+// answerPermissionQuery answers a permission query after the time that the queue's policy states.
 func (w *sim) answerPermissionQuery(a order.QueryPermission) {
 	if w.onPermissionQuery != nil {
 		w.onPermissionQuery(a)
@@ -330,7 +346,8 @@
 	return &w.queues[i]
 }
 
-// isLost decides whether an answer is lost, and when the order is carried out.
+// drawLoss draws whether the answer to an order is lost, and the delay until the worker carries out
+// the order.
 func (w *sim) drawLoss() (bool, time.Duration) {
 	if w.rng.Float64() >= w.lostAnswerShare {
 		return false, w.networkDelay()
@@ -375,7 +392,8 @@
 	}
 }
 
-// runTime returns how long a run takes on a worker until it ends by itself.
+// runDuration returns how long a run takes on a worker until it ends by itself; it marks the run as
+// failing where the worker is degraded or a failure of a long-running task is drawn.
 func (w *sim) runDuration(m *modelWorker, r *modelRun, spec *work.Step) time.Duration {
 	switch {
 	case m.isDegraded:
@@ -435,7 +453,7 @@
 	})
 	w.schedule(delay+wait, func() {
 		var l *order.Listing
-		// A start that ends takes what waits there with it.
+		// A restart of the worker drops the polls that wait at it.
 		if !m.isPartitioned && !m.isDead && m.entry.ID == arrivedIncarnation {
 			l = m.poll(order.Token(fence, p.Generation), &p, w.elapsed())
 		}
@@ -452,17 +470,18 @@
 	})
 }
 
-// began checks a start against the promises.
+// checkStart checks the invariants at the start of a run: capacity, the customer's limit, no second
+// run of the same task, no run after the task's end or after the end of its job.
 func (w *sim) checkStart(m *modelWorker, id work.TaskID, r *modelRun) {
 	w.startCount++
 	w.recordCrashingStart(m, id)
 	if capacity := m.allowed(w.clock.Now()); !w.isDelayedOrder && !m.used().FitsIn(capacity) {
-		w.reportViolation("%s brings %s over its room: %v of %v", id, m.entry.ID, m.used(), capacity)
+		w.reportViolation("start of %s exceeds the capacity of %s: %v of %v in use", id, m.entry.ID, m.used(), capacity)
 	}
 	w.checkLimit(m, id)
 	for other, o := range w.allWorkers() {
 		if o != m && !o.isDead && o.running[id] != nil {
-			w.reportViolation("%s runs on %s and on %s", id, other, m.entry.ID)
+			w.reportViolation("%s runs on %s and on %s at the same time", id, other, m.entry.ID)
 		}
 	}
 	for other, o := range w.allWorkers() {
@@ -471,25 +490,26 @@
 		}
 	}
 	if w.persistedDone[id] {
-		w.reportViolation("%s starts on %s after its end was kept", id, m.entry.ID)
+		w.reportViolation("%s starts on %s after its end was persisted", id, m.entry.ID)
 	}
-	// An order that was on its way when another task of its job was given up cannot be taken
-	// back; it is stopped.
+	// A start that was in flight when another task of the job failed the job cannot be recalled;
+	// the run is stopped.
 	isLate := w.acknowledged[id.Job] == work.JobFailed && r.orderedAt <= w.endedAt[id.Job]
 	if state := w.acknowledged[id.Job]; state != "" && !isLate {
-		w.reportViolation("%s starts on %s after its job was told to have %s", id, m.entry.ID, state)
+		w.reportViolation("%s starts on %s after its job was acknowledged as %s", id, m.entry.ID, state)
 	}
 }
 
-// check looks at what runs now.
+// checkInvariants checks what runs now, and records which tasks are persisted as done.
 func (w *sim) checkInvariants() {
 	for _, what := range w.engine.Inconsistencies(w.inFlightBatch) {
 		w.reportViolation("%s", what)
 	}
 	for id, m := range w.allWorkers() {
-		// What ran when its room shrank goes on; starts are looked at one by one.
+		// Tasks that ran when the worker's capacity shrank keep running; checkStart checks each
+		// start against the new capacity.
 		if len(m.capacityChanges) == 0 && !m.used().FitsIn(m.entry.Capacity) {
-			w.reportViolation("%s is over its room: %v of %v", id, m.used(), m.entry.Capacity)
+			w.reportViolation("%s exceeds its capacity: %v of %v in use", id, m.used(), m.entry.Capacity)
 		}
 	}
 	for _, id := range w.jobOrder {
@@ -510,11 +530,11 @@
 	}
 }
 
-// tell asks for the state of a job, as its caller does. A final one never changes.
+// queryState asks for the state of a job, as its caller does. A final state must never change.
 func (w *sim) queryState(id work.JobID) {
 	state, ok := w.engine.State(id)
 	if previous := w.acknowledged[id]; previous != "" && ok && state != previous {
-		w.reportViolation("%s is told to be %s after %s", id, state, previous)
+		w.reportViolation("%s is reported as %s after it was reported as %s", id, state, previous)
 	}
 	if state.IsFinal() {
 		if w.acknowledged[id] == "" {
@@ -528,10 +548,10 @@
 	w.violations = append(w.violations, fmt.Sprintf("%8v ", w.elapsed())+fmt.Sprintf(format, args...))
 }
 
-// submit hands in a job of steps that follow each other.
+// submit submits a job whose steps depend on one another in sequence.
 func (w *sim) submit(id string, steps ...work.Step) { w.submitTo("q", id, steps...) }
 
-// submitTo hands it in to a queue.
+// submitTo is submit to a given queue.
 func (w *sim) submitTo(queue, id string, steps ...work.Step) {
 	for i := range steps {
 		if i > 0 {
@@ -541,12 +561,12 @@
 	w.submitFor("", queue, id, steps...)
 }
 
-// submitFor hands in a job of a customer.
+// submitFor submits a customer's job with the dependencies given in the steps.
 func (w *sim) submitFor(customer work.CustomerName, queue, id string, steps ...work.Step) {
 	w.engine.AddJob(&work.Spec{ID: work.JobID(id), Queue: queue, Customer: customer, Steps: steps})
 }
 
-// crash ends a worker's life and begins another on the same machine.
+// crashAndReplace kills a worker and starts a worker of another name on the same machine.
 func (w *sim) crashAndReplace(id order.WorkerID, next string) {
 	m := w.workerByID(id)
 	m.isDead = true
@@ -560,7 +580,7 @@
 	w.workers[replacement.name] = replacement
 }
 
-// each goes through the workers in the order of their names.
+// allWorkers iterates over the workers in the order of their names.
 func (w *sim) allWorkers() iter.Seq2[string, *modelWorker] {
 	if len(w.workerNames) != len(w.workers) {
 		w.workerNames = slices.Sorted(maps.Keys(w.workers))
@@ -574,10 +594,10 @@
 	}
 }
 
-// holds returns how many listings a worker was asked for.
+// pollCount returns how many polls of a worker were sent.
 func (w *sim) pollCount(id order.WorkerID) int { return w.pollCounts[id] }
 
-// workerOf returns the worker on which a task runs.
+// workerOf returns the worker that runs a task, or nil.
 func (w *sim) workerOf(id work.TaskID) *modelWorker {
 	for _, m := range w.allWorkers() {
 		if m.running[id] != nil {
--- a/internal/dispatch/time_of_day_test.go
+++ b/internal/dispatch/time_of_day_test.go
@@ -10,8 +10,9 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// The time by which an owner measures counts a suspension, so that its time of day is ahead
-// by as much. A round that is due by the time of day must not start earlier for it.
+// The engine's clock includes the time for which the owner's machine was suspended, so that a time
+// of day derived from it is ahead by as much. A round that is due at a time of day must not start
+// earlier because of that.
 func TestRoundStartsEarlyAfterSuspension(t *testing.T) {
 	h := newHeir(0)
 	begin := h.clock.Now()
--- a/internal/dispatch/worker_model_test.go
+++ b/internal/dispatch/worker_model_test.go
@@ -13,9 +13,9 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// modelRun is a run of a task on a modelled worker.
+// modelRun is a run of a task on a simulated worker.
 type modelRun struct {
-	// orderedAt is when the order to start it left.
+	// orderedAt is when the engine sent the order to start the run.
 	orderedAt     time.Duration
 	run           uint64
 	need          leverdyke.Resources
@@ -27,41 +27,47 @@
 	isLongRunning bool
 }
 
-// modelWorker is a worker as the platform's page describes it: it does what the
-// highest fence says, guards no room, and kills all when its lease is over.
+// modelWorker is a worker as the worker API specifies it: it rejects orders with a fencing token
+// below the highest that it has seen, does not check its own capacity, and kills all its tasks when
+// its lease expires.
 type modelWorker struct {
 	entry order.Worker
-	// name is what the platform calls it, whichever start it is in.
+	// name is the worker's name on the platform, the same for all its incarnations.
 	name string
-	// clock is how its clock stands to the world's, drift how much slower it runs.
+	// clockOffset is the difference of the worker's clock from the simulation's, drift the fraction
+	// by which it runs slower.
 	clockOffset time.Duration
 	drift       float64
 
 	fence    uint64
 	deadline order.WorkerTime
 	running  map[work.TaskID]*modelRun
-	// barred has, by task, the highest run that ended or was stopped here.
+	// highestEndedRun is, for each task, the highest run that ended or was stopped on this worker.
+	// The worker refuses to start it and any lower run.
 	highestEndedRun map[work.TaskID]uint64
 	finished        []order.End
-	// confirmed are tasks of which a good end was confirmed to the worker.
+	// confirmed are the tasks whose successful end the engine has confirmed to the worker.
 	confirmed map[work.TaskID]bool
-	// lastSeen is the highest number up to which ends were confirmed: those are forgotten,
-	// also where they come later.
+	// confirmedUpTo is the highest end number that was confirmed. The worker discards ends up to
+	// it, also if the confirmation of a lower number arrives later.
 	confirmedUpTo uint64
 	nextEndNumber uint64
 	isPartitioned bool
 	now           time.Time
 	isDead        bool
-	// isRestarting means that it is dead, and starts again under its ID: its entry stays.
+	// isRestarting means that the worker is dead and is about to start again under its name: its
+	// entry stays in the list.
 	isRestarting bool
-	// before is the entry of its earlier start, which the list still has until listedFrom.
+	// previousEntry is the entry of the previous incarnation, which the list shows until
+	// listedFrom.
 	previousEntry order.Worker
 	listedFrom    time.Time
-	// refuses means that its machine refuses connections while the worker is dead.
+	// refusesConnections means that the machine refuses connections while the worker is dead, so
+	// that polls fail at once instead of after their timeout.
 	refusesConnections bool
-	// isSick means that it fails all that it starts, sickTime after the start.
+	// isDegraded means that each run that starts here fails after degradedRunTime.
 	isDegraded bool
-	// resized are the changes of its room.
+	// capacityChanges are the changes of the worker's capacity.
 	capacityChanges []resizing
 }
 
@@ -84,7 +90,7 @@
 	}
 }
 
-// at returns the worker's clock.
+// clockAt returns the time on the worker's clock.
 func (m *modelWorker) clockAt(since time.Duration) order.WorkerTime {
 	return order.WorkerTime(m.clockOffset + time.Duration(float64(since)*(1-m.drift)))
 }
@@ -99,7 +105,8 @@
 // fail ends a run as failed.
 func (m *modelWorker) fail(id work.TaskID) { m.endRun(id, m.running[id], order.EndFailed) }
 
-// step lets time pass on the worker.
+// step advances the worker to the time now: it ends the runs whose lease has expired, that were
+// stopped or that are finished.
 func (m *modelWorker) step(now time.Time, since time.Duration) {
 	m.now = now
 	for id, r := range m.sortedRuns() {
@@ -125,17 +132,17 @@
 	return true
 }
 
-// sickTime is how long a run takes on a worker that fails all.
+// degradedRunTime is how long a run takes to fail on a degraded worker.
 const degradedRunTime = 100 * time.Millisecond
 
-// maxLease is the longest lease that a worker takes.
+// maxLease is the longest lease that a worker accepts.
 const maxLease = order.WorkerTime(10 * time.Second)
 
 func (m *modelWorker) renew(deadline order.WorkerTime, since time.Duration) {
 	m.deadline = max(m.deadline, min(deadline, m.clockAt(since)+maxLease))
 }
 
-// start carries out an order and reports whether a run began.
+// start carries out an order to start a task. It returns the outcome and whether a new run began.
 func (m *modelWorker) start(fence uint64, s *order.Start, r *modelRun, since time.Duration) (order.StartOutcome, bool) {
 	if !m.acceptsFence(fence) {
 		return order.StartFenced, false
@@ -189,8 +196,8 @@
 	return l
 }
 
-// runs goes through what runs on the worker in the order of the tasks: a seed plays the same each
-// time.
+// sortedRuns iterates over the worker's runs in the order of their tasks, so that a seed gives the
+// same simulation each time.
 func (m *modelWorker) sortedRuns() iter.Seq2[work.TaskID, *modelRun] {
 	ids := make([]work.TaskID, 0, len(m.running))
 	for id := range m.running {
@@ -206,7 +213,7 @@
 	}
 }
 
-// used returns what the runs on the worker take.
+// used returns the resources of all runs on the worker.
 func (m *modelWorker) used() leverdyke.Resources {
 	sum := leverdyke.Resources{}
 	for _, r := range m.running {
