--- a/internal/dispatch/accelerator_test.go
+++ b/internal/dispatch/accelerator_test.go
@@ -47,9 +47,9 @@
 
 // newAcceleratorSim returns a simulation with accelerator workers and with channels to the
 // permission service.
-func newAcceleratorSim(workers int, without ...dispatch.Mechanism) *sim {
+func newAcceleratorSim(workers int, disabled ...dispatch.Mechanism) *sim {
 	w := newSim(1)
-	w.queues, w.disabledMechanisms, w.channels = []order.Queue{wholeWorkerQueue, fractionQueue, urgentQueue}, without, []string{"a", "b", "c", "d", "e", "f"}
+	w.queues, w.disabledMechanisms, w.channels = []order.Queue{wholeWorkerQueue, fractionQueue, urgentQueue}, disabled, []string{"a", "b", "c", "d", "e", "f"}
 	w.takeOver()
 	w.addWorkers(workers, acceleratorCapacity)
 	w.run(time.Second)
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -26,10 +26,10 @@
 
 // benchCluster is an engine whose actions are carried out at once.
 type benchCluster struct {
-	engine        *dispatch.Engine
-	clock         *clock.Fake
-	endCounts     map[order.WorkerID]uint64
-	isLongRunning map[work.JobID]bool
+	engine         *dispatch.Engine
+	clock          *clock.Fake
+	lastEndNumbers map[order.WorkerID]uint64
+	isLongRunning  map[work.JobID]bool
 }
 
 func (c *benchCluster) settle() {
@@ -56,9 +56,9 @@
 		at := order.WorkerTime(c.clock.Now().UnixNano())
 		c.engine.StartAnswered(a.Worker, a.Task, a.Run, order.StartSucceeded, at)
 		if !c.isLongRunning[a.Task.Job] {
-			c.endCounts[a.Worker]++
+			c.lastEndNumbers[a.Worker]++
 			c.engine.PollAnswered(&order.Poll{Worker: a.Worker, IsImmediate: true}, &order.Listing{Finished: []order.End{{
-				Number: c.endCounts[a.Worker], Task: a.Task, Run: a.Run, Kind: order.EndSucceeded,
+				Number: c.lastEndNumbers[a.Worker], Task: a.Task, Run: a.Run, Kind: order.EndSucceeded,
 			}}})
 		}
 	case order.Poll:
@@ -70,7 +70,7 @@
 
 func benchTask(b *testing.B, workers int) {
 	c := &benchCluster{
-		engine: dispatch.NewEngine(dispatch.Options{}), clock: clock.NewFake(), endCounts: map[order.WorkerID]uint64{},
+		engine: dispatch.NewEngine(dispatch.Options{}), clock: clock.NewFake(), lastEndNumbers: map[order.WorkerID]uint64{},
 		isLongRunning: map[work.JobID]bool{},
 	}
 	c.engine.Advance(c.clock.Now())
--- a/internal/dispatch/crash_simulation_test.go
+++ b/internal/dispatch/crash_simulation_test.go
@@ -145,11 +145,11 @@
 
 // removeStaleEntry removes the entry of a crashed worker from the list.
 func (w *sim) removeStaleEntry(id order.WorkerID) {
-	kept := w.staleEntries[:0:0]
+	remaining := w.staleEntries[:0:0]
 	for _, entry := range w.staleEntries {
 		if entry.ID != id {
-			kept = append(kept, entry)
+			remaining = append(remaining, entry)
 		}
 	}
-	w.staleEntries = kept
+	w.staleEntries = remaining
 }
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestStepsRunInDependencyOrder(t *testing.T) {
+func TestStepStartsBeforePredecessorEnds(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
@@ -261,11 +261,11 @@
 	w.run(time.Second)
 	w.submit("a", newStep(1, 30*time.Second))
 	w.run(300 * time.Millisecond)
-	drained := w.workerOf(work.TaskID{Job: "a"})
-	drained.entry.IsDraining = true
+	draining := w.workerOf(work.TaskID{Job: "a"})
+	draining.entry.IsDraining = true
 	w.submit("b", newStep(2, 300*time.Millisecond), newStep(2, 300*time.Millisecond))
 	w.run(800 * time.Millisecond)
-	drained.isPartitioned = true
+	draining.isPartitioned = true
 	w.takeOver()
 	w.run(3 * time.Second)
 	expectState(t, w, "b", work.JobSucceeded)
@@ -303,8 +303,8 @@
 	longRunning.IsLongRunning = true
 	w.submit("a", longRunning)
 	w.run(time.Second)
-	leaving := w.workerOf(work.TaskID{Job: "a"})
-	leaving.entry.IsDraining = true
+	draining := w.workerOf(work.TaskID{Job: "a"})
+	draining.entry.IsDraining = true
 	for range 60 {
 		w.run(100 * time.Millisecond)
 		running := 0
@@ -315,7 +315,7 @@
 			t.Fatalf("running long-running tasks while the worker drains: got: %d, want: 3 or more of 4", running)
 		}
 	}
-	if got := len(leaving.running); got != 0 {
+	if got := len(draining.running); got != 0 {
 		t.Errorf("tasks on the draining worker: got: %d, want: 0", got)
 	}
 	expectNoViolations(t, w)
@@ -348,9 +348,9 @@
 	w.run(time.Second)
 	w.submit("a", newStep(8, 20*time.Second))
 	w.run(time.Second)
-	old := w.workers["w00"]
+	crashed := w.workers["w00"]
 	w.crashAndReplace("w00", "x00")
-	w.staleEntries = []order.Worker{old.entry}
+	w.staleEntries = []order.Worker{crashed.entry}
 	w.run(3 * time.Second)
 	for _, m := range w.allWorkers() {
 		if !m.isDead && len(m.running) != 4 {
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -59,16 +59,16 @@
 
 // newLoadSim returns a simulation without jobs. The number of its channels is proportional to the
 // number of workers.
-func newLoadSim(seed uint64, size int, without ...dispatch.Mechanism) *loadSim {
-	o := &loadSim{sim: newSim(seed), workerCount: size, jobs: map[work.JobID]*loadJob{}}
-	o.disabledMechanisms = without
+func newLoadSim(seed uint64, workerCount int, disabled ...dispatch.Mechanism) *loadSim {
+	o := &loadSim{sim: newSim(seed), workerCount: workerCount, jobs: map[work.JobID]*loadJob{}}
+	o.disabledMechanisms = disabled
 	o.queues = []order.Queue{shortQueue, longQueue, longRunningQueue}
-	for i := range max(29*size/referenceWorkerCount, 3) {
+	for i := range max(29*workerCount/referenceWorkerCount, 3) {
 		o.channels = append(o.channels, fmt.Sprintf("n%02d", i))
 	}
 	o.isStepPermitted = isStepPermittedOn
 	o.takeOver()
-	o.addWorkers(size, loadWorkerCapacity)
+	o.addWorkers(workerCount, loadWorkerCapacity)
 	return o
 }
 
@@ -85,17 +85,17 @@
 }
 
 // drawLogNormal draws from a log-normal distribution of the given mean, as the sizes of jobs are
-// distributed, and cuts it off at most.
-func (o *loadSim) drawLogNormal(mean, spread, most float64) float64 {
-	return min(mean*math.Exp(spread*o.rng.NormFloat64()-spread*spread/2), most)
+// distributed, and cuts it off at limit.
+func (o *loadSim) drawLogNormal(mean, sigma, limit float64) float64 {
+	return min(mean*math.Exp(sigma*o.rng.NormFloat64()-sigma*sigma/2), limit)
 }
 
-func (o *loadSim) drawSteps(mean float64, count func() int, cpu, mem, cpuMost float64, takes func() time.Duration) []work.Step {
+func (o *loadSim) drawSteps(mean float64, count func() int, cpu, mem, maxCPU float64, estimate func() time.Duration) []work.Step {
 	n := max(int(math.Round(o.drawLogNormal(mean, 0.4, 5))), 1)
 	out := []work.Step{}
-	each := leverdyke.Resources{MilliCPU: int64(o.drawLogNormal(cpu, 0.45, cpuMost)), MemoryMiB: int64(o.drawLogNormal(mem, 0.5, 18_000))}
+	each := leverdyke.Resources{MilliCPU: int64(o.drawLogNormal(cpu, 0.45, maxCPU)), MemoryMiB: int64(o.drawLogNormal(mem, 0.5, 18_000))}
 	for i := range n {
-		s := work.Step{Count: count(), Need: each, Estimate: takes(), MaxUnavailable: -1}
+		s := work.Step{Count: count(), Need: each, Estimate: estimate(), MaxUnavailable: -1}
 		if i > 0 {
 			s.After = []int{i - 1}
 		}
@@ -209,17 +209,17 @@
 
 // onTimeShareOf is onTimeShare for one customer; an empty name means all customers.
 func (o *loadSim) onTimeShareOf(queue string, customer work.CustomerName) float64 {
-	owed, done := 0.0, 0.0
+	total, onTime := 0.0, 0.0
 	for id, j := range o.jobs {
 		if j.queue != queue || customer != "" && j.customer != customer {
 			continue
 		}
-		owed += j.cpuSeconds
+		total += j.cpuSeconds
 		if o.acknowledged[id] == work.JobSucceeded && o.endedAt[id]-j.submittedAt <= j.objective {
-			done += j.cpuSeconds
+			onTime += j.cpuSeconds
 		}
 	}
-	return done / max(owed, 1)
+	return onTime / max(total, 1)
 }
 
 // noCustomer is the customer of jobs without a customer.
@@ -249,12 +249,12 @@
 const testWorkerCount = 70
 
 // runBursts runs runBurst with each of the first seeds, in parallel.
-func runBursts(seeds int, without ...dispatch.Mechanism) []*loadSim {
+func runBursts(seeds int, disabled ...dispatch.Mechanism) []*loadSim {
 	simulations := make([]*loadSim, seeds)
 	var wg sync.WaitGroup
 	for i := range simulations {
 		wg.Go(func() {
-			simulations[i] = newLoadSim(uint64(i), testWorkerCount, without...)
+			simulations[i] = newLoadSim(uint64(i), testWorkerCount, disabled...)
 			runBurst(simulations[i])
 		})
 	}
@@ -341,10 +341,10 @@
 	t.Parallel()
 	const seeds = 2
 	type result struct{ long, short, own float64 }
-	run := func(ratio float64, without ...dispatch.Mechanism) result {
+	run := func(ratio float64, disabled ...dispatch.Mechanism) result {
 		r := result{}
 		for seed := range uint64(seeds) {
-			o := newLoadSim(seed, testWorkerCount, without...)
+			o := newLoadSim(seed, testWorkerCount, disabled...)
 			runHotCustomer(o, ratio)
 			r.long += o.onTimeShareOfOthers("long") / seeds
 			r.short += o.onTimeShareOfOthers("short") / seeds
@@ -357,11 +357,11 @@
 		}
 		return r
 	}
-	calm, shared, unshared := run(1), run(hotLoadRatio), run(hotLoadRatio, dispatch.MechanismShares)
+	usualLoad, shared, withoutShares := run(1), run(hotLoadRatio), run(hotLoadRatio, dispatch.MechanismShares)
 	t.Logf("other customers' long and short jobs on time: usual load %.2f %.2f, beside a hot customer %.2f %.2f, without shares %.2f %.2f; the hot customer's short jobs %.2f, %.2f",
-		calm.long, calm.short, shared.long, shared.short, unshared.long, unshared.short, shared.own, unshared.own)
-	if shared.long < calm.long-0.1 || shared.short < calm.short-0.1 {
-		t.Errorf("other customers' share of long and short jobs on time: got: %.2f, %.2f, want: at most 0.1 less than %.2f, %.2f without a hot customer", shared.long, shared.short, calm.long, calm.short)
+		usualLoad.long, usualLoad.short, shared.long, shared.short, withoutShares.long, withoutShares.short, shared.own, withoutShares.own)
+	if shared.long < usualLoad.long-0.1 || shared.short < usualLoad.short-0.1 {
+		t.Errorf("other customers' share of long and short jobs on time: got: %.2f, %.2f, want: at most 0.1 less than %.2f, %.2f without a hot customer", shared.long, shared.short, usualLoad.long, usualLoad.short)
 	}
 	if shared.own < 1.0/hotLoadRatio {
 		t.Errorf("the hot customer's share of short jobs on time: got: %.2f, want: at least the fraction that its usual load is of what it sends", shared.own)
@@ -376,8 +376,8 @@
 // after a while, however late it is: callers regard a job that stalls as lost.
 func TestLateJobStallsWhileCapacityIsFree(t *testing.T) {
 	t.Parallel()
-	longest := func(without ...dispatch.Mechanism) time.Duration {
-		o := newLoadSim(1, testWorkerCount, without...)
+	longest := func(disabled ...dispatch.Mechanism) time.Duration {
+		o := newLoadSim(1, testWorkerCount, disabled...)
 		o.channels = o.channels[:2]
 		o.engine.SetLanes(o.channels)
 		o.runWithoutArrivals(time.Second)
--- a/internal/dispatch/long_running_simulation_test.go
+++ b/internal/dispatch/long_running_simulation_test.go
@@ -136,7 +136,7 @@
 // runLongRunning runs a minute of load with long-running tasks that fail after some seconds. It
 // injects a fault six times in the first half of it, and monitors that no long-running task stays
 // without a run.
-func runLongRunning(seed uint64, trouble longRunningFault) *longRunningMonitor {
+func runLongRunning(seed uint64, fault longRunningFault) *longRunningMonitor {
 	const short, long = 25.0, 5.0
 	o := newLoadSim(seed, testWorkerCount)
 	o.runWithoutArrivals(time.Second)
@@ -159,7 +159,7 @@
 		}
 	}
 	for range 6 {
-		degraded := o.injectFault(trouble)
+		degraded := o.injectFault(fault)
 		watch(o.elapsed() + time.Duration(3000+o.rng.IntN(4000))*time.Millisecond)
 		for _, m := range degraded {
 			m.isDegraded = false
@@ -171,8 +171,8 @@
 
 // injectFault injects a fault, which affects an eighth of the workers unless it is a takeover. It
 // returns the workers that are degraded, so that the caller can end that.
-func (o *loadSim) injectFault(trouble longRunningFault) []*modelWorker {
-	switch trouble {
+func (o *loadSim) injectFault(fault longRunningFault) []*modelWorker {
+	switch fault {
 	case crashes:
 		o.crashRandomWorkers(o.workerCount / 8)
 	case takeovers:
--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -255,16 +255,16 @@
 		m.step(now, w.elapsed())
 	}
 	due, rest := []message{}, []message{}
-	for _, l := range w.inFlight {
-		if l.at.After(now) {
-			rest = append(rest, l)
+	for _, msg := range w.inFlight {
+		if msg.at.After(now) {
+			rest = append(rest, msg)
 		} else {
-			due = append(due, l)
+			due = append(due, msg)
 		}
 	}
 	w.inFlight = rest
-	for _, l := range due {
-		l.deliver()
+	for _, msg := range due {
+		msg.deliver()
 	}
 }
 
