--- a/internal/dispatch/simulation_test.go
+++ b/internal/dispatch/simulation_test.go
@@ -594,7 +594,7 @@
 	}
 }
 
-// pollCount returns how many polls of a worker were sent.
+// pollCount returns how many polls were sent to a worker, except those that were lost.
 func (w *sim) pollCount(id order.WorkerID) int { return w.pollCounts[id] }
 
 // workerOf returns the worker that runs a task, or nil.
--- a/internal/dispatch/worker_model_test.go
+++ b/internal/dispatch/worker_model_test.go
@@ -49,7 +49,7 @@
 	// confirmed are the tasks whose successful end the engine has confirmed to the worker.
 	confirmed map[work.TaskID]bool
 	// confirmedUpTo is the highest end number that was confirmed. The worker discards ends up to
-	// it, also if the confirmation of a lower number arrives later.
+	// it, also ends that only occur after the confirmation has arrived.
 	confirmedUpTo uint64
 	nextEndNumber uint64
 	isPartitioned bool
