--- a/internal/dispatch/batch_test.go
+++ b/internal/dispatch/batch_test.go
@@ -12,7 +12,7 @@
 
 // A store in which each job is written whole carries many times what has changed: what
 // has only ended waits a little, what starts or is over does not.
-func TestOnlyUrgentJobsAreWrittenAtOnce(t *testing.T) {
+func TestTaskEndsAreBatchedIntoFewJobWrites(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(30, room)
 	w.run(time.Second)
--- a/internal/dispatch/channels_test.go
+++ b/internal/dispatch/channels_test.go
@@ -14,11 +14,11 @@
 
 // Steps that wait for room in a full pool took all lanes with calls that served nothing, while jobs
 // of a pool that was empty had none.
-func TestStepsThatWaitForRoomLeaveLanesToAnEmptyPool(t *testing.T) {
+func TestStepsWaitingForCapacityLeaveChannelsToOtherPools(t *testing.T) {
 	w := newWorld(1)
-	office := part
-	office.Name, office.Service = "office", "office"
-	w.queues, w.lanes = []order.Queue{whole, office}, []string{"a", "b", "c", "d", "e", "f", "g", "h"}
+	officeQueue := part
+	officeQueue.Name, officeQueue.Service = "office", "office"
+	w.queues, w.lanes = []order.Queue{whole, officeQueue}, []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	w.takeOver()
 	w.addWorkers(40, accelerated)
 	for name, m := range w.each() {
@@ -35,20 +35,20 @@
 		w.submitTo("whole", fmt.Sprintf("gang%02d", i), gang)
 	}
 	w.run(3 * time.Second)
-	handedIn := w.since()
+	submittedAt := w.since()
 	for i := range 20 {
 		w.submitTo("office", fmt.Sprintf("job%02d", i), partStep(2, 500*time.Millisecond))
 	}
 	w.run(15 * time.Second)
-	longest := time.Duration(0)
+	longestWait := time.Duration(0)
 	for i := range 20 {
 		id := work.JobID(fmt.Sprintf("job%02d", i))
 		expectState(t, w, id, work.JobSucceeded)
-		longest = max(longest, w.endedAt[id]-handedIn)
+		longestWait = max(longestWait, w.endedAt[id]-submittedAt)
 	}
-	t.Logf("longest: %v", longest)
-	if longest > 5*time.Second {
-		t.Errorf("longest of 20 jobs of 0.5 s on empty workers: got: %v, want: at most 5s", longest)
+	t.Logf("longest: %v", longestWait)
+	if longestWait > 5*time.Second {
+		t.Errorf("longest of 20 jobs of 0.5 s on empty workers: got: %v, want: at most 5s", longestWait)
 	}
 	expectWhole(t, w)
 }
--- a/internal/dispatch/claims_test.go
+++ b/internal/dispatch/claims_test.go
@@ -13,11 +13,11 @@
 
 // Steps that ask at the same time leave room to each other: asked about the same workers, all
 // but the first of them find these taken half a second later.
-func TestStepsThatAskTogetherNameOtherWorkers(t *testing.T) {
+func TestConcurrentPermissionQueriesNameDifferentWorkers(t *testing.T) {
 	w := newWorld(1)
-	asking := testQueue
-	asking.Permission = &order.PermissionPolicy{BaseTime: 500 * time.Millisecond, TimePerWorker: 7 * time.Millisecond, ValidFor: 2 * time.Second}
-	w.queues, w.lanes = []order.Queue{asking}, []string{"a", "b", "c", "d", "e"}
+	permissionQueue := testQueue
+	permissionQueue.Permission = &order.PermissionPolicy{BaseTime: 500 * time.Millisecond, TimePerWorker: 7 * time.Millisecond, ValidFor: 2 * time.Second}
+	w.queues, w.lanes = []order.Queue{permissionQueue}, []string{"a", "b", "c", "d", "e"}
 	w.takeOver()
 	w.addWorkers(40, room)
 	w.run(time.Second)
@@ -25,10 +25,10 @@
 	large.Need = room
 	w.submit("first", large)
 	w.submit("second", large)
-	named := map[string][]order.WorkerID{}
-	w.onAdvise = func(a order.QueryPermission) { named[string(a.Step.Job)] = a.Workers }
+	queried := map[string][]order.WorkerID{}
+	w.onAdvise = func(query order.QueryPermission) { queried[string(query.Step.Job)] = query.Workers }
 	w.run(100 * time.Millisecond)
-	first, second := named["first"], named["second"]
+	first, second := queried["first"], queried["second"]
 	if len(first) < 6 || len(second) < 6 {
 		t.Fatalf("named: got: %d and %d, want: some for both", len(first), len(second))
 	}
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -25,18 +25,18 @@
 // of the task, and nothing that counts it; the job stays "running". No owner ended
 // meanwhile. Only an end told as failed counted as one of the attempts that a task has: the
 // worker that dies tells none.
-func TestATaskThatCrashesWorkersIsGivenUp(t *testing.T) {
+func TestJobIsFailedWhenItsTaskCrashesWorkers(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(12, room)
 	w.run(time.Second)
-	bad := work.TaskID{Job: "bad"}
-	w.crashingTask(bad)
+	crashing := work.TaskID{Job: "bad"}
+	w.crashingTask(crashing)
 	w.submit("bad", step(10, 800*time.Millisecond))
 	w.submit("good", step(20, 800*time.Millisecond), step(10, 800*time.Millisecond))
 	w.run(40 * time.Second)
 	expectState(t, w, "bad", work.JobFailed)
 	expectState(t, w, "good", work.JobSucceeded)
-	if got := w.crashes.under[bad]; got < 2 || got > 3 {
+	if got := w.crashes.under[crashing]; got < 2 || got > 3 {
 		t.Errorf("workers that crashed under the task: got: %d, want: 2 or 3", got)
 	}
 	expectWhole(t, w)
@@ -44,7 +44,7 @@
 
 // playCrashing plays one task that crashes its workers beside a load that is not to suffer
 // for it, with a trouble at each crash. It returns the world 60 s later.
-func playCrashing(seed uint64, isUnderName bool, prepare func(*world), atCrash func(w *world, n int)) *world {
+func simulateCrashingTask(seed uint64, isUnderName bool, prepare func(*world), atCrash func(w *world, n int)) *world {
 	w := newTellingWorld(seed)
 	w.addWorkers(12, room)
 	w.run(time.Second)
@@ -66,25 +66,25 @@
 	return w
 }
 
-func expectOnlyGivenUp(t *testing.T, w *world, bad work.JobID) {
+func expectOnlyJobFailed(t *testing.T, w *world, crashing work.JobID) {
 	t.Helper()
 	for _, id := range w.order {
-		if id != bad {
+		if id != crashing {
 			expectState(t, w, id, work.JobSucceeded)
 		}
 	}
-	expectState(t, w, bad, work.JobFailed)
+	expectState(t, w, crashing, work.JobFailed)
 	expectWhole(t, w)
 }
 
 // The bound holds whatever the task's time to the crash, the workers' time to come back,
 // and the trouble of owners and of the store meanwhile; and no job beside is given up.
-func TestTheBoundOfCrashesHoldsInTroubles(t *testing.T) {
+func TestCrashLimitHoldsUnderFaults(t *testing.T) {
 	t.Parallel()
-	nothing := func(*world) {}
-	after := func(d time.Duration) func(*world) { return func(w *world) { w.crashes.after = d } }
-	late := func(w *world) { w.crashes.backAfter, w.crashes.unlistedAfter = 9*time.Second, 4500*time.Millisecond }
-	takeOverIn := func(d time.Duration) func(*world, int) {
+	noFault := func(*world) {}
+	crashAfter := func(d time.Duration) func(*world) { return func(w *world) { w.crashes.after = d } }
+	restartLate := func(w *world) { w.crashes.backAfter, w.crashes.unlistedAfter = 9*time.Second, 4500*time.Millisecond }
+	takeOverAfter := func(d time.Duration) func(*world, int) {
 		return func(w *world, n int) {
 			if n > 6 {
 				return
@@ -97,16 +97,16 @@
 		prepare func(*world)
 		atCrash func(*world, int)
 	}{
-		"calm":                              {nothing, func(*world, int) {}},
-		"crash after half a second":         {after(500 * time.Millisecond), func(*world, int) {}},
-		"crash near the end of the task":    {after(790 * time.Millisecond), func(*world, int) {}},
-		"crash after some seconds":          {after(3 * time.Second), func(*world, int) {}},
-		"workers are back late":             {late, func(*world, int) {}},
-		"owner ends with each crash":        {nothing, takeOverIn(0)},
-		"owner ends just after each crash":  {nothing, takeOverIn(50 * time.Millisecond)},
-		"owner ends before workers return":  {nothing, takeOverIn(2 * time.Second)},
-		"owner ends as workers return":      {nothing, takeOverIn(3100 * time.Millisecond)},
-		"owner ends, workers are back late": {late, takeOverIn(time.Second)},
+		"calm":                              {noFault, func(*world, int) {}},
+		"crash after half a second":         {crashAfter(500 * time.Millisecond), func(*world, int) {}},
+		"crash near the end of the task":    {crashAfter(790 * time.Millisecond), func(*world, int) {}},
+		"crash after some seconds":          {crashAfter(3 * time.Second), func(*world, int) {}},
+		"workers are back late":             {restartLate, func(*world, int) {}},
+		"owner ends with each crash":        {noFault, takeOverAfter(0)},
+		"owner ends just after each crash":  {noFault, takeOverAfter(50 * time.Millisecond)},
+		"owner ends before workers return":  {noFault, takeOverAfter(2 * time.Second)},
+		"owner ends as workers return":      {noFault, takeOverAfter(3100 * time.Millisecond)},
+		"owner ends, workers are back late": {restartLate, takeOverAfter(time.Second)},
 		"workers are dark":                  {func(w *world) { w.crashes.isDark = true }, func(*world, int) {}},
 		"answers are lost":                  {func(w *world) { w.lostShare = 0.1 }, func(*world, int) {}},
 		"store is out from the first crash": {func(w *world) { w.runsAhead = true }, func(w *world, n int) { w.isOut = n < 5 }},
@@ -120,12 +120,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(4) {
-				w := playCrashing(seed, seed%2 == 1, c.prepare, c.atCrash)
+				w := simulateCrashingTask(seed, seed%2 == 1, c.prepare, c.atCrash)
 				if w.isOut {
 					w.isOut = false
 					w.run(20 * time.Second)
 				}
-				expectOnlyGivenUp(t, w, "bad")
+				expectOnlyJobFailed(t, w, "bad")
 			}
 		})
 	}
@@ -133,7 +133,7 @@
 
 // Tasks beside one that crashes its workers are not given up for it: with two workers in
 // use, most of what runs is beside it each time.
-func TestATaskBesideOneThatCrashesWorkersIsNotGivenUp(t *testing.T) {
+func TestTaskBesideACrashingTaskIsNotFailed(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
 		w := newWorld(seed)
@@ -143,9 +143,9 @@
 		for i := range 8 {
 			w.submit(fmt.Sprintf("good%d", i), step(4, 3*time.Second))
 		}
-		lasting := step(6, time.Hour)
-		lasting.IsLongRunning = true
-		w.submit("lasting", lasting)
+		longRunning := step(6, time.Hour)
+		longRunning.IsLongRunning = true
+		w.submit("lasting", longRunning)
 		w.submit("bad1", step(1, time.Second))
 		w.submit("bad2", step(1, time.Second))
 		w.run(60 * time.Second)
@@ -166,7 +166,7 @@
 
 // The members of a gang start together: one of them that crashes its worker is found, and
 // those beside it are its own.
-func TestAGangWithATaskThatCrashesWorkersIsGivenUp(t *testing.T) {
+func TestGangIsFailedWhenAMemberCrashesWorkers(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(8, room)
 	w.run(time.Second)
@@ -176,18 +176,18 @@
 	w.submit("bad", gang)
 	w.submit("good", step(10, time.Second))
 	w.run(40 * time.Second)
-	expectOnlyGivenUp(t, w, "bad")
+	expectOnlyJobFailed(t, w, "bad")
 }
 
 // A worker that is cut off until its leases are over has not crashed: what ran there is
 // not held against its tasks.
-func TestACutIsNoCrash(t *testing.T) {
+func TestNetworkPartitionDoesNotCountAsCrash(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(3, room)
 	w.run(time.Second)
-	lasting := step(1, time.Hour)
-	lasting.IsLongRunning = true
-	w.submit("a", lasting)
+	longRunning := step(1, time.Hour)
+	longRunning.IsLongRunning = true
+	w.submit("a", longRunning)
 	w.run(200 * time.Millisecond)
 	for range 6 {
 		m := w.workerOf(work.TaskID{Job: "a"})
@@ -205,7 +205,7 @@
 
 // A task against which a crash tells waited until the owner no longer ran ahead of the store,
 // also where that was slow for the rest of the day and kept all the same.
-func TestASuspectDoesNotWaitForASlowStoreToBeFast(t *testing.T) {
+func TestSuspectedTaskStartsWhileStoreIsSlow(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(4, room)
 	w.run(time.Second)
@@ -220,13 +220,13 @@
 }
 
 // A lasting task sees many crashes of others' doing in a day.
-func TestALastingTaskOutlivesManyCrashes(t *testing.T) {
+func TestLongRunningTaskSurvivesManyUnrelatedCrashes(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(3, room)
 	w.run(time.Second)
-	lasting := step(1, time.Hour)
-	lasting.IsLongRunning = true
-	w.submit("a", lasting)
+	longRunning := step(1, time.Hour)
+	longRunning.IsLongRunning = true
+	w.submit("a", longRunning)
 	w.run(200 * time.Millisecond)
 	for i := range 6 {
 		w.run(12 * time.Second)
@@ -244,7 +244,7 @@
 // A rack that loses power, or a machine that dies, is no task's doing: on a day with six
 // crashes of 15 to 50 % of the workers at once callers saw jobs shown as failed of which no
 // task had failed. Those that had just started on two such workers had been given up.
-func TestWorkersThatCrashByThemselvesGiveNothingUp(t *testing.T) {
+func TestWorkerCrashesNotCausedByTasksFailNoJob(t *testing.T) {
 	for name, c := range map[string]struct {
 		workers int
 		pause   time.Duration
@@ -263,9 +263,9 @@
 				w.run(time.Second)
 				w.crashing(func(work.TaskID) bool { return false })
 				w.crashes.isDark = c.isDark
-				lasting := step(12, time.Hour)
-				lasting.IsLongRunning = true
-				w.submit("lasting", lasting)
+				longRunning := step(12, time.Hour)
+				longRunning.IsLongRunning = true
+				w.submit("lasting", longRunning)
 				for next, i := time.Duration(0), 0; w.since() < 25*time.Second; i++ {
 					w.submit(fmt.Sprintf("j%d", i), step(1+w.rng.IntN(8), 800*time.Millisecond))
 					w.submit(fmt.Sprintf("k%d", i), step(1+w.rng.IntN(3), 4*time.Second))
@@ -290,18 +290,18 @@
 
 // The bound holds in any world with tasks that crash their workers, with the troubles of
 // TestPromisesHoldInAnyWorld.
-func TestPromisesHoldWithTasksThatCrashWorkers(t *testing.T) {
+func TestInvariantsHoldWithTasksThatCrashWorkers(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261203)
 	parameters.MinSuccessfulTests = 20
 	properties := gopter.NewProperties(parameters)
 	properties.Property("no promise is broken and all jobs end", prop.ForAll(
-		func(seed uint64) (bool, error) { return keepsPromises(playCrashingDay(seed), seed) }, gen.UInt64()))
+		func(seed uint64) (bool, error) { return keepsPromises(simulateCrashes(seed), seed) }, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
 // playCrashingDay plays 30 s of troubles, with a task that crashes workers each 3 s, and
 // then lets all end.
-func playCrashingDay(seed uint64) *world {
+func simulateCrashes(seed uint64) *world {
 	w := newWorld(seed)
 	w.addWorkers(8, room)
 	w.run(time.Second)
@@ -321,18 +321,18 @@
 
 // With a worker on each of the others' trials, the one that a suspect had just crashed was
 // the only one left to try it on again, which proved nothing and cost another life.
-func TestASuspectIsNotTriedOnTheMachineThatItCrashed(t *testing.T) {
+func TestSuspectedTaskIsNotRetriedOnTheMachineItCrashed(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(2, room)
 	w.run(time.Second)
-	bad := work.TaskID{Job: "bad"}
-	w.crashingTask(bad)
+	crashing := work.TaskID{Job: "bad"}
+	w.crashingTask(crashing)
 	w.crashes.backAfter = 500 * time.Millisecond
 	w.submit("bad", step(1, time.Second))
 	machines := map[string]int{}
 	for w.since() < 10*time.Second {
 		w.run(tick)
-		if m := w.workerOf(bad); m != nil && w.crashes.under[bad] < 2 {
+		if m := w.workerOf(crashing); m != nil && w.crashes.under[crashing] < 2 {
 			machines[m.entry.Machine]++
 		}
 	}
@@ -345,7 +345,7 @@
 
 // After two losses of half of the workers hundreds of tasks were tried one after the other, three a
 // second, and callers' jobs stood still.
-func TestTasksThatWereOnManyLostWorkersAreNotTriedOneByOne(t *testing.T) {
+func TestTasksOfSimultaneouslyLostWorkersAreNotIsolatedOneByOne(t *testing.T) {
 	w := newWorld(1)
 	w.crashing(func(work.TaskID) bool { return false })
 	w.addWorkers(20, room.Times(8))
--- a/internal/dispatch/customer_test.go
+++ b/internal/dispatch/customer_test.go
@@ -17,7 +17,7 @@
 )
 
 // tasksOf is how many tasks of step a customer has running.
-func tasksOf(w *world, name work.CustomerName) int { return int(w.usedBy(name).MilliCPU / 1000) }
+func runningTasksOf(w *world, name work.CustomerName) int { return int(w.usedBy(name).MilliCPU / 1000) }
 
 // newLimitedWorld returns a world of five workers in which limits are in force.
 func newLimitedWorld(customers ...order.Customer) *world {
@@ -28,12 +28,12 @@
 	return w
 }
 
-func TestACustomerHasNoMoreRunningThanItMay(t *testing.T) {
+func TestRunningTasksStayWithinCustomerLimit(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 3), limitOf("b", 0))
 	w.submitFor("a", "q", "j1", step(8, time.Second))
 	w.submitFor("b", "q", "j2", step(8, time.Second))
 	w.run(500 * time.Millisecond)
-	if a, b := tasksOf(w, "a"), tasksOf(w, "b"); a != 3 || b != 8 {
+	if a, b := runningTasksOf(w, "a"), runningTasksOf(w, "b"); a != 3 || b != 8 {
 		t.Errorf("running: got: %d and %d, want: 3 under the limit and 8 without one", a, b)
 	}
 	w.run(4 * time.Second)
@@ -42,7 +42,7 @@
 }
 
 // What is being stopped may run until its end is known.
-func TestWhatIsBeingStoppedCountsAgainstTheLimit(t *testing.T) {
+func TestStoppingTasksCountAgainstCustomerLimit(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 4))
 	w.submitFor("a", "q", "j1", step(4, time.Minute))
 	w.run(500 * time.Millisecond)
@@ -59,28 +59,28 @@
 
 // A new owner knows from the store where tasks of a customer may run, before it has heard from
 // the workers: those on a worker that is cut off count until its lease is over.
-func TestWhatAnEarlierOwnerStartedCountsAgainstTheLimit(t *testing.T) {
+func TestTasksOfPreviousOwnerCountAgainstCustomerLimit(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 4))
 	w.submitFor("a", "q", "j1", step(4, time.Minute))
 	w.run(500 * time.Millisecond)
-	cut := w.workerOf(work.TaskID{Job: "j1"})
-	left := 4 - len(cut.running)
-	cut.isCut = true
+	cutOff := w.workerOf(work.TaskID{Job: "j1"})
+	elsewhere := 4 - len(cutOff.running)
+	cutOff.isCut = true
 	w.takeOver()
 	w.submitFor("a", "q", "j2", step(4, time.Second))
 	w.run(3 * time.Second)
 	if got := state(w, "j2"); got != work.JobQueued {
-		t.Errorf("with %d tasks of the customer on a worker that is cut off and %d elsewhere: got: %v, want: %v", len(cut.running), left, got, work.JobQueued)
+		t.Errorf("with %d tasks of the customer on a worker that is cut off and %d elsewhere: got: %v, want: %v", len(cutOff.running), elsewhere, got, work.JobQueued)
 	}
 	w.run(20 * time.Second)
-	if got := tasksOf(w, "a"); got != 4 {
+	if got := runningTasksOf(w, "a"); got != 4 {
 		t.Errorf("once the lease is over: got: %d running, want: 4", got)
 	}
 	expectWhole(t, w)
 }
 
 // An owner that ran ahead of the store may have started any task of its jobs anywhere.
-func TestWhatMayRunAnywhereCountsAgainstTheLimit(t *testing.T) {
+func TestTasksWithUnknownPlacementCountAgainstCustomerLimit(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 4))
 	w.submitFor("a", "q", "j1", step(4, time.Minute))
 	w.run(tick)
@@ -100,7 +100,7 @@
 
 // The tasks of a job that is over, of which the store has no more than its end, have a size
 // that a new owner does not know.
-func TestTasksOfAnUnknownSizeHoldTheirCustomerBack(t *testing.T) {
+func TestTasksOfUnknownSizeBlockTheirCustomerUntilStopped(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 4))
 	w.submitFor("a", "q", "j1", step(4, time.Minute))
 	w.run(500 * time.Millisecond)
@@ -113,7 +113,7 @@
 }
 
 // A copy beside an attempt that may run takes as much again.
-func TestACopyCountsAgainstTheLimit(t *testing.T) {
+func TestSpeculativeCopyCountsAgainstCustomerLimit(t *testing.T) {
 	for limit, want := range map[int64]int{1: 1, 2: 2} {
 		w := newLimitedWorld(limitOf("a", limit))
 		s := step(1, time.Minute)
@@ -128,23 +128,23 @@
 	}
 }
 
-func TestALimitThatFallsStopsNothingAndHoldsBackTheNext(t *testing.T) {
+func TestLoweredLimitStopsNoTaskButDelaysNewStarts(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 6))
 	w.submitFor("a", "q", "j1", step(6, 2*time.Second))
 	w.submitFor("a", "q", "j2", step(6, time.Second))
 	w.run(500 * time.Millisecond)
 	w.limit(limitOf("a", 2))
 	w.run(time.Second)
-	if got := tasksOf(w, "a"); got != 6 {
+	if got := runningTasksOf(w, "a"); got != 6 {
 		t.Errorf("after the limit has fallen: got: %d running, want: 6 as before", got)
 	}
 	w.run(time.Second)
-	if got := tasksOf(w, "a"); got != 2 {
+	if got := runningTasksOf(w, "a"); got != 2 {
 		t.Errorf("later: got: %d running, want: 2", got)
 	}
 	w.limit(limitOf("a", 6))
 	w.run(100 * time.Millisecond)
-	if got := tasksOf(w, "a"); got != 6 {
+	if got := runningTasksOf(w, "a"); got != 6 {
 		t.Errorf("after it has risen again: got: %d running, want: 6", got)
 	}
 	expectWhole(t, w)
@@ -152,7 +152,7 @@
 
 // A place that is planned while the store is slow does not become a start once the limit has
 // fallen.
-func TestAPlannedStartIsGivenUpWhenTheLimitFalls(t *testing.T) {
+func TestPlannedStartIsDroppedWhenLimitIsLowered(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 6))
 	w.submitFor("a", "q", "j", step(6, time.Second))
 	w.run(tick)
@@ -162,7 +162,7 @@
 	w.run(300 * time.Millisecond)
 	w.isOut = false
 	w.run(300 * time.Millisecond)
-	if got := tasksOf(w, "a"); got != 2 {
+	if got := runningTasksOf(w, "a"); got != 2 {
 		t.Errorf("got: %d running, want: 2", got)
 	}
 	expectWhole(t, w)
@@ -170,7 +170,7 @@
 
 // A gang that waits for the limit of its customer gets what becomes free, though small jobs of
 // the customer come all the time.
-func TestAGangIsNotStarvedUnderTheLimitOfItsCustomer(t *testing.T) {
+func TestGangIsNotStarvedWithinCustomerLimit(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 6))
 	gang := step(5, time.Second)
 	gang.IsGang = true
@@ -187,11 +187,11 @@
 
 // One that cannot fit beside tasks that last does not keep the others of its customer from
 // running.
-func TestAGangThatCannotFitHoldsBackNothing(t *testing.T) {
+func TestGangThatCannotFitLimitDoesNotBlockOtherJobs(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 6))
-	lasting := step(3, time.Hour)
-	lasting.IsLongRunning = true
-	w.submitFor("a", "q", "lasting", lasting)
+	longRunning := step(3, time.Hour)
+	longRunning.IsLongRunning = true
+	w.submitFor("a", "q", "lasting", longRunning)
 	w.run(500 * time.Millisecond)
 	gang := step(5, time.Second)
 	gang.IsGang = true
@@ -203,7 +203,7 @@
 	expectWhole(t, w)
 }
 
-func TestAJobThatCanNeverFitIsTold(t *testing.T) {
+func TestCheckJobRejectsJobThatCanNeverFitLimit(t *testing.T) {
 	w := newWorld(1)
 	w.limit(limitOf("a", 3))
 	gang := step(4, time.Second)
@@ -221,14 +221,14 @@
 		"no customer":      {"", gang, true},
 		"unknown customer": {"c", gang, true},
 	} {
-		why := w.engine.CheckJob(&work.Spec{Customer: tc.customer, Steps: []work.Step{tc.step}})
-		if (why == "") != tc.canRun {
-			t.Errorf("%s: got: %q, want: can run: %v", name, why, tc.canRun)
+		reason := w.engine.CheckJob(&work.Spec{Customer: tc.customer, Steps: []work.Step{tc.step}})
+		if (reason == "") != tc.canRun {
+			t.Errorf("%s: got: %q, want: can run: %v", name, reason, tc.canRun)
 		}
 	}
 }
 
-func TestWhoSeesAJob(t *testing.T) {
+func TestJobIsAccessibleOnlyToItsCustomer(t *testing.T) {
 	w := newWorld(1)
 	w.submitFor("a", "q", "j", step(1, time.Second))
 	w.engine.RestoreJob(&work.Spec{ID: "over", Customer: "a"}, &work.Progress{State: work.JobSucceeded, Customer: "a"})
@@ -248,22 +248,22 @@
 
 // TestLimitsHoldInAnyWorld plays random jobs of customers with limits that change, beside
 // everything that may happen to workers, the store and owners.
-func TestLimitsHoldInAnyWorld(t *testing.T) {
+func TestCustomerLimitsHoldUnderRandomFaults(t *testing.T) {
 	t.Parallel()
 	parameters := gopter.DefaultTestParametersWithSeed(20261203)
 	parameters.MinSuccessfulTests = 40
 	properties := gopter.NewProperties(parameters)
 	properties.Property("no limit is broken and all jobs end", prop.ForAll(
-		func(seed uint64) (bool, error) { return keepsPromises(playCustomersDay(seed), seed) }, gen.UInt64()))
+		func(seed uint64) (bool, error) { return keepsPromises(simulateCustomers(seed), seed) }, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
 // playCustomersDay plays 40 s of troubles with three customers, and then lets all end.
-func playCustomersDay(seed uint64) *world {
+func simulateCustomers(seed uint64) *world {
 	w := newTellingWorld(seed)
 	w.lateHoldShare = 0.5
-	low, high := limitOf("a", 3), limitOf("a", 7)
-	w.limit(high, limitOf("b", 5), limitOf("c", 0))
+	lowLimit, highLimit := limitOf("a", 3), limitOf("a", 7)
+	w.limit(highLimit, limitOf("b", 5), limitOf("c", 0))
 	w.addWorkers(6, room)
 	w.run(time.Second)
 	for i := range 40 {
@@ -273,7 +273,7 @@
 		w.submitFor(customer, "q", fmt.Sprintf("j%02d", i), s, step(1+w.rng.IntN(3), 300*time.Millisecond))
 		w.trouble(i)
 		if w.rng.IntN(8) == 0 {
-			w.limit([]order.Customer{low, high}[w.rng.IntN(2)], limitOf("b", 5), limitOf("c", 0))
+			w.limit([]order.Customer{lowLimit, highLimit}[w.rng.IntN(2)], limitOf("b", 5), limitOf("c", 0))
 		}
 		if w.rng.IntN(6) == 0 {
 			w.engine.Cancel(work.JobID(fmt.Sprintf("j%02d", w.rng.IntN(i+1))), customer)
--- a/internal/dispatch/day_test.go
+++ b/internal/dispatch/day_test.go
@@ -13,24 +13,24 @@
 // The time by which an owner measures counts a suspension, so that its time of day is ahead
 // by as much. A round that is due by the time of day must not start earlier for it.
 func TestRoundsAreDueByTheTimeOfDay(t *testing.T) {
-	h := newHeir(0)
+	h := newSuccessor(0)
 	begin := h.clock.Now()
 	h.Inherit(begin, true, 0)
-	h.list("w")
-	h.told("w")
+	h.setWorkerList("w")
+	h.reportIdle("w")
 	s := step(1, time.Second)
 	h.AddJob(&work.Spec{ID: "timed", Queue: "q", Steps: []work.Step{s}, Rounds: 1, StartAt: begin.Add(8 * time.Second)})
-	before := h.starts(2 * time.Second)
+	before := h.startsAfter(2 * time.Second)
 	h.clock.Advance(8 * time.Second)
 	h.Advance(h.clock.Now())
 	h.SetTimeOfDay(begin.Add(5 * time.Second))
-	h.told("w")
-	if got := h.starts(10 * time.Millisecond); got != 0 {
+	h.reportIdle("w")
+	if got := h.startsAfter(10 * time.Millisecond); got != 0 {
 		t.Errorf("starts 3 s before the round is due, after %d: got: %d, want: 0", before, got)
 	}
 	h.SetTimeOfDay(begin.Add(9 * time.Second))
-	h.told("w")
-	if got := h.starts(100 * time.Millisecond); got != 1 {
+	h.reportIdle("w")
+	if got := h.startsAfter(100 * time.Millisecond); got != 1 {
 		t.Errorf("starts when the round is due: got: %d, want: 1", got)
 	}
 }
--- a/internal/dispatch/leave_test.go
+++ b/internal/dispatch/leave_test.go
@@ -12,12 +12,12 @@
 
 // What ran on a worker that had left as planned waited for the end of its lease,
 // 6.6 s, though the removal of its entry told that it was gone (inc-8de9).
-func TestTasksOfAWorkerThatHasLeftStartElsewhere(t *testing.T) {
+func TestTasksOfADrainedAndRemovedWorkerRestartElsewhere(t *testing.T) {
 	for name, tc := range map[string]struct {
-		isDraining, isCertain bool
-		heartbeat             time.Duration
+		isDraining, isListCertain bool
+		heartbeatAge              time.Duration
 		// answers means that it answers until its entry is removed.
-		answers, isOver bool
+		answersUntilRemoval, wantRestart bool
 	}{
 		"drained, heard lately":       {true, true, time.Second, false, true},
 		"drained, answered until now": {true, true, time.Second, true, true},
@@ -25,25 +25,25 @@
 		"drained, the list uncertain": {true, false, time.Second, false, false},
 		"not drained":                 {false, true, time.Second, false, false},
 	} {
-		c := newRetryCell("v", "w")
-		c.submit("a", false)
-		leaving := c.starts[0].Worker
+		cluster := newRetryCluster("v", "w")
+		cluster.submit("a", false)
+		leaving := cluster.starts[0].Worker
 		entry := order.Worker{ID: leaving, Service: "pool", Capacity: step(1, 0).Need, IsDraining: tc.isDraining}
 		other := order.Worker{ID: "v", Service: "pool", Capacity: step(1, 0).Need}
 		if leaving == "v" {
 			other.ID = "w"
 		}
-		c.engine.SetWorkers([]order.Worker{entry, other}, true)
-		if !tc.answers {
-			c.silent = leaving
+		cluster.engine.SetWorkers([]order.Worker{entry, other}, true)
+		if !tc.answersUntilRemoval {
+			cluster.silentWorker = leaving
 		}
-		c.settle()
-		c.silent = leaving
-		entry.IsRemoved, entry.HeartbeatAt = true, c.clock.Now().Add(-tc.heartbeat)
-		c.engine.SetWorkers([]order.Worker{entry, other}, tc.isCertain)
-		c.advance(500 * time.Millisecond)
-		if got := len(c.starts) == 2; got != tc.isOver {
-			t.Errorf("%s: started elsewhere: got: %v, want: %v", name, got, tc.isOver)
+		cluster.settle()
+		cluster.silentWorker = leaving
+		entry.IsRemoved, entry.HeartbeatAt = true, cluster.clock.Now().Add(-tc.heartbeatAge)
+		cluster.engine.SetWorkers([]order.Worker{entry, other}, tc.isListCertain)
+		cluster.advance(500 * time.Millisecond)
+		if got := len(cluster.starts) == 2; got != tc.wantRestart {
+			t.Errorf("%s: started elsewhere: got: %v, want: %v", name, got, tc.wantRestart)
 		}
 	}
 }
--- a/internal/dispatch/long_running_test.go
+++ b/internal/dispatch/long_running_test.go
@@ -13,25 +13,25 @@
 )
 
 // lastingStep is a step of tasks that last.
-func lastingStep(count int) work.Step {
+func longRunningStep(count int) work.Step {
 	s := step(count, time.Hour)
 	s.IsLongRunning = true
 	return s
 }
 
 // A worker beside whose tasks others had failed got nothing more for as long as any of them lasted.
-func TestAWorkerThatWasSetAsideIsTriedBesideATaskThatLasts(t *testing.T) {
-	for name, failing := range map[string]work.Step{"short tasks": step(1, time.Second), "a task that lasts": lastingStep(1)} {
+func TestEjectedWorkerIsProbedWhileALongRunningTaskRuns(t *testing.T) {
+	for name, failing := range map[string]work.Step{"short tasks": step(1, time.Second), "a task that lasts": longRunningStep(1)} {
 		w := newWorld(1)
 		w.addWorkers(1, room.Times(2))
-		w.submit("stays", lastingStep(1))
+		w.submit("stays", longRunningStep(1))
 		w.run(time.Second)
 		w.workers["w00"].isSick = true
 		w.submit("a", failing)
 		w.submit("b", failing)
 		w.run(time.Second)
 		w.workers["w00"].isSick = false
-		w.submit("late", lastingStep(2))
+		w.submit("late", longRunningStep(2))
 		w.run(6 * time.Second)
 		if got := w.running("late"); got != 2 {
 			t.Errorf("beside %s that failed: tasks that run 6 s after the worker is well: got: %d, want: 2", name, got)
@@ -40,22 +40,22 @@
 }
 
 // Calls for permission named the workers on which tasks of the step ran already, and no others.
-func TestATaskIsAskedForWhereThereIsRoomNotWhereItsStepRuns(t *testing.T) {
+func TestPermissionQueryNamesWorkersWithCapacityNotThoseRunningTheStep(t *testing.T) {
 	o := newOffice(1, 100)
 	o.idle(time.Second)
 	s := work.Step{Count: 15, Need: longStepNeed, Estimate: time.Hour, IsLongRunning: true, MaxPerWorker: 1, MaxUnavailable: -1}
-	asked := map[order.WorkerID]bool{}
+	queried := map[order.WorkerID]bool{}
 	o.onAdvise = func(a order.QueryPermission) {
 		for _, id := range a.Workers {
-			asked[id] = true
+			queried[id] = true
 		}
 	}
 	o.submitTo("lasting", "a", s)
 	o.idle(4 * time.Second)
-	if got := o.running("a"); got != s.Count || len(asked) == o.size {
-		t.Fatalf("got: %d tasks that run, %d workers asked about, want: %d, and fewer than %d", got, len(asked), s.Count, o.size)
+	if got := o.running("a"); got != s.Count || len(queried) == o.size {
+		t.Fatalf("got: %d tasks that run, %d workers asked about, want: %d, and fewer than %d", got, len(queried), s.Count, o.size)
 	}
-	for id := range asked {
+	for id := range queried {
 		if m := o.named(id); len(m.running) == 0 {
 			m.entry.IsDraining = true
 		}
@@ -68,21 +68,21 @@
 }
 
 // A worker that had failed all for a while got nothing for up to 12 s after it was well again.
-func TestNothingStandsStillForALongPauseOfTheOnlyWorker(t *testing.T) {
-	for name, late := range map[string]work.Step{"a task that lasts": lastingStep(1), "a short task": step(1, 10*time.Second)} {
-		for sick := 20 * time.Second; sick < 32*time.Second; sick += time.Second {
+func TestOnlyWorkerIsReadmittedSoonAfterRecovery(t *testing.T) {
+	for name, followUp := range map[string]work.Step{"a task that lasts": longRunningStep(1), "a short task": step(1, 10*time.Second)} {
+		for degradedFor := 20 * time.Second; degradedFor < 32*time.Second; degradedFor += time.Second {
 			w := newWorld(1)
 			w.addWorkers(1, room.Times(2))
 			w.run(time.Second)
 			w.workers["w00"].isSick = true
-			w.submit("a", lastingStep(1))
-			w.submit("b", lastingStep(1))
-			w.run(sick)
+			w.submit("a", longRunningStep(1))
+			w.submit("b", longRunningStep(1))
+			w.run(degradedFor)
 			w.workers["w00"].isSick = false
-			w.submit("late", late)
+			w.submit("late", followUp)
 			w.run(7 * time.Second)
 			if got := w.running("late"); got != 1 {
-				t.Errorf("%s, 7 s after the worker was well, sick for %v: got: %d that run, want: 1", name, sick, got)
+				t.Errorf("%s, 7 s after the worker was well, sick for %v: got: %d that run, want: 1", name, degradedFor, got)
 			}
 		}
 	}
@@ -90,11 +90,11 @@
 
 // Where a step has more tasks than find room, the last ones stayed away for good while others that
 // had failed were started again.
-func TestOfTasksThatLastTheOneLongestAwayGoesFirst(t *testing.T) {
+func TestLongRunningTaskThatWaitedLongestStartsFirst(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(1, room)
 	w.lastingFailShare, w.lastingFailTime = 1, time.Second
-	w.submit("a", lastingStep(6))
+	w.submit("a", longRunningStep(6))
 	starts := map[int]int{}
 	for range 30 {
 		w.run(time.Second)
@@ -113,13 +113,13 @@
 
 // A task that had once been on a worker that crashed waited for ever for one on which nothing had
 // just started.
-func TestATaskThatLastsAndIsSuspectedComesBackToABusyWorker(t *testing.T) {
-	for name, ran := range map[string]time.Duration{"it ran for long since": 15 * time.Second, "it did not": 2 * time.Second} {
+func TestSuspectedLongRunningTaskRestartsOnABusyWorker(t *testing.T) {
+	for name, ranFor := range map[string]time.Duration{"it ran for long since": 15 * time.Second, "it did not": 2 * time.Second} {
 		w := newWorld(1)
 		w.crashing(func(work.TaskID) bool { return false })
 		w.addWorkers(1, room.Times(2))
 		w.run(time.Second)
-		w.submit("a", lastingStep(1))
+		w.submit("a", longRunningStep(1))
 		for w.running("a") == 0 {
 			w.run(tick)
 		}
@@ -127,15 +127,15 @@
 		for w.running("a") == 0 && w.since() < 20*time.Second {
 			w.run(tick)
 		}
-		flow := func(d time.Duration) {
+		submitShortJobs := func(d time.Duration) {
 			for range d / (100 * time.Millisecond) {
 				w.submit(fmt.Sprintf("short%v", w.since()), step(1, 200*time.Millisecond))
 				w.run(100 * time.Millisecond)
 			}
 		}
-		flow(ran)
+		submitShortJobs(ranFor)
 		w.workerOf(work.TaskID{Job: "a"}).fail(work.TaskID{Job: "a"})
-		flow(6 * time.Second)
+		submitShortJobs(6 * time.Second)
 		if got := w.running("a"); got != 1 {
 			t.Errorf("%s: got: %d that run 6 s after it failed, want: 1", name, got)
 		}
@@ -144,14 +144,14 @@
 
 // Whatever befalls workers and owners, no task that lasts stays away while workers that may run it
 // have room.
-func TestNoTaskThatLastsStaysAway(t *testing.T) {
+func TestLongRunningTasksRestartWhileCapacityIsFree(t *testing.T) {
 	t.Parallel()
-	for trouble, seeds := range map[lastingTrouble][]uint64{sickWorkers: {26, 86, 97}, crashedWorkers: {22, 97}, newOwners: {1}} {
+	for fault, seeds := range map[lastingTrouble][]uint64{sickWorkers: {26, 86, 97}, crashedWorkers: {22, 97}, newOwners: {1}} {
 		for _, seed := range seeds {
-			t.Run(fmt.Sprintf("%s, seed %d", trouble, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s, seed %d", fault, seed), func(t *testing.T) {
 				t.Parallel()
-				for id, away := range playLasting(seed, trouble).lost {
-					t.Errorf("%s: got: away for %v, want: less than %v", id, away, longestAway)
+				for id, idleFor := range playLasting(seed, fault).lost {
+					t.Errorf("%s: got: away for %v, want: less than %v", id, idleFor, longestAway)
 				}
 			})
 		}
@@ -160,18 +160,18 @@
 
 // Callers were shown a job as failed of which a task had been on crashed workers three times, had run
 // well since, and was on one more that was lost with its owner.
-func TestATaskThatRunsOnIsNotGivenUpForEarlierCrashes(t *testing.T) {
+func TestRecoveredTaskIsNotFailedForEarlierCrashes(t *testing.T) {
 	w := newWorld(1)
 	w.crashing(func(work.TaskID) bool { return false })
 	w.addWorkers(6, room)
 	w.run(time.Second)
-	w.submit("a", lastingStep(1))
+	w.submit("a", longRunningStep(1))
 	task := work.TaskID{Job: "a"}
-	crashAfter := func(ran time.Duration) {
+	crashAfter := func(ranFor time.Duration) {
 		for w.workerOf(task) == nil && w.since() < time.Minute {
 			w.run(tick)
 		}
-		w.run(ran)
+		w.run(ranFor)
 		w.crashAndReturn(w.workerOf(task))
 	}
 	for range 3 {
--- a/internal/dispatch/lost_attempts_test.go
+++ b/internal/dispatch/lost_attempts_test.go
@@ -16,26 +16,26 @@
 
 // The log told how many attempts ended with a worker, not which: a task that crashes
 // workers and those beside it looked alike.
-func TestTheLogTellsWhichAttemptsEndWithAWorker(t *testing.T) {
-	told := map[work.TaskID]int{}
-	e := dispatch.NewEngine(dispatch.Options{Log: func(ev events.Event, keysAndValues ...any) {
-		if ev == events.AttemptCut {
-			told[keysAndValues[1].(work.TaskID)]++
+func TestLogNamesAttemptsLostWithTheirWorker(t *testing.T) {
+	logged := map[work.TaskID]int{}
+	e := dispatch.NewEngine(dispatch.Options{Log: func(event events.Event, keysAndValues ...any) {
+		if event == events.AttemptCut {
+			logged[keysAndValues[1].(work.TaskID)]++
 		}
 	}})
-	c := clock.NewFake()
-	e.Advance(c.Now())
+	fakeClock := clock.NewFake()
+	e.Advance(fakeClock.Now())
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
-	e.PollAnswered(&order.Poll{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: 10})
+	e.PollAnswered(&order.Poll{Worker: "w", AskedAt: fakeClock.Now()}, &order.Listing{At: 10})
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(2, time.Second)}})
 	e.Committed(e.TakeBatch())
 	e.Decide()
 	e.Committed(e.TakeBatch())
 	e.IncarnationEnded("w")
 	for i := range 2 {
-		if got := told[work.TaskID{Job: "a", Index: i}]; got != 1 {
+		if got := logged[work.TaskID{Job: "a", Index: i}]; got != 1 {
 			t.Errorf("lines on task %d: got: %d, want: 1", i, got)
 		}
 	}
--- a/internal/dispatch/not_running_test.go
+++ b/internal/dispatch/not_running_test.go
@@ -10,26 +10,26 @@
 	"github.com/leverdyke/leverdyke/internal/events"
 )
 
-func TestALastingTaskThatIsAwayIsTold(t *testing.T) {
+func TestLongRunningTaskThatIsNotRunningIsLogged(t *testing.T) {
 	w := newWorld(1)
-	told := 0
+	logged := 0
 	w.log = func(e events.Event, _ ...any) {
 		if e == events.TaskAway {
-			told++
+			logged++
 		}
 	}
 	w.takeOver()
 	w.addWorkers(1, room)
-	lasting := step(1, time.Hour)
-	lasting.IsLongRunning = true
-	w.submit("a", lasting)
+	longRunning := step(1, time.Hour)
+	longRunning.IsLongRunning = true
+	w.submit("a", longRunning)
 	w.run(6 * time.Second)
-	if told > 0 {
-		t.Errorf("lines on a task that runs: got: %d, want: none", told)
+	if logged > 0 {
+		t.Errorf("lines on a task that runs: got: %d, want: none", logged)
 	}
 	w.workers["w00"].entry.IsDraining = true
 	w.run(6 * time.Second)
-	if told < 2 || told > 3 {
-		t.Errorf("lines on a task that is away for 6 s: got: %d, want: one a second from 3 s on", told)
+	if logged < 2 || logged > 3 {
+		t.Errorf("lines on a task that is away for 6 s: got: %d, want: one a second from 3 s on", logged)
 	}
 }
--- a/internal/dispatch/permission_query_test.go
+++ b/internal/dispatch/permission_query_test.go
@@ -11,42 +11,42 @@
 )
 
 // A step waited 4 s for a lane whose node had frozen, where an answer takes 60 ms.
-func TestAnotherLaneIsAskedSoonWhenOneDoesNotAnswer(t *testing.T) {
+func TestUnansweredPermissionQueryIsRetriedOnAnotherChannel(t *testing.T) {
 	const ms = time.Millisecond
-	h := newHeir(1)
+	owner := newSuccessor(1)
 	queue := testQueue
 	queue.Permission = &order.PermissionPolicy{BaseTime: 25 * ms, TimePerWorker: ms, ValidFor: 2 * time.Second}
-	h.SetQueues([]order.Queue{queue})
-	h.SetLanes([]string{"near", "far"})
-	h.list("v")
-	h.told("v")
-	asks := []order.QueryPermission{}
+	owner.SetQueues([]order.Queue{queue})
+	owner.SetLanes([]string{"near", "far"})
+	owner.setWorkerList("v")
+	owner.reportIdle("v")
+	queries := []order.QueryPermission{}
 	advance := func(d time.Duration) {
-		h.clock.Advance(d)
-		h.Advance(h.clock.Now())
-		h.Tick()
-		h.Decide()
-		for _, a := range h.Actions() {
-			if ask, ok := a.(order.QueryPermission); ok {
-				asks = append(asks, ask)
+		owner.clock.Advance(d)
+		owner.Advance(owner.clock.Now())
+		owner.Tick()
+		owner.Decide()
+		for _, action := range owner.Actions() {
+			if query, ok := action.(order.QueryPermission); ok {
+				queries = append(queries, query)
 			}
 		}
 	}
 	advance(20 * ms)
-	if len(asks) != 1 || asks[0].Timeout != 302*ms {
-		t.Fatalf("asks: got: %v, want: one with a patience of 302ms", asks)
+	if len(queries) != 1 || queries[0].Timeout != 302*ms {
+		t.Fatalf("asks: got: %v, want: one with a patience of 302ms", queries)
 	}
 	for range 30 {
 		advance(20 * ms)
 	}
-	if len(asks) != 1 {
-		t.Errorf("asks while the first may be answered: got: %d, want: 1", len(asks))
+	if len(queries) != 1 {
+		t.Errorf("asks while the first may be answered: got: %d, want: 1", len(queries))
 	}
 	for range 8 {
 		advance(20 * ms)
-		h.told("v")
+		owner.reportIdle("v")
 	}
-	if len(asks) != 2 {
-		t.Errorf("asks in all: got: %d, want: 2", len(asks))
+	if len(queries) != 2 {
+		t.Errorf("asks in all: got: %d, want: 2", len(queries))
 	}
 }
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -30,7 +30,7 @@
 func TestASeedPlaysTheSameEachTime(t *testing.T) {
 	t.Parallel()
 	for name, play := range map[string]func(uint64) *world{
-		"days": playRandomDay, "workers that start again": playRestarts, "rooms that change": playResizingDay, "crashes": playCrashingDay,
+		"days": playRandomDay, "workers that start again": simulateRestarts, "rooms that change": simulateResizing, "crashes": simulateCrashes,
 	} {
 		for seed := range uint64(3) {
 			first, second := play(seed).trace, play(seed).trace
--- a/internal/dispatch/refused_test.go
+++ b/internal/dispatch/refused_test.go
@@ -15,7 +15,7 @@
 // A new job that was cancelled and then refused stayed in the batch. Handed in
 // again, it was kept as cancelled, without its steps, and yet accepted and run: the
 // next owner knew nothing of it, and its end counted as kept before it was.
-func TestWhatIsKeptOfAJobAgreesWithWhatIsRun(t *testing.T) {
+func TestResubmittedJobIsStoredAsItIsRun(t *testing.T) {
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(clock.NewFake().Now())
 	e.SetTrusted(true)
@@ -31,23 +31,23 @@
 	if b == nil {
 		t.Fatal("got: no batch, want: one")
 	}
-	kept := work.JobQueued
+	stored := work.JobQueued
 	if p := b.Progress["a"]; p != nil {
-		kept = p.State
+		stored = p.State
 	}
 	e.Committed(b)
-	if got, _ := e.State("a"); got != kept {
-		t.Errorf("the job here: got: %v, want: %v, as it is kept", got, kept)
+	if got, _ := e.State("a"); got != stored {
+		t.Errorf("the job here: got: %v, want: %v, as it is kept", got, stored)
 	}
 	e.Cancel("a", "")
-	if kept != work.JobCancelled && e.IsFinalPersisted("a") {
+	if stored != work.JobCancelled && e.IsFinalPersisted("a") {
 		t.Error("its cancelling: got: settled, want: not yet kept")
 	}
 }
 
 // A job handed in after its cancelling, which was kept as that of an unknown job, was
 // shown as cancelled before the store had it: a loss of all memory took that back.
-func TestAWithdrawnJobIsShownOnlyOnceItIsKept(t *testing.T) {
+func TestJobCancelledBeforeSubmissionIsShownOncePersisted(t *testing.T) {
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(clock.NewFake().Now())
 	e.Cancel("a", "")
--- a/internal/dispatch/resize_test.go
+++ b/internal/dispatch/resize_test.go
@@ -21,31 +21,31 @@
 const shrinkGrace = time.Second
 
 // resize changes the room of a worker.
-func (w *world) resize(m *modelWorker, r leverdyke.Resources) {
-	m.resized = append(m.resized, resizing{w.clock.Now(), m.entry.Capacity})
-	m.entry.Capacity = r
+func (w *world) resize(m *modelWorker, capacity leverdyke.Resources) {
+	m.resized = append(m.resized, capacityChange{w.clock.Now(), m.entry.Capacity})
+	m.entry.Capacity = capacity
 }
 
 // resizing is when a worker's room changed, and what it was before.
-type resizing struct {
-	at   time.Time
-	from leverdyke.Resources
+type capacityChange struct {
+	at       time.Time
+	previous leverdyke.Resources
 }
 
 // allowed returns the most room that a start may go by now.
-func (m *modelWorker) allowed(now time.Time) leverdyke.Resources {
-	r := m.entry.Capacity
-	for _, old := range m.resized {
-		if now.Sub(old.at) < shrinkGrace {
-			r = r.Max(old.from)
+func (m *modelWorker) maxAllowedCapacity(now time.Time) leverdyke.Resources {
+	most := m.entry.Capacity
+	for _, change := range m.resized {
+		if now.Sub(change.at) < shrinkGrace {
+			most = most.Max(change.previous)
 		}
 	}
-	return r
+	return most
 }
 
 // Places were worked out while the store was out and orders left seconds later, when it had
 // kept them: by then the worker had said that it has half of the room.
-func TestAStartIsNotOrderedIntoRoomThatHasShrunk(t *testing.T) {
+func TestNoStartIsOrderedOnAWorkerWhoseCapacityShrank(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(1, room)
 	w.run(time.Second)
@@ -68,7 +68,7 @@
 
 // A worker of which one dimension is overfull gets nothing at all, also no task that needs
 // none of that.
-func TestAnOverfullWorkerGetsNothing(t *testing.T) {
+func TestOvercommittedWorkerGetsNoTask(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(1, room)
 	w.run(time.Second)
@@ -76,9 +76,9 @@
 	w.run(500 * time.Millisecond)
 	w.resize(w.workers["w00"], leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 8000})
 	w.run(2 * time.Second)
-	filler := step(1, 100*time.Millisecond)
-	filler.IsBestEffort = true
-	w.submit("b", filler)
+	bestEffort := step(1, 100*time.Millisecond)
+	bestEffort.IsBestEffort = true
+	w.submit("b", bestEffort)
 	w.run(2 * time.Second)
 	expectState(t, w, "b", work.JobQueued)
 	w.run(3 * time.Second)
@@ -88,23 +88,23 @@
 
 // TestPromisesHoldWhereRoomShrinksAndGrows plays rooms that change, with the troubles of
 // TestPromisesHoldInAnyWorld.
-func TestPromisesHoldWhereRoomShrinksAndGrows(t *testing.T) {
+func TestInvariantsHoldWhenWorkerCapacitiesChange(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20261203)
 	parameters.MinSuccessfulTests = 20
 	properties := gopter.NewProperties(parameters)
 	properties.Property("no promise is broken and all jobs end", prop.ForAll(
-		func(seed uint64) (bool, error) { return keepsPromises(playResizingDay(seed), seed) }, gen.UInt64()))
+		func(seed uint64) (bool, error) { return keepsPromises(simulateResizing(seed), seed) }, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
 // playResizingDay plays 30 s of troubles and of rooms that change, and then lets all end.
-func playResizingDay(seed uint64) *world {
+func simulateResizing(seed uint64) *world {
 	w := newWorld(seed)
 	w.addWorkers(6, room)
 	w.run(time.Second)
 	for i := range 60 {
 		w.submit(fmt.Sprintf("j%02d", i), step(1+w.rng.IntN(6), time.Duration(100+w.rng.IntN(2500))*time.Millisecond))
-		w.resizeOne()
+		w.resizeRandomWorker()
 		if i%2 == 0 {
 			w.trouble(i)
 		}
@@ -120,7 +120,7 @@
 }
 
 // resizeOne changes the room of some worker that lives, down to nothing at times.
-func (w *world) resizeOne() {
+func (w *world) resizeRandomWorker() {
 	ids := w.living()
 	m := w.workers[ids[w.rng.IntN(len(ids))]]
 	w.resize(m, leverdyke.Resources{MilliCPU: int64(1000 * w.rng.IntN(5)), MemoryMiB: int64(2000 * w.rng.IntN(5))})
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -28,21 +28,21 @@
 // log has "worker no longer knows an attempt" for each. The clock of the second one showed
 // less than that of its earlier start, and all its listings were left out as old. The log
 // has no end of either's earlier start. What was known of a worker was kept by its ID alone.
-func TestAWorkerStartsAgainUnderItsID(t *testing.T) {
-	for name, clock := range map[string]time.Duration{"clock behind": 0, "clock ahead": 100 * time.Hour} {
+func TestRestartedWorkerIsTrackedAsNewIncarnation(t *testing.T) {
+	for name, newClock := range map[string]time.Duration{"clock behind": 0, "clock ahead": 100 * time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			w := newTellingWorld(1)
 			w.addWorkers(3, room)
 			w.run(time.Second)
-			lasting := step(3, time.Hour)
-			lasting.IsLongRunning = true
-			w.submit("lasting", lasting)
+			longRunning := step(3, time.Hour)
+			longRunning.IsLongRunning = true
+			w.submit("lasting", longRunning)
 			for i := range 4 {
 				w.submit(fmt.Sprintf("before%d", i), step(6, 300*time.Millisecond))
 				w.run(time.Second)
 			}
 			for _, id := range []string{"w00", "w01", "w02"} {
-				w.restart(w.workers[id], 600*time.Millisecond, clock)
+				w.restart(w.workers[id], 600*time.Millisecond, newClock)
 				w.submit("after"+id, step(9, 300*time.Millisecond), step(3, 300*time.Millisecond))
 				w.run(3 * time.Second)
 				if got := w.running("lasting"); got != 3 {
@@ -58,9 +58,9 @@
 // An order to the earlier start that is held up and gets no answer is carried out by the
 // newer one, which knows no owner's token, by whose clock the end of the lease lies far
 // ahead, and which has not been told of any stop.
-func TestAnOrderThatReachesANewerStartRunsNothingTwice(t *testing.T) {
+func TestDelayedStartReachingANewerIncarnationRunsNoTaskTwice(t *testing.T) {
 	t.Parallel()
-	for name, between := range map[string]time.Duration{"in doubt": 60 * time.Millisecond, "given up, and started elsewhere": 900 * time.Millisecond} {
+	for name, untilRestart := range map[string]time.Duration{"in doubt": 60 * time.Millisecond, "given up, and started elsewhere": 900 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
 				w := newTellingWorld(seed)
@@ -70,7 +70,7 @@
 				w.submit("a", step(9, 4*time.Second))
 				w.run(40 * time.Millisecond)
 				w.lostShare = 0
-				w.run(between)
+				w.run(untilRestart)
 				w.restart(w.workers["w00"], 200*time.Millisecond, 0)
 				w.restart(w.workers["w01"], 300*time.Millisecond, 100*time.Hour)
 				w.run(40 * time.Second)
@@ -83,9 +83,9 @@
 
 // An order that was given up, and is held up for so long that it reaches a newer start before
 // that has been told to refuse it, runs beside the attempt that took its place.
-func TestAnOrderThatIsFirstToReachANewerStartRunsNothingTwice(t *testing.T) {
+func TestAbandonedStartReachingANewIncarnationFirstRunsNoTaskTwice(t *testing.T) {
 	t.Parallel()
-	broken := 0
+	violatingSeeds := 0
 	for seed := range uint64(200) {
 		w := newTellingWorld(seed)
 		w.addWorkers(3, room)
@@ -99,18 +99,18 @@
 			w.restart(m, time.Duration(1000+w.rng.IntN(3000))*time.Millisecond, 0)
 		}
 		w.run(20 * time.Second)
-		broken += min(len(w.broken), 1)
+		violatingSeeds += min(len(w.broken), 1)
 	}
-	if broken > 0 {
-		t.Errorf("days on which a task ran twice: got: %d, want: 0 of 200", broken)
+	if violatingSeeds > 0 {
+		t.Errorf("days on which a task ran twice: got: %d, want: 0 of 200", violatingSeeds)
 	}
 }
 
 // What reaches a newer start first counts: while a worker does not answer, it is told at each of
 // the owner's ticks to refuse what may still be on its way to it, a few orders at a time.
-func TestASilentWorkerIsToldAtEachTickToRefuseOrders(t *testing.T) {
+func TestUnresponsiveWorkerGetsStopsForAbandonedStartsAtEachTick(t *testing.T) {
 	// Four at each look at it, of which there are two in a tick when a question fails.
-	const ownerTick, most = 20 * time.Millisecond, 8
+	const ownerTick, maxStops = 20 * time.Millisecond, 8
 	w := newTellingWorld(1)
 	w.addWorkers(2, room.Add(room))
 	w.run(time.Second)
@@ -122,27 +122,27 @@
 	m := w.workers["w00"]
 	m.isDead, m.running = true, map[work.TaskID]*modelRun{}
 	w.run(time.Second)
-	told := map[work.TaskID]int{}
+	refused := map[work.TaskID]int{}
 	for range 50 {
 		w.clock.Advance(ownerTick)
 		stops := w.stopsTo("w00")
 		// The second runs are attempts of which nothing is known yet, and no strays.
 		stops = slices.DeleteFunc(stops, func(s order.Stop) bool { return s.Run > 1 })
-		if len(stops) == 0 || len(stops) > most {
-			t.Fatalf("stops at %v: got: %d, want: 1 to %d", w.since(), len(stops), most)
+		if len(stops) == 0 || len(stops) > maxStops {
+			t.Fatalf("stops at %v: got: %d, want: 1 to %d", w.since(), len(stops), maxStops)
 		}
 		for _, s := range stops {
-			told[s.Task]++
+			refused[s.Task]++
 		}
 	}
-	if len(told) != 8 {
-		t.Errorf("orders that it was told to refuse: got: %d, want: all 8, in turn", len(told))
+	if len(refused) != 8 {
+		t.Errorf("orders that it was told to refuse: got: %d, want: all 8, in turn", len(refused))
 	}
 }
 
 // A question for a listing is held up, too: it confirms ends by the earlier start's numbers, and
 // the newer start forgets ends that it has not told. These tasks ran twice.
-func TestAQuestionThatIsHeldUpMakesANewerStartForgetNothing(t *testing.T) {
+func TestDelayedPollMakesANewerIncarnationForgetNoEnds(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(40) {
 		w := newTellingWorld(seed)
@@ -171,7 +171,7 @@
 
 // A worker tells of a second attempt of a task, which is stopped; meanwhile the first one ends
 // with its worker. The task does not start again while the second one still runs.
-func TestATaskWaitsForAnAttemptThatIsNotWanted(t *testing.T) {
+func TestTaskDoesNotRestartWhileAnUnwantedAttemptRuns(t *testing.T) {
 	w := newTellingWorld(1)
 	w.addWorkers(3, room)
 	w.run(time.Second)
@@ -194,7 +194,7 @@
 // An order of an owner that has ended reaches a newer start before the next owner does. That
 // one asks for the earlier start, as the list still has its entry, and hears of a newer one:
 // what that one runs is not known yet.
-func TestAnOwnerWaitsForTheWordOfANewerStart(t *testing.T) {
+func TestNewOwnerWaitsForListingOfANewerIncarnation(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newTellingWorld(seed)
 		w.addWorkers(5, room)
@@ -215,7 +215,7 @@
 
 // A worker that starts again, and is then cut off, holds a lease that an order to its
 // earlier start gave it: that is longer than the engine's own by the newer clock.
-func TestALeaseGivenToAnEarlierStartIsWaitedFor(t *testing.T) {
+func TestLeaseGivenToAnEarlierIncarnationIsWaitedFor(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(10) {
 		w := newTellingWorld(seed)
@@ -240,7 +240,7 @@
 // A worker starts again between two listings, sooner than the owner asks: the next question
 // renews the lease by the earlier clock. The newer start goes on for 10 s by that, and the owner
 // took its lease as over after 6 s.
-func TestALeaseRenewedByTheEarlierClockIsWaitedFor(t *testing.T) {
+func TestLeaseRenewedByTheEarlierIncarnationsClockIsWaitedFor(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newTellingWorld(seed)
 		w.addWorkers(4, room)
@@ -267,13 +267,13 @@
 
 // A worker that starts again and then goes for good had nothing on its way to it: what runs
 // there starts elsewhere as soon as that of any other worker would.
-func TestAWorkerThatStartsAgainIsNotWaitedForLonger(t *testing.T) {
+func TestTasksOfALostRestartedWorkerAreNotDelayedLonger(t *testing.T) {
 	w := newTellingWorld(1)
 	w.addWorkers(3, room)
 	w.run(time.Second)
-	lasting := step(3, time.Hour)
-	lasting.IsLongRunning = true
-	w.submit("lasting", lasting)
+	longRunning := step(3, time.Hour)
+	longRunning.IsLongRunning = true
+	w.submit("lasting", longRunning)
 	w.run(2 * time.Second)
 	w.restart(w.workers["w00"], 600*time.Millisecond, 0)
 	w.run(3 * time.Second)
@@ -295,7 +295,7 @@
 
 // An order is given and, before it has left, the worker is known to be over: it left all the
 // same, and reached the newer start beside the attempt that took its place.
-func TestAnOrderToAStartThatIsOverDoesNotLeave(t *testing.T) {
+func TestNoOrderIsSentToAnEndedIncarnation(t *testing.T) {
 	w := newTellingWorld(1)
 	w.addWorkers(1, room)
 	w.run(time.Second)
@@ -319,7 +319,7 @@
 
 // An entry of another writer that names a start which never was ends nothing: the worker's own
 // word counts. While the list has it the worker gets nothing new, and it goes on afterwards.
-func TestAnEntryOfAnotherWriterEndsNoStart(t *testing.T) {
+func TestForeignWorkerEntryEndsNoIncarnation(t *testing.T) {
 	w := newTellingWorld(1)
 	w.addWorkers(1, room)
 	w.run(time.Second)
@@ -349,24 +349,24 @@
 // TestPromisesHoldWhereWorkersStartAgain plays what TestPromisesHoldInAnyWorld does, with
 // workers that start again under their IDs and with answers that are lost, but not orders
 // that are held up for seconds.
-func TestPromisesHoldWhereWorkersStartAgain(t *testing.T) {
+func TestInvariantsHoldWhenWorkersRestart(t *testing.T) {
 	t.Parallel()
 	parameters := gopter.DefaultTestParametersWithSeed(20261203)
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
 	properties.Property("no promise is broken and all jobs end", prop.ForAll(
-		func(seed uint64) (bool, error) { return keepsPromises(playRestarts(seed), seed) }, gen.UInt64()))
+		func(seed uint64) (bool, error) { return keepsPromises(simulateRestarts(seed), seed) }, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
 // playRestarts plays 40 s of troubles and then lets all end.
-func playRestarts(seed uint64) *world {
+func simulateRestarts(seed uint64) *world {
 	w := newTellingWorld(seed)
 	w.addWorkers(6, room)
 	w.run(time.Second)
-	lasting := step(4, time.Hour)
-	lasting.IsLongRunning = true
-	w.submit("lasting", lasting)
+	longRunning := step(4, time.Hour)
+	longRunning.IsLongRunning = true
+	w.submit("lasting", longRunning)
 	w.run(time.Second)
 	for i := range 40 {
 		w.submit(fmt.Sprintf("j%02d", i), step(1+w.rng.IntN(6), time.Duration(100+w.rng.IntN(2500))*time.Millisecond), step(1+w.rng.IntN(3), 300*time.Millisecond))
--- a/internal/dispatch/speed_test.go
+++ b/internal/dispatch/speed_test.go
@@ -16,26 +16,26 @@
 
 // A worker that turned slow while it had half done its tasks was found out only
 // when they had taken two and a half times as long as they should.
-func TestAWorkerThatTurnsSlowIsFoundByItsLastRate(t *testing.T) {
+func TestWorkerThatSlowsDownIsDetectedByItsLatestRate(t *testing.T) {
 	const ms = time.Millisecond
 	for name, tc := range map[string]struct {
 		percents []int
-		want     bool
+		wantSlow bool
 	}{
 		"goes on":             {[]int{25, 50, 90}, false},
 		"turns slow":          {[]int{25, 50, 53}, true},
 		"slow from the start": {[]int{3, 6, 10}, true},
 	} {
-		c := clock.NewFake()
-		begin := c.Now()
+		fakeClock := clock.NewFake()
+		startedAt := fakeClock.Now()
 		isSlow := false
-		e := dispatch.NewEngine(dispatch.Options{Log: func(ev events.Event, _ ...any) { isSlow = isSlow || ev == events.WorkerSlow }})
-		e.Advance(c.Now())
+		e := dispatch.NewEngine(dispatch.Options{Log: func(event events.Event, _ ...any) { isSlow = isSlow || event == events.WorkerSlow }})
+		e.Advance(fakeClock.Now())
 		e.SetTrusted(true)
 		e.SetQueues([]order.Queue{testQueue})
 		e.SetWorkers([]order.Worker{{ID: "w", Service: "pool", Capacity: room}}, true)
-		at := func() order.WorkerTime { return order.WorkerTime(time.Second + c.Now().Sub(begin)) }
-		e.PollAnswered(&order.Poll{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: at()})
+		workerTime := func() order.WorkerTime { return order.WorkerTime(time.Second + fakeClock.Now().Sub(startedAt)) }
+		e.PollAnswered(&order.Poll{Worker: "w", AskedAt: fakeClock.Now()}, &order.Listing{At: workerTime()})
 		for _, id := range []work.JobID{"a", "b"} {
 			e.AddJob(&work.Spec{ID: id, Queue: "q", Steps: []work.Step{step(1, time.Second)}})
 		}
@@ -47,20 +47,20 @@
 		running := []order.Running{}
 		for _, a := range e.Actions() {
 			if s, ok := a.(order.Start); ok {
-				e.StartAnswered("w", s.Task, s.Run, order.StartSucceeded, at())
+				e.StartAnswered("w", s.Task, s.Run, order.StartSucceeded, workerTime())
 				running = append(running, order.Running{Task: s.Task, Run: s.Run})
 			}
 		}
 		for _, percent := range tc.percents {
-			c.Advance(300 * ms)
-			e.Advance(c.Now())
+			fakeClock.Advance(300 * ms)
+			e.Advance(fakeClock.Now())
 			for i := range running {
 				running[i].Percent = percent
 			}
-			e.PollAnswered(&order.Poll{Worker: "w", AskedAt: c.Now()}, &order.Listing{At: at(), Running: running})
+			e.PollAnswered(&order.Poll{Worker: "w", AskedAt: fakeClock.Now()}, &order.Listing{At: workerTime(), Running: running})
 		}
-		if len(running) != 2 || isSlow != tc.want {
-			t.Errorf("%s: slow: got: %v with %d tasks, want: %v with 2", name, isSlow, len(running), tc.want)
+		if len(running) != 2 || isSlow != tc.wantSlow {
+			t.Errorf("%s: slow: got: %v with %d tasks, want: %v with 2", name, isSlow, len(running), tc.wantSlow)
 		}
 	}
 }
--- a/internal/dispatch/store_outage_test.go
+++ b/internal/dispatch/store_outage_test.go
@@ -14,7 +14,7 @@
 
 // While the store was out, callers were told ends of jobs that only the nodes' memory
 // and a worker knew: when both were gone, the next owner started them again.
-func TestWhatIsToldInAnOutageSurvivesAllMemoryAndTheWorkers(t *testing.T) {
+func TestEndsShownInAStoreOutageSurviveLossOfNodesAndWorkers(t *testing.T) {
 	for name, tc := range map[string]struct {
 		failShare float64
 		want      work.JobState
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -16,7 +16,7 @@
 
 // Three times as many jobs as workers can do: what waits is looked at in turn, what is
 // most urgent each time, and all of it is served in the end.
-func TestALoadThatIsTooMuchIsServedInTurn(t *testing.T) {
+func TestOverloadServesEarliestJobsFirst(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(4, room)
 	w.run(time.Second)
@@ -37,14 +37,14 @@
 }
 
 // A small task behind many large ones that find no room is found in its turn.
-func TestASmallTaskBehindManyLargeOnesIsStarted(t *testing.T) {
+func TestSmallTaskBehindManyLargeOnesIsStarted(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(4, room)
 	w.run(time.Second)
-	full := step(1, time.Hour)
-	full.Need.MilliCPU = 3000
+	longTask := step(1, time.Hour)
+	longTask.Need.MilliCPU = 3000
 	for i := range 4 {
-		w.submit(fmt.Sprintf("full%d", i), full)
+		w.submit(fmt.Sprintf("full%d", i), longTask)
 	}
 	w.run(500 * time.Millisecond)
 	large := step(1, time.Second)
@@ -60,21 +60,21 @@
 
 // An owner that hands over orders the rest of a gang of which members are ordered: these
 // would wait for the others in vain.
-func TestAGangIsOrderedWholeByAnOwnerThatHandsOver(t *testing.T) {
+func TestPausedOwnerOrdersTheRestOfAStartedGang(t *testing.T) {
 	const members = 120
-	c := clock.NewFake()
+	fakeClock := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
-	e.Advance(c.Now())
+	e.Advance(fakeClock.Now())
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
-	list := []order.Worker{}
+	entries := []order.Worker{}
 	for i := range members {
-		list = append(list, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: step(1, 0).Need})
+		entries = append(entries, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: step(1, 0).Need})
 	}
-	e.SetWorkers(list, true)
+	e.SetWorkers(entries, true)
 	for _, a := range e.Actions() {
-		h := a.(order.Poll)
-		e.PollAnswered(&h, &order.Listing{At: 1})
+		poll := a.(order.Poll)
+		e.PollAnswered(&poll, &order.Listing{At: 1})
 	}
 	gang := step(members, time.Second)
 	gang.IsGang = true
@@ -83,7 +83,7 @@
 	e.Decide()
 	e.Committed(e.TakeBatch())
 	started := 0
-	answer := func() {
+	answerStarts := func() {
 		for _, a := range e.Actions() {
 			if s, ok := a.(order.Start); ok {
 				started++
@@ -96,7 +96,7 @@
 		t.Fatalf("members that wait for their turn: got: none, want: some of %d", members)
 	}
 	for range members {
-		answer()
+		answerStarts()
 	}
 	if started != members || e.HasReady() {
 		t.Errorf("members ordered: got: %d, want: %d", started, members)
@@ -105,20 +105,20 @@
 
 // A member of a gang that cannot be ordered any more takes the others with it: they would
 // wait for it until their gang time is over.
-func TestAGangOfWhichAMemberIsNotOrderedIsGivenUp(t *testing.T) {
-	c := clock.NewFake()
+func TestGangIsAbandonedWhenAMemberCannotBeOrdered(t *testing.T) {
+	fakeClock := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
-	e.Advance(c.Now())
+	e.Advance(fakeClock.Now())
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
-	list := []order.Worker{}
+	entries := []order.Worker{}
 	for i := range 3 {
-		list = append(list, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: step(1, 0).Need})
+		entries = append(entries, order.Worker{ID: order.WorkerID(fmt.Sprint(i)), Service: "pool", Capacity: step(1, 0).Need})
 	}
-	e.SetWorkers(list, true)
+	e.SetWorkers(entries, true)
 	for _, a := range e.Actions() {
-		h := a.(order.Poll)
-		e.PollAnswered(&h, &order.Listing{At: 1})
+		poll := a.(order.Poll)
+		e.PollAnswered(&poll, &order.Listing{At: 1})
 	}
 	gang := step(3, time.Second)
 	gang.IsGang = true
@@ -126,8 +126,8 @@
 	e.Committed(e.TakeBatch())
 	e.Decide()
 	b := e.TakeBatch()
-	list[1].IsDraining = true
-	e.SetWorkers(list, true)
+	entries[1].IsDraining = true
+	e.SetWorkers(entries, true)
 	e.Committed(b)
 	ordered := map[order.WorkerID]bool{}
 	for _, a := range e.Actions() {
@@ -146,16 +146,16 @@
 // The end of an earlier attempt may come between the order to start another one and its
 // handing out: that order must not leave any more. It broke a promise once in some 3,000
 // plays of TestPromisesHoldInAnyLab (seed 15116943577760558889).
-func TestAnOrderThatIsNotWantedAnyMoreDoesNotLeave(t *testing.T) {
-	c := clock.NewFake()
+func TestStartOfAnEndedTaskIsNotSent(t *testing.T) {
+	fakeClock := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
-	e.Advance(c.Now())
+	e.Advance(fakeClock.Now())
 	e.SetTrusted(true)
 	e.SetQueues([]order.Queue{testQueue})
 	e.SetWorkers([]order.Worker{{ID: "v", Service: "pool", Capacity: room}}, true)
 	for _, a := range e.Actions() {
-		h := a.(order.Poll)
-		e.PollAnswered(&h, &order.Listing{At: 1})
+		poll := a.(order.Poll)
+		e.PollAnswered(&poll, &order.Listing{At: 1})
 	}
 	e.Actions()
 	e.AddJob(&work.Spec{ID: "a", Queue: "q", Steps: []work.Step{step(1, time.Second)}})
--- a/internal/dispatch/waits_test.go
+++ b/internal/dispatch/waits_test.go
@@ -11,9 +11,9 @@
 	"github.com/leverdyke/leverdyke/internal/waits"
 )
 
-func TestWhatTasksWaitForIsTold(t *testing.T) {
-	asking := testQueue
-	asking.Permission = &order.PermissionPolicy{BaseTime: 500 * time.Millisecond, TimePerWorker: time.Millisecond, ValidFor: 2 * time.Second}
+func TestWaitTimesAreReportedByReason(t *testing.T) {
+	permissionQueue := testQueue
+	permissionQueue.Permission = &order.PermissionPolicy{BaseTime: 500 * time.Millisecond, TimePerWorker: time.Millisecond, ValidFor: 2 * time.Second}
 	for name, tc := range map[string]struct {
 		prepare func(w *world)
 		want    waits.Reason
@@ -21,11 +21,11 @@
 		"room":  {func(w *world) { w.submit("busy", step(8, time.Minute)) }, waits.Capacity},
 		"limit": {func(w *world) { w.limit(limitOf("a", 0)); w.limit(order.Customer{Name: "a", Limit: step(1, 0).Need}) }, waits.Limit},
 		"permission": {func(w *world) {
-			w.queues = []order.Queue{asking}
+			w.queues = []order.Queue{permissionQueue}
 			w.engine.SetQueues(w.queues)
 			w.engine.SetLanes([]string{"n1", "n2", "n3"})
 		}, waits.Permission},
-		"lane": {func(w *world) { w.queues = []order.Queue{asking}; w.engine.SetQueues(w.queues) }, waits.Channel},
+		"lane": {func(w *world) { w.queues = []order.Queue{permissionQueue}; w.engine.SetQueues(w.queues) }, waits.Channel},
 	} {
 		w := newWorld(1)
 		w.addWorkers(2, room)
@@ -39,8 +39,8 @@
 		if len(waits) == 0 || waits[0].Queue != "q" || waits[0].Reason != tc.want || waits[0].Time < 300*time.Millisecond {
 			t.Errorf("%s: got: %+v, want: mostly %s, for most of 0.4 s", name, waits, tc.want)
 		}
-		if again := w.engine.TakeWaits(); len(again) > 0 {
-			t.Errorf("%s, right after: got: %+v, want: none", name, again)
+		if second := w.engine.TakeWaits(); len(second) > 0 {
+			t.Errorf("%s, right after: got: %+v, want: none", name, second)
 		}
 	}
 }
--- a/internal/dispatch/worker_model_test.go
+++ b/internal/dispatch/worker_model_test.go
@@ -62,7 +62,7 @@
 	// isSick means that it fails all that it starts, sickTime after the start.
 	isSick bool
 	// resized are the changes of its room.
-	resized []resizing
+	resized []capacityChange
 }
 
 func (r *modelRun) percent(now time.Time) int {
--- a/internal/dispatch/world_test.go
+++ b/internal/dispatch/world_test.go
@@ -456,7 +456,7 @@
 func (w *world) began(m *modelWorker, id work.TaskID, r *modelRun) {
 	w.starts++
 	w.noteCrashing(m, id)
-	if room := m.allowed(w.clock.Now()); !w.isLateOrder && !m.used().FitsIn(room) {
+	if room := m.maxAllowedCapacity(w.clock.Now()); !w.isLateOrder && !m.used().FitsIn(room) {
 		w.breaks("%s brings %s over its room: %v of %v", id, m.entry.ID, m.used(), room)
 	}
 	w.checkLimit(m, id)
--- a/internal/dispatch/write_behind_test.go
+++ b/internal/dispatch/write_behind_test.go
@@ -11,7 +11,7 @@
 // An owner that runs ahead of the store says so in its record, and no longer does when it
 // stops. Starts that waited for their turn meanwhile left without their places being kept, so
 // that the next owner could take all places as known.
-func TestNothingStartsUnkeptOnceTheStoreIsWaitedForAgain(t *testing.T) {
+func TestNoStartWithoutStoredPlacementAfterWriteBehindEnds(t *testing.T) {
 	w := newWorld(1)
 	w.addWorkers(40, room)
 	w.run(time.Second)
