--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -45,14 +45,14 @@
 
 // simulateCrashingTask simulates 60 s of a task that crashes its workers beside other jobs, which
 // must not be affected, and returns the world. prepare sets up the faults, and atCrash injects one
-// at each crash; n is the number of crashes so far. isUnderName means that crashed workers restart
-// under their names.
-func simulateCrashingTask(seed uint64, isUnderName bool, prepare func(*world), atCrash func(w *world, n int)) *world {
+// at each crash; n is the number of crashes so far. With restartsUnderSameName, crashed workers
+// restart under the same names.
+func simulateCrashingTask(seed uint64, restartsUnderSameName bool, prepare func(*world), atCrash func(w *world, n int)) *world {
 	w := newTellingWorld(seed)
 	w.addWorkers(12, room)
 	w.run(time.Second)
 	w.crashingTask(work.TaskID{Job: "bad"})
-	w.crashes.isUnderName = isUnderName
+	w.crashes.isUnderName = restartsUnderSameName
 	prepare(w)
 	w.submit("bad", step(4, max(800*time.Millisecond, w.crashes.after+200*time.Millisecond)))
 	seen := 0
