--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -273,8 +273,8 @@
 	}
 }
 
-// No delayed order can reach a worker that restarted long ago. When such a worker is lost for good,
-// its tasks must start elsewhere as soon as those of any other worker.
+// When a restarted worker to which no delayed order is in flight is lost for good, its tasks must
+// start elsewhere as soon as those of any other worker.
 func TestTasksOfALostRestartedWorkerAreNotDelayedLonger(t *testing.T) {
 	w := newTellingWorld(1)
 	w.addWorkers(3, room)
--- a/internal/dispatch/speed_test.go
+++ b/internal/dispatch/speed_test.go
@@ -14,9 +14,9 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// A worker that slows down in the middle of its tasks must be detected by the progress between its
-// last two listings. By the average since the tasks' start it was detected only when they had taken
-// two and a half times as long as they should.
+// A worker that slows down in the middle of its tasks must be detected by their latest rate of
+// progress. Such a worker was once detected only when its tasks had taken two and a half times as
+// long as they should.
 func TestWorkerThatSlowsDownIsDetectedByItsLatestRate(t *testing.T) {
 	const ms = time.Millisecond
 	for name, tc := range map[string]struct {
