--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -18,6 +18,7 @@
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/logbuffer"
 	"github.com/leverdyke/leverdyke/internal/membership"
 	"github.com/leverdyke/leverdyke/internal/node"
 	"github.com/leverdyke/leverdyke/internal/ownership"
@@ -25,7 +26,6 @@
 	"github.com/leverdyke/leverdyke/internal/policy"
 	"github.com/leverdyke/leverdyke/internal/rack"
 	"github.com/leverdyke/leverdyke/internal/state"
-	"github.com/leverdyke/leverdyke/internal/tail"
 	"github.com/leverdyke/leverdyke/internal/vmlist"
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
@@ -152,7 +152,7 @@
 	isJobsChanged bool
 
 	// tail has the last batches, for peers who lag behind.
-	tail         *tail.Buffer
+	tail         *logbuffer.Buffer
 	askedTailAt  time.Time
 	askedStateAt time.Time
 	snapshotBase int64
@@ -194,7 +194,7 @@
 		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, homes: map[state.ShardID]*home.Home{},
 		fenced: map[state.ShardID]worker.Epoch{}, deputised: map[state.ShardID]deputy{}, claiming: map[state.ShardID]uint64{},
 		rooms:        map[state.ShardID]*node.Room{},
-		rackCapacity: map[state.ShardID]leverdyke.Resources{}, startedAt: out.Now(), tail: tail.NewBuffer(-1), silent: map[state.NodeID]time.Time{},
+		rackCapacity: map[state.ShardID]leverdyke.Resources{}, startedAt: out.Now(), tail: logbuffer.NewBuffer(-1), silent: map[state.NodeID]time.Time{},
 		onceWaiting: map[uint64]*onceWait{}, doubts: doubts{open: map[state.NodeID]doubted{}},
 	}
 	for _, p := range options.Peers {
--- a/internal/core/fold.go
+++ b/internal/core/fold.go
@@ -9,9 +9,9 @@
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/journal"
+	"github.com/leverdyke/leverdyke/internal/logbuffer"
 	"github.com/leverdyke/leverdyke/internal/ownership"
 	"github.com/leverdyke/leverdyke/internal/state"
-	"github.com/leverdyke/leverdyke/internal/tail"
 )
 
 // OnTailed takes what the log's reader found.
@@ -185,7 +185,7 @@
 func (c *Core) replaceState(s *state.State) {
 	c.state = s
 	c.snapshotBase = max(c.snapshotBase, s.Applied)
-	c.tail = tail.NewBuffer(s.Applied)
+	c.tail = logbuffer.NewBuffer(s.Applied)
 	c.out.SkipTo(s.Applied)
 	c.policies.Clear()
 	for _, doc := range sorted(s.Docs) {
--- a/internal/tail/buffer.go
+++ b/internal/logbuffer/buffer.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package tail keeps the last batches of the log, for peers who lag behind and
+// Package logbuffer keeps the last batches of the log, for peers who lag behind and
 // do not reach the log.
-package tail
+package logbuffer
 
 import "github.com/leverdyke/leverdyke/internal/node"
 
--- a/internal/tail/buffer_test.go
+++ b/internal/logbuffer/buffer_test.go
@@ -1,16 +1,16 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package tail_test
+package logbuffer_test
 
 import (
 	"testing"
 
-	"github.com/leverdyke/leverdyke/internal/tail"
+	"github.com/leverdyke/leverdyke/internal/logbuffer"
 )
 
 func TestAfterHasNoGaps(t *testing.T) {
-	b := tail.NewBuffer(-1)
+	b := logbuffer.NewBuffer(-1)
 	large := make([]byte, 100<<10)
 	for offset := range int64(5) {
 		b.Add(offset, large)
@@ -30,7 +30,7 @@
 }
 
 func TestLastBatchIsKeptHoweverLong(t *testing.T) {
-	b := tail.NewBuffer(6)
+	b := logbuffer.NewBuffer(6)
 	b.Add(7, make([]byte, 1<<20))
 	if got := len(b.After(6)); got != 1 {
 		t.Errorf("got: %d batches, want: 1", got)
