--- a/internal/logbuffer/buffer.go
+++ b/internal/logbuffer/buffer.go
@@ -43,11 +43,11 @@
 	if offset < b.after {
 		return nil
 	}
-	list := []node.TailEntry{}
+	batches := []node.TailEntry{}
 	for _, e := range b.entries {
 		if e.Offset > offset {
-			list = append(list, e)
+			batches = append(batches, e)
 		}
 	}
-	return list
+	return batches
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -136,16 +136,16 @@
 
 // RemoveAll takes many jobs out in one pass.
 func (q *Queue) RemoveAll(jobs []string) {
-	gone := make(map[*Entry]bool, len(jobs))
+	removed := make(map[*Entry]bool, len(jobs))
 	for _, job := range jobs {
 		if e := q.entries[job]; e != nil {
-			gone[e] = true
+			removed[e] = true
 			delete(q.entries, job)
 		}
 	}
 	for _, teams := range q.order {
 		for team, list := range teams {
-			teams[team] = slices.DeleteFunc(list, func(e *Entry) bool { return gone[e] })
+			teams[team] = slices.DeleteFunc(list, func(e *Entry) bool { return removed[e] })
 			if len(teams[team]) == 0 {
 				delete(teams, team)
 			}
@@ -167,25 +167,25 @@
 // by work that takes what it lacks is not passed by such work again.
 func (q *Queue) Scan(share func(team string) float64, try func(*Entry) Result) int {
 	started := 0
-	waitFor := []*Entry{}
+	atBypassLimit := []*Entry{}
 	blocked := []*Entry{}
 	for _, class := range []leverdyke.Class{leverdyke.ClassUrgent, leverdyke.ClassNormal, leverdyke.ClassBatch} {
-		for _, e := range q.turn(class, share) {
-			if e.Waiting == 0 || q.mustWait(e, waitFor) {
+		for _, e := range q.scanOrder(class, share) {
+			if e.Waiting == 0 || q.mustWait(e, atBypassLimit) {
 				continue
 			}
 			switch try(e) {
 			case Started:
 				started++
 				e.Bypassed = 0
-				bypass(e, blocked)
+				countBypass(e, blocked)
 			case Blocked:
 				if q.options.Mode == ModeBlock {
 					return started
 				}
 				blocked = append(blocked, e)
 				if e.Bypassed >= q.options.MaxBypass {
-					waitFor = append(waitFor, e)
+					atBypassLimit = append(atBypassLimit, e)
 				}
 			case Skipped:
 			}
@@ -195,33 +195,33 @@
 }
 
 // turn lists a class's entries in the order in which they are offered.
-func (q *Queue) turn(class leverdyke.Class, share func(team string) float64) []*Entry {
+func (q *Queue) scanOrder(class leverdyke.Class, share func(team string) float64) []*Entry {
 	teams := q.order[class]
-	names := make([]string, 0, len(teams))
+	teamNames := make([]string, 0, len(teams))
 	shares := make(map[string]float64, len(teams))
 	total, longest := 0, 0
 	for name, list := range teams {
-		names = append(names, name)
+		teamNames = append(teamNames, name)
 		shares[name] = share(name)
 		total += len(list)
 		longest = max(longest, len(list))
 	}
-	slices.SortFunc(names, func(a, b string) int { return cmp.Or(cmp.Compare(shares[a], shares[b]), cmp.Compare(a, b)) })
-	turn := make([]*Entry, 0, total)
+	slices.SortFunc(teamNames, func(a, b string) int { return cmp.Or(cmp.Compare(shares[a], shares[b]), cmp.Compare(a, b)) })
+	ordered := make([]*Entry, 0, total)
 	for i := range longest {
-		for _, name := range names {
+		for _, name := range teamNames {
 			if i < len(teams[name]) {
-				turn = append(turn, teams[name][i])
+				ordered = append(ordered, teams[name][i])
 			}
 		}
 	}
-	return turn
+	return ordered
 }
 
 // mustWait reports whether e would take what an entry lacks that has been
 // passed often enough. Nobody is made to wait for a less urgent class.
-func (q *Queue) mustWait(e *Entry, waitFor []*Entry) bool {
-	for _, w := range waitFor {
+func (q *Queue) mustWait(e *Entry, atBypassLimit []*Entry) bool {
+	for _, w := range atBypassLimit {
 		if e.Class.Rank() >= w.Class.Rank() && competes(e, w) {
 			return true
 		}
@@ -231,7 +231,7 @@
 
 // bypass counts that e was started before the blocked entries that it competes
 // with.
-func bypass(e *Entry, blocked []*Entry) {
+func countBypass(e *Entry, blocked []*Entry) {
 	for _, b := range blocked {
 		if competes(e, b) {
 			b.Bypassed++
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -23,7 +23,7 @@
 	return queue.Entry{Job: job, Team: team, Class: class, Waiting: 1, Since: epoch.Add(-time.Duration(age) * time.Second)}
 }
 
-func offered(q *queue.Queue, shares map[string]float64) string {
+func scanOrder(q *queue.Queue, shares map[string]float64) string {
 	text := ""
 	q.Scan(func(team string) float64 { return shares[team] }, func(e *queue.Entry) queue.Result {
 		text += e.Job + " "
@@ -41,17 +41,17 @@
 	} {
 		q.Put(e)
 	}
-	if got, want := offered(q, map[string]float64{"a": 0.5, "b": 0.1}), "c-urgent b-old a-old a-young c-batch "; got != want {
+	if got, want := scanOrder(q, map[string]float64{"a": 0.5, "b": 0.1}), "c-urgent b-old a-old a-young c-batch "; got != want {
 		t.Errorf("got: %s, want: %s", got, want)
 	}
 }
 
-func TestBlockedEntryIsPassedWithinItsBound(t *testing.T) {
+func TestBlockedEntryIsBypassedAtMostMaxBypassTimes(t *testing.T) {
 	q := queue.NewQueue(queue.NewQueueOptions{MaxBypass: 3})
 	big := entry("big", "a", leverdyke.ClassNormal, 100)
 	big.Need = leverdyke.Resources{MilliCPU: 100}
 	q.Put(big)
-	passed := 0
+	bypassed := 0
 	for i := range 10 {
 		small := entry(fmt.Sprint("small", i), "b", leverdyke.ClassNormal, 1)
 		small.Need = leverdyke.Resources{MilliCPU: 1}
@@ -60,13 +60,13 @@
 			if e.Job == "big" {
 				return queue.Blocked
 			}
-			passed++
+			bypassed++
 			e.Waiting = 0
 			return queue.Started
 		})
 	}
-	if passed != 3 {
-		t.Errorf("got: %d entries passed it, want: 3", passed)
+	if bypassed != 3 {
+		t.Errorf("got: %d entries passed it, want: 3", bypassed)
 	}
 	urgent := entry("urgent", "b", leverdyke.ClassUrgent, 0)
 	q.Put(urgent)
@@ -80,11 +80,11 @@
 	}
 }
 
-func TestWorkWithoutAcceleratorsPassesThoseWhoWaitForOne(t *testing.T) {
+func TestWorkWithoutAcceleratorsIsNotHeldBackByWorkThatNeedsThem(t *testing.T) {
 	q := queue.NewQueue(queue.NewQueueOptions{MaxBypass: 1})
-	needy := entry("needy", "a", leverdyke.ClassNormal, 100)
-	needy.Need = leverdyke.Resources{Accelerators: 1}
-	q.Put(needy)
+	needsAccelerator := entry("needy", "a", leverdyke.ClassNormal, 100)
+	needsAccelerator.Need = leverdyke.Resources{Accelerators: 1}
+	q.Put(needsAccelerator)
 	for i := range 5 {
 		q.Put(entry(fmt.Sprint("plain", i), "b", leverdyke.ClassNormal, 1))
 	}
@@ -99,21 +99,21 @@
 	}
 }
 
-func TestWaveOfCancellationsIsOnePass(t *testing.T) {
+func TestRemoveAllRemovesOnlyTheGivenJobs(t *testing.T) {
 	q := queue.NewQueue(queue.NewQueueOptions{})
-	gone := []string{}
+	removed := []string{}
 	for i := range 6000 {
 		e := entry(fmt.Sprintf("j%04d", i), fmt.Sprint("t", i%130), leverdyke.ClassBatch, i)
 		q.Put(e)
 		if i < 5000 {
-			gone = append(gone, e.Job)
+			removed = append(removed, e.Job)
 		}
 	}
-	q.RemoveAll(gone)
+	q.RemoveAll(removed)
 	if got := q.Len(); got != 1000 {
 		t.Errorf("got: %d entries, want: 1000", got)
 	}
-	for _, job := range gone {
+	for _, job := range removed {
 		if q.Entry(job) != nil {
 			t.Fatalf("got: %s is there, want: gone", job)
 		}
@@ -122,7 +122,7 @@
 
 // TestSameInputGivesTheSameOrder offers random entries twice, put in two
 // orders.
-func TestSameInputGivesTheSameOrder(t *testing.T) {
+func TestOrderDoesNotDependOnInsertionOrder(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.Rng = rand.New(rand.NewSource(4))
 	properties := gopter.NewProperties(parameters)
@@ -142,23 +142,23 @@
 			a.Put(list[i])
 			b.Put(list[len(list)-1-i])
 		}
-		return offered(a, shares) == offered(b, shares)
+		return scanOrder(a, shares) == scanOrder(b, shares)
 	}, gen.Int64()))
 	properties.TestingRun(t)
 }
 
 func BenchmarkRemoveAll5000(b *testing.B) {
-	gone := []string{}
+	removed := []string{}
 	for i := range 5000 {
-		gone = append(gone, fmt.Sprintf("j%04d", i))
+		removed = append(removed, fmt.Sprintf("j%04d", i))
 	}
 	for b.Loop() {
 		b.StopTimer()
 		q := queue.NewQueue(queue.NewQueueOptions{})
-		for i, job := range gone {
+		for i, job := range removed {
 			q.Put(entry(job, fmt.Sprint("t", i%130), leverdyke.ClassBatch, i))
 		}
 		b.StartTimer()
-		q.RemoveAll(gone)
+		q.RemoveAll(removed)
 	}
 }
