--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -157,10 +157,10 @@
 			continue
 		}
 		room := o.rack.Room(c.now())
-		if summary.IsSame(&room, &o.room) {
+		if summary.IsEqual(&room, &o.room) {
 			continue
 		}
-		if summary.IsWorthTelling(&o.told, &room) {
+		if summary.IsUpdateNeeded(&o.told, &room) {
 			o.isRoomTold = false
 		}
 		o.room = room
--- a/internal/summary/summary.go
+++ b/internal/summary/summary.go
@@ -13,32 +13,32 @@
 )
 
 // IsSame reports whether two summaries of a rack say the same.
-func IsSame(a, b *node.Room) bool {
+func IsEqual(a, b *node.Room) bool {
 	return a.Epoch == b.Epoch && a.Free == b.Free && a.Largest == b.Largest && a.Yield == b.Yield && a.Workers == b.Workers &&
 		slices.Equal(a.Services, b.Services)
 }
 
 // IsWorthTelling reports whether peers would decide differently by the summary
 // as it is now than by the one that they were told.
-func IsWorthTelling(told, now *node.Room) bool {
-	if told.Epoch != now.Epoch || told.Workers != now.Workers || len(told.Services) != len(now.Services) {
+func IsUpdateNeeded(reported, current *node.Room) bool {
+	if reported.Epoch != current.Epoch || reported.Workers != current.Workers || len(reported.Services) != len(current.Services) {
 		return true
 	}
-	for i := range now.Services {
-		if isOtherService(&told.Services[i], &now.Services[i]) {
+	for i := range current.Services {
+		if isServiceChanged(&reported.Services[i], &current.Services[i]) {
 			return true
 		}
 	}
-	return isFar(told.Free, now.Free) || isFar(told.Largest, now.Largest)
+	return hasDoubledOrHalved(reported.Free, current.Free) || hasDoubledOrHalved(reported.Largest, current.Largest)
 }
 
-func isOtherService(told, now *node.ServiceRoom) bool {
-	isFarOff := told.Slots > 2*now.Slots || now.Slots > 2*told.Slots
-	return told.Service != now.Service || isFarOff || (told.Yield > 0) != (now.Yield > 0)
+func isServiceChanged(reported, current *node.ServiceRoom) bool {
+	haveSlotsDoubledOrHalved := reported.Slots > 2*current.Slots || current.Slots > 2*reported.Slots
+	return reported.Service != current.Service || haveSlotsDoubledOrHalved || (reported.Yield > 0) != (current.Yield > 0)
 }
 
 // isFar reports whether an amount has doubled or halved in some dimension: the
 // less room there is, the smaller the change that matters.
-func isFar(a, b leverdyke.Resources) bool {
+func hasDoubledOrHalved(a, b leverdyke.Resources) bool {
 	return !a.FitsIn(b.Times(2)) || !b.FitsIn(a.Times(2))
 }
--- a/internal/summary/summary_test.go
+++ b/internal/summary/summary_test.go
@@ -11,7 +11,7 @@
 	"github.com/leverdyke/leverdyke/internal/summary"
 )
 
-func room(change func(*node.Room)) *node.Room {
+func newSummary(change func(*node.Room)) *node.Room {
 	r := &node.Room{
 		Epoch: 256, Workers: 8, Free: leverdyke.Resources{MilliCPU: 8000, MemoryMiB: 8000, Slots: 8},
 		Largest:  leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 4000, Slots: 4},
@@ -23,10 +23,10 @@
 	return r
 }
 
-func TestWhatPeersHear(t *testing.T) {
+func TestPeersGetOnlyChangesThatMatterToThem(t *testing.T) {
 	for name, c := range map[string]struct {
-		change            func(*node.Room)
-		isSame, isTelling bool
+		change                  func(*node.Room)
+		isEqual, isUpdateNeeded bool
 	}{
 		"nothing":                   {nil, true, false},
 		"another epoch":             {func(r *node.Room) { r.Epoch++ }, false, true},
@@ -41,12 +41,12 @@
 		"no service any more":       {func(r *node.Room) { r.Services = nil }, false, true},
 		"what preemption could get": {func(r *node.Room) { r.Yield.MilliCPU = 1 }, false, false},
 	} {
-		was, is := room(nil), room(c.change)
-		if got := summary.IsSame(was, is); got != c.isSame {
-			t.Errorf("%s: got: same %v, want: %v", name, got, c.isSame)
+		reported, current := newSummary(nil), newSummary(c.change)
+		if got := summary.IsEqual(reported, current); got != c.isEqual {
+			t.Errorf("%s: got: same %v, want: %v", name, got, c.isEqual)
 		}
-		if got := summary.IsWorthTelling(was, is); got != c.isTelling {
-			t.Errorf("%s: got: worth telling %v, want: %v", name, got, c.isTelling)
+		if got := summary.IsUpdateNeeded(reported, current); got != c.isUpdateNeeded {
+			t.Errorf("%s: got: worth telling %v, want: %v", name, got, c.isUpdateNeeded)
 		}
 	}
 }
