--- a/internal/compare/bench_test.go
+++ b/internal/compare/bench_test.go
@@ -222,7 +222,7 @@
 		name string
 		new  func() chooser
 	}{
-		{"tasks that end (fill)", func() chooser { return byPolicy(placement.Fill) }},
+		{"tasks that end (fill)", func() chooser { return byPolicy(placement.BestFit) }},
 		{"head office's services (0.8, 0.2)", func() chooser { return byPolicy(placement.Policy{Waiting: 0.8, Packing: 0.2}) }},
 		{"Brescia's services (0.3, 0.7)", func() chooser { return byPolicy(placement.Policy{Waiting: 0.3, Packing: 0.7}) }},
 		{"first fit", func() chooser { return firstFit }},
@@ -246,7 +246,7 @@
 	normal := map[queue.Mode]float64{}
 	for _, m := range []queue.Mode{queue.ModeBlock, queue.ModeScan} {
 		list := mix(rand.New(rand.NewSource(3)), 0.7, 0.083)
-		o := play(list, m, byPolicy(placement.Fill), 4)
+		o := play(list, m, byPolicy(placement.BestFit), 4)
 		normal[m] = quantile(o.waits[leverdyke.ClassNormal], 0.5)
 		t.Log("\n" + o.row(string(m)))
 	}
--- a/internal/compare/stale_test.go
+++ b/internal/compare/stale_test.go
@@ -90,12 +90,12 @@
 				for i := range views {
 					views[i] = a.views[i]
 					views[i].Free.Slots -= a.pending[i]
-					views[i].IsShut = now < a.shut[i]
+					views[i].IsUnavailable = now < a.shut[i]
 				}
 				if isTurning {
 					a.offset++
 				}
-				rack := placement.BestRack(placement.Fill, need, views, a.offset, tries)
+				rack := placement.BestRack(placement.BestFit, need, views, a.offset, tries)
 				if rack < 0 {
 					left = append(left, since)
 					continue
--- a/internal/home/gang.go
+++ b/internal/home/gang.go
@@ -120,7 +120,7 @@
 	options := []option{}
 	total := 0
 	for i, id := range h.order {
-		if s.views[i].IsShut && s.now.Sub(j.since) < persistAge {
+		if s.views[i].IsUnavailable && s.now.Sub(j.since) < persistAge {
 			continue
 		}
 		n := int(j.spec.Each.Count(s.views[i].Free))
--- a/internal/home/scan.go
+++ b/internal/home/scan.go
@@ -96,7 +96,7 @@
 func (h *Home) rackView(now time.Time, id state.ShardID) placement.RackView {
 	v := h.racks[id]
 	if !v.hasRoom || now.Before(v.shutUntil) {
-		return placement.RackView{IsShut: true}
+		return placement.RackView{IsUnavailable: true}
 	}
 	return placement.RackView{
 		Free: v.room.Free.Sub(v.pending), Largest: v.room.Largest, Capacity: v.room.Capacity,
@@ -241,7 +241,7 @@
 	if j.spec.Kind == leverdyke.KindService {
 		return h.policies.Weights(j.spec.Team)
 	}
-	return placement.Fill
+	return placement.BestFit
 }
 
 // chooseYield returns a rack that could push others aside for urgent work.
@@ -252,7 +252,7 @@
 	for i := range h.order {
 		at := (i + h.offset) % len(h.order)
 		v := h.racks[h.order[at]]
-		if s.views[at].IsShut || s.pushed[h.order[at]] >= v.room.Workers || !j.spec.Each.FitsIn(v.room.Yield) {
+		if s.views[at].IsUnavailable || s.pushed[h.order[at]] >= v.room.Workers || !j.spec.Each.FitsIn(v.room.Yield) {
 			continue
 		}
 		s.pushed[h.order[at]]++
--- a/internal/placement/policy.go
+++ b/internal/placement/policy.go
@@ -11,7 +11,7 @@
 
 // Fill is the policy for tasks that end, whatever the office: filling VMs up
 // gives both the shortest waits and the best packing (decision 0005).
-var Fill = Policy{Packing: 1}
+var BestFit = Policy{Packing: 1}
 
 // Policy is an office's weighing of its two aims, for services, which stay. The
 // zero value weighs nothing: the first VM with room is taken.
@@ -25,10 +25,10 @@
 const (
 	// The spread of a service's tasks goes before every other aim: a VM, a rack
 	// or an availability zone may be lost.
-	vmPeerWeight   = 2.0
-	strandWeight   = 2.0
-	rackPeerWeight = 2.0
-	zonePeerWeight = 1.0
+	vmSiblingWeight           = 2.0
+	strandedAcceleratorWeight = 2.0
+	rackSiblingWeight         = 2.0
+	zoneSiblingWeight         = 1.0
 )
 
 // Candidate is a VM, or a rack's largest VM, that could take a task.
@@ -38,7 +38,7 @@
 	// Siblings counts tasks of the same service that are there already.
 	Siblings int
 	// IsShut means that it takes nothing new: leaving, set aside, not known.
-	IsShut bool
+	IsUnavailable bool
 }
 
 // Best returns the index of the candidate to take and of the runner-up, or -1.
@@ -48,7 +48,7 @@
 	bestScore, secondScore := 0.0, 0.0
 	for i := range candidates {
 		c := &candidates[i]
-		if c.IsShut || !need.FitsIn(c.Free) {
+		if c.IsUnavailable || !need.FitsIn(c.Free) {
 			continue
 		}
 		score := Score(p, need, c)
@@ -72,10 +72,10 @@
 		fraction(left.MilliCPU, c.Capacity.MilliCPU), fraction(left.MemoryMiB, c.Capacity.MemoryMiB), fraction(left.Slots, c.Capacity.Slots),
 	)
 	score := (p.Waiting - p.Packing) * scarcest
-	score -= vmPeerWeight * float64(c.Siblings)
+	score -= vmSiblingWeight * float64(c.Siblings)
 	if need.Accelerators == 0 && c.Capacity.Accelerators > 0 {
 		// Room beside an accelerator is what a task with one needs later.
-		score -= strandWeight
+		score -= strandedAcceleratorWeight
 	}
 	return score
 }
@@ -97,27 +97,27 @@
 	// in its availability zone.
 	Siblings, ZoneSiblings int
 	// IsShut means that the rack refused or has no owner at the moment.
-	IsShut bool
+	IsUnavailable bool
 }
 
 // BestRack returns the index of the rack to ask, or -1. The offset turns the
 // order of equals, so that several askers do not all choose the same rack;
 // with tries above 0 only that many racks with room are compared.
-func BestRack(p Policy, need leverdyke.Resources, racks []RackView, offset, tries int) int {
-	best, bestScore, seen := -1, 0.0, 0
+func BestRack(p Policy, need leverdyke.Resources, racks []RackView, offset, maxCompared int) int {
+	best, bestScore, compared := -1, 0.0, 0
 	for i := range racks {
-		at := (i + offset) % len(racks)
-		r := &racks[at]
-		if r.IsShut || !need.FitsIn(r.Largest) || !need.FitsIn(r.Free) {
+		index := (i + offset) % len(racks)
+		r := &racks[index]
+		if r.IsUnavailable || !need.FitsIn(r.Largest) || !need.FitsIn(r.Free) {
 			continue
 		}
 		score := Score(p, need, &Candidate{Free: r.Largest, Capacity: r.Capacity})
-		score -= rackPeerWeight*float64(r.Siblings) + zonePeerWeight*float64(r.ZoneSiblings)
+		score -= rackSiblingWeight*float64(r.Siblings) + zoneSiblingWeight*float64(r.ZoneSiblings)
 		if best < 0 || score > bestScore {
-			best, bestScore = at, score
+			best, bestScore = index, score
 		}
-		seen++
-		if tries > 0 && seen >= tries {
+		compared++
+		if maxCompared > 0 && compared >= maxCompared {
 			break
 		}
 	}
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -18,44 +18,44 @@
 	Charge leverdyke.Resources
 	Class  leverdyke.Class
 	// IsOnce forbids it: the task may not start again.
-	IsOnce bool
+	IsAtMostOnce bool
 	// IsThrottled means that it was throttled before.
 	IsThrottled bool
 	// Ran is how long it has run: what stopping it would waste.
-	Ran time.Duration
+	RunTime time.Duration
 }
 
 // Push is what to do to one victim.
-type Push struct {
-	Key  worker.Key
-	Deed worker.Deed
+type Preemption struct {
+	Key    worker.Key
+	Action worker.Deed
 }
 
 // Preempt returns the gentlest deeds that free need on a VM with free left, or
 // nil if no set of them does. Only tasks of a lower class than the need's are
 // touched, and none that may not be repeated.
-func Preempt(need, free leverdyke.Resources, class leverdyke.Class, victims []Victim) []Push {
+func Preempt(need, free leverdyke.Resources, class leverdyke.Class, victims []Victim) []Preemption {
 	candidates := []Victim{}
 	for _, v := range victims {
-		if !v.IsOnce && v.Class.Rank() > class.Rank() {
+		if !v.IsAtMostOnce && v.Class.Rank() > class.Rank() {
 			candidates = append(candidates, v)
 		}
 	}
 	slices.SortFunc(candidates, func(a, b Victim) int {
 		return cmp.Or(
-			cmp.Compare(b.Class.Rank(), a.Class.Rank()), cmp.Compare(a.Ran, b.Ran),
+			cmp.Compare(b.Class.Rank(), a.Class.Rank()), cmp.Compare(a.RunTime, b.RunTime),
 			cmp.Compare(a.Key.Task.Job, b.Key.Task.Job), cmp.Compare(a.Key.Task.Index, b.Key.Task.Index),
 		)
 	})
-	if pushes := throttleOnly(need, free, candidates); pushes != nil {
-		return pushes
+	if preemptions := throttleOnly(need, free, candidates); preemptions != nil {
+		return preemptions
 	}
-	return stopSome(need, free, candidates)
+	return stopVictims(need, free, candidates)
 }
 
 // throttleOnly helps where only processors are short.
-func throttleOnly(need, free leverdyke.Resources, candidates []Victim) []Push {
-	pushes := []Push{}
+func throttleOnly(need, free leverdyke.Resources, candidates []Victim) []Preemption {
+	preemptions := []Preemption{}
 	for _, v := range candidates {
 		if need.FitsIn(free) {
 			break
@@ -64,17 +64,17 @@
 			continue
 		}
 		free.MilliCPU += v.Charge.MilliCPU - v.Charge.MilliCPU/worker.ThrottleDivisor
-		pushes = append(pushes, Push{v.Key, worker.DeedThrottle})
+		preemptions = append(preemptions, Preemption{v.Key, worker.DeedThrottle})
 	}
-	if !need.FitsIn(free) || len(pushes) == 0 {
+	if !need.FitsIn(free) || len(preemptions) == 0 {
 		return nil
 	}
-	return pushes
+	return preemptions
 }
 
 // stopSome checkpoints victims until the need fits, then spares those that
 // turned out not to be needed, dearest first.
-func stopSome(need, free leverdyke.Resources, candidates []Victim) []Push {
+func stopVictims(need, free leverdyke.Resources, candidates []Victim) []Preemption {
 	taken := []Victim{}
 	for _, v := range candidates {
 		if need.FitsIn(free) {
@@ -86,13 +86,13 @@
 	if !need.FitsIn(free) {
 		return nil
 	}
-	pushes := []Push{}
+	preemptions := []Preemption{}
 	for i := len(taken) - 1; i >= 0; i-- {
 		if need.FitsIn(free.Sub(taken[i].Charge)) {
 			free = free.Sub(taken[i].Charge)
 			continue
 		}
-		pushes = append(pushes, Push{taken[i].Key, worker.DeedCheckpoint})
+		preemptions = append(preemptions, Preemption{taken[i].Key, worker.DeedCheckpoint})
 	}
-	return pushes
+	return preemptions
 }
--- a/internal/rack/asks.go
+++ b/internal/rack/asks.go
@@ -161,7 +161,7 @@
 	for i, id := range r.order {
 		v := r.vms[id]
 		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) || r.isKeptFrom(now, v, item) {
-			candidates[i].IsShut = true
+			candidates[i].IsUnavailable = true
 			continue
 		}
 		candidates[i] = placement.Candidate{Free: r.free(v), Capacity: v.capacity}
--- a/internal/rack/bench_test.go
+++ b/internal/rack/bench_test.go
@@ -36,7 +36,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		began := time.Now()
-		at := placement.BestRack(placement.Fill, each, views, i, 8)
+		at := placement.BestRack(placement.BestFit, each, views, i, 8)
 		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, Home: string(home), Each: each}
 		racks[at].OnAsk(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch, Items: []node.AskItem{{Task: task, Packing: 1}}})
 		racks[at].Flush(now)
--- a/internal/rack/pushes.go
+++ b/internal/rack/pushes.go
@@ -57,7 +57,7 @@
 
 // cheapestReplica returns the worker with a replica of the service on which the
 // fewest and gentlest deeds make room for one request.
-func (r *Rack) cheapestReplica(now time.Time, m *node.GrantAsk) (best *vm, replica *held, pushes []placement.Push) {
+func (r *Rack) cheapestReplica(now time.Time, m *node.GrantAsk) (best *vm, replica *held, pushes []placement.Preemption) {
 	for _, id := range r.order {
 		v := r.vms[id]
 		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -76,7 +76,7 @@
 	holds        map[holdID]*hold
 	earmark      *earmark
 	health       *health.Detector
-	learned      *sizes.Learned
+	learned      *sizes.Estimator
 	// kept is the VM that is kept for a starved task; nil for none.
 	kept      *keep
 	nextGrant uint64
@@ -229,7 +229,7 @@
 		ID: id, Epoch: epoch, options: options, began: now,
 		vms: map[worker.ID]*vm{}, held: map[worker.Key]*held{}, byTask: map[leverdyke.TaskID]worker.Key{},
 		homes: map[state.ShardID]uint64{}, synced: map[state.ShardID]bool{},
-		settled: map[state.ShardID]*settled{}, holds: map[holdID]*hold{}, health: health.NewDetector(), learned: sizes.NewLearned(),
+		settled: map[state.ShardID]*settled{}, holds: map[holdID]*hold{}, health: health.NewDetector(), learned: sizes.NewEstimator(),
 	}
 }
 
--- a/internal/rack/sizes.go
+++ b/internal/rack/sizes.go
@@ -17,7 +17,7 @@
 // learn takes the use that an attempt has reported.
 func (r *Rack) learn(h *held) {
 	if h.task.Holder == "" {
-		r.learned.Report(h.task.Key.Task.Job, h.task.Each, h.task.Usage)
+		r.learned.Observe(h.task.Key.Task.Job, h.task.Each, h.task.Usage)
 	}
 }
 
@@ -27,7 +27,7 @@
 	for _, v := range r.vms {
 		largest = largest.Max(v.capacity)
 	}
-	return r.learned.Expected(t.Key.Task.Job, t.Each, largest)
+	return r.learned.Estimate(t.Key.Task.Job, t.Each, largest)
 }
 
 // relieve pushes tasks off the VMs whose tasks use more than there is, because
@@ -84,13 +84,13 @@
 }
 
 // push orders deeds that make room on a worker.
-func (r *Rack) push(now time.Time, v *vm, pushes []placement.Push, why string) {
+func (r *Rack) push(now time.Time, v *vm, pushes []placement.Preemption, why string) {
 	for _, p := range pushes {
 		h := r.held[p.Key]
-		h.deed = p.Deed
+		h.deed = p.Action
 		h.since = now
 		h.told = now
-		r.out.Acts = append(r.out.Acts, ActOrder{v.id, p.Deed, []worker.Key{p.Key}})
-		r.event(EventPreempted, v.id, p.Key, string(p.Deed)+": "+why)
+		r.out.Acts = append(r.out.Acts, ActOrder{v.id, p.Action, []worker.Key{p.Key}})
+		r.event(EventPreempted, v.id, p.Key, string(p.Action)+": "+why)
 	}
 }
--- a/internal/rack/urgent.go
+++ b/internal/rack/urgent.go
@@ -50,9 +50,9 @@
 }
 
 // cheapest returns the worker where the fewest and gentlest deeds make room.
-func (r *Rack) cheapest(now time.Time, item *node.AskItem) (*vm, []placement.Push) {
+func (r *Rack) cheapest(now time.Time, item *node.AskItem) (*vm, []placement.Preemption) {
 	var best *vm
-	var bestPushes []placement.Push
+	var bestPushes []placement.Preemption
 	bestCost := 0
 	need := r.expected(&item.Task)
 	for _, id := range r.order {
@@ -71,11 +71,11 @@
 	return best, bestPushes
 }
 
-func costOf(pushes []placement.Push) int {
+func costOf(pushes []placement.Preemption) int {
 	cost := 0
 	for _, p := range pushes {
 		cost++
-		if p.Deed != worker.DeedThrottle {
+		if p.Action != worker.DeedThrottle {
 			cost += 10
 		}
 	}
@@ -89,8 +89,8 @@
 			continue
 		}
 		list = append(list, placement.Victim{
-			Key: h.task.Key, Charge: h.task.Charge(), Class: h.task.Class, IsOnce: h.task.IsOnce,
-			IsThrottled: h.task.IsThrottled, Ran: now.Sub(h.since),
+			Key: h.task.Key, Charge: h.task.Charge(), Class: h.task.Class, IsAtMostOnce: h.task.IsOnce,
+			IsThrottled: h.task.IsThrottled, RunTime: now.Sub(h.since),
 		})
 	}
 	return list
--- a/internal/sizes/estimator.go
+++ b/internal/sizes/estimator.go
@@ -12,31 +12,31 @@
 
 // Learned has the largest reported use of a task by job, for the jobs that use
 // more than they declare. It belongs to one goroutine.
-type Learned struct {
-	used map[string]leverdyke.Resources
+type Estimator struct {
+	usedByJob map[string]leverdyke.Resources
 }
 
 // NewLearned returns what is learned from no report.
-func NewLearned() *Learned { return &Learned{used: map[string]leverdyke.Resources{}} }
+func NewEstimator() *Estimator { return &Estimator{usedByJob: map[string]leverdyke.Resources{}} }
 
 // Report takes what a task of a job declared and has used. The next task of the
 // job will most likely use as much.
-func (l *Learned) Report(job string, declared, used leverdyke.Resources) {
+func (l *Estimator) Observe(job string, declared, used leverdyke.Resources) {
 	if used.FitsIn(declared) {
 		return
 	}
-	if _, ok := l.used[job]; !ok && len(l.used) >= maxJobs {
-		clear(l.used)
+	if _, ok := l.usedByJob[job]; !ok && len(l.usedByJob) >= maxJobs {
+		clear(l.usedByJob)
 	}
-	l.used[job] = l.used[job].Max(used)
+	l.usedByJob[job] = l.usedByJob[job].Max(used)
 }
 
 // Expected returns what a task of a job will most likely take: what it
 // declares, or what others of its job have used. It is never more than the
 // largest VM has, so that a task that can run is not kept from running; slots
 // and accelerators are always what is declared.
-func (l *Learned) Expected(job string, declared, largest leverdyke.Resources) leverdyke.Resources {
-	used, ok := l.used[job]
+func (l *Estimator) Estimate(job string, declared, largest leverdyke.Resources) leverdyke.Resources {
+	used, ok := l.usedByJob[job]
 	if !ok {
 		return declared
 	}
--- a/internal/sizes/estimator_test.go
+++ b/internal/sizes/estimator_test.go
@@ -16,7 +16,7 @@
 	largest  = leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 4000, Slots: 4}
 )
 
-func TestExpected(t *testing.T) {
+func TestEstimate(t *testing.T) {
 	for name, c := range map[string]struct {
 		reports []leverdyke.Resources
 		want    leverdyke.Resources
@@ -28,27 +28,27 @@
 		"more than a VM":       {[]leverdyke.Resources{{MilliCPU: 9000, MemoryMiB: 9000}}, leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 4000, Slots: 1}},
 		"slots are as they do": {[]leverdyke.Resources{{MilliCPU: 2000, Slots: 3}}, leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 1000, Slots: 1}},
 	} {
-		l := sizes.NewLearned()
+		l := sizes.NewEstimator()
 		for _, used := range c.reports {
-			l.Report("job", declared, used)
+			l.Observe("job", declared, used)
 		}
-		if got := l.Expected("job", declared, largest); got != c.want {
+		if got := l.Estimate("job", declared, largest); got != c.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, c.want)
 		}
-		if got := l.Expected("other", declared, largest); got != declared {
+		if got := l.Estimate("other", declared, largest); got != declared {
 			t.Errorf("%s, another job: got: %v, want: %v", name, got, declared)
 		}
 	}
 }
 
-func TestWhatIsRememberedIsBounded(t *testing.T) {
-	l := sizes.NewLearned()
+func TestNumberOfRememberedJobsIsBounded(t *testing.T) {
+	l := sizes.NewEstimator()
 	for i := range 10000 {
-		l.Report(fmt.Sprint("job", i), declared, leverdyke.Resources{MilliCPU: 2000})
+		l.Observe(fmt.Sprint("job", i), declared, leverdyke.Resources{MilliCPU: 2000})
 	}
 	remembered := 0
 	for i := range 10000 {
-		if l.Expected(fmt.Sprint("job", i), declared, largest) != declared {
+		if l.Estimate(fmt.Sprint("job", i), declared, largest) != declared {
 			remembered++
 		}
 	}
