--- a/internal/logbuffer/buffer.go
+++ b/internal/logbuffer/buffer.go
@@ -1,44 +1,46 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package logbuffer keeps the last batches of the log, for peers who lag behind and
-// do not reach the log.
+// Package logbuffer keeps the newest batches of the log in memory, so that a
+// node can serve them to peers that lag behind and cannot read the log
+// themselves.
 package logbuffer
 
 import "github.com/leverdyke/leverdyke/internal/node"
 
-// maxBytes bounds the batches that are kept.
+// maxBytes bounds the total size of the buffered batches.
 const maxBytes = 256 << 10
 
-// Buffer has the batches after an offset, without gaps. It belongs to one
-// goroutine.
+// Buffer holds all batches after an offset, without gaps. It is not safe for
+// concurrent use.
 type Buffer struct {
 	entries []node.TailEntry
-	// after is the offset before the first entry.
+	// after is the offset of the newest batch that is no longer buffered.
 	after int64
 	bytes int
 }
 
-// NewBuffer returns an empty buffer that begins after an offset; -1 means with
-// the log's first batch.
+// NewBuffer returns an empty buffer whose first batch will be the one that
+// follows offset after; -1 means that it begins with the log's first batch.
 func NewBuffer(after int64) *Buffer { return &Buffer{after: after} }
 
-// Add appends the next batch, and drops the oldest beyond the bound. The last
-// one is always kept.
+// Add appends the next batch and drops the oldest ones while the buffer exceeds
+// maxBytes. The newest batch is always kept, even if it alone exceeds maxBytes.
 func (b *Buffer) Add(offset int64, data []byte) {
 	b.entries = append(b.entries, node.TailEntry{Offset: offset, Data: data})
 	b.bytes += len(data)
 	for b.bytes > maxBytes && len(b.entries) > 1 {
 		b.bytes -= len(b.entries[0].Data)
 		b.after = b.entries[0].Offset
-		// The array behind the slice would keep the bytes.
+		// Cleared because the slice's backing array would otherwise keep the
+		// data reachable.
 		b.entries[0] = node.TailEntry{}
 		b.entries = b.entries[1:]
 	}
 }
 
-// After returns the batches after an offset; nil when there are none, or when
-// some that follow the offset have been dropped.
+// After returns all batches that follow an offset. It returns nil if some of
+// them have been dropped, and an empty list if there are none.
 func (b *Buffer) After(offset int64) []node.TailEntry {
 	if offset < b.after {
 		return nil
--- a/internal/logbuffer/buffer_test.go
+++ b/internal/logbuffer/buffer_test.go
@@ -16,7 +16,8 @@
 		b.Add(offset, large)
 	}
 	for offset, want := range map[int64]int{
-		// Two fit; what follows offset 1 has been dropped in part.
+		// Only two batches fit, 3 and 4; some batches that follow offset 1 have
+		// been dropped, so that After(1) must return none.
 		-1: 0, 1: 0, 2: 2, 3: 1, 4: 0, 9: 0,
 	} {
 		got := b.After(offset)
@@ -36,6 +37,6 @@
 		t.Errorf("got: %d batches, want: 1", got)
 	}
 	if got := len(b.After(5)); got != 0 {
-		t.Errorf("before its begin: got: %d batches, want: 0", got)
+		t.Errorf("before the buffer's first batch: got: %d batches, want: 0", got)
 	}
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -12,28 +12,32 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// Victim is a running task that urgent work could push aside.
+// Victim is a running task that could be preempted for more urgent work.
 type Victim struct {
-	Key    worker.Key
+	Key worker.Key
+	// Charge is the resources that the task occupies on its VM.
 	Charge leverdyke.Resources
 	Class  leverdyke.Class
-	// IsOnce forbids it: the task may not start again.
+	// IsAtMostOnce means that the task must not be started again, and is
+	// therefore never preempted.
 	IsAtMostOnce bool
-	// IsThrottled means that it was throttled before.
+	// IsThrottled means that the task is throttled already.
 	IsThrottled bool
-	// Ran is how long it has run: what stopping it would waste.
+	// RunTime is how long the task has run; stopping it wastes this time.
 	RunTime time.Duration
 }
 
-// Push is what to do to one victim.
+// Preemption is the action to take on one victim.
 type Preemption struct {
 	Key    worker.Key
 	Action worker.Deed
 }
 
-// Preempt returns the gentlest deeds that free need on a VM with free left, or
-// nil if no set of them does. Only tasks of a lower class than the need's are
-// touched, and none that may not be repeated.
+// Preempt returns the least disruptive preemptions that make room for need on a
+// VM whose free capacity is given, or nil if none suffice. Throttling is
+// preferred to stopping; the least urgent tasks come first, and of those the
+// ones that have run for the shortest time. Only tasks of a less urgent class
+// are preempted, and none that must not be started again.
 func Preempt(need, free leverdyke.Resources, class leverdyke.Class, victims []Victim) []Preemption {
 	candidates := []Victim{}
 	for _, v := range victims {
@@ -53,7 +57,8 @@
 	return stopVictims(need, free, candidates)
 }
 
-// throttleOnly helps where only processors are short.
+// throttleOnly throttles victims until need fits, or returns nil if throttling
+// does not suffice. Throttling frees CPU only, no memory, slots or accelerators.
 func throttleOnly(need, free leverdyke.Resources, candidates []Victim) []Preemption {
 	preemptions := []Preemption{}
 	for _, v := range candidates {
@@ -72,8 +77,9 @@
 	return preemptions
 }
 
-// stopSome checkpoints victims until the need fits, then spares those that
-// turned out not to be needed, dearest first.
+// stopVictims checkpoints and stops victims until need fits, then spares those
+// whose resources turn out not to be needed. It checks in the reverse order, so
+// that the victims that are most costly to stop are spared first.
 func stopVictims(need, free leverdyke.Resources, candidates []Victim) []Preemption {
 	taken := []Victim{}
 	for _, v := range candidates {
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package queue orders the waiting work of the teams of one home: class, then
-// the teams' shares, then age. It is pure: it has no clock and does no I/O.
+// Package queue orders the waiting jobs of the teams of one job shard: by
+// class, then by how much of its quota each team uses, then by age. It does no
+// I/O and reads no clock.
 package queue
 
 import (
@@ -13,55 +14,60 @@
 	"github.com/leverdyke/leverdyke"
 )
 
-// Entry is a job with tasks that wait.
+// Entry is a queued job, which may have tasks waiting to be placed.
 type Entry struct {
 	Job   string
 	Team  string
 	Class leverdyke.Class
-	// Need is what one task needs.
+	// Need is the resources that one task needs.
 	Need leverdyke.Resources
-	// Waiting counts the tasks that wait; never negative.
+	// Waiting is the number of tasks that wait to be placed; never negative.
 	Waiting int
-	// Since is when the entry began to wait.
+	// Since is when the job began to wait.
 	Since time.Time
-	// Bypassed counts how often a later entry was started in spite of this one
-	// since it last started something.
+	// Bypassed counts how often, since a task of this entry was last started,
+	// an entry that is behind it in the scan and competes for the same resources
+	// was started while this one was blocked.
 	Bypassed int
 }
 
-// Result is what became of an entry in a scan.
+// Result is the outcome of trying to start tasks of an entry in a scan.
 type Result string
 
-// The results of trying an entry.
+// The possible results.
 const (
-	// Started means that at least one of the entry's tasks found a place.
+	// Started means that at least one of the entry's tasks was placed.
 	Started Result = "started"
-	// Blocked means that there is no room for the entry.
+	// Blocked means that there is not enough free capacity for any task of the
+	// entry.
 	Blocked Result = "blocked"
-	// Skipped means that it is not the entry's turn for reasons of its own,
-	// such as its team's quota; nobody has to wait for it.
+	// Skipped means that the entry may not start now for reasons of its own,
+	// such as its team's quota. No other entry is held back for it.
 	Skipped Result = "skipped"
 )
 
-// Mode says what a blocked entry does to those behind it.
+// Mode says whether a blocked entry holds back those behind it.
 type Mode string
 
 // The modes of scanning.
 const (
-	// ModeScan goes on past blocked entries, within the bound.
+	// ModeScan continues past blocked entries, up to MaxBypass times for each.
 	ModeScan Mode = "scan"
-	// ModeBlock stops at the first blocked entry; it is the baseline.
+	// ModeBlock stops at the first blocked entry (head-of-line blocking). It is the
+	// baseline to which ModeScan is compared.
 	ModeBlock Mode = "block"
 )
 
-// NewQueueOptions sets the bounds. Zero values mean the defaults.
+// NewQueueOptions sets the mode and the bounds of a queue. Zero values mean the
+// defaults.
 type NewQueueOptions struct {
-	// Mode is how to scan; empty means ModeScan.
+	// Mode is the mode of scanning; empty means ModeScan.
 	Mode Mode
-	// MaxBypass is how often an entry may be passed by work that takes what it
-	// lacks, before that work has to wait for it; 0 means 64.
+	// MaxBypass is how often an entry may be bypassed by entries that compete
+	// for the resources it lacks, before those have to wait for it; 0 means 64.
 	MaxBypass int
-	// MaxEntries bounds the queue; 0 means 20,000.
+	// MaxEntries is the number of entries from which on the queue counts as
+	// full; 0 means 20,000.
 	MaxEntries int
 }
 
@@ -70,11 +76,11 @@
 	defaultMaxEntries = 20000
 )
 
-// Queue holds entries. It belongs to one goroutine.
+// Queue holds the waiting entries. It is not safe for concurrent use.
 type Queue struct {
 	options NewQueueOptions
 	entries map[string]*Entry
-	// order has the entries of each class by team, each team's oldest first.
+	// order has the entries by class and team, each team's oldest first.
 	order map[leverdyke.Class]map[string][]*Entry
 }
 
@@ -92,17 +98,19 @@
 	return &Queue{options: options, entries: map[string]*Entry{}, order: map[leverdyke.Class]map[string][]*Entry{}}
 }
 
-// Len returns how many entries there are.
+// Len returns the number of entries.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// IsFull reports whether no further job may wait.
+// IsFull reports whether the queue has MaxEntries entries, so that no further
+// job should be accepted.
 func (q *Queue) IsFull() bool { return len(q.entries) >= q.options.MaxEntries }
 
 // Entry returns the entry of a job, or nil.
 func (q *Queue) Entry(job string) *Entry { return q.entries[job] }
 
-// Put adds an entry, or sets how many of its tasks wait. An entry keeps its
-// place among those of its team by Since.
+// Put adds an entry, or updates the number of waiting tasks if the job is
+// already queued. Entries of a team and class are ordered by Since, so that an
+// entry that is removed and put back returns to its position.
 func (q *Queue) Put(e Entry) {
 	if old := q.entries[e.Job]; old != nil {
 		old.Waiting = e.Waiting
@@ -120,7 +128,7 @@
 	teams[e.Team] = slices.Insert(list, at, added)
 }
 
-// Remove takes a job out.
+// Remove removes a job's entry, if there is one.
 func (q *Queue) Remove(job string) {
 	e := q.entries[job]
 	if e == nil {
@@ -134,7 +142,8 @@
 	}
 }
 
-// RemoveAll takes many jobs out in one pass.
+// RemoveAll removes the entries of many jobs in one pass over the queue, instead
+// of one search of a team's list for each job.
 func (q *Queue) RemoveAll(jobs []string) {
 	removed := make(map[*Entry]bool, len(jobs))
 	for _, job := range jobs {
@@ -157,14 +166,17 @@
 	return cmp.Or(a.Since.Compare(b.Since), cmp.Compare(a.Job, b.Job))
 }
 
-// Scan offers the entries to try, most urgent class first; within a class the
-// teams that use the least of their quota first, one entry at a time in turn;
-// within a team the oldest first. It returns how many entries were started.
+// Scan passes the entries to try, the most urgent class first. Within a class it
+// takes one entry of each team at a time (round robin), the teams that use the
+// smallest share of their quota first; within a team the oldest entry comes
+// first. The parameter share returns the part of its quota that a team uses.
+// Scan returns how many entries were started.
 //
-// A blocked entry does not stop those behind it, after the scan past exhausted
-// entries of vLLM's pull request "[Core] LoRA: V1 Scheduler optimization"
-// (decision 0006 has the measurement). An entry that was passed MaxBypass times
-// by work that takes what it lacks is not passed by such work again.
+// In ModeScan a blocked entry does not hold back those behind it. This follows
+// the scan past exhausted entries of vLLM's pull request "[Core] LoRA: V1
+// Scheduler optimization"; decision 0006 has the measurement. So that a large
+// entry is not starved, an entry that was bypassed MaxBypass times by entries
+// that compete for the resources it lacks is not bypassed by such entries again.
 func (q *Queue) Scan(share func(team string) float64, try func(*Entry) Result) int {
 	started := 0
 	atBypassLimit := []*Entry{}
@@ -194,7 +206,7 @@
 	return started
 }
 
-// turn lists a class's entries in the order in which they are offered.
+// scanOrder lists a class's entries in the order in which Scan tries them.
 func (q *Queue) scanOrder(class leverdyke.Class, share func(team string) float64) []*Entry {
 	teams := q.order[class]
 	teamNames := make([]string, 0, len(teams))
@@ -218,8 +230,8 @@
 	return ordered
 }
 
-// mustWait reports whether e would take what an entry lacks that has been
-// passed often enough. Nobody is made to wait for a less urgent class.
+// mustWait reports whether e competes with an entry that has reached its bypass
+// limit. No entry is made to wait for one of a less urgent class.
 func (q *Queue) mustWait(e *Entry, atBypassLimit []*Entry) bool {
 	for _, w := range atBypassLimit {
 		if e.Class.Rank() >= w.Class.Rank() && competes(e, w) {
@@ -229,8 +241,8 @@
 	return false
 }
 
-// bypass counts that e was started before the blocked entries that it competes
-// with.
+// countBypass counts, for each blocked entry that e competes with, that e was
+// started before it.
 func countBypass(e *Entry, blocked []*Entry) {
 	for _, b := range blocked {
 		if competes(e, b) {
@@ -239,9 +251,9 @@
 	}
 }
 
-// competes reports whether e takes what makes w wait: work without accelerators
-// leaves those who wait for one their place, since placing keeps it off such
-// VMs while there are others.
+// competes reports whether starting e can take resources that w waits for. Work
+// without accelerators does not compete with work that needs them, because
+// placement avoids VMs with accelerators for it while others have free capacity.
 func competes(e, w *Entry) bool {
 	return w.Need.Accelerators == 0 || e.Need.Accelerators > 0
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -23,6 +23,7 @@
 	return queue.Entry{Job: job, Team: team, Class: class, Waiting: 1, Since: epoch.Add(-time.Duration(age) * time.Second)}
 }
 
+// scanOrder returns the job IDs in the order in which Scan tries the entries.
 func scanOrder(q *queue.Queue, shares map[string]float64) string {
 	text := ""
 	q.Scan(func(team string) float64 { return shares[team] }, func(e *queue.Entry) queue.Result {
@@ -46,6 +47,8 @@
 	}
 }
 
+// A large entry that stays blocked must not be starved by small ones behind it:
+// after MaxBypass bypasses they wait. More urgent work never waits for it.
 func TestBlockedEntryIsBypassedAtMostMaxBypassTimes(t *testing.T) {
 	q := queue.NewQueue(queue.NewQueueOptions{MaxBypass: 3})
 	big := entry("big", "a", leverdyke.ClassNormal, 100)
@@ -66,7 +69,7 @@
 		})
 	}
 	if bypassed != 3 {
-		t.Errorf("got: %d entries passed it, want: 3", bypassed)
+		t.Errorf("got: bypassed %d times, want: 3", bypassed)
 	}
 	urgent := entry("urgent", "b", leverdyke.ClassUrgent, 0)
 	q.Put(urgent)
@@ -76,10 +79,12 @@
 		return queue.Blocked
 	})
 	if !isOffered {
-		t.Error("got: urgent work waits for less urgent, want: it does not")
+		t.Error("got: urgent work waits for less urgent work, want: it is tried")
 	}
 }
 
+// Work that needs no accelerator must not wait for an entry that lacks one, even
+// after MaxBypass bypasses: it runs on other VMs.
 func TestWorkWithoutAcceleratorsIsNotHeldBackByWorkThatNeedsThem(t *testing.T) {
 	q := queue.NewQueue(queue.NewQueueOptions{MaxBypass: 1})
 	needsAccelerator := entry("needy", "a", leverdyke.ClassNormal, 100)
@@ -99,6 +104,8 @@
 	}
 }
 
+// Guards RemoveAll, which the cancellation of many jobs at once uses, against
+// leaving given jobs in the queue or removing others.
 func TestRemoveAllRemovesOnlyTheGivenJobs(t *testing.T) {
 	q := queue.NewQueue(queue.NewQueueOptions{})
 	removed := []string{}
@@ -115,13 +122,13 @@
 	}
 	for _, job := range removed {
 		if q.Entry(job) != nil {
-			t.Fatalf("got: %s is there, want: gone", job)
+			t.Fatalf("got: %s is in the queue, want: removed", job)
 		}
 	}
 }
 
-// TestSameInputGivesTheSameOrder offers random entries twice, put in two
-// orders.
+// Puts the same random entries in two orders and compares the orders in which
+// they are scanned, so that decisions are reproducible.
 func TestOrderDoesNotDependOnInsertionOrder(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.Rng = rand.New(rand.NewSource(4))
--- a/internal/sizes/estimator_test.go
+++ b/internal/sizes/estimator_test.go
@@ -21,12 +21,12 @@
 		reports []leverdyke.Resources
 		want    leverdyke.Resources
 	}{
-		"no report":            {nil, declared},
-		"less than declared":   {[]leverdyke.Resources{{MilliCPU: 100, MemoryMiB: 100}}, declared},
-		"more memory":          {[]leverdyke.Resources{{MilliCPU: 500, MemoryMiB: 3000}}, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 3000, Slots: 1}},
-		"the most of several":  {[]leverdyke.Resources{{MilliCPU: 2000}, {MilliCPU: 1500}}, leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 1000, Slots: 1}},
-		"more than a VM":       {[]leverdyke.Resources{{MilliCPU: 9000, MemoryMiB: 9000}}, leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 4000, Slots: 1}},
-		"slots are as they do": {[]leverdyke.Resources{{MilliCPU: 2000, Slots: 3}}, leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 1000, Slots: 1}},
+		"no report":           {nil, declared},
+		"less than declared":  {[]leverdyke.Resources{{MilliCPU: 100, MemoryMiB: 100}}, declared},
+		"more memory":         {[]leverdyke.Resources{{MilliCPU: 500, MemoryMiB: 3000}}, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 3000, Slots: 1}},
+		"the most of several": {[]leverdyke.Resources{{MilliCPU: 2000}, {MilliCPU: 1500}}, leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 1000, Slots: 1}},
+		"more than a VM has":  {[]leverdyke.Resources{{MilliCPU: 9000, MemoryMiB: 9000}}, leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 4000, Slots: 1}},
+		"slots as declared":   {[]leverdyke.Resources{{MilliCPU: 2000, Slots: 3}}, leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 1000, Slots: 1}},
 	} {
 		l := sizes.NewEstimator()
 		for _, used := range c.reports {
@@ -41,6 +41,8 @@
 	}
 }
 
+// A job that ended is not removed from the estimator; without a bound it would
+// grow with every job that uses more than it declares.
 func TestNumberOfRememberedJobsIsBounded(t *testing.T) {
 	l := sizes.NewEstimator()
 	for i := range 10000 {
--- a/internal/summary/summary.go
+++ b/internal/summary/summary.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package summary decides which changes of a rack's room peers have to hear:
-// those by which they would decide differently.
+// Package summary decides which changes of a rack's summary have to be sent to
+// peers: those that would change a peer's decisions. A summary lists the rack's
+// free capacity.
 package summary
 
 import (
@@ -12,14 +13,16 @@
 	"github.com/leverdyke/leverdyke/internal/node"
 )
 
-// IsSame reports whether two summaries of a rack say the same.
+// IsEqual reports whether two summaries of a rack have the same content.
 func IsEqual(a, b *node.Room) bool {
 	return a.Epoch == b.Epoch && a.Free == b.Free && a.Largest == b.Largest && a.Yield == b.Yield && a.Workers == b.Workers &&
 		slices.Equal(a.Services, b.Services)
 }
 
-// IsWorthTelling reports whether peers would decide differently by the summary
-// as it is now than by the one that they were told.
+// IsUpdateNeeded reports whether the current summary differs so much from the
+// one last sent to peers that they would decide differently by it: another
+// owner's epoch, other workers or services, or a capacity that has doubled or
+// halved.
 func IsUpdateNeeded(reported, current *node.Room) bool {
 	if reported.Epoch != current.Epoch || reported.Workers != current.Workers || len(reported.Services) != len(current.Services) {
 		return true
@@ -37,8 +40,9 @@
 	return reported.Service != current.Service || haveSlotsDoubledOrHalved || (reported.Yield > 0) != (current.Yield > 0)
 }
 
-// isFar reports whether an amount has doubled or halved in some dimension: the
-// less room there is, the smaller the change that matters.
+// hasDoubledOrHalved reports whether an amount has more than doubled or halved
+// in some dimension. The threshold is relative because the less capacity is
+// free, the smaller the change that affects a decision.
 func hasDoubledOrHalved(a, b leverdyke.Resources) bool {
 	return !a.FitsIn(b.Times(2)) || !b.FitsIn(a.Times(2))
 }
--- a/internal/summary/summary_test.go
+++ b/internal/summary/summary_test.go
@@ -23,30 +23,32 @@
 	return r
 }
 
+// Guards against summaries that change a peer's decisions but are not sent, and
+// against small changes that cause needless messages.
 func TestPeersGetOnlyChangesThatMatterToThem(t *testing.T) {
 	for name, c := range map[string]struct {
 		change                  func(*node.Room)
 		isEqual, isUpdateNeeded bool
 	}{
-		"nothing":                   {nil, true, false},
-		"another epoch":             {func(r *node.Room) { r.Epoch++ }, false, true},
-		"a worker less":             {func(r *node.Room) { r.Workers-- }, false, true},
-		"a little less room":        {func(r *node.Room) { r.Free.MilliCPU = 5000 }, false, false},
-		"less than half the room":   {func(r *node.Room) { r.Free.MilliCPU = 3000 }, false, true},
-		"no slot on any worker":     {func(r *node.Room) { r.Largest.Slots = 0 }, false, true},
-		"some slots of a service":   {func(r *node.Room) { r.Services[0].Slots = 2 }, false, false},
-		"the last slots of it":      {func(r *node.Room) { r.Services[0].Slots = 0 }, false, true},
-		"batches that yield to it":  {func(r *node.Room) { r.Services[0].Yield = 1 }, false, true},
-		"another service":           {func(r *node.Room) { r.Services[0].Service = "t" }, false, true},
-		"no service any more":       {func(r *node.Room) { r.Services = nil }, false, true},
-		"what preemption could get": {func(r *node.Room) { r.Yield.MilliCPU = 1 }, false, false},
+		"nothing":                     {nil, true, false},
+		"another epoch":               {func(r *node.Room) { r.Epoch++ }, false, true},
+		"one worker less":             {func(r *node.Room) { r.Workers-- }, false, true},
+		"slightly less capacity":      {func(r *node.Room) { r.Free.MilliCPU = 5000 }, false, false},
+		"less than half the capacity": {func(r *node.Room) { r.Free.MilliCPU = 3000 }, false, true},
+		"no slot on any worker":       {func(r *node.Room) { r.Largest.Slots = 0 }, false, true},
+		"some slots of a service":     {func(r *node.Room) { r.Services[0].Slots = 2 }, false, false},
+		"the service's last slots":    {func(r *node.Room) { r.Services[0].Slots = 0 }, false, true},
+		"slots by preempting batches": {func(r *node.Room) { r.Services[0].Yield = 1 }, false, true},
+		"another service":             {func(r *node.Room) { r.Services[0].Service = "t" }, false, true},
+		"no service":                  {func(r *node.Room) { r.Services = nil }, false, true},
+		"capacity by preemption":      {func(r *node.Room) { r.Yield.MilliCPU = 1 }, false, false},
 	} {
 		reported, current := newSummary(nil), newSummary(c.change)
 		if got := summary.IsEqual(reported, current); got != c.isEqual {
-			t.Errorf("%s: got: same %v, want: %v", name, got, c.isEqual)
+			t.Errorf("%s: got: equal %v, want: %v", name, got, c.isEqual)
 		}
 		if got := summary.IsUpdateNeeded(reported, current); got != c.isUpdateNeeded {
-			t.Errorf("%s: got: worth telling %v, want: %v", name, got, c.isUpdateNeeded)
+			t.Errorf("%s: got: update needed %v, want: %v", name, got, c.isUpdateNeeded)
 		}
 	}
 }
