--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -14,69 +14,69 @@
 )
 
 // givenBytes bounds the bodies in one message of answers.
-const givenBytes = 256 << 10
+const maxMessageBytes = 256 << 10
 
 // onceWait waits for the answer to a key from one peer or several.
-type onceWait struct {
+type answerQuery struct {
 	reply chan node.OnceReply
 	// first is whose key it is by the log. Its word alone says that nothing ran:
 	// another node may have refused a retry under the key.
-	first state.NodeID
+	keyOwner state.NodeID
 	// left counts the peers that have not replied.
-	left int
+	missingReplies int
 }
 
 // AskOnce asks for the answer to a key that another process was first to have;
 // reply must have room for one. If that process stops, is silent or has ended,
 // all nodes of the region are asked: it may have given its answers to one of
 // them. The returned number is for GiveUpOnce.
-func (c *Core) AskOnce(first state.NodeID, key once.Key, reply chan node.OnceReply) uint64 {
-	c.onceID++
-	id := c.onceID
-	peers := []state.NodeID{first}
+func (c *Core) QueryAnswer(keyOwner state.NodeID, key once.Key, reply chan node.OnceReply) uint64 {
+	c.lastQueryID++
+	id := c.lastQueryID
+	peers := []state.NodeID{keyOwner}
 	alive := c.members.Alive(c.now(), c.options.Region, false)
 	owner, ok := c.state.Keys[key]
 	switch {
 	case ok && !c.state.IsLive(owner):
 		peers = alive
-	case !slices.Contains(alive, first):
-		peers = append(alive, first)
+	case !slices.Contains(alive, keyOwner):
+		peers = append(alive, keyOwner)
 	}
-	w := &onceWait{reply: reply, first: first}
-	c.onceWaiting[id] = w
+	q := &answerQuery{reply: reply, keyOwner: keyOwner}
+	c.answerQueries[id] = q
 	for _, peer := range peers {
-		if c.out.Send(peer, &node.Message{OnceAsk: &node.OnceAsk{ID: id, Key: key}}) {
-			w.left++
+		if c.env.Send(peer, &node.Message{OnceAsk: &node.OnceAsk{ID: id, Key: key}}) {
+			q.missingReplies++
 		}
 	}
-	if w.left == 0 {
-		c.GiveUpOnce(id)
+	if q.missingReplies == 0 {
+		c.AbandonQuery(id)
 	}
 	return id
 }
 
 // GiveUpOnce ends the wait for an answer that does not come.
-func (c *Core) GiveUpOnce(id uint64) { c.settleOnce(&node.OnceReply{ID: id}) }
+func (c *Core) AbandonQuery(id uint64) { c.resolveQuery(&node.OnceReply{ID: id}) }
 
-func (c *Core) onOnceReply(from state.NodeID, m *node.OnceReply) {
-	w := c.onceWaiting[m.ID]
-	if w == nil {
+func (c *Core) onAnswerReply(from state.NodeID, m *node.OnceReply) {
+	q := c.answerQueries[m.ID]
+	if q == nil {
 		return
 	}
-	w.left--
-	isKnown := m.IsKnown && (m.Answer.Verdict != leverdyke.VerdictNotRun || from == w.first)
+	q.missingReplies--
+	isKnown := m.IsKnown && (m.Answer.Verdict != leverdyke.VerdictNotRun || from == q.keyOwner)
 	switch {
 	case isKnown:
-		c.settleOnce(m)
-	case w.left <= 0:
-		c.GiveUpOnce(m.ID)
+		c.resolveQuery(m)
+	case q.missingReplies <= 0:
+		c.AbandonQuery(m.ID)
 	}
 }
 
-func (c *Core) settleOnce(m *node.OnceReply) {
-	if w := c.onceWaiting[m.ID]; w != nil {
-		delete(c.onceWaiting, m.ID)
-		w.reply <- *m
+func (c *Core) resolveQuery(m *node.OnceReply) {
+	if q := c.answerQueries[m.ID]; q != nil {
+		delete(c.answerQueries, m.ID)
+		q.reply <- *m
 	}
 }
 
@@ -84,44 +84,44 @@
 // peer; done is called once when the peer has them all, or at once when there
 // is nobody. Answers that do not arrive are lost: a retry is then told that its
 // request may have run.
-func (c *Core) GiveAnswers(list []node.KeptAnswer, done func()) {
-	heirs := c.members.Alive(c.now(), c.options.Region, false)
-	if len(list) == 0 || len(heirs) == 0 {
+func (c *Core) HandOverAnswers(answers []node.KeptAnswer, done func()) {
+	successors := c.members.Alive(c.now(), c.options.Region, false)
+	if len(answers) == 0 || len(successors) == 0 {
 		done()
 		return
 	}
-	chunks := chunksOf(list)
-	c.giving, c.given = len(chunks), done
-	events.Log(events.AnswersGiven, "peer", heirs[0], "answers", len(list))
+	chunks := splitAnswers(answers)
+	c.unacknowledgedMessages, c.handoverDone = len(chunks), done
+	events.Log(events.AnswersGiven, "peer", successors[0], "answers", len(answers))
 	for _, chunk := range chunks {
-		c.out.Send(heirs[0], &node.Message{OnceKept: &node.OnceKept{Answers: chunk}})
+		c.env.Send(successors[0], &node.Message{OnceKept: &node.OnceKept{Answers: chunk}})
 	}
 }
 
-func chunksOf(list []node.KeptAnswer) [][]node.KeptAnswer {
+func splitAnswers(answers []node.KeptAnswer) [][]node.KeptAnswer {
 	chunks := [][]node.KeptAnswer{}
 	from, size := 0, 0
-	for i := range list {
-		if size > givenBytes {
-			chunks = append(chunks, list[from:i])
+	for i := range answers {
+		if size > maxMessageBytes {
+			chunks = append(chunks, answers[from:i])
 			from, size = i, 0
 		}
-		size += len(list[i].Answer.Body)
+		size += len(answers[i].Answer.Body)
 	}
-	return append(chunks, list[from:])
+	return append(chunks, answers[from:])
 }
 
-func (c *Core) onOnceKept(from state.NodeID, m *node.OnceKept) {
-	c.out.KeepAnswers(m.Answers)
-	c.out.Send(from, &node.Message{OnceTaken: &node.OnceTaken{}})
+func (c *Core) onHandedOverAnswers(from state.NodeID, m *node.OnceKept) {
+	c.env.StoreAnswers(m.Answers)
+	c.env.Send(from, &node.Message{OnceTaken: &node.OnceTaken{}})
 }
 
-func (c *Core) onOnceTaken() {
-	if c.giving == 0 {
+func (c *Core) onHandoverAcknowledged() {
+	if c.unacknowledgedMessages == 0 {
 		return
 	}
-	c.giving--
-	if c.giving == 0 {
-		c.given()
+	c.unacknowledgedMessages--
+	if c.unacknowledgedMessages == 0 {
+		c.handoverDone()
 	}
 }
--- a/internal/core/fold.go
+++ b/internal/core/apply.go
@@ -15,7 +15,7 @@
 )
 
 // OnTailed takes what the log's reader found.
-func (c *Core) OnTailed(e *journal.Tailed) {
+func (c *Core) OnLogRead(e *journal.Tailed) {
 	now := c.now()
 	if e.Err != nil {
 		if c.readFailingSince.IsZero() {
@@ -33,36 +33,36 @@
 		c.replaceState(e.State)
 	}
 	for i := range e.Entries {
-		c.fold(e.Entries[i].Offset, e.Entries[i].Data)
+		c.applyBatch(e.Entries[i].Offset, e.Entries[i].Data)
 	}
 	if e.IsCaughtUp && e.SentAt.After(c.caughtUpAt) {
 		c.caughtUpAt = e.SentAt
 	}
-	c.folded()
+	c.afterApply()
 }
 
 // fold takes one batch of the log. An offset that was folded before, because a
 // peer sent it first, changes nothing.
-func (c *Core) fold(offset int64, data []byte) {
+func (c *Core) applyBatch(offset int64, data []byte) {
 	if offset <= c.state.Applied {
 		return
 	}
-	c.tail.Add(offset, data)
+	c.recentBatches.Add(offset, data)
 	b, err := state.DecodeBatch(data)
 	if err != nil {
 		events.Log(events.BadRecord, "offset", offset, "err", err.Error())
 		c.state.Skip(offset)
 		return
 	}
-	out := c.state.Apply(offset, b)
+	outcome := c.state.Apply(offset, b)
 	isOwn := b.Node == c.options.Self.Node && b.Incarnation == c.options.Self.Incarnation
-	if out.Err == nil {
+	if outcome.Err == nil {
 		for i := range b.Records {
-			c.onRecord(offset, b.Node, &b.Records[i], out.Results[i])
+			c.onRecord(offset, b.Node, &b.Records[i], outcome.Results[i])
 		}
 	}
 	if isOwn {
-		c.out.Folded(b.Seq, out)
+		c.env.BatchApplied(b.Seq, outcome)
 	}
 }
 
@@ -75,7 +75,7 @@
 		c.onJoin(r.Join.Node)
 	case r.Leave != nil:
 		events.Log(events.PeerEnded, "peer", r.Leave.Node)
-		c.out.Disconnect(r.Leave.Node)
+		c.env.Disconnect(r.Leave.Node)
 		c.members.Remove(r.Leave.Node)
 	case r.Claim != nil:
 		c.reconcile(r.Claim.Shard)
@@ -85,11 +85,11 @@
 		c.onPublish(r.Publish.Doc)
 	case r.Cancel != nil:
 		events.Log(events.JobCancelled, "job", r.Cancel.Job)
-		c.noteEnded(r.Cancel.Job)
+		c.recordEndedJob(r.Cancel.Job)
 	case r.Finals != nil:
-		c.noteEnded(r.Finals.Job)
+		c.recordEndedJob(r.Finals.Job)
 	case r.Doubt != nil:
-		c.onDoubt(offset, writer, r.Doubt)
+		c.onLivenessQuery(offset, writer, r.Doubt)
 	case r.Chunk != nil:
 		c.snapshotBase = max(c.snapshotBase, r.Chunk.Base)
 	}
@@ -104,7 +104,7 @@
 		return
 	}
 	c.members.Add(c.now(), id, m.Region)
-	c.out.Connect(id, m.Link)
+	c.env.Connect(id, m.Link)
 }
 
 func (c *Core) onSubmit(id string) {
@@ -112,10 +112,10 @@
 	if j == nil {
 		return
 	}
-	c.isJobsChanged = true
+	c.haveJobsChanged = true
 	events.Log(events.JobAccepted, "job", id, "team", j.Spec.Team, "kind", j.Spec.Kind, "tasks", j.Spec.Tasks, "offset", j.Offset)
 	shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
-	if h := c.homes[shard]; h != nil {
+	if h := c.jobShards[shard]; h != nil {
 		h.AddJob(c.now(), id, j, j.Offset > c.state.Shards[shard].Offset)
 	}
 }
@@ -133,42 +133,42 @@
 }
 
 // folded brings the parts up to date after a page of the log.
-func (c *Core) folded() {
-	if !c.isJobsChanged {
+func (c *Core) afterApply() {
+	if !c.haveJobsChanged {
 		return
 	}
-	c.isJobsChanged = false
+	c.haveJobsChanged = false
 	c.dropEndedJobs()
-	c.listServices()
+	c.updateServices()
 }
 
-func (c *Core) noteEnded(job string) {
+func (c *Core) recordEndedJob(job string) {
 	if j := c.state.Jobs[job]; j != nil && j.IsEnded {
-		c.ended = append(c.ended, job)
-		c.isJobsChanged = true
+		c.endedJobs = append(c.endedJobs, job)
+		c.haveJobsChanged = true
 	}
 }
 
 // dropEndedJobs tells the homes which of their jobs have ended, all at once.
 func (c *Core) dropEndedJobs() {
-	byHome := map[state.ShardID][]string{}
-	for _, id := range c.ended {
+	jobsByShard := map[state.ShardID][]string{}
+	for _, id := range c.endedJobs {
 		j := c.state.Jobs[id]
 		if j == nil {
 			continue
 		}
 		shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
-		byHome[shard] = append(byHome[shard], id)
+		jobsByShard[shard] = append(jobsByShard[shard], id)
 	}
-	c.ended = nil
-	for _, shard := range sorted(byHome) {
-		if h := c.homes[shard]; h != nil {
-			h.EndJobs(byHome[shard])
+	c.endedJobs = nil
+	for _, shard := range sorted(jobsByShard) {
+		if h := c.jobShards[shard]; h != nil {
+			h.EndJobs(jobsByShard[shard])
 		}
 	}
 }
 
-func (c *Core) listServices() {
+func (c *Core) updateServices() {
 	infos := map[string]front.Info{}
 	for _, j := range c.state.Jobs {
 		// A node knows the rooms of its own region only: a request for another
@@ -185,8 +185,8 @@
 func (c *Core) replaceState(s *state.State) {
 	c.state = s
 	c.snapshotBase = max(c.snapshotBase, s.Applied)
-	c.tail = logbuffer.NewBuffer(s.Applied)
-	c.out.SkipTo(s.Applied)
+	c.recentBatches = logbuffer.NewBuffer(s.Applied)
+	c.env.SkipTo(s.Applied)
 	c.policies.Clear()
 	for _, doc := range sorted(s.Docs) {
 		c.onPublish(doc)
@@ -202,21 +202,21 @@
 	for _, id := range sorted(s.Jobs) {
 		j := s.Jobs[id]
 		shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
-		if h := c.homes[shard]; h != nil && !j.IsEnded {
+		if h := c.jobShards[shard]; h != nil && !j.IsEnded {
 			h.AddJob(c.now(), id, j, j.Offset > s.Shards[shard].Offset)
 		}
 	}
-	c.isJobsChanged = true
+	c.haveJobsChanged = true
 	if s.IsLive(c.options.Self) {
 		// Records of this process that stand before the state are not folded here.
-		c.out.Passed(s.Members[c.options.Self.Node].Seq)
+		c.env.BatchesSkipped(s.Members[c.options.Self.Node].Seq)
 	}
 }
 
 // snapshot writes the state back into the log long before the records that it
 // is made of are dropped. The first node of the cell's list does it.
 func (c *Core) snapshot(now time.Time) {
-	if c.isSnapping || !c.IsJoined() || c.isDraining || c.isLogOut(now) || c.state.Applied-c.snapshotBase < c.options.SnapshotEvery {
+	if c.isSnapshotting || !c.IsJoined() || c.isDraining || c.isLogUnavailable(now) || c.state.Applied-c.snapshotBase < c.options.SnapshotEvery {
 		return
 	}
 	if !c.isFirstMember(now) {
@@ -227,13 +227,13 @@
 		events.Log(events.BadRecord, "err", err.Error())
 		return
 	}
-	c.isSnapping = true
-	base, left := c.state.Applied, len(records)
+	c.isSnapshotting = true
+	base, remaining := c.state.Applied, len(records)
 	for _, r := range records {
 		c.Append(r, func(err error) {
-			left--
-			if left == 0 {
-				c.isSnapping = false
+			remaining--
+			if remaining == 0 {
+				c.isSnapshotting = false
 				events.Log(events.SnapshotTaken, "offset", base, "parts", len(records), "err", err)
 			}
 		})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -35,21 +35,21 @@
 	planPeriod      = 300 * time.Millisecond
 	// claimAfter is how long after joining a node waits before its first plan,
 	// so that it has heard of those who were there before.
-	claimAfter = 1200 * time.Millisecond
+	firstClaimDelay = 1200 * time.Millisecond
 	// readyWithin is how old the node's knowledge of the log may be while it
 	// calls itself ready.
-	readyWithin = 8 * time.Second
+	readyMaxAge = 8 * time.Second
 	// logOutAfter is from when on a log that is not read counts as out.
-	logOutAfter = 3 * time.Second
+	logUnavailableAfter = 3 * time.Second
 	// deputyAfter is how long the log must be out before a deputy steps in.
 	deputyAfter = 4 * time.Second
 	// forgetAfter is after how long a silent peer's grants are taken back.
-	holderGone = 5 * time.Second
+	grantHolderTimeout = 5 * time.Second
 )
 
 // Outside is what a node gives its core: the clock, the links, the log and the
 // workers. None of its methods may call back into the core at once.
-type Outside interface {
+type Environment interface {
 	Now() time.Time
 	// Send reports false when the message is surely not sent.
 	Send(to state.NodeID, m *node.Message) bool
@@ -62,19 +62,19 @@
 	// it does not take the record.
 	Append(r state.Record, done func(error)) bool
 	// Folded tells the log's writer that its batch was seen in the log.
-	Folded(seq uint64, out state.Outcome)
+	BatchApplied(seq uint64, outcome state.Outcome)
 	// Passed tells the log's writer that its batches up to seq are in the log,
 	// and that what became of them will not be seen.
-	Passed(seq uint64)
+	BatchesSkipped(seq uint64)
 	// IsAppendOut reports whether appends have been failing for some time.
-	IsAppendOut() bool
+	IsAppendFailing() bool
 	// SkipTo lets the log's reader go on after offset.
 	SkipTo(offset int64)
 	OpenWorker(rack state.ShardID, epoch worker.Epoch, id worker.ID, addr netip.AddrPort) WorkerLink
 	// KeepAnswers keeps the answers of a peer that stops, for callers' retries.
-	KeepAnswers(list []node.KeptAnswer)
+	StoreAnswers(list []node.KeptAnswer)
 	// AnswerOnce answers a peer that asks for the answer to a key.
-	AnswerOnce(from state.NodeID, m *node.OnceAsk)
+	AnswerKeyQuery(from state.NodeID, m *node.OnceAsk)
 }
 
 // WorkerLink gives one worker its orders, in the epoch for which it was opened,
@@ -114,7 +114,7 @@
 // its own, and belongs to the goroutine that feeds it events.
 type Core struct {
 	options NewCoreOptions
-	out     Outside
+	env     Environment
 	// state is the fold; it only moves forward in the log.
 	state    *state.State
 	members  *membership.Table
@@ -123,16 +123,16 @@
 
 	vms []vmlist.VM
 	// racks and homes are what this node owns, by the fold.
-	racks map[state.ShardID]*ownedRack
-	homes map[state.ShardID]*home.Home
+	racks     map[state.ShardID]*ownedRack
+	jobShards map[state.ShardID]*home.Home
 	// fenced has the racks whose workers obey another owner, by the epoch that
 	// was fenced; deputised the racks that peers keep alive.
-	fenced    map[state.ShardID]worker.Epoch
-	deputised map[state.ShardID]deputy
-	claiming  map[state.ShardID]uint64
+	fenced        map[state.ShardID]worker.Epoch
+	deputies      map[state.ShardID]deputy
+	pendingClaims map[state.ShardID]uint64
 	// rooms has the last summary of each rack of the region, for homes that come
 	// here later; none is changed once it is kept.
-	rooms map[state.ShardID]*node.Room
+	rackSummaries map[state.ShardID]*node.Room
 	// rackCapacity has the largest VM that each rack has told of.
 	rackCapacity map[state.ShardID]leverdyke.Resources
 
@@ -146,27 +146,27 @@
 	isJoining        bool
 	isDraining       bool
 	// ended has the jobs that ended in the page that is being folded.
-	ended []string
+	endedJobs []string
 	// refused has the callbacks of records that were not handed to the log.
-	refused       []func(error)
-	isJobsChanged bool
+	refusedAppends  []func(error)
+	haveJobsChanged bool
 
 	// tail has the last batches, for peers who lag behind.
-	tail         *logbuffer.Buffer
-	askedTailAt  time.Time
-	askedStateAt time.Time
-	snapshotBase int64
-	isSnapping   bool
+	recentBatches      *logbuffer.Buffer
+	batchesRequestedAt time.Time
+	stateRequestedAt   time.Time
+	snapshotBase       int64
+	isSnapshotting     bool
 
-	doubts         doubts
-	beatAt, planAt time.Time
-	silent         map[state.NodeID]time.Time
-	onceWaiting    map[uint64]*onceWait
-	onceID         uint64
+	livenessChecks         livenessChecks
+	heartbeatAt, plannedAt time.Time
+	silentSince            map[state.NodeID]time.Time
+	answerQueries          map[uint64]*answerQuery
+	lastQueryID            uint64
 	// giving counts the messages of answers that the heir has not confirmed;
 	// given is called when there is none left.
-	giving int
-	given  func()
+	unacknowledgedMessages int
+	handoverDone           func()
 }
 
 // ownedRack is a rack that this node owns, with the links to its workers.
@@ -174,10 +174,10 @@
 	rack  *rack.Rack
 	links map[worker.ID]WorkerLink
 	// room is the summary as it is, told as peers have it.
-	room, told node.Room
+	summary, reported node.Room
 	// roomAt is when the room was last told to peers.
-	roomAt     time.Time
-	isRoomTold bool
+	reportedAt time.Time
+	isReported bool
 }
 
 // deputy is who keeps a rack alive while the log is out.
@@ -187,18 +187,18 @@
 }
 
 // NewCore returns a core that knows nothing yet.
-func NewCore(out Outside, options NewCoreOptions) *Core {
+func NewCore(env Environment, options NewCoreOptions) *Core {
 	c := &Core{
-		options: options, out: out, state: state.NewState(),
+		options: options, env: env, state: state.NewState(),
 		members:  membership.NewTable(options.Self.Node, membership.NewTableOptions{}),
-		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, homes: map[state.ShardID]*home.Home{},
-		fenced: map[state.ShardID]worker.Epoch{}, deputised: map[state.ShardID]deputy{}, claiming: map[state.ShardID]uint64{},
-		rooms:        map[state.ShardID]*node.Room{},
-		rackCapacity: map[state.ShardID]leverdyke.Resources{}, startedAt: out.Now(), tail: logbuffer.NewBuffer(-1), silent: map[state.NodeID]time.Time{},
-		onceWaiting: map[uint64]*onceWait{}, doubts: doubts{open: map[state.NodeID]doubted{}},
+		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, jobShards: map[state.ShardID]*home.Home{},
+		fenced: map[state.ShardID]worker.Epoch{}, deputies: map[state.ShardID]deputy{}, pendingClaims: map[state.ShardID]uint64{},
+		rackSummaries: map[state.ShardID]*node.Room{},
+		rackCapacity:  map[state.ShardID]leverdyke.Resources{}, startedAt: env.Now(), recentBatches: logbuffer.NewBuffer(-1), silentSince: map[state.NodeID]time.Time{},
+		answerQueries: map[uint64]*answerQuery{}, livenessChecks: livenessChecks{pending: map[state.NodeID]livenessCheck{}},
 	}
 	for _, p := range options.Peers {
-		out.Connect(state.NodeID(p.String()), p)
+		env.Connect(state.NodeID(p.String()), p)
 	}
 	return c
 }
@@ -207,7 +207,7 @@
 // decisions.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-func (c *Core) now() time.Time { return c.out.Now() }
+func (c *Core) now() time.Time { return c.env.Now() }
 
 // Tick does what is due. It is called some twenty times a second.
 func (c *Core) Tick() {
@@ -216,25 +216,25 @@
 		events.Log(events.NodePaused)
 		// What was known before the pause is old: the log has to be read again.
 		c.caughtUpAt = time.Time{}
-		c.planAt = now
+		c.plannedAt = now
 	}
-	c.refuse()
+	c.failRefusedAppends()
 	c.join()
-	c.beat(now)
-	c.doubt(now)
+	c.sendHeartbeats(now)
+	c.checkLiveness(now)
 	c.plan(now)
-	c.watchDeputies(now)
-	c.watchPeers(now)
-	c.confirmSole(now)
+	c.takeOverAsDeputy(now)
+	c.checkPeers(now)
+	c.confirmSoleOwner(now)
 	c.catchUp(now)
 	c.snapshot(now)
 	for _, id := range sorted(c.racks) {
 		c.racks[id].rack.Tick(now)
 	}
-	for _, id := range sorted(c.homes) {
-		c.homes[id].Tick(now)
+	for _, id := range sorted(c.jobShards) {
+		c.jobShards[id].Tick(now)
 	}
-	c.PlanGrants()
+	c.RequestGrants()
 }
 
 // join appends this process's entry into the cell, once the log has been read.
@@ -243,7 +243,7 @@
 		c.joinedAt = c.now()
 		events.Log(events.NodeJoined, "offset", c.state.Applied, "took", c.joinedAt.Sub(c.startedAt).Round(time.Millisecond))
 	}
-	if c.IsJoined() || c.isJoining || c.isDraining || c.caughtUpAt.IsZero() || c.out.IsAppendOut() {
+	if c.IsJoined() || c.isJoining || c.isDraining || c.caughtUpAt.IsZero() || c.env.IsAppendFailing() {
 		return
 	}
 	m := c.state.Members[c.options.Self.Node]
@@ -264,15 +264,15 @@
 	if done == nil {
 		done = func(error) {}
 	}
-	if c.isLogOut(c.now()) || !c.out.Append(r, done) {
-		c.refused = append(c.refused, done)
+	if c.isLogUnavailable(c.now()) || !c.env.Append(r, done) {
+		c.refusedAppends = append(c.refusedAppends, done)
 	}
 }
 
 // refuse tells those whose records were not handed over.
-func (c *Core) refuse() {
-	refused := c.refused
-	c.refused = nil
+func (c *Core) failRefusedAppends() {
+	refused := c.refusedAppends
+	c.refusedAppends = nil
 	for _, done := range refused {
 		done(state.ErrNotTaken)
 	}
@@ -282,9 +282,9 @@
 func (c *Core) IsJoined() bool { return c.state.IsLive(c.options.Self) }
 
 // isLogOut reports whether this node does not reach the log.
-func (c *Core) isLogOut(now time.Time) bool {
-	isReadOut := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > logOutAfter
-	return isReadOut || c.out.IsAppendOut()
+func (c *Core) isLogUnavailable(now time.Time) bool {
+	isReadFailing := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > logUnavailableAfter
+	return isReadFailing || c.env.IsAppendFailing()
 }
 
 // Quota returns the most that the team may use at once in a region.
@@ -309,7 +309,7 @@
 // OnVMs takes the platform's list of VMs.
 func (c *Core) OnVMs(list []vmlist.VM) {
 	c.vms = list
-	c.noteGoneNodes()
+	c.recordLostNodes()
 	for _, id := range sorted(c.racks) {
 		c.setWorkers(id, c.racks[id])
 	}
@@ -317,7 +317,7 @@
 
 // noteGoneNodes records that members have ended whose VM is gone: their leases
 // can then lapse.
-func (c *Core) noteGoneNodes() {
+func (c *Core) recordLostNodes() {
 	for i := range c.vms {
 		vm := &c.vms[i]
 		if vm.Rack != "" || vm.Status != vmlist.StatusGone {
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -16,19 +16,19 @@
 		return
 	}
 	c.isDraining = true
-	c.beatAt = time.Time{}
-	c.planAt = time.Time{}
-	events.Log(events.NodeDraining, "racks", len(c.racks), "homes", len(c.homes))
+	c.heartbeatAt = time.Time{}
+	c.plannedAt = time.Time{}
+	events.Log(events.NodeDraining, "racks", len(c.racks), "homes", len(c.jobShards))
 }
 
 // IsHandedOver reports whether nothing is owned any more, or nobody could take
 // what is.
 func (c *Core) IsHandedOver() bool {
-	return len(c.racks)+len(c.homes) == 0 || !c.hasHeirs()
+	return len(c.racks)+len(c.jobShards) == 0 || !c.hasSuccessor()
 }
 
 // hasHeirs reports whether there is a node that could take what this one owns.
-func (c *Core) hasHeirs() bool {
+func (c *Core) hasSuccessor() bool {
 	now := c.now()
-	return !c.isLogOut(now) && len(c.members.Alive(now, c.options.Region, false)) > 0
+	return !c.isLogUnavailable(now) && len(c.members.Alive(now, c.options.Region, false)) > 0
 }
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -21,14 +21,14 @@
 
 // Perform does what the racks and homes have ordered. Parts of the same node
 // answer each other in rounds.
-func (c *Core) Perform() {
+func (c *Core) ProcessOutputs() {
 	began := c.now()
 	decided := 0
 	for range maxRounds {
-		isQuiet := true
-		for _, id := range sorted(c.homes) {
-			if c.performHome(id, c.homes[id]) {
-				isQuiet = false
+		isIdle := true
+		for _, id := range sorted(c.jobShards) {
+			if c.processJobShard(id, c.jobShards[id]) {
+				isIdle = false
 			}
 		}
 		for _, id := range sorted(c.racks) {
@@ -37,23 +37,23 @@
 				continue
 			}
 			o.rack.Flush(c.now())
-			n, isBusy := c.performRack(id, o)
+			n, hasOutput := c.processRack(id, o)
 			decided += n
-			if isBusy {
-				isQuiet = false
+			if hasOutput {
+				isIdle = false
 			}
 		}
-		if isQuiet {
+		if isIdle {
 			break
 		}
 	}
-	c.tellRooms()
+	c.updateSummaries()
 	if decided > 0 {
 		c.options.Meter.Decided(c.now().Sub(began) / time.Duration(decided))
 	}
 }
 
-func (c *Core) performRack(id state.ShardID, o *ownedRack) (decided int, isBusy bool) {
+func (c *Core) processRack(id state.ShardID, o *ownedRack) (decided int, hasOutput bool) {
 	out := o.rack.Take()
 	for _, d := range out.Decisions {
 		events.Log(events.TaskPlaced, "task", d.Key.String(), "worker", d.Worker, "why", d.Why, "runnerUp", d.RunnerUp, "rack", id)
@@ -78,7 +78,7 @@
 		}
 	}
 	for i := range out.ToHome {
-		c.sendToHome(&out.ToHome[i])
+		c.sendToJobShard(&out.ToHome[i])
 	}
 	for i := range out.ToNode {
 		c.sendToNode(out.ToNode[i].Node, &out.ToNode[i].Message)
@@ -86,26 +86,26 @@
 	return len(out.Decisions), len(out.ToHome)+len(out.ToNode)+len(out.Starts) > 0
 }
 
-func (c *Core) sendToHome(m *rack.HomeMessage) {
-	if c.homes[m.Home] != nil {
-		c.toOwnedHome(c.now(), &m.Message)
+func (c *Core) sendToJobShard(m *rack.HomeMessage) {
+	if c.jobShards[m.Home] != nil {
+		c.deliverToJobShard(c.now(), &m.Message)
 		return
 	}
 	if owner, ok := c.OwnerOf(m.Home); ok {
-		c.out.Send(owner, &m.Message)
+		c.env.Send(owner, &m.Message)
 	}
 }
 
 // sendToNode sends to a node, which may be this one.
 func (c *Core) sendToNode(to state.NodeID, m *node.Message) {
 	if to != c.options.Self.Node {
-		c.out.Send(to, m)
+		c.env.Send(to, m)
 		return
 	}
 	c.OnMessage(&node.Envelope{From: node.Hello{Node: to, Incarnation: c.options.Self.Incarnation}, Message: *m})
 }
 
-func (c *Core) performHome(id state.ShardID, h *home.Home) bool {
+func (c *Core) processJobShard(id state.ShardID, h *home.Home) bool {
 	out := h.Take()
 	for _, d := range out.Decisions {
 		events.Log(events.TaskRouted, "task", d.Key.String(), "rack", d.Rack, "why", d.Why)
@@ -116,33 +116,33 @@
 		c.options.Meter.Started()
 	}
 	for _, e := range out.Events {
-		c.logHomeEvent(id, &e)
+		c.logJobShardEvent(id, &e)
 	}
 	for i := range out.ToRack {
 		c.sendToRack(out.ToRack[i].Rack, &out.ToRack[i].Message)
 	}
 	for _, p := range out.Records {
-		c.putForHome(id, h, p)
+		c.appendForJobShard(id, h, p)
 	}
 	return len(out.ToRack) > 0
 }
 
 func (c *Core) sendToRack(id state.ShardID, m *node.Message) {
 	if c.racks[id] != nil {
-		c.toOwnedRack(c.now(), c.options.Self.Node, m)
+		c.deliverToRack(c.now(), c.options.Self.Node, m)
 		return
 	}
 	owner, ok := c.OwnerOf(id)
 	if ok && owner != c.options.Self.Node {
-		c.out.Send(owner, m)
+		c.env.Send(owner, m)
 	}
 }
 
 // putForHome appends a home's record; the home hears of it only while it is
 // still the same.
-func (c *Core) putForHome(id state.ShardID, h *home.Home, p home.PendingRecord) {
+func (c *Core) appendForJobShard(id state.ShardID, h *home.Home, p home.PendingRecord) {
 	c.Append(p.Record, func(err error) {
-		if c.homes[id] == h {
+		if c.jobShards[id] == h {
 			h.OnRecorded(c.now(), p.Token, err)
 		}
 	})
@@ -150,26 +150,26 @@
 
 // tellRooms gives changed summaries to the parts of this node at once; peers
 // get them with the next heartbeat.
-func (c *Core) tellRooms() {
+func (c *Core) updateSummaries() {
 	for _, id := range sorted(c.racks) {
 		o := c.racks[id]
 		if !o.rack.TakeChanged() {
 			continue
 		}
-		room := o.rack.Room(c.now())
-		if summary.IsEqual(&room, &o.room) {
+		rackSummary := o.rack.Room(c.now())
+		if summary.IsEqual(&rackSummary, &o.summary) {
 			continue
 		}
-		if summary.IsUpdateNeeded(&o.told, &room) {
-			o.isRoomTold = false
+		if summary.IsUpdateNeeded(&o.reported, &rackSummary) {
+			o.isReported = false
 		}
-		o.room = room
-		c.onRoom(&room)
+		o.summary = rackSummary
+		c.onSummary(&rackSummary)
 	}
 }
 
 // PlanGrants asks for the slots that callers' requests wait for.
-func (c *Core) PlanGrants() {
+func (c *Core) RequestGrants() {
 	p := c.options.Router.Plan()
 	for i := range p.Asks {
 		c.sendToRack(p.Asks[i].Rack, &node.Message{GrantAsk: &p.Asks[i]})
@@ -206,7 +206,7 @@
 	events.Log(rackEvents[e.Kind], kv...)
 }
 
-var homeEvents = map[home.EventKind]events.Event{
+var jobShardEvents = map[home.EventKind]events.Event{
 	home.EventNever:       events.JobNever,
 	home.EventUnknownFate: events.TaskFateUnknown,
 	home.EventJobFailed:   events.JobFailed,
@@ -215,6 +215,6 @@
 	home.EventTwoAttempts: events.TaskTwice,
 }
 
-func (c *Core) logHomeEvent(id state.ShardID, e *home.Event) {
-	events.Log(homeEvents[e.Kind], "home", id, "job", e.Job, "detail", e.Detail)
+func (c *Core) logJobShardEvent(id state.ShardID, e *home.Event) {
+	events.Log(jobShardEvents[e.Kind], "home", id, "job", e.Job, "detail", e.Detail)
 }
--- a/internal/core/fakelink_test.go
+++ b/internal/core/fakelink_test.go
@@ -44,7 +44,7 @@
 }
 
 func (l *fakeLink) Forget(keys []worker.Key) {
-	if !l.node.world.isLosingForgets {
+	if !l.node.cluster.areForgetsLost {
 		l.forgets = append(l.forgets, keys...)
 	}
 }
@@ -55,14 +55,14 @@
 	if l.isStopped {
 		return
 	}
-	w := l.node.world
-	target := w.workers[l.id]
-	now := w.clock.Now()
-	isReached := target.Mode() == native.ModeUp && !w.isCut(l.node.name(), string(l.id))
-	isAnswered := isReached && !w.isCut(string(l.id), l.node.name())
-	l.order(target, isReached, isAnswered)
+	cl := l.node.cluster
+	target := cl.workers[l.id]
+	now := cl.clock.Now()
+	isReached := target.Mode() == native.ModeUp && !cl.isBlocked(l.node.name(), string(l.id))
+	isAnswered := isReached && !cl.isBlocked(string(l.id), l.node.name())
+	l.sendOrders(target, isReached, isAnswered)
 	_, rev := target.Changed()
-	if l.isStopped || (now.Sub(l.syncedAt) < worldSync && rev == l.seen) {
+	if l.isStopped || (now.Sub(l.syncedAt) < testSyncPeriod && rev == l.seen) {
 		return
 	}
 	l.syncedAt = now
@@ -71,13 +71,13 @@
 		return
 	}
 	rep, err := target.Sync(&worker.Sync{
-		Epoch: l.epoch, Boot: l.boot, AsOf: l.asOf, TTL: worldLease, Seen: l.seen, Forget: l.forgets,
+		Epoch: l.epoch, Boot: l.boot, AsOf: l.asOf, TTL: testLease, Seen: l.seen, Forget: l.forgets,
 	})
 	if !isAnswered {
 		l.node.core.OnSilent(l.rack, l.epoch, l.id)
 		return
 	}
-	if l.failed(err) {
+	if l.handleError(err) {
 		return
 	}
 	l.forgets = nil
@@ -89,7 +89,7 @@
 	l.node.core.OnReport(l.rack, l.epoch, l.id, rep)
 }
 
-func (l *fakeLink) order(target *native.Worker, isReached, isAnswered bool) {
+func (l *fakeLink) sendOrders(target *native.Worker, isReached, isAnswered bool) {
 	starts, acts := l.starts, l.acts
 	l.starts, l.acts = nil, nil
 	for _, o := range starts {
@@ -97,12 +97,12 @@
 			l.node.core.OnStartFailed(l.rack, l.epoch, l.id, o.Tasks)
 			continue
 		}
-		results, err := target.Start(&worker.Start{Epoch: l.epoch, Boot: o.Boot, AsOf: o.AsOf, TTL: worldLease, Tasks: o.Tasks})
+		results, err := target.Start(&worker.Start{Epoch: l.epoch, Boot: o.Boot, AsOf: o.AsOf, TTL: testLease, Tasks: o.Tasks})
 		if !isAnswered {
 			l.node.core.OnStartFailed(l.rack, l.epoch, l.id, o.Tasks)
 			continue
 		}
-		if l.failed(err) {
+		if l.handleError(err) {
 			return
 		}
 		l.node.core.OnStartResults(l.rack, l.epoch, l.id, results)
@@ -111,13 +111,13 @@
 		return
 	}
 	for i := range acts {
-		if err := target.Act(&acts[i]); isAnswered && l.failed(err) {
+		if err := target.Act(&acts[i]); isAnswered && l.handleError(err) {
 			return
 		}
 	}
 }
 
-func (l *fakeLink) failed(err error) bool {
+func (l *fakeLink) handleError(err error) bool {
 	f := &worker.FencedError{}
 	if errors.As(err, &f) {
 		l.node.core.OnFenced(l.rack, l.epoch, f.Seen)
--- a/internal/core/fakenode_test.go
+++ b/internal/core/fakenode_test.go
@@ -18,12 +18,12 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-const outAfter = 1500 * time.Millisecond
+const appendFailingAfter = 1500 * time.Millisecond
 
 // fakeNode is a node's process without sockets. A paused one does nothing, and
 // does all that waits when it wakes up.
 type fakeNode struct {
-	world         *world
+	cluster       *cluster
 	index         int
 	addr          netip.AddrPort
 	incarnation   uint64
@@ -38,12 +38,12 @@
 	vmsAt   time.Time
 	pending []pendingRecord
 	// flight is the batch that was handed to the log, dones its callbacks.
-	flight       *state.Batch
-	dones        []func(error)
-	seq          uint64
-	failingSince time.Time
+	inFlightBatch *state.Batch
+	callbacks     []func(error)
+	seq           uint64
+	failingSince  time.Time
 	// later has the callbacks to run as events of the core.
-	later []func()
+	deferred []func()
 	// seen has the versions of the documents that this process had in force.
 	seen map[string]uint64
 }
@@ -54,12 +54,12 @@
 	at     time.Time
 }
 
-type noMeter struct{}
+type discardMeter struct{}
 
-func (noMeter) Waited(string, leverdyke.Class, time.Duration) {}
-func (noMeter) Decided(time.Duration)                         {}
-func (noMeter) Started()                                      {}
-func (noMeter) OwnerChanged()                                 {}
+func (discardMeter) Waited(string, leverdyke.Class, time.Duration) {}
+func (discardMeter) Decided(time.Duration)                         {}
+func (discardMeter) Started()                                      {}
+func (discardMeter) OwnerChanged()                                 {}
 
 func (n *fakeNode) name() string { return fmt.Sprintf("n%d", n.index) }
 
@@ -72,21 +72,21 @@
 // start starts the process, or a later one in its place.
 func (n *fakeNode) start() {
 	n.incarnation++
-	n.inbox, n.links, n.pending, n.flight, n.dones, n.later = nil, nil, nil, nil, nil, nil
+	n.inbox, n.links, n.pending, n.inFlightBatch, n.callbacks, n.deferred = nil, nil, nil, nil, nil, nil
 	n.next, n.seq, n.failingSince, n.vmsAt, n.isPaused = 0, 0, time.Time{}, time.Time{}, false
 	n.seen = map[string]uint64{}
 	zone := n.hello().Zone
-	n.router = front.NewRouter(front.NewRouterOptions{Zone: zone, Clock: n.world.clock})
+	n.router = front.NewRouter(front.NewRouterOptions{Zone: zone, Clock: n.cluster.clock})
 	n.core = core.NewCore(n, core.NewCoreOptions{
 		Self: state.Owner{Node: n.id(), Incarnation: n.incarnation}, Link: n.addr, Operators: n.addr, Region: region, Zone: zone,
-		Lease: worldLease, SnapshotEvery: n.snapshotEvery, Router: n.router,
-		Meter: noMeter{}, Peers: n.peers(),
+		Lease: testLease, SnapshotEvery: n.snapshotEvery, Router: n.router,
+		Meter: discardMeter{}, Peers: n.peers(),
 	})
 }
 
 func (n *fakeNode) peers() []netip.AddrPort {
 	list := []netip.AddrPort{}
-	for _, o := range n.world.nodes {
+	for _, o := range n.cluster.nodes {
 		if o != n {
 			list = append(list, o.addr)
 		}
@@ -113,7 +113,7 @@
 	n.read()
 	n.listVMs()
 	n.core.Tick()
-	n.core.Perform()
+	n.core.ProcessOutputs()
 }
 
 func (n *fakeNode) deliver() {
@@ -121,92 +121,94 @@
 	n.inbox = nil
 	for i := range inbox {
 		n.core.OnMessage(&inbox[i])
-		n.core.Perform()
+		n.core.ProcessOutputs()
 	}
-	later := n.later
-	n.later = nil
-	for _, f := range later {
+	deferred := n.deferred
+	n.deferred = nil
+	for _, f := range deferred {
 		f()
 	}
 }
 
-func (n *fakeNode) hasLog() bool { return !n.world.isLogOut && !n.world.isCut(n.name(), "log") }
+func (n *fakeNode) isLogReachable() bool {
+	return !n.cluster.isLogUnavailable && !n.cluster.isBlocked(n.name(), "log")
+}
 
 // append does what the journal's writer does: one batch at a time, sent again
 // until the log has answered or the batch was read.
 func (n *fakeNode) append() {
-	now := n.world.clock.Now()
-	if n.flight == nil {
-		n.fill(now)
+	now := n.cluster.clock.Now()
+	if n.inFlightBatch == nil {
+		n.buildBatch(now)
 	}
-	if n.flight == nil {
+	if n.inFlightBatch == nil {
 		return
 	}
-	if !n.hasLog() {
+	if !n.isLogReachable() {
 		if n.failingSince.IsZero() {
 			n.failingSince = now
 		}
 		return
 	}
-	data, err := n.flight.Encode()
+	data, err := n.inFlightBatch.Encode()
 	if err != nil {
 		panic(err)
 	}
-	if _, ok := n.world.log.Append(data); !ok {
+	if _, ok := n.cluster.log.Append(data); !ok {
 		return
 	}
-	if n.world.loseReplies > 0 {
-		n.world.loseReplies--
+	if n.cluster.loseReplies > 0 {
+		n.cluster.loseReplies--
 		if n.failingSince.IsZero() {
 			n.failingSince = now
 		}
 		return
 	}
 	n.failingSince = time.Time{}
-	n.flight = nil
+	n.inFlightBatch = nil
 }
 
-func (n *fakeNode) fill(now time.Time) {
+func (n *fakeNode) buildBatch(now time.Time) {
 	for _, p := range n.pending {
 		if now.Sub(p.at) > 3*time.Second {
-			n.later = append(n.later, func() { p.done(state.ErrNotTaken) })
+			n.deferred = append(n.deferred, func() { p.done(state.ErrNotTaken) })
 			continue
 		}
-		if n.flight == nil {
+		if n.inFlightBatch == nil {
 			n.seq++
-			n.flight = &state.Batch{Node: n.id(), Incarnation: n.incarnation, Seq: n.seq, Millis: now.UnixMilli()}
-			n.dones = nil
+			n.inFlightBatch = &state.Batch{Node: n.id(), Incarnation: n.incarnation, Seq: n.seq, Millis: now.UnixMilli()}
+			n.callbacks = nil
 		}
-		n.flight.Records = append(n.flight.Records, p.record)
-		n.dones = append(n.dones, p.done)
+		n.inFlightBatch.Records = append(n.inFlightBatch.Records, p.record)
+		n.callbacks = append(n.callbacks, p.done)
 	}
 	n.pending = nil
-	if n.flight != nil {
-		n.world.inFlight(n)
+	if n.inFlightBatch != nil {
+		n.cluster.recordInFlight(n)
 	}
 }
 
 // inFlight remembers the callbacks of a batch until it is folded.
-func (w *world) inFlight(n *fakeNode) {
-	if n.world.flights == nil {
-		w.flights = map[flightID][]func(error){}
+func (cl *cluster) recordInFlight(n *fakeNode) {
+	if n.cluster.inFlightCallbacks == nil {
+		cl.inFlightCallbacks = map[batchID][]func(error){}
 	}
-	w.flights[flightID{n.index, n.incarnation, n.seq}] = n.dones
+	cl.inFlightCallbacks[batchID{n.index, n.incarnation, n.seq}] = n.callbacks
 }
 
-type flightID struct {
+type batchID struct {
 	index            int
 	incarnation, seq uint64
 }
 
 func (n *fakeNode) read() {
-	t := &journal.Tailed{SentAt: n.world.clock.Now()}
-	if !n.hasLog() || n.world.isCut("log", n.name()) {
+	t := &journal.Tailed{SentAt: n.cluster.clock.Now()}
+	if !n.isLogReachable() || n.cluster.isBlocked("log", n.name()) {
 		t.Err = fmt.Errorf("out")
-		n.core.OnTailed(t)
+		n.core.OnLogRead(t)
 		return
 	}
-	page, isTrimmed, _ := n.world.log.Page(n.next)
+	page, isTrimmed, _ := n.cluster.log.Page(n.next)
 	if isTrimmed {
 		n.recover(page.First, t)
 		return
@@ -216,14 +218,14 @@
 		n.next = max(n.next, page.Entries[k-1].Offset+1)
 	}
 	t.IsCaughtUp = n.next >= page.Next
-	n.core.OnTailed(t)
-	n.core.Perform()
+	n.core.OnLogRead(t)
+	n.core.ProcessOutputs()
 }
 
 // recover starts at the first whole snapshot, as the journal's reader does.
-func (n *fakeNode) recover(first int64, t *journal.Tailed) {
+func (n *fakeNode) recover(firstOffset int64, t *journal.Tailed) {
 	found := state.Assembler{}
-	page, _, _ := n.world.log.Page(first)
+	page, _, _ := n.cluster.log.Page(firstOffset)
 	for _, e := range page.Entries {
 		b, err := state.DecodeBatch(e.Data)
 		if err != nil {
@@ -234,38 +236,38 @@
 				continue
 			}
 			s, err := found.Add(state.Owner{Node: b.Node, Incarnation: b.Incarnation}, r.Chunk)
-			if err == nil && s != nil && s.Applied >= first-1 {
+			if err == nil && s != nil && s.Applied >= firstOffset-1 {
 				t.State = s
 			}
 		}
 	}
 	if t.State == nil {
-		n.world.violations = append(n.world.violations, "no whole snapshot is in the log")
+		n.cluster.violations = append(n.cluster.violations, "no whole snapshot is in the log")
 		return
 	}
 	t.Entries = page.Entries
 	t.IsCaughtUp = true
 	n.next = page.Next
-	n.core.OnTailed(t)
-	n.core.Perform()
+	n.core.OnLogRead(t)
+	n.core.ProcessOutputs()
 }
 
 func (n *fakeNode) listVMs() {
-	now := n.world.clock.Now()
+	now := n.cluster.clock.Now()
 	if now.Sub(n.vmsAt) >= 2*time.Second {
 		n.vmsAt = now
-		n.core.OnVMs(slices.Clone(n.world.vms))
+		n.core.OnVMs(slices.Clone(n.cluster.vms))
 	}
 }
 
-func (n *fakeNode) Now() time.Time { return n.world.clock.Now() }
+func (n *fakeNode) Now() time.Time { return n.cluster.clock.Now() }
 
 func (n *fakeNode) Send(to state.NodeID, m *node.Message) bool {
-	for _, o := range n.world.nodes {
+	for _, o := range n.cluster.nodes {
 		if o.id() != to {
 			continue
 		}
-		if o.core == nil || n.world.isCut(n.name(), o.name()) {
+		if o.core == nil || n.cluster.isBlocked(n.name(), o.name()) {
 			return true
 		}
 		// Over the wire, so that nothing is shared and all fields are carried.
@@ -287,46 +289,46 @@
 func (n *fakeNode) Disconnect(state.NodeID)              {}
 
 func (n *fakeNode) Append(r state.Record, done func(error)) bool {
-	if n.IsAppendOut() {
+	if n.IsAppendFailing() {
 		return false
 	}
-	n.pending = append(n.pending, pendingRecord{r, done, n.world.clock.Now()})
+	n.pending = append(n.pending, pendingRecord{r, done, n.cluster.clock.Now()})
 	return true
 }
 
-func (n *fakeNode) Folded(seq uint64, out state.Outcome) {
-	id := flightID{n.index, n.incarnation, seq}
-	dones := n.world.flights[id]
-	delete(n.world.flights, id)
-	if n.flight != nil && n.flight.Seq <= seq {
-		n.flight = nil
+func (n *fakeNode) BatchApplied(seq uint64, outcome state.Outcome) {
+	id := batchID{n.index, n.incarnation, seq}
+	callbacks := n.cluster.inFlightCallbacks[id]
+	delete(n.cluster.inFlightCallbacks, id)
+	if n.inFlightBatch != nil && n.inFlightBatch.Seq <= seq {
+		n.inFlightBatch = nil
 		n.failingSince = time.Time{}
 	}
-	for i, done := range dones {
-		if out.Err != nil {
-			done(out.Err)
+	for i, done := range callbacks {
+		if outcome.Err != nil {
+			done(outcome.Err)
 			continue
 		}
-		done(out.Results[i])
+		done(outcome.Results[i])
 	}
 }
 
 // Passed settles the batches that a peer's state already has.
-func (n *fakeNode) Passed(seq uint64) {
+func (n *fakeNode) BatchesSkipped(seq uint64) {
 	for s := uint64(1); s <= seq; s++ {
-		n.Folded(s, state.Outcome{Err: state.ErrUnseen})
+		n.BatchApplied(s, state.Outcome{Err: state.ErrUnseen})
 	}
 }
 
-func (n *fakeNode) IsAppendOut() bool {
-	return !n.failingSince.IsZero() && n.world.clock.Now().Sub(n.failingSince) > outAfter
+func (n *fakeNode) IsAppendFailing() bool {
+	return !n.failingSince.IsZero() && n.cluster.clock.Now().Sub(n.failingSince) > appendFailingAfter
 }
 
 func (n *fakeNode) SkipTo(offset int64) { n.next = max(n.next, offset+1) }
 
-func (n *fakeNode) AnswerOnce(state.NodeID, *node.OnceAsk) {}
+func (n *fakeNode) AnswerKeyQuery(state.NodeID, *node.OnceAsk) {}
 
-func (n *fakeNode) KeepAnswers([]node.KeptAnswer) {}
+func (n *fakeNode) StoreAnswers([]node.KeptAnswer) {}
 
 func (n *fakeNode) OpenWorker(rack state.ShardID, epoch worker.Epoch, id worker.ID, _ netip.AddrPort) core.WorkerLink {
 	l := &fakeLink{node: n, rack: rack, epoch: epoch, id: id}
--- a/internal/core/once.go
+++ b/internal/core/keys.go
@@ -23,7 +23,7 @@
 		done(KeyResult{once.FateLost, owner})
 		return
 	}
-	if !c.IsJoined() || c.isLogOut(c.now()) || len(c.state.Keys) >= state.MaxKeys {
+	if !c.IsJoined() || c.isLogUnavailable(c.now()) || len(c.state.Keys) >= state.MaxKeys {
 		done(KeyResult{Fate: once.FateNotTaken})
 		return
 	}
--- /dev/null
+++ b/internal/core/liveness_test.go
@@ -0,0 +1,104 @@
+// Copyright 2026 The leverdyke Authors
+// SPDX-License-Identifier: Apache-2.0
+
+package core_test
+
+import (
+	"testing"
+	"time"
+)
+
+// epochs adds the epochs of all shards: it grows by one with each change of an
+// owner.
+func (cl *cluster) epochs() uint64 {
+	sum := uint64(0)
+	for _, n := range cl.nodes {
+		if n.core == nil {
+			continue
+		}
+		total := uint64(0)
+		for _, s := range n.core.State().Shards {
+			total += s.Epoch
+		}
+		sum = max(sum, total)
+	}
+	return sum
+}
+
+// A node that hears no peer, while all of them reach the log, gives up what it
+// owns and takes nothing: owners do not go to and fro.
+func TestPartitionedNodeClaimsNothingFromLiveOwners(t *testing.T) {
+	for name, block := range map[string]func(cl *cluster, n, o *fakeNode){
+		"hears nobody and is not heard": func(cl *cluster, n, o *fakeNode) {
+			cl.block(n.name(), o.name())
+			cl.block(o.name(), n.name())
+		},
+		"hears nobody":  func(cl *cluster, n, o *fakeNode) { cl.block(o.name(), n.name()) },
+		"is not heard":  func(cl *cluster, n, o *fakeNode) { cl.block(n.name(), o.name()) },
+		"is cut by one": func(cl *cluster, n, _ *fakeNode) { cl.block(cl.nodes[0].name(), n.name()) },
+	} {
+		t.Run(name, func(t *testing.T) {
+			cl := newClusterWithService(t, 40)
+			n := cl.nodes[2]
+			before := cl.epochs()
+			for _, o := range cl.nodes[:2] {
+				block(cl, n, o)
+			}
+			cl.run(30 * time.Second)
+			if got, most := cl.epochs()-before, uint64(cl.shardCount()); got > most {
+				t.Errorf("got: %d changes of owners, want: at most one a shard, %d", got, most)
+			}
+			cl.heal()
+			cl.run(30 * time.Second)
+			if got := cl.ownedCount(); got != cl.shardCount() {
+				t.Errorf("got: %d shards with an owner, want: %d", got, cl.shardCount())
+			}
+			cl.expectRunning(t, 6, 0)
+		})
+	}
+}
+
+// The last node of a region asks through the log, hears nothing, and takes all.
+func TestLastLiveNodeTakesOverAllShards(t *testing.T) {
+	cl := newClusterWithService(t, 41)
+	cl.nodes[0].kill()
+	cl.nodes[1].kill()
+	cl.run(8 * time.Second)
+	if got := cl.ownedCount(); got != cl.shardCount() {
+		t.Errorf("got: %d shards with an owner after 8 s, want: %d", got, cl.shardCount())
+	}
+	cl.expectRunning(t, 6, 0)
+}
+
+// Of two nodes that do not hear each other none takes anything while both reach
+// the log.
+func TestTwoPartitionedNodesKeepTheirShards(t *testing.T) {
+	cl := newReadyClusterOf(t, clusterOptions{nodes: 2, racks: 2, workers: 1, seed: 42})
+	cl.run(30 * time.Second)
+	before := cl.epochs()
+	cl.block("n0", "n1")
+	cl.block("n1", "n0")
+	cl.run(30 * time.Second)
+	if got := cl.epochs() - before; got != 0 {
+		t.Errorf("got: %d changes of owners, want: 0", got)
+	}
+	cl.checkInvariants(t)
+}
+
+// Members that died and that nobody retires are doubted once, not for ever.
+func TestDeadMembersAreQueriedOnlyOnce(t *testing.T) {
+	cl := newReadyClusterOf(t, clusterOptions{nodes: 5, racks: 2, workers: 1, seed: 43})
+	for _, n := range cl.nodes[:3] {
+		n.kill()
+	}
+	cl.run(30 * time.Second)
+	page, _, _ := cl.log.Page(0)
+	cl.run(2 * time.Minute)
+	after, _, _ := cl.log.Page(0)
+	if got := after.Next - page.Next; got != 0 {
+		t.Errorf("got: %d appends in 2 min after everything was taken over, want: 0", got)
+	}
+	if got := cl.ownedCount(); got != cl.shardCount() {
+		t.Errorf("got: %d shards with an owner, want: %d", got, cl.shardCount())
+	}
+}
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	roomPeriod  = time.Second
-	roomRefresh = 15 * time.Second
-	tailRetry   = time.Second
-	stateRetry  = 3 * time.Second
+	summaryPeriod        = time.Second
+	summaryRefreshPeriod = 15 * time.Second
+	batchesRetryDelay    = time.Second
+	stateRetryDelay      = 3 * time.Second
 	// stateAfter is how long a new node tries the log before it asks peers.
-	stateAfter = 2 * time.Second
+	stateRequestDelay = 2 * time.Second
 )
 
 // OnMessage takes a message from a peer.
@@ -29,9 +29,9 @@
 	case m.Heartbeat != nil:
 		c.onHeartbeat(now, &e.From, m.Heartbeat)
 	case m.Ask != nil, m.Deed != nil, m.HomeSync != nil, m.NewsAck != nil, m.Hold != nil, m.Release != nil, m.GrantAsk != nil, m.GrantDone != nil:
-		c.toOwnedRack(now, e.From.Node, m)
+		c.deliverToRack(now, e.From.Node, m)
 	case m.Answer != nil, m.News != nil, m.HoldReply != nil:
-		c.toOwnedHome(now, m)
+		c.deliverToJobShard(now, m)
 	case m.Grant != nil:
 		c.options.Router.OnGrant(m.Grant)
 	case m.GrantRecall != nil:
@@ -39,21 +39,21 @@
 	case m.GrantCheck != nil:
 		c.onGrantCheck(m.GrantCheck)
 	case m.TailAsk != nil:
-		c.onTailAsk(e.From.Node, m.TailAsk)
+		c.onBatchesRequest(e.From.Node, m.TailAsk)
 	case m.Tail != nil:
-		c.onTail(e.From.Node, m.Tail)
+		c.onBatches(e.From.Node, m.Tail)
 	case m.StateAsk != nil:
-		c.onStateAsk(e.From.Node)
+		c.onStateRequest(e.From.Node)
 	case m.State != nil:
 		c.onState(e.From.Node, m.State)
 	case m.OnceAsk != nil:
-		c.out.AnswerOnce(e.From.Node, m.OnceAsk)
+		c.env.AnswerKeyQuery(e.From.Node, m.OnceAsk)
 	case m.OnceReply != nil:
-		c.onOnceReply(e.From.Node, m.OnceReply)
+		c.onAnswerReply(e.From.Node, m.OnceReply)
 	case m.OnceKept != nil:
-		c.onOnceKept(e.From.Node, m.OnceKept)
+		c.onHandedOverAnswers(e.From.Node, m.OnceKept)
 	case m.OnceTaken != nil:
-		c.onOnceTaken()
+		c.onHandoverAcknowledged()
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 }
 
-func (c *Core) toOwnedRack(now time.Time, from state.NodeID, m *node.Message) {
+func (c *Core) deliverToRack(now time.Time, from state.NodeID, m *node.Message) {
 	id := rackOf(m)
 	o := c.racks[id]
 	if o == nil {
@@ -113,77 +113,77 @@
 	return ""
 }
 
-func (c *Core) toOwnedHome(now time.Time, m *node.Message) {
+func (c *Core) deliverToJobShard(now time.Time, m *node.Message) {
 	switch {
 	case m.Answer != nil:
-		if h := c.homes[m.Answer.Home]; h != nil {
+		if h := c.jobShards[m.Answer.Home]; h != nil {
 			h.OnAnswer(now, m.Answer)
 		}
 	case m.News != nil:
-		if h := c.homes[m.News.Home]; h != nil {
+		if h := c.jobShards[m.News.Home]; h != nil {
 			h.OnNews(now, m.News)
 		}
 	case m.HoldReply != nil:
-		if h := c.homes[m.HoldReply.Home]; h != nil {
+		if h := c.jobShards[m.HoldReply.Home]; h != nil {
 			h.OnHoldReply(now, m.HoldReply)
 		}
 	}
 }
 
 // beat tells the peers that this node lives, and what has changed in its racks.
-func (c *Core) beat(now time.Time) {
-	if now.Sub(c.beatAt) < heartbeatPeriod {
+func (c *Core) sendHeartbeats(now time.Time) {
+	if now.Sub(c.heartbeatAt) < heartbeatPeriod {
 		return
 	}
-	c.beatAt = now
-	rooms := c.changedRooms(now)
+	c.heartbeatAt = now
+	summaries := c.summariesToSend(now)
 	hb := &node.Heartbeat{
-		Applied: c.state.Applied, IsLogOut: c.isLogOut(now), IsDraining: c.isDraining, Suspects: c.members.Suspects(now), Rooms: rooms,
+		Applied: c.state.Applied, IsLogOut: c.isLogUnavailable(now), IsDraining: c.isDraining, Suspects: c.members.Suspects(now), Rooms: summaries,
 	}
-	for _, id := range sorted(c.deputised) {
-		d := c.deputised[id]
+	for _, id := range sorted(c.deputies) {
+		d := c.deputies[id]
 		if d.node == c.options.Self.Node {
 			hb.Deputised = append(hb.Deputised, node.Deputised{Rack: id, Epoch: d.epoch})
 		}
 	}
 	m := &node.Message{Heartbeat: hb}
 	// Only nodes of the region place or route there.
-	bare := *hb
-	bare.Rooms = nil
+	withoutSummaries := *hb
+	withoutSummaries.Rooms = nil
 	for _, id := range sorted(c.state.Members) {
 		member := c.state.Members[id]
 		switch {
 		case member.HasLeft || id == c.options.Self.Node:
 		case member.Region == c.options.Region:
-			c.out.Send(id, m)
+			c.env.Send(id, m)
 		default:
-			c.out.Send(id, &node.Message{Heartbeat: &bare})
+			c.env.Send(id, &node.Message{Heartbeat: &withoutSummaries})
 		}
 	}
 	if len(c.state.Members) > 0 {
 		return
 	}
 	for _, p := range c.options.Peers {
-		c.out.Send(state.NodeID(p.String()), m)
+		c.env.Send(state.NodeID(p.String()), m)
 	}
 }
 
 // changedRooms returns the summaries that differ from what was told last, and
 // each one now and then, for those who missed it.
-func (c *Core) changedRooms(now time.Time) []node.Room {
-	rooms := []node.Room{}
+func (c *Core) summariesToSend(now time.Time) []node.Room {
+	summaries := []node.Room{}
 	for _, id := range sorted(c.racks) {
 		o := c.racks[id]
-		isDue := now.Sub(o.roomAt) >= roomRefresh
-		if !isDue && (o.isRoomTold || now.Sub(o.roomAt) < roomPeriod) {
+		isDue := now.Sub(o.reportedAt) >= summaryRefreshPeriod
+		if !isDue && (o.isReported || now.Sub(o.reportedAt) < summaryPeriod) {
 			continue
 		}
-		o.isRoomTold = true
-		o.roomAt = now
-		o.told = o.room
-		rooms = append(rooms, o.room)
+		o.isReported = true
+		o.reportedAt = now
+		o.reported = o.summary
+		summaries = append(summaries, o.summary)
 	}
-	return rooms
+	return summaries
 }
 
 func (c *Core) onHeartbeat(now time.Time, from *node.Hello, hb *node.Heartbeat) {
@@ -192,80 +192,80 @@
 		IsLogOut: hb.IsLogOut, IsDraining: hb.IsDraining, Suspects: hb.Suspects,
 	})
 	for i := range hb.Rooms {
-		room := hb.Rooms[i]
-		c.onRoom(&room)
+		rackSummary := hb.Rooms[i]
+		c.onSummary(&rackSummary)
 	}
-	c.onDeputised(from.Node, hb.Deputised)
+	c.onDeputyReport(from.Node, hb.Deputised)
 }
 
-func (c *Core) onRoom(room *node.Room) {
-	if room.Workers > 0 {
-		c.rackCapacity[room.Rack] = c.rackCapacity[room.Rack].Max(room.Capacity)
+func (c *Core) onSummary(rackSummary *node.Room) {
+	if rackSummary.Workers > 0 {
+		c.rackCapacity[rackSummary.Rack] = c.rackCapacity[rackSummary.Rack].Max(rackSummary.Capacity)
 	}
-	c.rooms[room.Rack] = room
-	c.options.Router.OnRoom(room)
-	for _, id := range sorted(c.homes) {
-		c.homes[id].OnRoom(room)
+	c.rackSummaries[rackSummary.Rack] = rackSummary
+	c.options.Router.OnRoom(rackSummary)
+	for _, id := range sorted(c.jobShards) {
+		c.jobShards[id].OnRoom(rackSummary)
 	}
 }
 
 // watchPeers logs who falls silent and who is heard again, and takes back the
 // grants of those who are gone.
-func (c *Core) watchPeers(now time.Time) {
+func (c *Core) checkPeers(now time.Time) {
 	for _, n := range c.members.Suspects(now) {
-		if _, ok := c.silent[n]; !ok {
-			c.silent[n] = now
+		if _, ok := c.silentSince[n]; !ok {
+			c.silentSince[n] = now
 			events.Log(events.PeerSuspected, "peer", n)
 		}
 	}
-	for n, since := range c.silent {
+	for n, since := range c.silentSince {
 		if !c.members.IsSuspect(now, n) {
-			delete(c.silent, n)
+			delete(c.silentSince, n)
 			events.Log(events.PeerHeard, "peer", n, "after", now.Sub(since).Round(time.Millisecond))
 		}
 	}
-	isGone := func(n state.NodeID) bool {
+	isLost := func(n state.NodeID) bool {
 		if n == c.options.Self.Node {
 			return false
 		}
 		m := c.state.Members[n]
-		since, ok := c.silent[n]
-		return m == nil || m.HasLeft || (ok && now.Sub(since) > holderGone)
+		since, ok := c.silentSince[n]
+		return m == nil || m.HasLeft || (ok && now.Sub(since) > grantHolderTimeout)
 	}
 	for _, id := range sorted(c.racks) {
-		c.racks[id].rack.DropHolder(now, isGone)
+		c.racks[id].rack.DropHolder(now, isLost)
 	}
 }
 
 // catchUp asks peers for what this node lacks when it does not reach the log.
 func (c *Core) catchUp(now time.Time) {
-	isOut := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > stateAfter/4
-	if !isOut {
+	isReadFailing := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > stateRequestDelay/4
+	if !isReadFailing {
 		return
 	}
-	peer, most := c.members.MostApplied(now)
+	peer, mostApplied := c.members.MostApplied(now)
 	if peer == "" {
 		return
 	}
-	if c.state.Applied < 0 && now.Sub(c.startedAt) > stateAfter && now.Sub(c.askedStateAt) > stateRetry {
-		c.askedStateAt = now
-		c.out.Send(peer, &node.Message{StateAsk: &node.StateAsk{}})
+	if c.state.Applied < 0 && now.Sub(c.startedAt) > stateRequestDelay && now.Sub(c.stateRequestedAt) > stateRetryDelay {
+		c.stateRequestedAt = now
+		c.env.Send(peer, &node.Message{StateAsk: &node.StateAsk{}})
 		return
 	}
-	if c.state.Applied >= 0 && most > c.state.Applied && now.Sub(c.askedTailAt) > tailRetry {
-		c.askedTailAt = now
-		c.out.Send(peer, &node.Message{TailAsk: &node.TailAsk{After: c.state.Applied}})
+	if c.state.Applied >= 0 && mostApplied > c.state.Applied && now.Sub(c.batchesRequestedAt) > batchesRetryDelay {
+		c.batchesRequestedAt = now
+		c.env.Send(peer, &node.Message{TailAsk: &node.TailAsk{After: c.state.Applied}})
 	}
 }
 
-func (c *Core) onTailAsk(from state.NodeID, m *node.TailAsk) {
-	c.out.Send(from, &node.Message{Tail: &node.Tail{After: m.After, Entries: c.tail.After(m.After)}})
+func (c *Core) onBatchesRequest(from state.NodeID, m *node.TailAsk) {
+	c.env.Send(from, &node.Message{Tail: &node.Tail{After: m.After, Entries: c.recentBatches.After(m.After)}})
 }
 
-func (c *Core) onTail(from state.NodeID, m *node.Tail) {
+func (c *Core) onBatches(from state.NodeID, m *node.Tail) {
 	if len(m.Entries) == 0 {
 		// The peer has no longer what comes next: its whole state has.
-		c.out.Send(from, &node.Message{StateAsk: &node.StateAsk{}})
+		c.env.Send(from, &node.Message{StateAsk: &node.StateAsk{}})
 		return
 	}
 	if m.After > c.state.Applied {
@@ -273,13 +273,13 @@
 	}
 	events.Log(events.TailFromPeer, "peer", from, "batches", len(m.Entries))
 	for _, e := range m.Entries {
-		c.fold(e.Offset, e.Data)
-		c.out.SkipTo(e.Offset)
+		c.applyBatch(e.Offset, e.Data)
+		c.env.SkipTo(e.Offset)
 	}
-	c.folded()
+	c.afterApply()
 }
 
-func (c *Core) onStateAsk(from state.NodeID) {
+func (c *Core) onStateRequest(from state.NodeID) {
 	if c.state.Applied < 0 {
 		return
 	}
@@ -288,7 +288,7 @@
 		events.Log(events.BadRecord, "err", err.Error())
 		return
 	}
-	c.out.Send(from, &node.Message{State: &node.StateSet{Data: data}})
+	c.env.Send(from, &node.Message{State: &node.StateSet{Data: data}})
 }
 
 func (c *Core) onState(from state.NodeID, m *node.StateSet) {
@@ -302,5 +302,5 @@
 	}
 	events.Log(events.StateFromPeer, "peer", from, "offset", s.Applied)
 	c.replaceState(s)
-	c.folded()
+	c.afterApply()
 }
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -19,41 +19,41 @@
 
 // reconcile makes what this node owns agree with the winning claim.
 func (c *Core) reconcile(id state.ShardID) {
-	cur := c.state.Shards[id]
-	delete(c.claiming, id)
-	if d, ok := c.deputised[id]; ok && d.epoch.Claim() < cur.Epoch {
-		delete(c.deputised, id)
+	current := c.state.Shards[id]
+	delete(c.pendingClaims, id)
+	if d, ok := c.deputies[id]; ok && d.epoch.Claim() < current.Epoch {
+		delete(c.deputies, id)
 	}
-	if e, ok := c.fenced[id]; ok && e.Claim() < cur.Epoch {
+	if e, ok := c.fenced[id]; ok && e.Claim() < current.Epoch {
 		delete(c.fenced, id)
 	}
-	isMine := cur.Owner == c.options.Self
+	isOwner := current.Owner == c.options.Self
 	if ownership.IsRack(id) {
-		c.reconcileRack(id, cur, isMine)
-		c.tellHomesOfRacks()
+		c.reconcileRack(id, current, isOwner)
+		c.updateJobShardRacks()
 		return
 	}
-	h := c.homes[id]
-	if h != nil && (!isMine || h.Epoch != cur.Epoch) {
-		delete(c.homes, id)
-		c.changed(events.ShardDropped, id, h.Epoch)
+	h := c.jobShards[id]
+	if h != nil && (!isOwner || h.Epoch != current.Epoch) {
+		delete(c.jobShards, id)
+		c.logOwnerChange(events.ShardDropped, id, h.Epoch)
 	}
-	if isMine && c.homes[id] == nil {
-		c.openHome(id, cur)
+	if isOwner && c.jobShards[id] == nil {
+		c.openJobShard(id, current)
 	}
 }
 
-func (c *Core) reconcileRack(id state.ShardID, cur *state.Shard, isMine bool) {
-	epoch := worker.NewEpoch(cur.Epoch, 0)
-	if o := c.racks[id]; o != nil && (o.rack.Epoch < epoch || (!isMine && o.rack.Epoch == epoch)) {
-		c.dropRack(id)
+func (c *Core) reconcileRack(id state.ShardID, current *state.Shard, isOwner bool) {
+	epoch := worker.NewEpoch(current.Epoch, 0)
+	if o := c.racks[id]; o != nil && (o.rack.Epoch < epoch || (!isOwner && o.rack.Epoch == epoch)) {
+		c.closeRack(id)
 	}
-	if isMine && c.racks[id] == nil {
+	if isOwner && c.racks[id] == nil {
 		c.openRack(id, epoch, false)
 	}
 }
 
-func (c *Core) changed(e events.Event, id state.ShardID, epoch uint64) {
+func (c *Core) logOwnerChange(e events.Event, id state.ShardID, epoch uint64) {
 	events.Log(e, "shard", id, "epoch", epoch)
 	c.options.Meter.OwnerChanged()
 }
@@ -64,14 +64,14 @@
 	o := &ownedRack{rack: r, links: map[worker.ID]WorkerLink{}}
 	c.racks[id] = o
 	if isDeputy {
-		c.changed(events.ShardDeputy, id, uint64(epoch))
+		c.logOwnerChange(events.ShardDeputy, id, uint64(epoch))
 	} else {
-		c.changed(events.ShardOwned, id, uint64(epoch))
+		c.logOwnerChange(events.ShardOwned, id, uint64(epoch))
 	}
 	c.setWorkers(id, o)
 }
 
-func (c *Core) dropRack(id state.ShardID) {
+func (c *Core) closeRack(id state.ShardID) {
 	o := c.racks[id]
 	if o == nil {
 		return
@@ -80,7 +80,7 @@
 		l.Stop()
 	}
 	delete(c.racks, id)
-	c.changed(events.ShardDropped, id, uint64(o.rack.Epoch))
+	c.logOwnerChange(events.ShardDropped, id, uint64(o.rack.Epoch))
 }
 
 // setWorkers brings a rack and its links up to the platform's list.
@@ -102,26 +102,26 @@
 	}
 	for _, w := range sorted(addrs) {
 		if o.links[w] == nil {
-			o.links[w] = c.out.OpenWorker(id, o.rack.Epoch, w, addrs[w])
+			o.links[w] = c.env.OpenWorker(id, o.rack.Epoch, w, addrs[w])
 		}
 	}
 }
 
 func (c *Core) isDrained(w worker.ID) bool { return c.policies.IsDrained(string(w)) }
 
-func (c *Core) openHome(id state.ShardID, cur *state.Shard) {
+func (c *Core) openJobShard(id state.ShardID, current *state.Shard) {
 	now := c.now()
-	h := home.NewHome(now, id, cur.Epoch, c, home.NewHomeOptions{})
-	c.homes[id] = h
-	c.changed(events.ShardOwned, id, cur.Epoch)
+	h := home.NewHome(now, id, current.Epoch, c, home.NewHomeOptions{})
+	c.jobShards[id] = h
+	c.logOwnerChange(events.ShardOwned, id, current.Epoch)
 	h.SetRacks(now, c.rackInfos())
-	for _, rack := range sorted(c.rooms) {
-		h.OnRoom(c.rooms[rack])
+	for _, rack := range sorted(c.rackSummaries) {
+		h.OnRoom(c.rackSummaries[rack])
 	}
 	for _, job := range sorted(c.state.Jobs) {
 		j := c.state.Jobs[job]
 		if !j.IsEnded && ownership.HomeShard(j.Spec.Region, j.Spec.Team) == id {
-			h.AddJob(now, job, j, j.Offset > cur.Offset)
+			h.AddJob(now, job, j, j.Offset > current.Offset)
 		}
 	}
 }
@@ -135,7 +135,7 @@
 			continue
 		}
 		epoch := worker.NewEpoch(s.Epoch, 0)
-		if d, ok := c.deputised[id]; ok {
+		if d, ok := c.deputies[id]; ok {
 			epoch = max(epoch, d.epoch)
 		}
 		infos = append(infos, home.RackInfo{ID: id, Epoch: epoch})
@@ -143,12 +143,12 @@
 	return infos
 }
 
-func (c *Core) tellHomesOfRacks() {
-	if len(c.homes) == 0 {
+func (c *Core) updateJobShardRacks() {
+	if len(c.jobShards) == 0 {
 		return
 	}
 	infos := c.rackInfos()
-	for _, h := range c.homes {
+	for _, h := range c.jobShards {
 		h.SetRacks(c.now(), infos)
 	}
 }
@@ -159,7 +159,7 @@
 	if s == nil {
 		return "", false
 	}
-	if d, ok := c.deputised[id]; ok && d.epoch > worker.NewEpoch(s.Epoch, 0) {
+	if d, ok := c.deputies[id]; ok && d.epoch > worker.NewEpoch(s.Epoch, 0) {
 		return d.node, true
 	}
 	return s.Owner.Node, true
@@ -167,21 +167,21 @@
 
 // plan appends the claims that are due.
 func (c *Core) plan(now time.Time) {
-	isReady := c.IsJoined() && !c.joinedAt.IsZero() && now.Sub(c.joinedAt) > claimAfter
-	if !isReady || now.Sub(c.planAt) < planPeriod || c.isLogOut(now) || c.caughtUpAt.Before(c.planAt) {
+	isReady := c.IsJoined() && !c.joinedAt.IsZero() && now.Sub(c.joinedAt) > firstClaimDelay
+	if !isReady || now.Sub(c.plannedAt) < planPeriod || c.isLogUnavailable(now) || c.caughtUpAt.Before(c.plannedAt) {
 		return
 	}
-	c.planAt = now
+	c.plannedAt = now
 	for _, claim := range c.planner.Plan(c.view(now)) {
-		if c.claiming[claim.Shard] == claim.Epoch {
+		if c.pendingClaims[claim.Shard] == claim.Epoch {
 			continue
 		}
-		c.claiming[claim.Shard] = claim.Epoch
+		c.pendingClaims[claim.Shard] = claim.Epoch
 		c.Append(state.Record{Claim: &claim}, func(err error) {
 			if err == nil {
 				return
 			}
-			delete(c.claiming, claim.Shard)
+			delete(c.pendingClaims, claim.Shard)
 			if errors.Is(err, state.ErrUnseen) {
 				// Whose the shard is stands in the state that came instead.
 				return
@@ -229,9 +229,9 @@
 }
 
 // watchDeputies keeps the racks of dead owners alive while the log is out.
-func (c *Core) watchDeputies(now time.Time) {
-	isOut := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > deputyAfter && c.members.IsLogOutForAll(now)
-	if !isOut || !c.IsJoined() || c.isDraining {
+func (c *Core) takeOverAsDeputy(now time.Time) {
+	isReadFailing := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > deputyAfter && c.members.IsLogOutForAll(now)
+	if !isReadFailing || !c.IsJoined() || c.isDraining {
 		return
 	}
 	v := c.view(now)
@@ -240,30 +240,30 @@
 		if !ownership.IsRack(id) || ownership.Region(id) != v.Region || c.racks[id] != nil || !v.IsDead(s.Owner.Node) {
 			continue
 		}
-		place := ownership.DeputyPlace(v, s)
-		epoch := worker.NewEpoch(s.Epoch, place)
-		if place == 0 || c.deputised[id].epoch >= epoch || c.fenced[id] >= epoch {
+		rank := ownership.DeputyPlace(v, s)
+		epoch := worker.NewEpoch(s.Epoch, rank)
+		if rank == 0 || c.deputies[id].epoch >= epoch || c.fenced[id] >= epoch {
 			continue
 		}
 		c.openRack(id, epoch, true)
-		c.deputised[id] = deputy{c.options.Self.Node, epoch}
-		c.tellHomesOfRacks()
+		c.deputies[id] = deputy{c.options.Self.Node, epoch}
+		c.updateJobShardRacks()
 	}
 }
 
 // onDeputised takes a peer's word that it keeps a rack alive. An owner that is
 // alive after all yields: the workers obey the deputy.
-func (c *Core) onDeputised(from state.NodeID, list []node.Deputised) {
+func (c *Core) onDeputyReport(from state.NodeID, list []node.Deputised) {
 	for _, d := range list {
 		s := c.state.Shards[d.Rack]
-		if s == nil || d.Epoch.Claim() != s.Epoch || c.deputised[d.Rack].epoch >= d.Epoch {
+		if s == nil || d.Epoch.Claim() != s.Epoch || c.deputies[d.Rack].epoch >= d.Epoch {
 			continue
 		}
-		c.deputised[d.Rack] = deputy{from, d.Epoch}
+		c.deputies[d.Rack] = deputy{from, d.Epoch}
 		if o := c.racks[d.Rack]; o != nil && o.rack.Epoch < d.Epoch {
 			c.OnFenced(d.Rack, o.rack.Epoch, d.Epoch)
 		}
-		c.tellHomesOfRacks()
+		c.updateJobShardRacks()
 	}
 }
 
@@ -276,32 +276,32 @@
 	}
 	events.Log(events.RackFenced, "rack", id, "epoch", uint64(epoch), "seen", uint64(seen))
 	c.fenced[id] = seen
-	c.dropRack(id)
+	c.closeRack(id)
 }
 
 // confirmSole tells the racks up to when it is certain that nobody else renews
 // leases on their workers: by the log, or, while it is out, by the word of
 // every member of the region.
-func (c *Core) confirmSole(now time.Time) {
+func (c *Core) confirmSoleOwner(now time.Time) {
 	asOf := c.caughtUpAt
-	if c.isLogOut(now) {
-		asOf = c.membersWord(now)
+	if c.isLogUnavailable(now) {
+		asOf = c.confirmedByMembers(now)
 	}
 	if asOf.IsZero() {
 		return
 	}
 	for id, o := range c.racks {
 		s := c.state.Shards[id]
-		if s == nil || s.Owner != c.options.Self || !c.areEnded(s.Past, s.Offset) {
+		if s == nil || s.Owner != c.options.Self || !c.haveEnded(s.Past, s.Offset) {
 			continue
 		}
-		if _, ok := c.deputised[id]; !ok {
+		if _, ok := c.deputies[id]; !ok {
 			o.rack.SetSole(asOf)
 		}
 	}
 }
 
-func (c *Core) areEnded(past []state.Owner, offset int64) bool {
+func (c *Core) haveEnded(past []state.Owner, offset int64) bool {
 	for _, p := range past {
 		if !c.state.IsEnded(p) && !c.members.HasFolded(p, offset) {
 			return false
@@ -313,7 +313,7 @@
 // membersWord returns since when every member of the region has said that it
 // does not reach the log, is no further than this node, and is heard; zero if
 // one of them has not.
-func (c *Core) membersWord(now time.Time) time.Time {
+func (c *Core) confirmedByMembers(now time.Time) time.Time {
 	for id, m := range c.state.Members {
 		if m.HasLeft || m.Region != c.options.Region || id == c.options.Self.Node {
 			continue
--- a/internal/core/policy_test.go
+++ b/internal/core/policy_test.go
@@ -16,27 +16,27 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-func newReadyWorld(t *testing.T, seed uint64) *world {
+func newReadyCluster(t *testing.T, seed uint64) *cluster {
 	t.Helper()
-	return newReadyWorldOf(t, worldOptions{nodes: 3, racks: 3, workers: 2, seed: seed})
+	return newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 3, workers: 2, seed: seed})
 }
 
 func TestQuotaIsNeverExceeded(t *testing.T) {
-	w := newReadyWorld(t, 1)
+	cl := newReadyCluster(t, 1)
 	body := []byte("office: head\nquota: {milli_cpu: 1500, memory_mib: 100000, accelerators: 0, slots: 100}\n")
-	if err := w.append(state.Record{Publish: &state.Publish{Doc: "team/small", Body: body}}); err != nil {
+	if err := cl.append(state.Record{Publish: &state.Publish{Doc: "team/small", Body: body}}); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 3 {
 		s := batchSpec(fmt.Sprint("job", i), 6, 2*time.Second)
 		s.Team = "small"
-		w.mustSubmit(t, s)
+		cl.mustSubmit(t, s)
 	}
 	most := 0
 	for range 600 {
-		w.run(step)
-		most = max(most, w.runningNow())
-		if len(w.nodes) == 3 && most > 3 {
+		cl.run(step)
+		most = max(most, cl.runningCount())
+		if len(cl.nodes) == 3 && most > 3 {
 			break
 		}
 	}
@@ -44,7 +44,7 @@
 		t.Errorf("got: at most %d tasks at once, want: 3, which the quota allows", most)
 	}
 	for i := range 3 {
-		if got := w.job(fmt.Sprint("job", i)).Final[leverdyke.TaskDone]; got != 6 {
+		if got := cl.job(fmt.Sprint("job", i)).Final[leverdyke.TaskDone]; got != 6 {
 			t.Errorf("got: %d done, want: 6", got)
 		}
 	}
@@ -58,44 +58,44 @@
 
 // Two large all-at-once jobs of two homes and a stream of small tasks: each
 // large one starts whole or not at all, and none waits for ever.
-func TestLargeJobsStartWholeAndAreNotStarved(t *testing.T) {
-	w := newReadyWorld(t, 2)
+func TestAllAtOnceJobsStartWholeAndAreNotStarved(t *testing.T) {
+	cl := newReadyCluster(t, 2)
 	teams := []string{"filings", otherTeam("filings"), otherTeam("filings", otherTeam("filings"))}
 	for _, team := range teams[1:] {
 		body := []byte("office: head\nquota: {milli_cpu: 100000, memory_mib: 100000, accelerators: 0, slots: 100}\n")
-		if err := w.append(state.Record{Publish: &state.Publish{Doc: "team/" + team, Body: body}}); err != nil {
+		if err := cl.append(state.Record{Publish: &state.Publish{Doc: "team/" + team, Body: body}}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for i, team := range teams[:2] {
 		s := gangSpec(fmt.Sprint("gang", i), 20, 5*time.Second)
 		s.Team = team
-		w.mustSubmit(t, s)
+		cl.mustSubmit(t, s)
 	}
-	partly := map[string]int{}
+	partialSteps := map[string]int{}
 	for i := range 1200 {
 		if i%10 == 0 && i < 1000 {
 			s := batchSpec(fmt.Sprint("small", i), 2, 3*time.Second)
 			s.Team = teams[2]
-			w.mustSubmit(t, s)
+			cl.mustSubmit(t, s)
 		}
-		w.run(step)
+		cl.run(step)
 		for _, id := range []string{"gang0", "gang1"} {
-			j := w.job(id)
-			if n := w.running(id); n > 0 && n < 20 && j.Final[leverdyke.TaskDone] == 0 {
-				partly[id]++
+			j := cl.job(id)
+			if n := cl.running(id); n > 0 && n < 20 && j.Final[leverdyke.TaskDone] == 0 {
+				partialSteps[id]++
 			}
 		}
 	}
 	for _, id := range []string{"gang0", "gang1"} {
-		if got := w.job(id).Final[leverdyke.TaskDone]; got != 20 {
+		if got := cl.job(id).Final[leverdyke.TaskDone]; got != 20 {
 			t.Errorf("%s: got: %d done after a minute, want: 20", id, got)
 		}
-		if partly[id] > 30 {
-			t.Errorf("%s: got: %d steps with a part of it running, want: only while it starts and ends", id, partly[id])
+		if partialSteps[id] > 30 {
+			t.Errorf("%s: got: %d steps with a part of it running, want: only while it starts and ends", id, partialSteps[id])
 		}
 	}
-	w.check(t)
+	cl.checkInvariants(t)
 }
 
 // otherTeam returns a team whose home is none of the others'.
@@ -112,67 +112,67 @@
 	}
 }
 
-func TestBrokenAllAtOnceJobStartsTogetherAgain(t *testing.T) {
-	w := newReadyWorld(t, 3)
-	w.mustSubmit(t, gangSpec("gang", 8, 20*time.Second))
-	w.run(3 * time.Second)
-	for _, name := range w.names {
-		if w.workers[name].Running("gang") > 0 {
-			w.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeDead})
+func TestBrokenAllAtOnceJobRestartsAsAWhole(t *testing.T) {
+	cl := newReadyCluster(t, 3)
+	cl.mustSubmit(t, gangSpec("gang", 8, 20*time.Second))
+	cl.run(3 * time.Second)
+	for _, name := range cl.names {
+		if cl.workers[name].Running("gang") > 0 {
+			cl.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeDead})
 			break
 		}
 	}
-	w.run(70 * time.Second)
-	if got := w.job("gang").Final[leverdyke.TaskDone]; got != 8 {
+	cl.run(70 * time.Second)
+	if got := cl.job("gang").Final[leverdyke.TaskDone]; got != 8 {
 		t.Errorf("got: %d done, want: 8", got)
 	}
-	w.check(t)
+	cl.checkInvariants(t)
 }
 
-func TestUrgentWorkStartsInAFullCell(t *testing.T) {
-	w := newReadyWorld(t, 4)
+func TestUrgentWorkStartsInAFullCluster(t *testing.T) {
+	cl := newReadyCluster(t, 4)
 	full := batchSpec("full", 100, time.Hour)
 	full.Class = leverdyke.ClassBatch
-	w.mustSubmit(t, full)
-	w.run(3 * time.Second)
+	cl.mustSubmit(t, full)
+	cl.run(3 * time.Second)
 	urgent := batchSpec("urgent", 4, time.Second)
 	urgent.Class = leverdyke.ClassUrgent
-	w.mustSubmit(t, urgent)
-	w.run(3400*time.Millisecond + time.Second)
-	if got := w.job("urgent").Final[leverdyke.TaskDone] + w.running("urgent"); got != 4 {
+	cl.mustSubmit(t, urgent)
+	cl.run(3400*time.Millisecond + time.Second)
+	if got := cl.job("urgent").Final[leverdyke.TaskDone] + cl.running("urgent"); got != 4 {
 		t.Errorf("got: %d of 4 tasks started within 3.4 s, want: 4", got)
 	}
-	w.check(t)
+	cl.checkInvariants(t)
 }
 
-func TestFailingJobIsGivenUpAndDoesNotBlameWorkers(t *testing.T) {
-	w := newReadyWorld(t, 5)
+func TestAlwaysFailingJobEndsAndEjectsNoWorker(t *testing.T) {
+	cl := newReadyCluster(t, 5)
 	bad := batchSpec("always-fails", 3, time.Second)
 	bad.MaxFailures = 5
-	w.mustSubmit(t, bad)
-	w.mustSubmit(t, batchSpec("good", 6, time.Second))
-	w.run(2 * time.Minute)
-	j := w.job("always-fails")
+	cl.mustSubmit(t, bad)
+	cl.mustSubmit(t, batchSpec("good", 6, time.Second))
+	cl.run(2 * time.Minute)
+	j := cl.job("always-fails")
 	if !j.IsEnded || j.Final[leverdyke.TaskFailed] != 3 || !strings.Contains(j.Reason, "budget") {
 		t.Errorf("got: %v %q, want: 3 failed by the budget", j.Final, j.Reason)
 	}
-	if got := w.job("good").Final[leverdyke.TaskDone]; got != 6 {
+	if got := cl.job("good").Final[leverdyke.TaskDone]; got != 6 {
 		t.Errorf("the other job: got: %d done, want: 6", got)
 	}
 }
 
-func TestJobThatCanNeverRunSaysSoAndBlocksNobody(t *testing.T) {
-	w := newReadyWorld(t, 6)
+func TestUnplaceableJobReportsItsReasonAndBlocksNoOtherJob(t *testing.T) {
+	cl := newReadyCluster(t, 6)
 	never := batchSpec("never", 1, time.Second)
 	never.Each.MemoryMiB = 1 << 30
-	w.mustSubmit(t, never)
-	w.mustSubmit(t, batchSpec("good", 6, time.Second))
-	w.run(10 * time.Second)
-	n := w.ownerOf(string(ownership.HomeShard(region, "filings")))
-	if got := n.core.Home(ownership.HomeShard(region, "filings")).Status("never").Why; !strings.Contains(got, "memory") {
+	cl.mustSubmit(t, never)
+	cl.mustSubmit(t, batchSpec("good", 6, time.Second))
+	cl.run(10 * time.Second)
+	n := cl.ownerOf(string(ownership.HomeShard(region, "filings")))
+	if got := n.core.JobShard(ownership.HomeShard(region, "filings")).Status("never").Why; !strings.Contains(got, "memory") {
 		t.Errorf("got: %q, want: the reason", got)
 	}
-	if got := w.job("good").Final[leverdyke.TaskDone]; got != 6 {
+	if got := cl.job("good").Final[leverdyke.TaskDone]; got != 6 {
 		t.Errorf("the other job: got: %d done, want: 6", got)
 	}
 	spec := never
@@ -182,124 +182,124 @@
 	}
 }
 
-func TestDeadlineMissedFailsTheJob(t *testing.T) {
-	w := newReadyWorld(t, 7)
+func TestMissedDeadlineFailsTheJob(t *testing.T) {
+	cl := newReadyCluster(t, 7)
 	full := batchSpec("full", 24, time.Hour)
-	w.mustSubmit(t, full)
-	w.run(3 * time.Second)
+	cl.mustSubmit(t, full)
+	cl.run(3 * time.Second)
 	late := batchSpec("late", 1, time.Second)
 	late.Deadline = 5 * time.Second
-	w.mustSubmit(t, late)
-	w.run(15 * time.Second)
-	if j := w.job("late"); !j.IsEnded || !strings.Contains(j.Reason, "deadline") {
+	cl.mustSubmit(t, late)
+	cl.run(15 * time.Second)
+	if j := cl.job("late"); !j.IsEnded || !strings.Contains(j.Reason, "deadline") {
 		t.Errorf("got: %v %q, want: failed by its deadline", j.Final, j.Reason)
 	}
 }
 
-func TestHerdAfterARackComesBack(t *testing.T) {
-	w := newReadyWorld(t, 8)
-	w.mustSubmit(t, serviceSpec("service", 12))
-	w.run(5 * time.Second)
-	for _, name := range w.names[:2] {
-		w.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeDead})
+func TestAllTasksRunAfterARackReturns(t *testing.T) {
+	cl := newReadyCluster(t, 8)
+	cl.mustSubmit(t, serviceSpec("service", 12))
+	cl.run(5 * time.Second)
+	for _, name := range cl.names[:2] {
+		cl.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeDead})
 	}
-	w.run(4 * worldLease)
-	for _, name := range w.names[:2] {
-		w.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeUp})
+	cl.run(4 * testLease)
+	for _, name := range cl.names[:2] {
+		cl.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeUp})
 	}
-	w.mustSubmit(t, batchSpec("batch", 60, 2*time.Second))
-	w.run(60 * time.Second)
-	if got := w.job("batch").Final[leverdyke.TaskDone]; got != 60 || w.running("service") != 12 {
-		t.Errorf("got: %d done and %d of the service, want: 60 and 12", got, w.running("service"))
+	cl.mustSubmit(t, batchSpec("batch", 60, 2*time.Second))
+	cl.run(60 * time.Second)
+	if got := cl.job("batch").Final[leverdyke.TaskDone]; got != 60 || cl.running("service") != 12 {
+		t.Errorf("got: %d done and %d of the service, want: 60 and 12", got, cl.running("service"))
 	}
-	w.check(t)
+	cl.checkInvariants(t)
 }
 
 // An all-at-once job that needs most of the cell waits, beside a stream of
 // small tasks of another home that fills it, at most until racks keep room for
 // it, then for what runs there to end, and for the tries in between.
-func TestLargeJobWaitsNoLongerThanItsBound(t *testing.T) {
+func TestAllAtOnceJobWaitsNoLongerThanItsBound(t *testing.T) {
 	const (
-		untilEarmarked = 10 * time.Second
-		tries          = 6 * time.Second
+		untilReserved = 10 * time.Second
+		retryTime     = 6 * time.Second
 	)
 	for _, run := range []time.Duration{time.Second, 4 * time.Second, 15 * time.Second} {
-		w := newReadyWorld(t, 50)
+		cl := newReadyCluster(t, 50)
 		team := otherTeam("filings")
 		body := []byte("office: head\nquota: {milli_cpu: 100000, memory_mib: 100000, accelerators: 0, slots: 100}\n")
-		if err := w.append(state.Record{Publish: &state.Publish{Doc: "team/" + team, Body: body}}); err != nil {
+		if err := cl.append(state.Record{Publish: &state.Publish{Doc: "team/" + team, Body: body}}); err != nil {
 			t.Fatal(err)
 		}
 		small := batchSpec("small", 3000, run)
 		small.Team = team
-		w.mustSubmit(t, small)
-		w.run(5 * time.Second)
-		if got := w.running("small"); got != 24 {
+		cl.mustSubmit(t, small)
+		cl.run(5 * time.Second)
+		if got := cl.running("small"); got != 24 {
 			t.Fatalf("got: %d small tasks running, want: 24, a full cell", got)
 		}
-		w.mustSubmit(t, gangSpec("large", 16, time.Minute))
+		cl.mustSubmit(t, gangSpec("large", 16, time.Minute))
 		waited := time.Duration(0)
-		for w.running("large") < 16 && waited < 2*time.Minute {
-			w.run(step)
+		for cl.running("large") < 16 && waited < 2*time.Minute {
+			cl.run(step)
 			waited += step
 		}
-		if most := untilEarmarked + run + tries; waited > most {
+		if most := untilReserved + run + retryTime; waited > most {
 			t.Errorf("small tasks of %v: got: %v until all of it ran, want: at most %v", run, waited, most)
 		}
 		t.Logf("small tasks of %v: %v until all of it ran", run, waited)
-		w.check(t)
+		cl.checkInvariants(t)
 	}
 }
 
 // One task that needs a whole VM, beside a stream of small tasks of another
 // home that fills the cell.
 func TestLargeTaskIsNotStarvedBySmallOnes(t *testing.T) {
-	w := newReadyWorld(t, 51)
+	cl := newReadyCluster(t, 51)
 	team := otherTeam("filings")
 	body := []byte("office: head\nquota: {milli_cpu: 100000, memory_mib: 100000, accelerators: 0, slots: 100}\n")
-	if err := w.append(state.Record{Publish: &state.Publish{Doc: "team/" + team, Body: body}}); err != nil {
+	if err := cl.append(state.Record{Publish: &state.Publish{Doc: "team/" + team, Body: body}}); err != nil {
 		t.Fatal(err)
 	}
 	// Tasks of many lengths, so that no VM empties by itself.
 	for i := range 600 {
 		small := batchSpec(fmt.Sprintf("small-%03d", i), 3, time.Duration(2000+i*377%4000)*time.Millisecond)
 		small.Team = team
-		w.nodes[0].core.Append(state.Record{Submit: &state.Submit{Spec: small}}, nil)
+		cl.nodes[0].core.Append(state.Record{Submit: &state.Submit{Spec: small}}, nil)
 	}
-	w.run(20 * time.Second)
+	cl.run(20 * time.Second)
 	large := batchSpec("large", 1, time.Second)
 	large.Each = leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 256, Slots: 1}
-	w.mustSubmit(t, large)
+	cl.mustSubmit(t, large)
 	waited := time.Duration(0)
-	for w.running("large") == 0 && waited < 5*time.Minute {
-		w.run(step)
+	for cl.running("large") == 0 && waited < 5*time.Minute {
+		cl.run(step)
 		waited += step
 	}
 	if most := 25 * time.Second; waited > most {
 		t.Errorf("got: %v until it ran, want: at most %v", waited, most)
 	}
 	t.Logf("%v until it ran", waited)
-	w.check(t)
+	cl.checkInvariants(t)
 }
 
 // A home that has just moved knows the rooms of all racks: its new owner keeps
 // what it heard before.
-func TestMovedHomeSpreadsAServiceAtOnce(t *testing.T) {
-	w := newReadyWorldOf(t, worldOptions{nodes: 3, racks: 4, workers: 2, seed: 52})
+func TestMovedJobShardSpreadsAServiceOverZones(t *testing.T) {
+	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 4, workers: 2, seed: 52})
 	shard := string(ownership.HomeShard(region, "filings"))
-	w.run(20 * time.Second)
-	w.ownerOf(shard).kill()
+	cl.run(20 * time.Second)
+	cl.ownerOf(shard).kill()
 	for range 200 {
-		if w.ownerOf(shard) != nil {
+		if cl.ownerOf(shard) != nil {
 			break
 		}
-		w.run(step)
+		cl.run(step)
 	}
-	w.mustSubmit(t, serviceSpec("service", 4))
-	w.run(4 * time.Second)
+	cl.mustSubmit(t, serviceSpec("service", 4))
+	cl.run(4 * time.Second)
 	zones := map[string]int{}
-	for _, vm := range w.vms {
-		zones[vm.Zone] += w.workers[worker.ID(vm.Name)].Running("service")
+	for _, vm := range cl.vms {
+		zones[vm.Zone] += cl.workers[worker.ID(vm.Name)].Running("service")
 	}
 	if zones["z0"] != 2 || zones["z1"] != 2 {
 		t.Errorf("got: %v, want: two in each zone", zones)
--- a/internal/core/stateful_test.go
+++ b/internal/core/stateful_test.go
@@ -33,13 +33,13 @@
 
 // system is the cell under test with what was promised to its operators.
 type system struct {
-	*world
+	*cluster
 	// accepted has the jobs that were said to be accepted, cancelled those that
 	// were said to be cancelled.
 	accepted  map[string]leverdyke.JobSpec
 	cancelled map[string]bool
 	version   uint64
-	isWrong   string
+	violation string
 	nextJob   int
 }
 
@@ -56,10 +56,10 @@
 func (c *command) Run(sut commands.SystemUnderTest) commands.Result {
 	s, _ := sut.(*system)
 	c.do(s)
-	if s.isWrong != "" {
-		return s.isWrong
+	if s.violation != "" {
+		return s.violation
 	}
-	return strings.Join(s.problems(), "; ")
+	return strings.Join(s.foundViolations(), "; ")
 }
 
 func (c *command) NextState(s commands.State) commands.State {
@@ -124,7 +124,7 @@
 	err := s.append(state.Record{Publish: &state.Publish{Doc: "office/head", Base: base, Body: []byte("waiting: 1\n")}})
 	switch {
 	case isStale && err == nil:
-		s.isWrong = fmt.Sprintf("a change based on %d was accepted over %d", base, s.version)
+		s.violation = fmt.Sprintf("a change based on %d was accepted over %d", base, s.version)
 	case err == nil:
 		s.version++
 	case errors.Is(err, state.ErrConflict) && !isStale:
@@ -139,22 +139,22 @@
 	s.run(settleTime)
 	for _, id := range slices.Sorted(maps.Keys(s.accepted)) {
 		spec := s.accepted[id]
-		if text := s.broken(id, &spec); text != "" {
-			s.isWrong = id + ": " + text
+		if text := s.violationOf(id, &spec); text != "" {
+			s.violation = id + ": " + text
 			return
 		}
 	}
-	if got := s.owned(); got != s.shards() {
-		s.isWrong = fmt.Sprintf("%d shards have an owner, want %d", got, s.shards())
+	if got := s.ownedCount(); got != s.shardCount() {
+		s.violation = fmt.Sprintf("%d shards have an owner, want %d", got, s.shardCount())
 	}
 	for _, n := range s.nodes {
 		if got := n.core.State().Docs["office/head"].Version; got < s.version {
-			s.isWrong = fmt.Sprintf("%s has version %d, want at least %d", n.name(), got, s.version)
+			s.violation = fmt.Sprintf("%s has version %d, want at least %d", n.name(), got, s.version)
 		}
 	}
 }
 
-func (s *system) broken(id string, spec *leverdyke.JobSpec) string {
+func (s *system) violationOf(id string, spec *leverdyke.JobSpec) string {
 	j := s.job(id)
 	switch {
 	case j == nil:
@@ -195,25 +195,25 @@
 	case 7:
 		return &command{name("publish stale"), func(s *system) { s.publish(true) }}
 	case 8, 9:
-		return &command{name("kill node"), func(s *system) { s.pick(i).kill() }}
+		return &command{name("kill node"), func(s *system) { s.nodeAt(i).kill() }}
 	case 10, 11:
 		return &command{name("restart node"), func(s *system) { s.restart(i) }}
 	case 12, 13:
-		return &command{name("pause node"), func(s *system) { s.pick(i).isPaused = true }}
+		return &command{name("pause node"), func(s *system) { s.nodeAt(i).isPaused = true }}
 	case 14, 15:
-		return &command{name("wake node"), func(s *system) { s.pick(i).isPaused = false }}
+		return &command{name("wake node"), func(s *system) { s.nodeAt(i).isPaused = false }}
 	case 16, 17:
-		return &command{name("cut nodes"), func(s *system) { s.cut(s.pick(i).name(), s.pick(i/3+1).name()) }}
+		return &command{name("cut nodes"), func(s *system) { s.block(s.nodeAt(i).name(), s.nodeAt(i/3+1).name()) }}
 	case 18:
-		return &command{name("cut node from log"), func(s *system) { s.cut(s.pick(i).name(), "log") }}
+		return &command{name("cut node from log"), func(s *system) { s.block(s.nodeAt(i).name(), "log") }}
 	case 19:
-		return &command{name("cut node from worker"), func(s *system) { s.cut(s.pick(i).name(), string(s.names[i/3%len(s.names)])) }}
+		return &command{name("cut node from worker"), func(s *system) { s.block(s.nodeAt(i).name(), string(s.names[i/3%len(s.names)])) }}
 	case 20:
-		return &command{name("cut worker's answers"), func(s *system) { s.cut(string(s.names[i/3%len(s.names)]), s.pick(i).name()) }}
+		return &command{name("cut worker's answers"), func(s *system) { s.block(string(s.names[i/3%len(s.names)]), s.nodeAt(i).name()) }}
 	case 21:
-		return &command{name("log out"), func(s *system) { s.isLogOut = true }}
+		return &command{name("log out"), func(s *system) { s.isLogUnavailable = true }}
 	case 22:
-		return &command{name("log back"), func(s *system) { s.isLogOut = false }}
+		return &command{name("log back"), func(s *system) { s.isLogUnavailable = false }}
 	case 23:
 		return &command{name("lose replies"), func(s *system) { s.loseReplies = 3 }}
 	case 24:
@@ -223,7 +223,7 @@
 	case 26:
 		return &command{name("worker back"), func(s *system) { s.fault(i, native.ModeUp) }}
 	case 27:
-		return &command{name("heal cuts"), func(s *system) { s.cuts = map[[2]string]bool{} }}
+		return &command{name("heal cuts"), func(s *system) { s.blockedLinks = map[[2]string]bool{} }}
 	case 28:
 		return &command{name("settle"), (*system).settle}
 	case 30:
@@ -231,16 +231,16 @@
 			s.workers[s.names[i%len(s.names)]].SetFaults(native.WorkerFaults{Mode: native.ModeUp, UsageFactor: 3})
 		}}
 	case 29:
-		return &command{name("lose words to forget"), func(s *system) { s.isLosingForgets = true }}
+		return &command{name("lose words to forget"), func(s *system) { s.areForgetsLost = true }}
 	}
 	d := time.Duration(i%12+1) * time.Second
 	return &command{"run " + d.String(), func(s *system) { s.run(d) }}
 }
 
-func (s *system) pick(i int) *fakeNode { return s.nodes[i%len(s.nodes)] }
+func (s *system) nodeAt(i int) *fakeNode { return s.nodes[i%len(s.nodes)] }
 
 func (s *system) restart(i int) {
-	n := s.pick(i)
+	n := s.nodeAt(i)
 	n.kill()
 	n.start()
 }
@@ -283,14 +283,14 @@
 
 func newSystem(t *testing.T) *system {
 	t.Helper()
-	w := newWorld(worldOptions{nodes: 3, racks: 3, workers: 2, seed: 1, snapshotEvery: 40})
-	w.run(5 * time.Second)
-	w.publishBasics(t)
-	return &system{world: w, accepted: map[string]leverdyke.JobSpec{}, cancelled: map[string]bool{}, version: 1}
+	cl := newCluster(clusterOptions{nodes: 3, racks: 3, workers: 2, seed: 1, snapshotEvery: 40})
+	cl.run(5 * time.Second)
+	cl.publishDefaults(t)
+	return &system{cluster: cl, accepted: map[string]leverdyke.JobSpec{}, cancelled: map[string]bool{}, version: 1}
 }
 
 // TestSequencesThatOnceBrokeAPromise has what random runs found.
-func TestSequencesThatOnceBrokeAPromise(t *testing.T) {
+func TestSequencesThatBrokeAGuarantee(t *testing.T) {
 	for name, sequence := range map[string][]string{
 		"a start that was ordered twice, refused and then taken": {
 			"worker cut/20", "run 7s", "cut node from log/509", "submit urgent/934", "pause node/1321", "run 3s", "worker dies/3039", "settle/4019",
@@ -309,7 +309,7 @@
 
 // TestFaultsInAnyOrderBreakNoPromise drives a cell through random faults and
 // changes, and compares what runs with what was promised.
-func TestFaultsInAnyOrderBreakNoPromise(t *testing.T) {
+func TestFaultsInAnyOrderBreakNoGuarantee(t *testing.T) {
 	seed, sequences := int64(fuzzSeed), fuzzSequences
 	if text := os.Getenv("LEVERDYKE_FUZZ_SEED"); text != "" {
 		seed, _ = strconv.ParseInt(text, 10, 64)
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -18,7 +18,7 @@
 )
 
 // retryQueueFull is after how many seconds to come back when too many jobs wait.
-const retryQueueFull = 5
+const queueFullRetrySeconds = 5
 
 // CheckRetire returns the record that a silent node has ended, or why it must
 // not be written.
@@ -35,7 +35,7 @@
 
 // View is what a node says of what it owns and hears.
 type View struct {
-	Racks, Homes, Suspects []string
+	Racks, JobShards, Suspects []string
 	// Running counts the attempts in the owned racks, Waiting the jobs with
 	// tasks that wait in the owned homes.
 	Running, Waiting int
@@ -50,15 +50,15 @@
 		_, _, running := o.rack.Counts(now)
 		v.Running += running
 	}
-	for id, h := range c.homes {
-		v.Homes = append(v.Homes, string(id))
+	for id, h := range c.jobShards {
+		v.JobShards = append(v.JobShards, string(id))
 		v.Waiting += h.Waiting()
 	}
 	for _, p := range c.members.Suspects(now) {
 		v.Suspects = append(v.Suspects, string(p))
 	}
 	slices.Sort(v.Racks)
-	slices.Sort(v.Homes)
+	slices.Sort(v.JobShards)
 	return v
 }
 
@@ -69,10 +69,10 @@
 func (c *Core) Policies() *policy.Set { return c.policies }
 
 // Home returns an owned home, or nil.
-func (c *Core) Home(id state.ShardID) *home.Home { return c.homes[id] }
+func (c *Core) JobShard(id state.ShardID) *home.Home { return c.jobShards[id] }
 
 // IsLogOut reports whether this node does not reach the log.
-func (c *Core) IsLogOut() bool { return c.isLogOut(c.now()) }
+func (c *Core) IsLogUnavailable() bool { return c.isLogUnavailable(c.now()) }
 
 // Workers lists the workers of the owned racks.
 func (c *Core) Workers() []rack.WorkerStatus {
@@ -86,8 +86,8 @@
 // Used returns what runs in the owned racks takes, and what there is in all.
 func (c *Core) Used() (used, capacity leverdyke.Resources) {
 	for _, o := range c.racks {
-		u, t := o.rack.Used()
-		used, capacity = used.Add(u), capacity.Add(t)
+		u, total := o.rack.Used()
+		used, capacity = used.Add(u), capacity.Add(total)
 	}
 	return used, capacity
 }
@@ -99,10 +99,10 @@
 	if c.isDraining || c.state.Applied < 0 {
 		return false
 	}
-	if now.Sub(c.caughtUpAt) < readyWithin {
+	if now.Sub(c.caughtUpAt) < readyMaxAge {
 		return c.IsJoined()
 	}
-	return c.isLogOut(now) && c.members.IsLogOutForAll(now)
+	return c.isLogUnavailable(now) && c.members.IsLogOutForAll(now)
 }
 
 // CheckSubmit refuses a job of which it is known that it can never run.
@@ -118,8 +118,8 @@
 	if lacks := together.Lacks(team.Quota); lacks != "" {
 		return &document.FieldError{File: file, Key: "each", Problem: "it can never run: it needs more " + lacks + " than its team's quota", Allowed: team.Quota.String()}
 	}
-	if h := c.homes[ownership.HomeShard(spec.Region, spec.Team)]; h != nil && h.IsFull() {
-		return leverdyke.NotRun("too many jobs wait", retryQueueFull)
+	if h := c.jobShards[ownership.HomeShard(spec.Region, spec.Team)]; h != nil && h.IsFull() {
+		return leverdyke.NotRun("too many jobs wait", queueFullRetrySeconds)
 	}
 	capacities := c.capacities(spec.Region)
 	if len(capacities) == 0 {
--- a/internal/core/workers.go
+++ b/internal/core/workers.go
@@ -10,7 +10,7 @@
 )
 
 // owned returns the rack if this node owns it in that epoch, or nil.
-func (c *Core) owned(id state.ShardID, epoch worker.Epoch) *rack.Rack {
+func (c *Core) rackInEpoch(id state.ShardID, epoch worker.Epoch) *rack.Rack {
 	if o := c.racks[id]; o != nil && o.rack.Epoch == epoch {
 		return o.rack
 	}
@@ -18,29 +18,29 @@
 }
 
 // OnReport takes a worker's report to a rack's owner of that epoch.
-func (c *Core) OnReport(id state.ShardID, epoch worker.Epoch, w worker.ID, rep *worker.Report) {
-	if r := c.owned(id, epoch); r != nil {
-		r.OnReport(c.now(), w, rep)
+func (c *Core) OnReport(id state.ShardID, epoch worker.Epoch, w worker.ID, report *worker.Report) {
+	if r := c.rackInEpoch(id, epoch); r != nil {
+		r.OnReport(c.now(), w, report)
 	}
 }
 
 // OnSilent notes that a worker did not answer.
 func (c *Core) OnSilent(id state.ShardID, epoch worker.Epoch, w worker.ID) {
-	if r := c.owned(id, epoch); r != nil {
+	if r := c.rackInEpoch(id, epoch); r != nil {
 		r.OnSilent(w)
 	}
 }
 
 // OnStartResults takes a worker's answer to a start.
 func (c *Core) OnStartResults(id state.ShardID, epoch worker.Epoch, w worker.ID, results []worker.StartResult) {
-	if r := c.owned(id, epoch); r != nil {
+	if r := c.rackInEpoch(id, epoch); r != nil {
 		r.OnStartResults(c.now(), w, results)
 	}
 }
 
 // OnStartFailed notes that it is not known whether a worker got a start.
 func (c *Core) OnStartFailed(id state.ShardID, epoch worker.Epoch, w worker.ID, tasks []worker.Task) {
-	if r := c.owned(id, epoch); r != nil {
+	if r := c.rackInEpoch(id, epoch); r != nil {
 		r.OnStartFailed(w, tasks)
 	}
 }
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -84,7 +84,7 @@
 	n.writer = journal.NewWriter(log, n.owner, journal.NewWriterOptions{
 		AppendsPerSecond: s.AppendsPerSecond, Clock: c, Appended: func() { n.reader.Wake() }, Settle: func(f func()) { n.put(func(*core.Core) { f() }) },
 	})
-	n.reader = journal.NewReader(log, c, n.writer.IsAwaited, func(t journal.Tailed) { n.put(func(c *core.Core) { c.OnTailed(&t) }) })
+	n.reader = journal.NewReader(log, c, n.writer.IsAwaited, func(t journal.Tailed) { n.put(func(c *core.Core) { c.OnLogRead(&t) }) })
 	n.core = core.NewCore(n, core.NewCoreOptions{
 		Self: n.owner, Link: s.LinkAddr, Operators: s.OperatorsAddr, Region: s.Region, Zone: s.Zone, Peers: s.PeerAddrs,
 		Lease: s.Lease, SnapshotEvery: s.SnapshotEvery, Router: n.router, Meter: m,
@@ -135,12 +135,12 @@
 		case <-ticks:
 			n.core.Tick()
 		case <-n.router.Nudge():
-			n.core.PlanGrants()
+			n.core.RequestGrants()
 		case e := <-n.events.Out():
 			e(n.core)
 			n.drainEvents()
 		}
-		n.core.Perform()
+		n.core.ProcessOutputs()
 	}
 }
 
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -35,7 +35,7 @@
 // means that the answer is not known.
 func (n *Node) FetchAnswer(ctx context.Context, from state.NodeID, key once.Key) (node.SavedAnswer, bool) {
 	reply := make(chan node.OnceReply, 1)
-	id := ask(n, func(c *core.Core) uint64 { return c.AskOnce(from, key, reply) })
+	id := ask(n, func(c *core.Core) uint64 { return c.QueryAnswer(from, key, reply) })
 	select {
 	case r := <-reply:
 		return r.Answer, r.IsKnown
@@ -43,13 +43,13 @@
 	case <-ctx.Done():
 	case <-n.done:
 	}
-	n.put(func(c *core.Core) { c.GiveUpOnce(id) })
+	n.put(func(c *core.Core) { c.AbandonQuery(id) })
 	return node.SavedAnswer{}, false
 }
 
-// AnswerOnce answers a peer's question for a key; if the request is still in
+// AnswerKeyQuery answers a peer's question for a key; if the request is still in
 // progress, when it has ended.
-func (n *Node) AnswerOnce(from state.NodeID, m *node.OnceAsk) {
+func (n *Node) AnswerKeyQuery(from state.NodeID, m *node.OnceAsk) {
 	e := n.answers.Find(m.Key)
 	if e == nil {
 		n.links.Send(from, &node.Message{OnceReply: &node.OnceReply{ID: m.ID}})
@@ -68,15 +68,15 @@
 	n.links.Send(from, &node.Message{OnceReply: &node.OnceReply{ID: id, IsKnown: isKnown, Answer: a}})
 }
 
-// KeepAnswers keeps the answers of a peer that stops.
-func (n *Node) KeepAnswers(list []node.KeptAnswer) { n.answers.Keep(list) }
+// StoreAnswers keeps the answers of a peer that stops.
+func (n *Node) StoreAnswers(list []node.KeptAnswer) { n.answers.Keep(list) }
 
 // GiveAnswers gives this node's kept answers to a peer before the node stops;
 // it returns when the peer has them, or ctx ends.
 func (n *Node) GiveAnswers(ctx context.Context) {
 	given := make(chan struct{})
 	list := n.answers.Kept()
-	n.put(func(c *core.Core) { c.GiveAnswers(list, func() { close(given) }) })
+	n.put(func(c *core.Core) { c.HandOverAnswers(list, func() { close(given) }) })
 	select {
 	case <-given:
 	case <-ctx.Done():
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -229,7 +229,7 @@
 		}
 		shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
 		out := jobOf(j)
-		if h := c.Home(shard); h != nil {
+		if h := c.JobShard(shard); h != nil {
 			out.Live = h.Status(id)
 		}
 		owner, _ := c.OwnerOf(shard)
@@ -247,8 +247,8 @@
 		v := c.View()
 		s := operator.Status{
 			Node: string(n.owner.Node), Region: n.settings.Region, Zone: n.settings.Zone, Incarnation: n.owner.Incarnation,
-			Applied: c.State().Applied, IsReady: c.IsReady(), IsLogOut: c.IsLogOut(), IsJoined: c.IsJoined(),
-			Operators: n.settings.OperatorsAddr.String(), Racks: v.Racks, Homes: v.Homes, Running: v.Running, Waiting: v.Waiting,
+			Applied: c.State().Applied, IsReady: c.IsReady(), IsLogOut: c.IsLogUnavailable(), IsJoined: c.IsJoined(),
+			Operators: n.settings.OperatorsAddr.String(), Racks: v.Racks, Homes: v.JobShards, Running: v.Running, Waiting: v.Waiting,
 			Suspects: v.Suspects,
 		}
 		_, s.Requests, _ = n.router.Load()
