--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -13,23 +13,27 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// givenBytes bounds the bodies in one message of answers.
+// maxMessageBytes is the size of the answers' bodies above which the next
+// answers go into another message.
 const maxMessageBytes = 256 << 10
 
-// onceWait waits for the answer to a key from one peer or several.
+// answerQuery is a query to one or several peers for the answer that was given
+// to an idempotency key, while replies are outstanding.
 type answerQuery struct {
 	reply chan node.OnceReply
-	// first is whose key it is by the log. Its word alone says that nothing ran:
-	// another node may have refused a retry under the key.
+	// keyOwner is the node that has the key according to the log. Only from this
+	// node is the answer accepted that nothing ran: another node may have refused
+	// a retry with the same key while the first request ran.
 	keyOwner state.NodeID
-	// left counts the peers that have not replied.
+	// missingReplies is the number of peers that have not replied.
 	missingReplies int
 }
 
-// AskOnce asks for the answer to a key that another process was first to have;
-// reply must have room for one. If that process stops, is silent or has ended,
-// all nodes of the region are asked: it may have given its answers to one of
-// them. The returned number is for GiveUpOnce.
+// QueryAnswer asks for the answer that another process gave to an idempotency
+// key. The result is sent to reply, whose buffer must have room for one. If the
+// process is draining, is not heard or has ended, all live nodes of the region
+// are asked, since it may have handed its answers over to one of them. The
+// returned ID is for AbandonQuery.
 func (c *Core) QueryAnswer(keyOwner state.NodeID, key once.Key, reply chan node.OnceReply) uint64 {
 	c.lastQueryID++
 	id := c.lastQueryID
@@ -55,7 +59,8 @@
 	return id
 }
 
-// GiveUpOnce ends the wait for an answer that does not come.
+// AbandonQuery ends a query whose answer has not arrived; its result is that the
+// answer is unknown.
 func (c *Core) AbandonQuery(id uint64) { c.resolveQuery(&node.OnceReply{ID: id}) }
 
 func (c *Core) onAnswerReply(from state.NodeID, m *node.OnceReply) {
@@ -80,10 +85,10 @@
 	}
 }
 
-// GiveAnswers gives the kept answers of this node, which is about to stop, to a
-// peer; done is called once when the peer has them all, or at once when there
-// is nobody. Answers that do not arrive are lost: a retry is then told that its
-// request may have run.
+// HandOverAnswers sends the stored answers of this node, which is about to stop,
+// to a peer. It calls done when the peer has acknowledged all of them, or at
+// once if there are no answers or no peer. Answers that do not arrive are lost:
+// a retry is then answered that its request may have run.
 func (c *Core) HandOverAnswers(answers []node.KeptAnswer, done func()) {
 	successors := c.members.Alive(c.now(), c.options.Region, false)
 	if len(answers) == 0 || len(successors) == 0 {
--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -14,7 +14,7 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// OnTailed takes what the log's reader found.
+// OnLogRead handles the result of a read of the log.
 func (c *Core) OnLogRead(e *journal.Tailed) {
 	now := c.now()
 	if e.Err != nil {
@@ -41,8 +41,8 @@
 	c.afterApply()
 }
 
-// fold takes one batch of the log. An offset that was folded before, because a
-// peer sent it first, changes nothing.
+// applyBatch applies one batch of the log to the state. A batch that has been
+// applied before, because a peer sent it first, is ignored.
 func (c *Core) applyBatch(offset int64, data []byte) {
 	if offset <= c.state.Applied {
 		return
@@ -132,7 +132,8 @@
 	}
 }
 
-// folded brings the parts up to date after a page of the log.
+// afterApply updates the job shards and the router after several batches have
+// been applied, so that this work is done once for all of them.
 func (c *Core) afterApply() {
 	if !c.haveJobsChanged {
 		return
@@ -149,7 +150,8 @@
 	}
 }
 
-// dropEndedJobs tells the homes which of their jobs have ended, all at once.
+// dropEndedJobs passes the jobs that have ended to their job shards, with one
+// call for each shard.
 func (c *Core) dropEndedJobs() {
 	jobsByShard := map[state.ShardID][]string{}
 	for _, id := range c.endedJobs {
@@ -171,8 +173,8 @@
 func (c *Core) updateServices() {
 	infos := map[string]front.Info{}
 	for _, j := range c.state.Jobs {
-		// A node knows the rooms of its own region only: a request for another
-		// region's service is refused at once.
+		// A node receives only the summaries of its own region's racks, so that it
+		// refuses a request for another region's service at once.
 		if j.Spec.Service != "" && !j.IsEnded && j.Spec.Region == c.options.Region {
 			old := infos[j.Spec.Service]
 			infos[j.Spec.Service] = front.Info{IsOnce: old.IsOnce || j.Spec.IsRequestOnce}
@@ -181,7 +183,8 @@
 	c.options.Router.SetServices(infos)
 }
 
-// replaceState goes on from a later state than the own one.
+// replaceState continues from a state, of a snapshot or a peer, that is further
+// on in the log than this node's.
 func (c *Core) replaceState(s *state.State) {
 	c.state = s
 	c.snapshotBase = max(c.snapshotBase, s.Applied)
@@ -208,13 +211,15 @@
 	}
 	c.haveJobsChanged = true
 	if s.IsLive(c.options.Self) {
-		// Records of this process that stand before the state are not folded here.
+		// The state includes batches of this process that this process has not
+		// applied itself, so that their outcomes are unknown to it.
 		c.env.BatchesSkipped(s.Members[c.options.Self.Node].Seq)
 	}
 }
 
-// snapshot writes the state back into the log long before the records that it
-// is made of are dropped. The first node of the cell's list does it.
+// snapshot appends the state to the log, so that a new node can start from it
+// once the log has dropped the records that led to it. The live member with the
+// lowest ID does so every SnapshotEvery batches, long before any are dropped.
 func (c *Core) snapshot(now time.Time) {
 	if c.isSnapshotting || !c.IsJoined() || c.isDraining || c.isLogUnavailable(now) || c.state.Applied-c.snapshotBase < c.options.SnapshotEvery {
 		return
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package core joins a node's decisions: it folds the log, keeps what the node
-// owns in step with the claims, and passes messages between homes and racks. It
-// is driven by events and does no I/O, so that whole cells run in a test under
-// a fake clock.
+// Package core combines the parts of a node that decide: it applies the log to
+// the replicated state, opens and closes the shards that the node owns as
+// ownership claims are applied, and passes messages between job shards, which
+// own the jobs of some teams, and racks. It is driven by events and does no I/O,
+// so that tests can run whole clusters under a fake clock.
 package core
 
 import (
@@ -32,112 +33,145 @@
 
 const (
 	heartbeatPeriod = 500 * time.Millisecond
-	planPeriod      = 300 * time.Millisecond
-	// claimAfter is how long after joining a node waits before its first plan,
-	// so that it has heard of those who were there before.
+	// planPeriod is how often a node checks which shards it should claim.
+	planPeriod = 300 * time.Millisecond
+	// firstClaimDelay is how long a node waits after joining before it first
+	// claims shards, so that heartbeats of the other nodes have arrived by then.
 	firstClaimDelay = 1200 * time.Millisecond
-	// readyWithin is how old the node's knowledge of the log may be while it
-	// calls itself ready.
+	// readyMaxAge is how long ago a node may last have read to the end of the log
+	// and still report that it is ready.
 	readyMaxAge = 8 * time.Second
-	// logOutAfter is from when on a log that is not read counts as out.
+	// logUnavailableAfter is how long reads of the log must have failed before
+	// the log counts as unavailable.
 	logUnavailableAfter = 3 * time.Second
-	// deputyAfter is how long the log must be out before a deputy steps in.
+	// deputyAfter is how long reads of the log must have failed before a deputy
+	// renews the leases on the rack of a dead owner.
 	deputyAfter = 4 * time.Second
-	// forgetAfter is after how long a silent peer's grants are taken back.
+	// grantHolderTimeout is how long a peer must have been suspected before the
+	// grants that it holds are revoked.
 	grantHolderTimeout = 5 * time.Second
 )
 
-// Outside is what a node gives its core: the clock, the links, the log and the
-// workers. None of its methods may call back into the core at once.
+// Environment is what the core needs from the node that runs it: the clock, the
+// links to peers, the log and the workers. Its methods must not call into the
+// core before they return; callbacks come later, as events of the core.
 type Environment interface {
 	Now() time.Time
-	// Send reports false when the message is surely not sent.
+	// Send reports false if the message was certainly not sent. True does not
+	// mean that it arrives.
 	Send(to state.NodeID, m *node.Message) bool
 	Connect(peer state.NodeID, addr netip.AddrPort)
 	Disconnect(peer state.NodeID)
-	// Append hands a record to the log; done is called later, as an event of
-	// the core: nil when the record took effect, an error of the fold when it
-	// did not, state.ErrNotTaken when it is not in the log and will not be,
-	// state.ErrUnseen after Passed. It reports false, and done is not called, when
-	// it does not take the record.
+	// Append passes a record to the log's writer, which calls done later, as an
+	// event of the core, with one of these results:
+	//   - nil: the record was applied
+	//   - state.ErrNotTaken: it is not in the log and never will be
+	//   - state.ErrUnseen: it is in the log, but BatchesSkipped was called, so
+	//     that its result is not known
+	//   - another error: it is in the log and was rejected when it was applied
+	//
+	// Append reports false, and never calls done, if it does not accept the
+	// record.
 	Append(r state.Record, done func(error)) bool
-	// Folded tells the log's writer that its batch was seen in the log.
+	// BatchApplied tells the log's writer that a batch of its own was read from
+	// the log, and with which outcome it was applied.
 	BatchApplied(seq uint64, outcome state.Outcome)
-	// Passed tells the log's writer that its batches up to seq are in the log,
-	// and that what became of them will not be seen.
+	// BatchesSkipped tells the log's writer that its batches up to seq are part
+	// of a snapshot or of a peer's state that this node now continues from, so
+	// that their outcomes will not be known.
 	BatchesSkipped(seq uint64)
-	// IsAppendOut reports whether appends have been failing for some time.
+	// IsAppendFailing reports whether appends have been failing for some time.
 	IsAppendFailing() bool
-	// SkipTo lets the log's reader go on after offset.
+	// SkipTo makes the log's reader continue after offset.
 	SkipTo(offset int64)
+	// OpenWorker opens a link to a worker of a rack that this node owns.
 	OpenWorker(rack state.ShardID, epoch worker.Epoch, id worker.ID, addr netip.AddrPort) WorkerLink
-	// KeepAnswers keeps the answers of a peer that stops, for callers' retries.
+	// StoreAnswers stores the answers of a peer that is about to stop, so that
+	// this node can answer retries of the callers' requests.
 	StoreAnswers(list []node.KeptAnswer)
-	// AnswerOnce answers a peer that asks for the answer to a key.
+	// AnswerKeyQuery replies to a peer that asks for the answer that was given to
+	// an idempotency key.
 	AnswerKeyQuery(from state.NodeID, m *node.OnceAsk)
 }
 
-// WorkerLink gives one worker its orders, in the epoch for which it was opened,
-// and renews its leases until it is stopped.
+// WorkerLink sends one worker its orders, in the epoch for which it was opened,
+// and renews the worker's leases until it is stopped.
 type WorkerLink interface {
-	// Start reports false when the order is surely not given.
+	// Start reports false if the order was certainly not sent.
 	Start(o *rack.StartOrder) bool
+	// Act throttles, checkpoints or stops attempts that run on the worker.
 	Act(deed worker.Deed, keys []worker.Key)
+	// Forget lets the worker drop attempts that have ended from its reports.
 	Forget(keys []worker.Key)
 	Stop()
 }
 
-// Meter takes measurements.
+// Meter records measurements for the node's metrics.
 type Meter interface {
+	// Waited records how long something of a kind, such as a task, waited.
 	Waited(kind string, class leverdyke.Class, d time.Duration)
+	// Decided records the time spent on one placement decision.
 	Decided(d time.Duration)
+	// Started counts a started task.
 	Started()
+	// OwnerChanged counts a shard that this node has opened or closed.
 	OwnerChanged()
 }
 
-// NewCoreOptions says who the node is. All fields but Peers must be set.
+// NewCoreOptions identifies the node and sets its parameters. All fields except
+// Peers must be set.
 type NewCoreOptions struct {
 	Self            state.Owner
 	Link, Operators netip.AddrPort
 	Region, Zone    string
-	// Peers are links to try before the log has told of any.
+	// Peers are the addresses of nodes to contact before the members are known
+	// from the log.
 	Peers []netip.AddrPort
-	// Lease is how long a task lives without its owner.
+	// Lease is how long a worker keeps its tasks running without a renewal by the
+	// owner of its rack.
 	Lease time.Duration
-	// SnapshotEvery is after how many batches a snapshot is written.
+	// SnapshotEvery is the number of batches after which a snapshot is written.
 	SnapshotEvery int64
 	Router        *front.Router
 	Meter         Meter
 }
 
-// Core is what a node decides from. It has no goroutine, no clock and no I/O of
-// its own, and belongs to the goroutine that feeds it events.
+// Core makes a node's decisions. It starts no goroutine, does no I/O and takes
+// the time from its Environment. It is not safe for concurrent use: the
+// goroutine that passes it events must make all calls.
 type Core struct {
 	options NewCoreOptions
 	env     Environment
-	// state is the fold; it only moves forward in the log.
+	// state is the replicated state, the result of applying the log up to an
+	// offset. The offset never decreases.
 	state    *state.State
 	members  *membership.Table
 	planner  ownership.Planner
 	policies *policy.Set
 
 	vms []vmlist.VM
-	// racks and homes are what this node owns, by the fold.
+	// racks and jobShards are the shards that this node owns according to state,
+	// and the racks for which it is the deputy.
 	racks     map[state.ShardID]*ownedRack
 	jobShards map[state.ShardID]*home.Home
-	// fenced has the racks whose workers obey another owner, by the epoch that
-	// was fenced; deputised the racks that peers keep alive.
-	fenced        map[state.ShardID]worker.Epoch
-	deputies      map[state.ShardID]deputy
+	// fenced has the racks whose workers refused an order of this node because
+	// they obey a later owner, with that owner's epoch.
+	fenced map[state.ShardID]worker.Epoch
+	// deputies has the racks whose leases a deputy renews.
+	deputies map[state.ShardID]deputy
+	// pendingClaims has the epochs that this node has claimed and whose claims
+	// have not been applied yet.
 	pendingClaims map[state.ShardID]uint64
-	// rooms has the last summary of each rack of the region, for homes that come
-	// here later; none is changed once it is kept.
+	// rackSummaries has the newest summary of each rack of the region, for job
+	// shards that this node opens later. The summaries are shared, and must not
+	// be modified.
 	rackSummaries map[state.ShardID]*node.Room
-	// rackCapacity has the largest VM that each rack has told of.
+	// rackCapacity has the capacity of the largest VM that each rack has reported.
 	rackCapacity map[state.ShardID]leverdyke.Resources
 
-	// caughtUpAt is when the newest read was sent that found nothing more; seen
-	// nothing later than that, nobody can know of a later claim.
+	// caughtUpAt is when the newest read of the log was sent that reached its
+	// end: this node knows every record that was in the log at that time, in
+	// particular every claim.
 	caughtUpAt time.Time
 	// readFailingSince is zero while the log answers reads.
 	readFailingSince time.Time
@@ -145,26 +179,30 @@
 	joinedAt         time.Time
 	isJoining        bool
 	isDraining       bool
-	// ended has the jobs that ended in the page that is being folded.
+	// endedJobs has the jobs that ended in the batches that are being applied.
 	endedJobs []string
-	// refused has the callbacks of records that were not handed to the log.
+	// refusedAppends has the callbacks of records that the log's writer did not
+	// accept; they are called with the next tick.
 	refusedAppends  []func(error)
 	haveJobsChanged bool
 
-	// tail has the last batches, for peers who lag behind.
+	// recentBatches has the newest batches of the log, for peers that lag behind
+	// and cannot read the log.
 	recentBatches      *logbuffer.Buffer
 	batchesRequestedAt time.Time
 	stateRequestedAt   time.Time
-	snapshotBase       int64
-	isSnapshotting     bool
+	// snapshotBase is the offset up to which the newest known snapshot goes.
+	snapshotBase   int64
+	isSnapshotting bool
 
 	livenessChecks         livenessChecks
 	heartbeatAt, plannedAt time.Time
 	silentSince            map[state.NodeID]time.Time
 	answerQueries          map[uint64]*answerQuery
 	lastQueryID            uint64
-	// giving counts the messages of answers that the heir has not confirmed;
-	// given is called when there is none left.
+	// unacknowledgedMessages is the number of messages with stored answers that
+	// the successor has not acknowledged yet; handoverDone is called when it
+	// reaches 0.
 	unacknowledgedMessages int
 	handoverDone           func()
 }
@@ -173,20 +211,26 @@
 type ownedRack struct {
 	rack  *rack.Rack
 	links map[worker.ID]WorkerLink
-	// room is the summary as it is, told as peers have it.
+	// summary is the rack's current summary, reported the one last sent to peers.
 	summary, reported node.Room
-	// roomAt is when the room was last told to peers.
+	// reportedAt is when the summary was last sent to peers.
 	reportedAt time.Time
+	// isReported means that the current summary need not be sent, apart from the
+	// periodic refresh.
 	isReported bool
 }
 
-// deputy is who keeps a rack alive while the log is out.
+// deputy is a node that renews the leases on a rack's workers while the log is
+// unavailable, because the rack's owner is dead and ownership cannot be claimed
+// without the log. Its epoch is higher than the owner's and lower than that of
+// any later claim.
 type deputy struct {
 	node  state.NodeID
 	epoch worker.Epoch
 }
 
-// NewCore returns a core that knows nothing yet.
+// NewCore returns a core with an empty state, which begins at the start of the
+// log.
 func NewCore(env Environment, options NewCoreOptions) *Core {
 	c := &Core{
 		options: options, env: env, state: state.NewState(),
@@ -203,18 +247,20 @@
 	return c
 }
 
-// sorted returns a map's keys in order, so that the same events give the same
-// decisions.
+// sorted returns a map's keys in order. Iterating in a fixed order makes
+// decisions reproducible: the same events give the same decisions.
 func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
 func (c *Core) now() time.Time { return c.env.Now() }
 
-// Tick does what is due. It is called some twenty times a second.
+// Tick does all periodic work that is due. It is called about 20 times a second.
 func (c *Core) Tick() {
 	now := c.now()
 	if c.members.Tick(now) {
 		events.Log(events.NodePaused)
-		// What was known before the pause is old: the log has to be read again.
+		// The process was paused, so that others may have claimed its shards
+		// meanwhile: it makes no claim before it has read to the end of the log
+		// again.
 		c.caughtUpAt = time.Time{}
 		c.plannedAt = now
 	}
@@ -237,7 +283,8 @@
 	c.RequestGrants()
 }
 
-// join appends this process's entry into the cell, once the log has been read.
+// join appends the record that makes this process a member of the cluster, once
+// the log has been read to its end.
 func (c *Core) join() {
 	if c.IsJoined() && c.joinedAt.IsZero() {
 		c.joinedAt = c.now()
@@ -258,8 +305,10 @@
 	}}, func(error) { c.isJoining = false })
 }
 
-// Append hands a record to the log; done may be nil. While the log is out
-// nothing is handed over, and done hears state.ErrNotTaken as a later event.
+// Append passes a record to the log's writer; done may be nil. For the results
+// that done is called with see Environment.Append. While the log is unavailable
+// no record is accepted, and done is called with state.ErrNotTaken at the next
+// tick.
 func (c *Core) Append(r state.Record, done func(error)) {
 	if done == nil {
 		done = func(error) {}
@@ -269,7 +318,7 @@
 	}
 }
 
-// refuse tells those whose records were not handed over.
+// failRefusedAppends calls the callbacks of records that were not accepted.
 func (c *Core) failRefusedAppends() {
 	refused := c.refusedAppends
 	c.refusedAppends = nil
@@ -278,16 +327,19 @@
 	}
 }
 
-// IsJoined reports whether the log has this process as a member.
+// IsJoined reports whether this process is a member of the cluster according to
+// the log. It is false again once a later process of the same node has joined.
 func (c *Core) IsJoined() bool { return c.state.IsLive(c.options.Self) }
 
-// isLogOut reports whether this node does not reach the log.
+// isLogUnavailable reports whether this node cannot read the log or append to
+// it.
 func (c *Core) isLogUnavailable(now time.Time) bool {
 	isReadFailing := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > logUnavailableAfter
 	return isReadFailing || c.env.IsAppendFailing()
 }
 
-// Quota returns the most that the team may use at once in a region.
+// Quota returns the resources that the team's tasks may use at the same time in
+// a region; false if the team has no document in force.
 func (c *Core) Quota(team string) (leverdyke.Resources, bool) {
 	t := c.policies.Team(team)
 	if t == nil {
@@ -296,8 +348,8 @@
 	return t.Quota, true
 }
 
-// Weights returns how the team's office weighs its aims; both alike if its
-// document is not there.
+// Weights returns how the team's office weighs short waits and dense packing;
+// both equally if the office has no document in force.
 func (c *Core) Weights(team string) placement.Policy {
 	o := c.policies.Office(team)
 	if o == nil {
@@ -306,7 +358,7 @@
 	return placement.Policy{Waiting: o.Waiting, Packing: o.Packing}
 }
 
-// OnVMs takes the platform's list of VMs.
+// OnVMs handles a new list of VMs from the platform.
 func (c *Core) OnVMs(list []vmlist.VM) {
 	c.vms = list
 	c.recordLostNodes()
@@ -315,8 +367,9 @@
 	}
 }
 
-// noteGoneNodes records that members have ended whose VM is gone: their leases
-// can then lapse.
+// recordLostNodes appends to the log that members have ended whose VM no longer
+// exists and that are not heard. Only then can their successors be sure that
+// nobody renews the leases on the racks that they owned.
 func (c *Core) recordLostNodes() {
 	for i := range c.vms {
 		vm := &c.vms[i]
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -9,8 +9,8 @@
 	"github.com/leverdyke/leverdyke/internal/events"
 )
 
-// Drain starts the hand-over. Everything owned goes to the node that should
-// have it without this one.
+// Drain starts to hand over all shards that this node owns: it appends a claim
+// of each shard in the name of the node that should own it without this one.
 func (c *Core) Drain() {
 	if c.isDraining {
 		return
@@ -21,13 +21,14 @@
 	events.Log(events.NodeDraining, "racks", len(c.racks), "homes", len(c.jobShards))
 }
 
-// IsHandedOver reports whether nothing is owned any more, or nobody could take
-// what is.
+// IsHandedOver reports whether this node owns no shard any more, or whether no
+// node could take its shards over.
 func (c *Core) IsHandedOver() bool {
 	return len(c.racks)+len(c.jobShards) == 0 || !c.hasSuccessor()
 }
 
-// hasHeirs reports whether there is a node that could take what this one owns.
+// hasSuccessor reports whether there is a node that could take over the shards
+// of this one. Without the log no shard can be claimed.
 func (c *Core) hasSuccessor() bool {
 	now := c.now()
 	return !c.isLogUnavailable(now) && len(c.members.Alive(now, c.options.Region, false)) > 0
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -15,12 +15,13 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// maxRounds bounds how often orders between parts of the same node are passed
-// on at once; what is left follows with the next event.
+// maxRounds bounds how often one call of ProcessOutputs delivers messages
+// between shards of this node; further ones are delivered after the next event.
 const maxRounds = 8
 
-// Perform does what the racks and homes have ordered. Parts of the same node
-// answer each other in rounds.
+// ProcessOutputs carries out what the racks and job shards have queued: it sends
+// messages and orders, appends records and logs events. Messages between shards
+// of this node are delivered at once, in rounds, since each may cause replies.
 func (c *Core) ProcessOutputs() {
 	began := c.now()
 	decided := 0
@@ -96,7 +97,8 @@
 	}
 }
 
-// sendToNode sends to a node, which may be this one.
+// sendToNode sends a message to a node, or delivers it directly if it is for
+// this one.
 func (c *Core) sendToNode(to state.NodeID, m *node.Message) {
 	if to != c.options.Self.Node {
 		c.env.Send(to, m)
@@ -138,8 +140,8 @@
 	}
 }
 
-// putForHome appends a home's record; the home hears of it only while it is
-// still the same.
+// appendForJobShard appends a job shard's record. The result is dropped if this
+// node has closed the job shard meanwhile, even if it has opened it again.
 func (c *Core) appendForJobShard(id state.ShardID, h *home.Home, p home.PendingRecord) {
 	c.Append(p.Record, func(err error) {
 		if c.jobShards[id] == h {
@@ -148,8 +150,8 @@
 	})
 }
 
-// tellRooms gives changed summaries to the parts of this node at once; peers
-// get them with the next heartbeat.
+// updateSummaries passes changed summaries of the racks to the job shards and the
+// router of this node at once. If peers need them, a heartbeat carries them.
 func (c *Core) updateSummaries() {
 	for _, id := range sorted(c.racks) {
 		o := c.racks[id]
@@ -168,7 +170,8 @@
 	}
 }
 
-// PlanGrants asks for the slots that callers' requests wait for.
+// RequestGrants sends racks the requests for the slots that callers' requests
+// wait for, and returns grants that are no longer needed.
 func (c *Core) RequestGrants() {
 	p := c.options.Router.Plan()
 	for i := range p.Asks {
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -10,14 +10,16 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// KeyResult says what the log says of an idempotency key, and who has it.
+// KeyResult is the result of claiming an idempotency key: whether this claim is
+// the first one in the log, and, if it is not, which process made the first one.
 type KeyResult struct {
 	Fate  once.Fate
 	Owner state.Owner
 }
 
-// ClaimKey puts a key into the log; done is called with its fate, never
-// FateOpen.
+// ClaimKey appends a claim of an idempotency key to the log, which decides which
+// process may run the key's request. It calls done with the result, which is
+// never FateOpen.
 func (c *Core) ClaimKey(key once.Key, done func(KeyResult)) {
 	if owner, ok := c.state.Keys[key]; ok {
 		done(KeyResult{once.FateLost, owner})
@@ -34,8 +36,8 @@
 		case errors.Is(err, state.ErrLost):
 			done(KeyResult{once.FateLost, c.state.Keys[key]})
 		default:
-			// Neither an append that was not made nor a batch that the fold
-			// drops lets this process run the request.
+			// The claim was not appended, or its batch was rejected or skipped. In
+			// none of these cases may this process run the request.
 			done(KeyResult{Fate: once.FateNotTaken})
 		}
 	})
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -12,42 +12,51 @@
 )
 
 const (
-	// doubtWait is how long a doubted node has to write to the log. It covers a
-	// slow log; a wrong guess costs a move of owners and harms nothing.
+	// livenessCheckTimeout is how long a queried node has to append to the log.
+	// It allows for a slow log. If it is too short, live owners lose their shards,
+	// which costs a change of owners and endangers no task.
 	livenessCheckTimeout = 2500 * time.Millisecond
-	// doubtPeriod is how often a node that stays cut off asks again.
+	// livenessCheckPeriod is how often a node that stays partitioned queries
+	// again.
 	livenessCheckPeriod = 10 * time.Second
 )
 
-// doubts is what a node that hears few of its peers has asked them through the
-// log. Without this it would take them all for dead and claim what they own,
-// and they would claim it back (decision 0010).
+// livenessChecks are the queries that a node which hears few of its peers has
+// sent them through the log. Each live peer answers by appending a record.
+// Without this check a node that is partitioned from its peers, but not from the
+// log, would consider them dead and claim their shards, and they would claim
+// them back (decision 0010).
 type livenessChecks struct {
 	queriedAt time.Time
-	// open has the own doubts that were folded, by whom they are of.
+	// pending has this node's own queries that have been applied, by the queried
+	// node.
 	pending map[state.NodeID]livenessCheck
-	// isAnswering means that an answer of this node is on its way to the log.
+	// isAnswering means that an answer of this node to a peer's query is being
+	// appended.
 	isAnswering bool
 }
 
-// doubted is when and where a doubt was folded.
+// livenessCheck is when a query was applied, and its offset in the log.
 type livenessCheck struct {
 	at     time.Time
 	offset int64
 }
 
-// isDead reports whether this node may take a peer's shards.
+// isDead reports whether this node may claim a peer's shards.
 func (c *Core) isDead(now time.Time, n state.NodeID) bool {
 	if n == c.options.Self.Node || !c.members.IsDead(now, n, c.options.Region) {
 		return false
 	}
-	// Without the log nobody can be asked: deputies step in on suspicion.
+	// While the log is unavailable peers cannot be queried through it; deputies
+	// then take over on suspicion alone, which is safe because workers obey the
+	// highest epoch.
 	return !c.isPartitioned(now) || c.isLogUnavailable(now) || c.hasMissedLivenessCheck(now, n)
 }
 
-// isCutOff reports whether this node hears less than half of the other members
-// of its region: it may be the one that is not heard. Those who did not answer
-// its doubt do not count: a VM that died is a member until somebody knows.
+// isPartitioned reports whether this node hears less than half of the other
+// members of its region, so that it may be this node that is partitioned from
+// them. Members that did not answer a query of this node are not counted: a node
+// whose VM died remains a member until its end is recorded.
 func (c *Core) isPartitioned(now time.Time) bool {
 	others, heard := 0, 0
 	for id, m := range c.state.Members {
@@ -62,7 +71,9 @@
 	return 2*heard < others
 }
 
-// isSilentInLog reports whether a peer has not answered a doubt in time.
+// hasMissedLivenessCheck reports whether a peer has appended nothing to the log
+// since this node queried it, and the time for that has passed. The log must
+// have been read since, so that an answer would be known.
 func (c *Core) hasMissedLivenessCheck(now time.Time, n state.NodeID) bool {
 	d, ok := c.livenessChecks.pending[n]
 	m := c.state.Members[n]
@@ -73,8 +84,9 @@
 	return now.After(until) && c.caughtUpAt.After(until)
 }
 
-// doubt asks through the log whether those live whom this node does not hear,
-// if it hears few at all.
+// checkLiveness queries the members that this node suspects through the log, if
+// it hears less than half of its peers, and drops queries about members that are
+// heard again or have left.
 func (c *Core) checkLiveness(now time.Time) {
 	for n := range c.livenessChecks.pending {
 		if m := c.state.Members[n]; m == nil || m.HasLeft || !c.members.IsSuspect(now, n) {
@@ -100,7 +112,8 @@
 	c.Append(state.Record{Doubt: &state.Doubt{Of: suspects}}, nil)
 }
 
-// onDoubt notes an own doubt, and answers a peer's.
+// onLivenessQuery records a query of this node, or answers a peer's query by
+// appending a record if this node is among those queried.
 func (c *Core) onLivenessQuery(offset int64, writer state.NodeID, d *state.Doubt) {
 	if writer == c.options.Self.Node {
 		for _, n := range d.Of {
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -13,15 +13,22 @@
 )
 
 const (
-	summaryPeriod        = time.Second
+	// summaryPeriod is the minimum time between two updates of a rack's summary
+	// to peers.
+	summaryPeriod = time.Second
+	// summaryRefreshPeriod is after which time a summary is sent again although
+	// it has not changed, for peers that missed it.
 	summaryRefreshPeriod = 15 * time.Second
-	batchesRetryDelay    = time.Second
-	stateRetryDelay      = 3 * time.Second
-	// stateAfter is how long a new node tries the log before it asks peers.
+	// batchesRetryDelay and stateRetryDelay are after which time a peer is asked
+	// again for batches, or for its state.
+	batchesRetryDelay = time.Second
+	stateRetryDelay   = 3 * time.Second
+	// stateRequestDelay is how long a new node tries to read the log before it
+	// asks a peer for its state.
 	stateRequestDelay = 2 * time.Second
 )
 
-// OnMessage takes a message from a peer.
+// OnMessage handles a message from a peer.
 func (c *Core) OnMessage(e *node.Envelope) {
 	now := c.now()
 	m := &e.Message
@@ -57,7 +64,8 @@
 	}
 }
 
-// onGrantCheck returns the grants that this node does not have.
+// onGrantCheck handles a rack's list of the grants that this node should hold:
+// it returns those that it does not hold, so that their slots become free.
 func (c *Core) onGrantCheck(m *node.GrantCheck) {
 	for _, k := range c.options.Router.Lacking(m.Keys) {
 		c.sendToRack(m.Rack, &node.Message{GrantDone: &node.GrantDone{Rack: m.Rack, Key: k}})
@@ -130,7 +138,9 @@
 	}
 }
 
-// beat tells the peers that this node lives, and what has changed in its racks.
+// sendHeartbeats sends all members a heartbeat, with the changed summaries of
+// this node's racks. Before any member is known it sends it to the configured
+// peers.
 func (c *Core) sendHeartbeats(now time.Time) {
 	if now.Sub(c.heartbeatAt) < heartbeatPeriod {
 		return
@@ -147,7 +157,7 @@
 		}
 	}
 	m := &node.Message{Heartbeat: hb}
-	// Only nodes of the region place or route there.
+	// Only nodes of the same region place tasks or route requests to its racks.
 	withoutSummaries := *hb
 	withoutSummaries.Rooms = nil
 	for _, id := range sorted(c.state.Members) {
@@ -168,8 +178,8 @@
 	}
 }
 
-// changedRooms returns the summaries that differ from what was told last, and
-// each one now and then, for those who missed it.
+// summariesToSend returns the summaries of which peers need an update, and every
+// summary once in each summaryRefreshPeriod.
 func (c *Core) summariesToSend(now time.Time) []node.Room {
 	summaries := []node.Room{}
 	for _, id := range sorted(c.racks) {
@@ -209,8 +219,9 @@
 	}
 }
 
-// watchPeers logs who falls silent and who is heard again, and takes back the
-// grants of those who are gone.
+// checkPeers logs which peers have become suspected and which are heard again,
+// and revokes the grants of nodes that have ended or have been suspected for
+// longer than grantHolderTimeout.
 func (c *Core) checkPeers(now time.Time) {
 	for _, n := range c.members.Suspects(now) {
 		if _, ok := c.silentSince[n]; !ok {
@@ -237,7 +248,8 @@
 	}
 }
 
-// catchUp asks peers for what this node lacks when it does not reach the log.
+// catchUp asks a peer for the batches, or for the whole state, that this node
+// lacks while it cannot read the log.
 func (c *Core) catchUp(now time.Time) {
 	isReadFailing := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > stateRequestDelay/4
 	if !isReadFailing {
@@ -264,7 +276,8 @@
 
 func (c *Core) onBatches(from state.NodeID, m *node.Tail) {
 	if len(m.Entries) == 0 {
-		// The peer has no longer what comes next: its whole state has.
+		// The peer no longer has the batch that comes next, but its state includes
+		// it.
 		c.env.Send(from, &node.Message{StateAsk: &node.StateAsk{}})
 		return
 	}
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -17,7 +17,8 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// reconcile makes what this node owns agree with the winning claim.
+// reconcile opens or closes a shard on this node after a claim of the shard has
+// been applied.
 func (c *Core) reconcile(id state.ShardID) {
 	current := c.state.Shards[id]
 	delete(c.pendingClaims, id)
@@ -83,7 +84,8 @@
 	c.logOwnerChange(events.ShardDropped, id, uint64(o.rack.Epoch))
 }
 
-// setWorkers brings a rack and its links up to the platform's list.
+// setWorkers updates a rack and its links to the workers from the platform's
+// list of VMs.
 func (c *Core) setWorkers(id state.ShardID, o *ownedRack) {
 	list := []vmlist.VM{}
 	for i := range c.vms {
@@ -126,7 +128,8 @@
 	}
 }
 
-// rackInfos lists the region's racks under the epochs in force.
+// rackInfos lists the region's racks with the epochs that their workers obey:
+// that of the owner, or that of a deputy.
 func (c *Core) rackInfos() []home.RackInfo {
 	infos := []home.RackInfo{}
 	for _, id := range sorted(c.state.Shards) {
@@ -153,7 +156,8 @@
 	}
 }
 
-// OwnerOf returns the node to which messages for a shard go.
+// OwnerOf returns the node to which messages for a shard are sent: its owner, or
+// the rack's deputy.
 func (c *Core) OwnerOf(id state.ShardID) (state.NodeID, bool) {
 	s := c.state.Shards[id]
 	if s == nil {
@@ -165,7 +169,9 @@
 	return s.Owner.Node, true
 }
 
-// plan appends the claims that are due.
+// plan appends the claims that the planner considers due. It waits until the log
+// has been read to its end since the previous plan, so that it knows the
+// result of earlier claims.
 func (c *Core) plan(now time.Time) {
 	isReady := c.IsJoined() && !c.joinedAt.IsZero() && now.Sub(c.joinedAt) > firstClaimDelay
 	if !isReady || now.Sub(c.plannedAt) < planPeriod || c.isLogUnavailable(now) || c.caughtUpAt.Before(c.plannedAt) {
@@ -183,7 +189,7 @@
 			}
 			delete(c.pendingClaims, claim.Shard)
 			if errors.Is(err, state.ErrUnseen) {
-				// Whose the shard is stands in the state that came instead.
+				// The state that this node continues from says who owns the shard.
 				return
 			}
 			events.Log(events.ClaimRefused, "shard", claim.Shard, "epoch", claim.Epoch, "err", err.Error())
@@ -202,7 +208,8 @@
 	}
 }
 
-// shards lists the region's homes and the racks of the platform's list.
+// shards lists the region's job shards, and the racks that the platform's list
+// of VMs or the log has.
 func (c *Core) shards() []ownership.Shard {
 	region := c.options.Region
 	list := ownership.Homes(region)
@@ -220,15 +227,17 @@
 	}
 	for _, id := range sorted(c.state.Shards) {
 		if ownership.IsRack(id) && ownership.Region(id) == region && !seen[id] {
-			// All its VMs are gone from the list, but somebody has to say so of
-			// its tasks.
+			// None of its VMs is in the platform's list any more, but the rack needs
+			// an owner that reports its tasks as lost.
 			list = append(list, ownership.Shard{ID: id})
 		}
 	}
 	return list
 }
 
-// watchDeputies keeps the racks of dead owners alive while the log is out.
+// takeOverAsDeputy opens the racks of dead owners for which this node is the
+// deputy while the log is unavailable, so that their leases are renewed and
+// their tasks keep running.
 func (c *Core) takeOverAsDeputy(now time.Time) {
 	isReadFailing := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > deputyAfter && c.members.IsLogOutForAll(now)
 	if !isReadFailing || !c.IsJoined() || c.isDraining {
@@ -251,8 +260,9 @@
 	}
 }
 
-// onDeputised takes a peer's word that it keeps a rack alive. An owner that is
-// alive after all yields: the workers obey the deputy.
+// onDeputyReport handles a peer's report of the racks for which it is the
+// deputy. If this node owns such a rack and is alive after all, it closes the
+// rack, because the workers obey the deputy's higher epoch.
 func (c *Core) onDeputyReport(from state.NodeID, list []node.Deputised) {
 	for _, d := range list {
 		s := c.state.Shards[d.Rack]
@@ -267,8 +277,9 @@
 	}
 }
 
-// OnFenced gives a rack up whose workers obey another owner. While it is the
-// owner by the log, it claims the next epoch as soon as the log takes it.
+// OnFenced closes a rack whose workers obey a later epoch than this node's. If
+// this node still owns the rack according to the log, the next plan claims it
+// with a new epoch as soon as the log is available.
 func (c *Core) OnFenced(id state.ShardID, epoch, seen worker.Epoch) {
 	o := c.racks[id]
 	if o == nil || o.rack.Epoch != epoch || seen <= epoch {
@@ -279,9 +290,10 @@
 	c.closeRack(id)
 }
 
-// confirmSole tells the racks up to when it is certain that nobody else renews
-// leases on their workers: by the log, or, while it is out, by the word of
-// every member of the region.
+// confirmSoleOwner tells the racks up to which time it is certain that no other
+// node renewed leases on their workers. This follows from the log, or, while it
+// is unavailable, from the heartbeats of all members of the region. A rack may
+// consider a lease expired only on this ground.
 func (c *Core) confirmSoleOwner(now time.Time) {
 	asOf := c.caughtUpAt
 	if c.isLogUnavailable(now) {
@@ -301,6 +313,8 @@
 	}
 }
 
+// haveEnded reports whether each of the previous owners has ended, or has
+// applied the log up to the offset of the claim that replaced it.
 func (c *Core) haveEnded(past []state.Owner, offset int64) bool {
 	for _, p := range past {
 		if !c.state.IsEnded(p) && !c.members.HasFolded(p, offset) {
@@ -310,9 +324,12 @@
 	return true
 }
 
-// membersWord returns since when every member of the region has said that it
-// does not reach the log, is no further than this node, and is heard; zero if
-// one of them has not.
+// confirmedByMembers returns a time up to which no member of the region can have
+// applied a claim that this node does not know. All of them must be heard, must
+// report that they cannot read the log, and must not have applied more of it
+// than this node; otherwise the time is zero. The result is 2 s in the past
+// because the last heartbeat of a member that is still heard may be almost that
+// old.
 func (c *Core) confirmedByMembers(now time.Time) time.Time {
 	for id, m := range c.state.Members {
 		if m.HasLeft || m.Region != c.options.Region || id == c.options.Self.Node {
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -17,31 +17,32 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// retryQueueFull is after how many seconds to come back when too many jobs wait.
+// queueFullRetrySeconds is when a client should retry whose job was refused
+// because too many jobs wait.
 const queueFullRetrySeconds = 5
 
-// CheckRetire returns the record that a silent node has ended, or why it must
-// not be written.
+// CheckRetire returns the record which says that a node has ended that is not
+// heard, or an error if the record must not be appended.
 func (c *Core) CheckRetire(id state.NodeID) (*state.Leave, error) {
 	m := c.state.Members[id]
 	switch {
 	case m == nil || m.HasLeft:
-		return nil, &document.FieldError{File: "node", Key: string(id), Problem: "is no member of the cell", Allowed: "a node of `leverdyke node list`"}
+		return nil, &document.FieldError{File: "node", Key: string(id), Problem: "is not a member of the cluster", Allowed: "a node of `leverdyke node list`"}
 	case id == c.options.Self.Node || !c.members.IsSuspect(c.now(), id):
-		return nil, &document.FieldError{File: "node", Key: string(id), Problem: "is heard: its process has not ended", Allowed: "a node that is silent; stop it first"}
+		return nil, &document.FieldError{File: "node", Key: string(id), Problem: "still sends heartbeats: its process has not ended", Allowed: "a node that sends no heartbeats; stop it first"}
 	}
 	return &state.Leave{Node: id, Incarnation: m.Incarnation}, nil
 }
 
-// View is what a node says of what it owns and hears.
+// View lists the shards that a node owns and the peers that it suspects.
 type View struct {
 	Racks, JobShards, Suspects []string
-	// Running counts the attempts in the owned racks, Waiting the jobs with
-	// tasks that wait in the owned homes.
+	// Running is the number of attempts in the owned racks, Waiting the number
+	// of jobs with waiting tasks in the owned job shards.
 	Running, Waiting int
 }
 
-// View returns what the node owns and hears.
+// View returns the shards that this node owns and the peers that it suspects.
 func (c *Core) View() View {
 	v := View{}
 	now := c.now()
@@ -62,16 +63,18 @@
 	return v
 }
 
-// State returns the fold; it is for reading, in the core's goroutine.
+// State returns the replicated state. The caller must not modify it, and may
+// read it only in the goroutine that the core runs in.
 func (c *Core) State() *state.State { return c.state }
 
 // Policies returns the configuration in force.
 func (c *Core) Policies() *policy.Set { return c.policies }
 
-// Home returns an owned home, or nil.
+// JobShard returns a job shard if this node owns it, or nil.
 func (c *Core) JobShard(id state.ShardID) *home.Home { return c.jobShards[id] }
 
-// IsLogOut reports whether this node does not reach the log.
+// IsLogUnavailable reports whether this node cannot read the log or append to
+// it.
 func (c *Core) IsLogUnavailable() bool { return c.isLogUnavailable(c.now()) }
 
 // Workers lists the workers of the owned racks.
@@ -83,7 +86,8 @@
 	return list
 }
 
-// Used returns what runs in the owned racks takes, and what there is in all.
+// Used returns the resources that are in use in the owned racks, and their total
+// capacity.
 func (c *Core) Used() (used, capacity leverdyke.Resources) {
 	for _, o := range c.racks {
 		u, total := o.rack.Used()
@@ -92,8 +96,8 @@
 	return used, capacity
 }
 
-// IsReady reports whether the balancer should send requests here: the node
-// knows the log's end, or that the log is out for all.
+// IsReady reports whether the load balancer should send requests to this node:
+// it has read the log to its end recently, or no node can read the log.
 func (c *Core) IsReady() bool {
 	now := c.now()
 	if c.isDraining || c.state.Applied < 0 {
@@ -105,7 +109,8 @@
 	return c.isLogUnavailable(now) && c.members.IsLogOutForAll(now)
 }
 
-// CheckSubmit refuses a job of which it is known that it can never run.
+// CheckSubmit returns an error if a job can never run as far as this node knows,
+// or if too many jobs wait in its job shard.
 func (c *Core) CheckSubmit(file string, spec *leverdyke.JobSpec) error {
 	team := c.policies.Team(spec.Team)
 	if team == nil {
@@ -131,8 +136,8 @@
 	return nil
 }
 
-// capacities lists the largest VM of each of the region's racks, if all are
-// known.
+// capacities returns the capacity of the largest VM of each rack of the region,
+// or nil if it is not known for one of them.
 func (c *Core) capacities(region string) []leverdyke.Resources {
 	list := []leverdyke.Resources{}
 	for id := range c.state.Shards {
--- a/internal/core/workers.go
+++ b/internal/core/workers.go
@@ -9,7 +9,8 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// owned returns the rack if this node owns it in that epoch, or nil.
+// rackInEpoch returns a rack if this node owns it in that epoch, or nil. Events
+// of links that were opened in another epoch are thereby ignored.
 func (c *Core) rackInEpoch(id state.ShardID, epoch worker.Epoch) *rack.Rack {
 	if o := c.racks[id]; o != nil && o.rack.Epoch == epoch {
 		return o.rack
@@ -17,28 +18,30 @@
 	return nil
 }
 
-// OnReport takes a worker's report to a rack's owner of that epoch.
+// OnReport handles a worker's report, which was sent to the rack's owner of that
+// epoch.
 func (c *Core) OnReport(id state.ShardID, epoch worker.Epoch, w worker.ID, report *worker.Report) {
 	if r := c.rackInEpoch(id, epoch); r != nil {
 		r.OnReport(c.now(), w, report)
 	}
 }
 
-// OnSilent notes that a worker did not answer.
+// OnSilent handles that a worker did not answer a poll.
 func (c *Core) OnSilent(id state.ShardID, epoch worker.Epoch, w worker.ID) {
 	if r := c.rackInEpoch(id, epoch); r != nil {
 		r.OnSilent(w)
 	}
 }
 
-// OnStartResults takes a worker's answer to a start.
+// OnStartResults handles a worker's answer to an order to start tasks.
 func (c *Core) OnStartResults(id state.ShardID, epoch worker.Epoch, w worker.ID, results []worker.StartResult) {
 	if r := c.rackInEpoch(id, epoch); r != nil {
 		r.OnStartResults(c.now(), w, results)
 	}
 }
 
-// OnStartFailed notes that it is not known whether a worker got a start.
+// OnStartFailed handles an order to start tasks that got no answer, so that it
+// is not known whether the worker received it.
 func (c *Core) OnStartFailed(id state.ShardID, epoch worker.Epoch, w worker.ID, tasks []worker.Task) {
 	if r := c.rackInEpoch(id, epoch); r != nil {
 		r.OnStartFailed(w, tasks)
