--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -11,8 +11,9 @@
 	"github.com/leverdyke/leverdyke/internal/once"
 )
 
-// A node that refused a retry must not speak for the one that was first: only
-// the first may say that nothing ran.
+// A node that refused a retry of a request may have stored the answer that
+// nothing ran, while the node that has the key ran the request. Only the answer
+// of the latter may be accepted.
 func TestOnlyTheKeysOwnerMayReportNotRun(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 1, workers: 1, seed: 80})
 	requester, keyOwner, other := cl.nodes[0], cl.nodes[1], cl.nodes[2]
@@ -21,10 +22,10 @@
 		verdict leverdyke.Verdict
 		isKnown bool
 	}{
-		"the first: not run": {keyOwner, leverdyke.VerdictNotRun, true},
-		"the first: ran":     {keyOwner, leverdyke.VerdictRan, true},
-		"another: not run":   {other, leverdyke.VerdictNotRun, false},
-		"another: ran":       {other, leverdyke.VerdictRan, true},
+		"the key's owner: not run": {keyOwner, leverdyke.VerdictNotRun, true},
+		"the key's owner: ran":     {keyOwner, leverdyke.VerdictRan, true},
+		"another node: not run":    {other, leverdyke.VerdictNotRun, false},
+		"another node: ran":        {other, leverdyke.VerdictRan, true},
 	} {
 		reply := make(chan node.OnceReply, 1)
 		id := requester.core.QueryAnswer(keyOwner.id(), once.Key{1}, reply)
@@ -37,8 +38,8 @@
 	}
 }
 
-// A node that says that it stops has given its answers away before everybody
-// has read that it left.
+// A draining node hands its answers over before the other nodes have read from
+// the log that it left. A query meanwhile must also go to its successor.
 func TestAnswersOfADrainingNodeAreRequestedFromAllNodes(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 1, workers: 1, seed: 81})
 	requester, keyOwner, successor := cl.nodes[0], cl.nodes[1], cl.nodes[2]
@@ -51,7 +52,7 @@
 		isQueried = isQueried || successor.inbox[i].OnceAsk != nil
 	}
 	if !isQueried {
-		t.Error("got: the heir is not asked, want: asked")
+		t.Error("got: no query to the successor, want: one")
 	}
 	requester.core.AbandonQuery(id)
 }
--- a/internal/core/cluster_test.go
+++ b/internal/core/cluster_test.go
@@ -28,7 +28,8 @@
 	region         = "r1"
 )
 
-// world is a cell of real cores under a fake clock, with a fake network.
+// cluster is a cluster of real cores under a fake clock, with a simulated
+// network, log and workers.
 type cluster struct {
 	clock   *clock.Fake
 	log     *native.Log
@@ -38,15 +39,19 @@
 	vms     []vmlist.VM
 	nodes   []*fakeNode
 	rng     *rand.Rand
-	// cuts has the pairs of names between which nothing passes, one way.
+	// blockedLinks has the pairs of names, sender and receiver, between which all
+	// messages are lost. The log is a receiver named "log".
 	blockedLinks map[[2]string]bool
-	// loseReplies is how many appends take effect without an answer.
+	// loseReplies is the number of further appends that take effect but whose
+	// replies are lost.
 	loseReplies      int
 	isLogUnavailable bool
-	// isLosingForgets keeps the words to forget from the workers.
+	// areForgetsLost means that owners' messages to forget ended attempts do not
+	// reach the workers, so that workers keep reporting these attempts.
 	areForgetsLost bool
 	violations     []string
-	// flights has the callbacks of the batches that were handed to the log.
+	// inFlightCallbacks has the callbacks of the batches that were passed to the
+	// log and have not been applied yet.
 	inFlightCallbacks map[batchID][]func(error)
 }
 
@@ -88,7 +93,8 @@
 	return cl
 }
 
-// run lets time pass in steps, and checks after each one.
+// run advances the clock in steps, runs all nodes after each, and checks the
+// documents' versions.
 func (cl *cluster) run(d time.Duration) {
 	for range int(d / step) {
 		cl.clock.Advance(step)
@@ -102,7 +108,8 @@
 	}
 }
 
-// checkVersions notes a document that went back at a running process.
+// checkVersions records a violation if a running process has an older version of
+// a document than it had before.
 func (cl *cluster) checkVersions() {
 	for _, n := range cl.nodes {
 		if n.core == nil {
@@ -110,7 +117,7 @@
 		}
 		for name, d := range n.core.State().Docs {
 			if d.Version < n.seen[name] {
-				cl.violations = append(cl.violations, fmt.Sprintf("%s went back from %d to %d", name, n.seen[name], d.Version))
+				cl.violations = append(cl.violations, fmt.Sprintf("%s went back from version %d to %d", name, n.seen[name], d.Version))
 			}
 			n.seen[name] = d.Version
 		}
@@ -121,7 +128,8 @@
 
 func (cl *cluster) block(from, to string) { cl.blockedLinks[[2]string{from, to}] = true }
 
-// heal ends all faults but the death of VMs.
+// heal ends all faults: it restarts killed nodes and workers, resumes paused
+// nodes, and makes the log and all links available.
 func (cl *cluster) heal() {
 	cl.blockedLinks = map[[2]string]bool{}
 	cl.isLogUnavailable = false
@@ -138,14 +146,14 @@
 	}
 }
 
-// submit appends a job through the first node that takes it, and reports
-// whether one did.
+// submit submits a job through the first node that runs and has joined, and
+// reports whether the job was accepted.
 func (cl *cluster) submit(spec leverdyke.JobSpec) bool {
 	return cl.append(state.Record{Submit: &state.Submit{Spec: spec}}) == nil
 }
 
-// append puts a record through a running node and waits for its fate; it
-// returns an error when none came.
+// append appends a record through the first node that runs and has joined, and
+// waits for the result; it returns an error if none arrives.
 func (cl *cluster) append(r state.Record) error {
 	for _, n := range cl.nodes {
 		if n.core == nil || n.isPaused || !n.core.IsJoined() {
@@ -160,12 +168,13 @@
 			}
 			cl.run(step)
 		}
-		return fmt.Errorf("no answer")
+		return fmt.Errorf("no result of the append within 100 steps")
 	}
-	return fmt.Errorf("no node")
+	return fmt.Errorf("no node runs and has joined")
 }
 
-// running counts the live attempts of a job by worker.
+// running returns the number of running attempts of a job, as the workers report
+// them.
 func (cl *cluster) running(job string) int {
 	count := 0
 	for _, name := range cl.names {
@@ -174,7 +183,8 @@
 	return count
 }
 
-// runningNow counts the running tasks by the oracle, which no epoch disturbs.
+// runningCount returns the number of running tasks according to the oracle,
+// which observes the workers directly, whichever epoch they obey.
 func (cl *cluster) runningCount() int { return cl.oracle.Report().Running }
 
 func (cl *cluster) job(id string) *state.Job {
@@ -186,7 +196,7 @@
 	return nil
 }
 
-// check fails the test if anything that must always hold did not.
+// checkInvariants fails the test if an invariant has been violated.
 func (cl *cluster) checkInvariants(t *testing.T) {
 	t.Helper()
 	for _, v := range cl.foundViolations() {
@@ -194,6 +204,8 @@
 	}
 }
 
+// foundViolations returns the violations of invariants: those recorded by the
+// cluster, and those by the oracle, such as a task that ran twice at once.
 func (cl *cluster) foundViolations() []string {
 	list := append([]string{}, cl.violations...)
 	r := cl.oracle.Report()
@@ -203,7 +215,7 @@
 	return list
 }
 
-// ready waits until every shard has an owner.
+// waitUntilReady runs the cluster until every shard has an owner.
 func (cl *cluster) waitUntilReady(t *testing.T) {
 	t.Helper()
 	for range 400 {
@@ -216,6 +228,7 @@
 	t.Fatalf("got: %d shards with an owner, want: %d", cl.ownedCount(), cl.shardCount())
 }
 
+// shardCount returns the number of shards: the racks and the 16 job shards.
 func (cl *cluster) shardCount() int {
 	racks := map[string]bool{}
 	for _, vm := range cl.vms {
@@ -224,6 +237,7 @@
 	return len(racks) + 16
 }
 
+// ownedCount returns how many shards the running nodes own by their own account.
 func (cl *cluster) ownedCount() int {
 	count := 0
 	for _, n := range cl.nodes {
@@ -235,8 +249,8 @@
 	return count
 }
 
-// newReadyWorldOf returns a cell in which every shard has an owner and one team
-// may run jobs.
+// newReadyClusterOf returns a cluster in which every shard has an owner and the
+// team filings may run jobs.
 func newReadyClusterOf(t *testing.T, o clusterOptions) *cluster {
 	t.Helper()
 	cl := newCluster(o)
@@ -253,7 +267,7 @@
 	}
 }
 
-// publishBasics brings an office and a team into force.
+// publishDefaults publishes the documents of an office and of the team filings.
 func (cl *cluster) publishDefaults(t *testing.T) {
 	t.Helper()
 	for _, d := range [][2]string{
@@ -279,7 +293,7 @@
 	return s
 }
 
-// ownerOf returns the node that owns a shard by its own word, or nil.
+// ownerOf returns the node that owns a shard by its own account, or nil.
 func (cl *cluster) ownerOf(shard string) *fakeNode {
 	for _, n := range cl.nodes {
 		if n.core == nil {
@@ -317,6 +331,8 @@
 	cl.checkInvariants(t)
 }
 
+// When MaxKeys idempotency keys are remembered, a further one must be refused
+// without an append, while a remembered one is still recognised.
 func TestNumberOfKeysIsBounded(t *testing.T) {
 	cl := newCluster(clusterOptions{nodes: 1, racks: 1, workers: 1, seed: 3})
 	cl.waitUntilReady(t)
@@ -346,6 +362,8 @@
 	}
 }
 
+// A service whose tasks share a zone, a rack or a VM loses too many of them when
+// that fails.
 func TestServicesSpreadOverZonesRacksAndVMs(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 4, workers: 2, seed: 2})
 	for _, tasks := range []int{2, 4, 8} {
--- a/internal/core/fakelink_test.go
+++ b/internal/core/fakelink_test.go
@@ -17,8 +17,8 @@
 
 func newReader(buf []byte) io.Reader { return bytes.NewReader(buf) }
 
-// fakeLink is an owner's link to a worker without sockets. Commands may be on
-// their way while their sender is paused, and answers may be lost.
+// fakeLink is an owner's link to a worker without sockets. Orders may be in
+// flight while the sender is paused, and answers may be lost.
 type fakeLink struct {
 	node      *fakeNode
 	rack      state.ShardID
@@ -117,6 +117,8 @@
 	}
 }
 
+// handleError tells the core if an error says that the worker obeys a later
+// epoch, and reports whether there was an error.
 func (l *fakeLink) handleError(err error) bool {
 	f := &worker.FencedError{}
 	if errors.As(err, &f) {
--- a/internal/core/fakenode_test.go
+++ b/internal/core/fakenode_test.go
@@ -18,10 +18,12 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
+// appendFailingAfter is how long appends must have been failing before
+// IsAppendFailing reports it.
 const appendFailingAfter = 1500 * time.Millisecond
 
-// fakeNode is a node's process without sockets. A paused one does nothing, and
-// does all that waits when it wakes up.
+// fakeNode is a node's process without sockets. While it is paused it does
+// nothing; when it resumes it first handles everything that has queued up.
 type fakeNode struct {
 	cluster       *cluster
 	index         int
@@ -33,18 +35,19 @@
 	isPaused      bool
 	inbox         []node.Envelope
 	links         []*fakeLink
-	// next is the offset to read.
+	// next is the offset of the log at which the next read begins.
 	next    int64
 	vmsAt   time.Time
 	pending []pendingRecord
-	// flight is the batch that was handed to the log, dones its callbacks.
+	// inFlightBatch is the batch that is being appended, callbacks are those of
+	// its records.
 	inFlightBatch *state.Batch
 	callbacks     []func(error)
 	seq           uint64
 	failingSince  time.Time
-	// later has the callbacks to run as events of the core.
+	// deferred has the callbacks to run as later events of the core.
 	deferred []func()
-	// seen has the versions of the documents that this process had in force.
+	// seen has the newest version of each document that this process has had.
 	seen map[string]uint64
 }
 
@@ -69,7 +72,7 @@
 	return node.Hello{Node: n.id(), Incarnation: n.incarnation, Zone: fmt.Sprintf("z%d", n.index%2), Region: region}
 }
 
-// start starts the process, or a later one in its place.
+// start starts the node's process, as a new incarnation with an empty state.
 func (n *fakeNode) start() {
 	n.incarnation++
 	n.inbox, n.links, n.pending, n.inFlightBatch, n.callbacks, n.deferred = nil, nil, nil, nil, nil, nil
@@ -104,7 +107,8 @@
 	if n.core == nil || n.isPaused {
 		return
 	}
-	// Links first: a process that wakes up sends before it has read the log.
+	// Links come first: a process that resumes sends queued orders before it has
+	// read the log.
 	for _, l := range n.links {
 		l.step()
 	}
@@ -134,8 +138,8 @@
 	return !n.cluster.isLogUnavailable && !n.cluster.isBlocked(n.name(), "log")
 }
 
-// append does what the journal's writer does: one batch at a time, sent again
-// until the log has answered or the batch was read.
+// append does what the journal's writer does: it appends one batch at a time,
+// and retries until the log has answered or the batch was read from the log.
 func (n *fakeNode) append() {
 	now := n.cluster.clock.Now()
 	if n.inFlightBatch == nil {
@@ -168,6 +172,8 @@
 	n.inFlightBatch = nil
 }
 
+// buildBatch makes a batch of the pending records. Those that have waited for
+// more than 3 s fail.
 func (n *fakeNode) buildBatch(now time.Time) {
 	for _, p := range n.pending {
 		if now.Sub(p.at) > 3*time.Second {
@@ -188,7 +194,7 @@
 	}
 }
 
-// inFlight remembers the callbacks of a batch until it is folded.
+// recordInFlight remembers the callbacks of a batch until it is applied.
 func (cl *cluster) recordInFlight(n *fakeNode) {
 	if n.cluster.inFlightCallbacks == nil {
 		cl.inFlightCallbacks = map[batchID][]func(error){}
@@ -222,7 +228,8 @@
 	n.core.ProcessOutputs()
 }
 
-// recover starts at the first whole snapshot, as the journal's reader does.
+// recover starts from the first complete snapshot in the log, as the journal's
+// reader does when the log has dropped the offset that it would read next.
 func (n *fakeNode) recover(firstOffset int64, t *journal.Tailed) {
 	found := state.Assembler{}
 	page, _, _ := n.cluster.log.Page(firstOffset)
@@ -242,7 +249,7 @@
 		}
 	}
 	if t.State == nil {
-		n.cluster.violations = append(n.cluster.violations, "no whole snapshot is in the log")
+		n.cluster.violations = append(n.cluster.violations, "the log has no complete snapshot")
 		return
 	}
 	t.Entries = page.Entries
@@ -270,7 +277,8 @@
 		if o.core == nil || n.cluster.isBlocked(n.name(), o.name()) {
 			return true
 		}
-		// Over the wire, so that nothing is shared and all fields are carried.
+		// Encoded and decoded, so that the nodes share no memory and a field that
+		// the encoding drops is noticed.
 		buf, err := node.AppendFrame(nil, m)
 		if err != nil {
 			panic(err)
@@ -313,7 +321,7 @@
 	}
 }
 
-// Passed settles the batches that a peer's state already has.
+// BatchesSkipped ends the wait for batches that are part of a peer's state.
 func (n *fakeNode) BatchesSkipped(seq uint64) {
 	for s := uint64(1); s <= seq; s++ {
 		n.BatchApplied(s, state.Outcome{Err: state.ErrUnseen})
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -17,8 +17,8 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// newBusyWorld returns a cell of 3 nodes, 3 racks and 6 workers in which a
-// service of 6 tasks runs.
+// newClusterWithService returns a cluster of 3 nodes, 3 racks and 6 workers in
+// which a service of 6 tasks runs.
 func newClusterWithService(t *testing.T, seed uint64) *cluster {
 	t.Helper()
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 3, workers: 2, seed: seed})
@@ -30,21 +30,21 @@
 	return cl
 }
 
-// expect fails unless all tasks of the service run and at most lapses leases
-// have run out.
+// expectRunning fails the test unless exactly the given number of tasks run, at
+// most lapses leases have expired, and no invariant has been violated.
 func (cl *cluster) expectRunning(t *testing.T, running, lapses int) {
 	t.Helper()
 	if got := cl.runningCount(); got != running {
 		t.Errorf("got: %d running, want: %d", got, running)
 	}
 	if got := cl.oracle.Report().Lapses; got > lapses {
-		t.Errorf("got: %d lapsed leases, want: at most %d", got, lapses)
+		t.Errorf("got: %d expired leases, want: at most %d", got, lapses)
 	}
 	cl.checkInvariants(t)
 }
 
-// killInTurn kills each of the nodes and starts it again, leaving time for the
-// others to take over in between.
+// restartEach kills one node after another and starts it again, leaving time for
+// the others to take over in between.
 func (cl *cluster) restartEach(nodes []*fakeNode) {
 	for _, n := range nodes {
 		n.kill()
@@ -54,12 +54,15 @@
 	}
 }
 
+// When an owner dies, its successor must renew the leases before they expire.
 func TestKillingOwnersStopsNoTask(t *testing.T) {
 	cl := newClusterWithService(t, 1)
 	cl.restartEach(cl.nodes[:2])
 	cl.expectRunning(t, 6, 0)
 }
 
+// After all nodes have died at once, the restarted ones must learn from the log
+// and the workers what runs, and renew the leases in time.
 func TestKillingAllNodesAtOnceStopsNoTask(t *testing.T) {
 	cl := newClusterWithService(t, 2)
 	for _, n := range cl.nodes {
@@ -73,6 +76,8 @@
 	cl.expectRunning(t, 6, 0)
 }
 
+// A draining node must hand over all its shards within 20 s, without a lease
+// that expires meanwhile.
 func TestDrainingEachNodeStopsNoTask(t *testing.T) {
 	cl := newClusterWithService(t, 3)
 	for _, n := range cl.nodes {
@@ -94,6 +99,8 @@
 	cl.expectRunning(t, 6, 0)
 }
 
+// A paused process is replaced as an owner without noticing. When it resumes it
+// still acts as the owner for a moment, and must neither stop nor start tasks.
 func TestResumedOwnerDisturbsNoTask(t *testing.T) {
 	cl := newClusterWithService(t, 4)
 	for _, n := range cl.nodes {
@@ -113,6 +120,8 @@
 	cl.expectRunning(t, 6, 0)
 }
 
+// A partitioned worker keeps its tasks running until their leases expire. If they
+// were restarted elsewhere earlier, they would run twice at once.
 func TestTasksOfAPartitionedWorkerRestartOnlyAfterLeaseExpiry(t *testing.T) {
 	cl := newClusterWithService(t, 6)
 	cl.workers[cl.names[0]].SetFaults(native.WorkerFaults{Mode: native.ModeCut})
@@ -122,8 +131,8 @@
 	cl.expectRunning(t, 6, 6)
 }
 
-// An owner that is cut off from all but one worker of a rack must not take
-// the leases of the others for lapsed: a later owner keeps them alive.
+// An owner that is partitioned from the log, its peers and one worker of its rack
+// must not consider that worker's leases expired: a new owner renews them.
 func TestIsolatedOwnerDeclaresNothingLost(t *testing.T) {
 	cl := newClusterWithService(t, 7)
 	n := cl.ownerOf("rack/r1/k0")
@@ -142,7 +151,8 @@
 	cl.expectRunning(t, 6, 6)
 }
 
-// isolate cuts a node from the log and from all other nodes.
+// isolate partitions a node from the log and from all other nodes, but not from
+// the workers.
 func (cl *cluster) isolate(n *fakeNode) {
 	cl.block(n.name(), "log")
 	for _, o := range cl.nodes {
@@ -151,8 +161,8 @@
 	}
 }
 
-// newLoneWorld returns a cell in which one node owns the home of a team and a
-// rack, with a batch of that team.
+// newClusterWithBatch returns a cluster in which a batch job runs, and the node
+// that owns both the job shard of the batch's team and rack k0.
 func newClusterWithBatch(t *testing.T, seed uint64, tasks int, runTime time.Duration) (*cluster, *fakeNode) {
 	t.Helper()
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 3, workers: 2, seed: seed})
@@ -175,8 +185,9 @@
 	return cl, n
 }
 
-// A home and owner that is cut off from the log and its peers, but reaches all
-// workers, starts nothing that the later home starts too.
+// A node that owns a job shard and a rack is partitioned from the log and its
+// peers, but still reaches all workers. It must not start tasks that the new
+// owner of the job shard starts too.
 func TestIsolatedJobShardStartsNothingTwice(t *testing.T) {
 	cl, n := newClusterWithBatch(t, 20, 60, 30*time.Second)
 	cl.isolate(n)
@@ -190,8 +201,9 @@
 	cl.checkInvariants(t)
 }
 
-// The isolated owner does not reach one worker of its rack, which the later
-// owner keeps alive, and alone reaches the other.
+// Of the two workers of a rack the isolated owner reaches only the second, the
+// new owner only the first. Neither may consider the leases on the other worker
+// expired.
 func TestIsolatedOwnerTreatsNoLeaseAsExpired(t *testing.T) {
 	cl, n := newClusterWithBatch(t, 21, 12, 10*time.Minute)
 	cl.isolate(n)
@@ -205,8 +217,9 @@
 	cl.checkInvariants(t)
 }
 
-// The earlier owner, cut off, alone reaches a worker and keeps its tasks alive:
-// the later owner must not take their leases for lapsed.
+// The previous owner, which is isolated, still reaches a worker that the new
+// owner does not reach, and renews its leases. The new owner must not consider
+// them expired.
 func TestNewOwnerWaitsForLeasesOfThePreviousOwner(t *testing.T) {
 	cl := newClusterWithService(t, 22)
 	n := cl.ownerOf("rack/r1/k0")
@@ -223,9 +236,11 @@
 	cl.expectRunning(t, 6, 6)
 }
 
+// A node that a single peer does not hear, while others do, must keep its
+// shards: IsDead needs the agreement of at least half of the live peers.
 func TestOneWayPartitionChangesNoOwner(t *testing.T) {
 	cl := newClusterWithService(t, 8)
-	// Until the balance among the nodes has settled.
+	// Run until the nodes have stopped moving shards to balance their load.
 	cl.run(40 * time.Second)
 	n := cl.ownerOf("rack/r1/k0")
 	before := cl.epoch("rack/r1/k0")
@@ -246,6 +261,8 @@
 	return cl.nodes[0].core.State().Shards[shard].Epoch
 }
 
+// A task that may run at most once and whose worker died may have run: it must
+// end as of unknown fate, neither be restarted nor wait for ever.
 func TestAtMostOnceTaskOnADeadWorkerHasUnknownFate(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 2, workers: 2, seed: 23})
 	onceJob := batchSpec("once", 4, time.Minute)
@@ -264,6 +281,9 @@
 	cl.checkInvariants(t)
 }
 
+// While the log is unavailable the shards of a dead owner cannot be claimed. A
+// deputy must renew the leases on its rack. When the log is available again, all
+// shards must get owners.
 func TestDeputiesKeepTasksAliveWhileTheLogIsUnavailable(t *testing.T) {
 	cl := newClusterWithService(t, 9)
 	cl.isLogUnavailable = true
@@ -279,8 +299,8 @@
 	}
 }
 
-// The owner comes back while its deputy keeps the rack alive: the workers obey
-// the deputy, and no task has two owners.
+// A paused owner resumes after its deputy has taken over the rack. The workers
+// obey the deputy, and the owner must yield, so that no task has two owners.
 func TestResumedOwnerYieldsToItsDeputy(t *testing.T) {
 	cl := newClusterWithService(t, 10)
 	cl.isLogUnavailable = true
@@ -296,6 +316,8 @@
 	cl.expectRunning(t, 6, 0)
 }
 
+// While the log is unavailable a job must be refused, not accepted in memory or
+// appended later.
 func TestUnavailableLogRefusesRecords(t *testing.T) {
 	cl := newClusterWithService(t, 11)
 	cl.isLogUnavailable = true
@@ -312,6 +334,9 @@
 	cl.expectRunning(t, 6, 0)
 }
 
+// Tasks that may be repeated need no record in the log before they start. They
+// must start while the log is unavailable, and must not start a second time when
+// it is available again.
 func TestRepeatableTasksStartWhileTheLogIsUnavailable(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 2, workers: 2, seed: 12})
 	cl.mustSubmit(t, batchSpec("batch", 40, 3*time.Second))
@@ -331,6 +356,8 @@
 	cl.checkInvariants(t)
 }
 
+// An append whose reply is lost is retried, so that the batch is in the log
+// several times. Only the first copy may be applied.
 func TestLostAppendRepliesApplyEachChangeOnce(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 2, workers: 2, seed: 13})
 	for i := range 5 {
@@ -348,6 +375,8 @@
 	}
 }
 
+// Of two concurrent changes based on the same version of a document one must be
+// refused, else it would overwrite the other unnoticed.
 func TestOneOfTwoConcurrentChangesConflicts(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 1, workers: 1, seed: 14})
 	results := []error{}
@@ -367,6 +396,8 @@
 	}
 }
 
+// The log drops old records. A node that starts afterwards must get the whole
+// state from a snapshot.
 func TestStateSurvivesLogRetention(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 2, workers: 2, seed: 15, snapshotEvery: 20})
 	cl.mustSubmit(t, serviceSpec("service", 3))
@@ -391,6 +422,8 @@
 	cl.expectRunning(t, 3, 0)
 }
 
+// A node that starts while the log is unavailable must get the state from a peer,
+// else it cannot serve requests until the log is available again.
 func TestNewNodeLoadsStateFromPeersWhileTheLogIsUnavailable(t *testing.T) {
 	cl := newClusterWithService(t, 16)
 	want := cl.nodes[0].core.State().Docs["team/filings"].Version
@@ -406,6 +439,8 @@
 	cl.checkInvariants(t)
 }
 
+// Workers with at-most-once tasks die and all nodes restart at once. The new
+// owners, which know of the starts only from the log, must restart none of them.
 func TestAtMostOnceTaskIsNeverRestarted(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 2, workers: 2, seed: 17})
 	onceJob := batchSpec("once", 4, time.Minute)
@@ -437,9 +472,11 @@
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 2, workers: 2, seed: 18})
 	cl.mustSubmit(t, batchSpec("batch", 200, time.Second))
 	cl.run(2 * time.Second)
-	// Its own word counts at once, though the list never says so.
+	// The worker reports that it is leaving, which must suffice although the
+	// platform's list never says so.
 	cl.workers[cl.names[0]].Leave()
-	// The list's word counts, though the worker never says so.
+	// The platform's list says that the worker is leaving, which must suffice
+	// although the worker never reports it.
 	cl.vms[1].Status = vmlist.StatusLeaving
 	cl.run(4 * time.Second)
 	before := startsOn(cl, cl.names[0]) + startsOn(cl, cl.names[1])
@@ -472,13 +509,14 @@
 	cl.checkInvariants(t)
 }
 
-// startsOn is how far the worker's list has moved, which every start does.
+// startsOn returns the number of starts that the worker has accepted.
 func startsOn(cl *cluster, id worker.ID) int {
 	return cl.workers[id].Starts()
 }
 
-// A node that died for good keeps the tasks of a worker that nobody reaches
-// from starting again, until an operator says that it has ended.
+// Tasks of a dead worker wait while its rack's previous owner, which is dead too
+// but still a member, might renew their leases. They must restart once an
+// operator has retired that node.
 func TestRetiringADeadNodeLetsLeasesExpire(t *testing.T) {
 	cl := newClusterWithService(t, 24)
 	n := cl.ownerOf("rack/r1/k0")
@@ -486,7 +524,7 @@
 	cl.workers["k0-w0"].SetFaults(native.WorkerFaults{Mode: native.ModeDead})
 	cl.run(4 * testLease)
 	if got := cl.runningCount(); got == 6 {
-		t.Fatalf("got: all 6 running, want: some to wait for the dead owner's end to be known")
+		t.Fatalf("got: all 6 running, want: some to wait until the dead owner is known to have ended")
 	}
 	other := cl.nodes[(n.index+1)%3]
 	if _, err := other.core.CheckRetire(cl.nodes[(n.index+2)%3].id()); err == nil {
--- a/internal/core/liveness_test.go
+++ b/internal/core/liveness_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// epochs adds the epochs of all shards: it grows by one with each change of an
-// owner.
+// epochs returns the sum of the epochs of all shards, which grows by one with
+// each change of an owner.
 func (cl *cluster) epochs() uint64 {
 	sum := uint64(0)
 	for _, n := range cl.nodes {
@@ -25,17 +25,17 @@
 	return sum
 }
 
-// A node that hears no peer, while all of them reach the log, gives up what it
-// owns and takes nothing: owners do not go to and fro.
+// A node that hears no peer, while all nodes reach the log, must not consider its
+// peers dead and claim their shards: they would claim them back, again and again.
 func TestPartitionedNodeClaimsNothingFromLiveOwners(t *testing.T) {
 	for name, block := range map[string]func(cl *cluster, n, o *fakeNode){
 		"hears nobody and is not heard": func(cl *cluster, n, o *fakeNode) {
 			cl.block(n.name(), o.name())
 			cl.block(o.name(), n.name())
 		},
-		"hears nobody":  func(cl *cluster, n, o *fakeNode) { cl.block(o.name(), n.name()) },
-		"is not heard":  func(cl *cluster, n, o *fakeNode) { cl.block(n.name(), o.name()) },
-		"is cut by one": func(cl *cluster, n, _ *fakeNode) { cl.block(cl.nodes[0].name(), n.name()) },
+		"hears nobody":           func(cl *cluster, n, o *fakeNode) { cl.block(o.name(), n.name()) },
+		"is not heard":           func(cl *cluster, n, o *fakeNode) { cl.block(n.name(), o.name()) },
+		"hears one of two peers": func(cl *cluster, n, _ *fakeNode) { cl.block(cl.nodes[0].name(), n.name()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			cl := newClusterWithService(t, 40)
@@ -58,7 +58,8 @@
 	}
 }
 
-// The last node of a region asks through the log, hears nothing, and takes all.
+// The last live node of a region looks like a partitioned one. It must take over
+// all shards once its peers have not answered its query in the log.
 func TestLastLiveNodeTakesOverAllShards(t *testing.T) {
 	cl := newClusterWithService(t, 41)
 	cl.nodes[0].kill()
@@ -70,8 +71,8 @@
 	cl.expectRunning(t, 6, 0)
 }
 
-// Of two nodes that do not hear each other none takes anything while both reach
-// the log.
+// Two nodes that do not hear each other, but reach the log, must not claim each
+// other's shards.
 func TestTwoPartitionedNodesKeepTheirShards(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 2, racks: 2, workers: 1, seed: 42})
 	cl.run(30 * time.Second)
@@ -85,7 +86,8 @@
 	cl.checkInvariants(t)
 }
 
-// Members that died and that nobody retires are doubted once, not for ever.
+// Dead members that no operator retires stay members. They must not be queried
+// again and again, which would append to the log for ever.
 func TestDeadMembersAreQueriedOnlyOnce(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 5, racks: 2, workers: 1, seed: 43})
 	for _, n := range cl.nodes[:3] {
--- a/internal/core/policy_test.go
+++ b/internal/core/policy_test.go
@@ -21,6 +21,8 @@
 	return newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 3, workers: 2, seed: seed})
 }
 
+// Several jobs of a team, whose tasks start at the same time on several racks,
+// must not use more than the team's quota together.
 func TestQuotaIsNeverExceeded(t *testing.T) {
 	cl := newReadyCluster(t, 1)
 	body := []byte("office: head\nquota: {milli_cpu: 1500, memory_mib: 100000, accelerators: 0, slots: 100}\n")
@@ -56,8 +58,9 @@
 	return s
 }
 
-// Two large all-at-once jobs of two homes and a stream of small tasks: each
-// large one starts whole or not at all, and none waits for ever.
+// Two large all-at-once jobs of two job shards compete with a stream of small
+// tasks. Each must start as a whole or not at all: if each got a part of the
+// capacity, both would wait for ever. Nor may the small tasks starve them.
 func TestAllAtOnceJobsStartWholeAndAreNotStarved(t *testing.T) {
 	cl := newReadyCluster(t, 2)
 	teams := []string{"filings", otherTeam("filings"), otherTeam("filings", otherTeam("filings"))}
@@ -98,7 +101,7 @@
 	cl.checkInvariants(t)
 }
 
-// otherTeam returns a team whose home is none of the others'.
+// otherTeam returns a team whose job shard is none of the other teams'.
 func otherTeam(others ...string) string {
 	for i := 0; ; i++ {
 		team := fmt.Sprint("team-", i)
@@ -112,6 +115,8 @@
 	}
 }
 
+// When a worker of a running all-at-once job dies, the whole job must start
+// again, not only the lost tasks.
 func TestBrokenAllAtOnceJobRestartsAsAWhole(t *testing.T) {
 	cl := newReadyCluster(t, 3)
 	cl.mustSubmit(t, gangSpec("gang", 8, 20*time.Second))
@@ -129,6 +134,7 @@
 	cl.checkInvariants(t)
 }
 
+// Urgent tasks must preempt batch tasks that fill the cluster, within 3.4 s.
 func TestUrgentWorkStartsInAFullCluster(t *testing.T) {
 	cl := newReadyCluster(t, 4)
 	full := batchSpec("full", 100, time.Hour)
@@ -145,6 +151,8 @@
 	cl.checkInvariants(t)
 }
 
+// A job whose tasks always fail must end when its failure budget is used up. Its
+// failures must not eject the workers, on which other jobs succeed.
 func TestAlwaysFailingJobEndsAndEjectsNoWorker(t *testing.T) {
 	cl := newReadyCluster(t, 5)
 	bad := batchSpec("always-fails", 3, time.Second)
@@ -161,6 +169,8 @@
 	}
 }
 
+// A job that needs more memory than any worker has must say so and not hold back
+// other jobs. When the capacities are known such a job is refused at submission.
 func TestUnplaceableJobReportsItsReasonAndBlocksNoOtherJob(t *testing.T) {
 	cl := newReadyCluster(t, 6)
 	never := batchSpec("never", 1, time.Second)
@@ -182,6 +192,7 @@
 	}
 }
 
+// A job that waits for capacity beyond its deadline must fail, not wait on.
 func TestMissedDeadlineFailsTheJob(t *testing.T) {
 	cl := newReadyCluster(t, 7)
 	full := batchSpec("full", 24, time.Hour)
@@ -196,6 +207,8 @@
 	}
 }
 
+// When a failed rack returns with empty workers, many waiting tasks are placed on
+// it at once. This must not overcommit it or disturb the service.
 func TestAllTasksRunAfterARackReturns(t *testing.T) {
 	cl := newReadyCluster(t, 8)
 	cl.mustSubmit(t, serviceSpec("service", 12))
@@ -215,9 +228,10 @@
 	cl.checkInvariants(t)
 }
 
-// An all-at-once job that needs most of the cell waits, beside a stream of
-// small tasks of another home that fills it, at most until racks keep room for
-// it, then for what runs there to end, and for the tries in between.
+// An all-at-once job that needs most of the cluster competes with a stream of
+// small tasks of another job shard that fills it. It may wait at most until racks
+// reserve capacity for it, then until the tasks that run there have ended, and
+// for the retries in between.
 func TestAllAtOnceJobWaitsNoLongerThanItsBound(t *testing.T) {
 	const (
 		untilReserved = 10 * time.Second
@@ -235,7 +249,7 @@
 		cl.mustSubmit(t, small)
 		cl.run(5 * time.Second)
 		if got := cl.running("small"); got != 24 {
-			t.Fatalf("got: %d small tasks running, want: 24, a full cell", got)
+			t.Fatalf("got: %d small tasks running, want: 24, a full cluster", got)
 		}
 		cl.mustSubmit(t, gangSpec("large", 16, time.Minute))
 		waited := time.Duration(0)
@@ -251,8 +265,9 @@
 	}
 }
 
-// One task that needs a whole VM, beside a stream of small tasks of another
-// home that fills the cell.
+// One task that needs a whole VM must not be starved by a stream of small tasks
+// of another job shard that fills the cluster, in which no VM ever becomes empty
+// by itself.
 func TestLargeTaskIsNotStarvedBySmallOnes(t *testing.T) {
 	cl := newReadyCluster(t, 51)
 	team := otherTeam("filings")
@@ -260,7 +275,7 @@
 	if err := cl.append(state.Record{Publish: &state.Publish{Doc: "team/" + team, Body: body}}); err != nil {
 		t.Fatal(err)
 	}
-	// Tasks of many lengths, so that no VM empties by itself.
+	// The tasks have many run times, so that those of a VM do not end together.
 	for i := range 600 {
 		small := batchSpec(fmt.Sprintf("small-%03d", i), 3, time.Duration(2000+i*377%4000)*time.Millisecond)
 		small.Team = team
@@ -282,8 +297,9 @@
 	cl.checkInvariants(t)
 }
 
-// A home that has just moved knows the rooms of all racks: its new owner keeps
-// what it heard before.
+// A job shard that has just moved must know the summaries of all racks: its new
+// owner has remembered those that it received before. Otherwise it would place a
+// service's tasks on the few racks that it has heard of since.
 func TestMovedJobShardSpreadsAServiceOverZones(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 4, workers: 2, seed: 52})
 	shard := string(ownership.HomeShard(region, "filings"))
--- a/internal/core/recovery_test.go
+++ b/internal/core/recovery_test.go
@@ -17,8 +17,9 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// The home of a service moves while workers still list the ends of attempts
-// that others, on other racks, have followed.
+// Workers keep reporting the ends of old attempts, whose tasks have been
+// restarted on other racks since. When the service's job shard moves, its new
+// owner must not restart the tasks again because of these reports.
 func TestMovedJobShardStartsNothingForOldEndReports(t *testing.T) {
 	cl := newClusterWithService(t, 30)
 	cl.areForgetsLost = true
@@ -34,8 +35,9 @@
 	cl.expectRunning(t, 6, 6)
 }
 
-// A node whose record is in the log, but which hears of it only as part of a
-// peer's whole state, must tell whoever waits for the record's fate.
+// The record of a node is in the log, but the node learns of it only as part of
+// the state that a peer sent. Whoever waits for the record's result must get
+// state.ErrUnseen, else it waits for ever.
 func TestRecordInAPeersStateIsReportedAsUnseen(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 1, workers: 1, seed: 31})
 	n := cl.nodes[0]
@@ -43,7 +45,7 @@
 	var got error
 	n.core.Append(state.Record{Submit: &state.Submit{Spec: batchSpec("job", 1, time.Second)}}, func(err error) { got = err })
 	cl.run(step)
-	// More than peers keep of the log, so that they send their state.
+	// More than peers buffer of the log, so that they send their state instead.
 	for i := range 5 {
 		doc := fmt.Sprint("template/large-", i)
 		cl.nodes[1].core.Append(state.Record{Publish: &state.Publish{Doc: doc, Body: make([]byte, 100<<10)}}, nil)
@@ -58,7 +60,7 @@
 	}
 }
 
-// acquire takes a slot of a service through a node's router.
+// acquire acquires a slot of a service through a node's router.
 func (cl *cluster) acquire(t *testing.T, n *fakeNode, service string) *front.Slot {
 	t.Helper()
 	slots := make(chan *front.Slot, 1)
@@ -81,8 +83,9 @@
 	return nil
 }
 
-// The holder of a grant gives it back while the rack has no owner: the next
-// owner, who finds the grant on the worker, must get the slots back.
+// The holder of a grant returns it while the rack has no owner, so that the
+// message is lost. The next owner finds the grant on the worker and must free
+// its slots.
 func TestGrantReturnedToADeadOwnerIsFreed(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 1, workers: 1, seed: 32})
 	spec := serviceSpec("service", 1)
@@ -97,7 +100,7 @@
 	owner.kill()
 	cl.run(20 * time.Second)
 	if got := cl.workers["k0-w0"].Running(slot.Grant.Task.Job); got != 0 {
-		t.Errorf("got: %d grants that count on the worker, want: 0: nobody holds one", got)
+		t.Errorf("got: %d grants in force on the worker, want: 0: no node holds one", got)
 	}
 	cl.checkInvariants(t)
 }
--- a/internal/core/stateful_test.go
+++ b/internal/core/stateful_test.go
@@ -31,11 +31,12 @@
 	settleTime    = 100 * time.Second
 )
 
-// system is the cell under test with what was promised to its operators.
+// system is the cluster under test, together with what it has acknowledged to
+// its operators.
 type system struct {
 	*cluster
-	// accepted has the jobs that were said to be accepted, cancelled those that
-	// were said to be cancelled.
+	// accepted has the jobs whose submission was acknowledged, cancelled those
+	// whose cancellation was.
 	accepted  map[string]leverdyke.JobSpec
 	cancelled map[string]bool
 	version   uint64
@@ -43,11 +44,12 @@
 	nextJob   int
 }
 
-// model is the oracle's state; the promises themselves are kept beside the
-// system, since only its answers say what was accepted.
+// model is the state that gopter passes to commands. What must hold is kept in
+// system instead, since it depends on the system's answers.
 type model struct{ steps int }
 
-// command is one step: a fault, an operator's change, or time that passes.
+// command is one step of a sequence: a fault, an operator's change, or a period
+// of time.
 type command struct {
 	name string
 	do   func(s *system)
@@ -107,15 +109,16 @@
 		case err == nil:
 			s.cancelled[id] = true
 		case !errors.Is(err, state.ErrNotTaken):
-			// It may take effect later: nothing is promised of the job.
+			// The cancellation may still take effect, so that the job may end either
+			// way.
 			delete(s.accepted, id)
 		}
 		return
 	}
 }
 
-// publish changes a document; a change on a version that was replaced must
-// never be accepted.
+// publish changes a document. With isStale the change is based on a version that
+// was replaced, and must not be accepted.
 func (s *system) publish(isStale bool) {
 	base := s.version
 	if isStale {
@@ -128,12 +131,13 @@
 	case err == nil:
 		s.version++
 	case errors.Is(err, state.ErrConflict) && !isStale:
-		// An earlier change whose answer did not come took effect.
+		// An earlier change whose answer was lost has taken effect.
 		s.version++
 	}
 }
 
-// settle ends all faults and looks whether all promises are kept.
+// settle ends all faults, lets the cluster recover, and checks that everything it
+// acknowledged holds.
 func (s *system) settle() {
 	s.heal()
 	s.run(settleTime)
@@ -154,14 +158,15 @@
 	}
 }
 
+// violationOf returns what is wrong with an acknowledged job, or "".
 func (s *system) violationOf(id string, spec *leverdyke.JobSpec) string {
 	j := s.job(id)
 	switch {
 	case j == nil:
-		return "an accepted job is lost"
+		return "the accepted job is lost"
 	case s.cancelled[id]:
 		if got := s.running(id); got != 0 {
-			return fmt.Sprintf("it was cancelled, and %d tasks run", got)
+			return fmt.Sprintf("the job was cancelled, but %d of its tasks run", got)
 		}
 	case spec.Kind == leverdyke.KindService:
 		if got := s.running(id); got != spec.Tasks {
@@ -169,10 +174,10 @@
 		}
 	case spec.IsOnce:
 		if got := j.Final[leverdyke.TaskDone] + j.Final[leverdyke.TaskUnknown]; got != spec.Tasks {
-			return fmt.Sprintf("of %d once-only tasks: %v", spec.Tasks, j.Final)
+			return fmt.Sprintf("not all of %d at-most-once tasks have ended: %v", spec.Tasks, j.Final)
 		}
 	case j.Final[leverdyke.TaskDone] != spec.Tasks:
-		return fmt.Sprintf("of %d tasks: %v", spec.Tasks, j.Final)
+		return fmt.Sprintf("not all of %d tasks have succeeded: %v", spec.Tasks, j.Final)
 	}
 	return ""
 }
@@ -181,7 +186,8 @@
 	return gen.IntRange(0, 1<<20).Map(func(n int) commands.Command { return newCommand(n) })
 }
 
-// newCommand makes a command out of a number.
+// newCommand returns the command that a random number stands for: n%32 selects
+// the kind and n>>8 is the parameter, which follows the name after a slash.
 func newCommand(n int) *command {
 	i, kind := n>>8, []string{"batch", "service", "gang", "once", "urgent"}[(n>>8)%5]
 	name := func(text string) string { return fmt.Sprintf("%s/%d", text, i) }
@@ -249,13 +255,13 @@
 	s.workers[s.names[i%len(s.names)]].SetFaults(native.WorkerFaults{Mode: m})
 }
 
-// replay runs commands by their names, as a failed run prints them.
+// replay runs commands given by the names that a failed run prints.
 func replay(t *testing.T, names ...string) {
 	t.Helper()
 	s := newSystem(t)
 	for _, name := range names {
 		if got := namedCommand(t, name).Run(s); got != "" {
-			t.Errorf("%s: got: %v, want: no promise broken", name, got)
+			t.Errorf("%s: got: %v, want: no guarantee broken", name, got)
 			return
 		}
 	}
@@ -289,17 +295,18 @@
 	return &system{cluster: cl, accepted: map[string]leverdyke.JobSpec{}, cancelled: map[string]bool{}, version: 1}
 }
 
-// TestSequencesThatOnceBrokeAPromise has what random runs found.
+// Replays sequences found by random runs in which the cluster once broke a
+// guarantee.
 func TestSequencesThatBrokeAGuarantee(t *testing.T) {
 	for name, sequence := range map[string][]string{
-		"a start that was ordered twice, refused and then taken": {
+		"a start that was ordered twice, refused and then accepted": {
 			"worker cut/20", "run 7s", "cut node from log/509", "submit urgent/934", "pause node/1321", "run 3s", "worker dies/3039", "settle/4019",
 		},
-		"a job that was accepted by a node that lagged": {
+		"a job accepted by a node that lags behind the log": {
 			"cut node from log/363", "cut node from log/2062", "restart node/3879", "pause node/310", "submit urgent/1504", "run 12s", "wake node/3991",
 			"submit once/1163", "restart node/2022", "run 9s", "settle/2013",
 		},
-		"an all-at-once job at a home that knows no rack": {
+		"an all-at-once job in a job shard that knows no rack": {
 			"submit gang/2197", "cut worker's answers/2167", "kill node/3906", "submit gang/3032", "run 5s", "pause node/2986", "kill node/3533", "run 9s", "settle/1845",
 		},
 	} {
@@ -307,8 +314,8 @@
 	}
 }
 
-// TestFaultsInAnyOrderBreakNoPromise drives a cell through random faults and
-// changes, and compares what runs with what was promised.
+// Drives a cluster through random faults and changes, and compares what runs with
+// what the cluster has acknowledged.
 func TestFaultsInAnyOrderBreakNoGuarantee(t *testing.T) {
 	seed, sequences := int64(fuzzSeed), fuzzSequences
 	if text := os.Getenv("LEVERDYKE_FUZZ_SEED"); text != "" {
@@ -322,7 +329,7 @@
 	parameters.MinSuccessfulTests = sequences
 	parameters.MinSize, parameters.MaxSize = fuzzSize, fuzzSize+10
 	properties := gopter.NewProperties(parameters)
-	properties.Property("no promise is broken", commands.Prop(&commands.ProtoCommands{
+	properties.Property("no guarantee is broken", commands.Prop(&commands.ProtoCommands{
 		NewSystemUnderTestFunc: func(commands.State) commands.SystemUnderTest { return newSystem(t) },
 		InitialStateGen:        gen.Const(model{}),
 		GenCommandFunc:         genCommand,
