--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -24,7 +24,8 @@
 	batchesRetryDelay = time.Second
 	stateRetryDelay   = 3 * time.Second
 	// stateRequestDelay is how long a new node tries to read the log before it
-	// asks a peer for its state.
+	// asks a peer for its state. A quarter of it is how long reads of the log must
+	// have failed before a node asks peers for anything.
 	stateRequestDelay = 2 * time.Second
 )
 
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -239,8 +239,8 @@
 // deputy while the log is unavailable, so that their leases are renewed and
 // their tasks keep running.
 func (c *Core) takeOverAsDeputy(now time.Time) {
-	isReadFailing := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > deputyAfter && c.members.IsLogOutForAll(now)
-	if !isReadFailing || !c.IsJoined() || c.isDraining {
+	isUnavailableForAll := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > deputyAfter && c.members.IsLogOutForAll(now)
+	if !isUnavailableForAll || !c.IsJoined() || c.isDraining {
 		return
 	}
 	v := c.view(now)
