--- a/internal/tail/buffer_test.go
+++ b/internal/logbuffer/buffer_test.go
@@ -1,22 +1,23 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package tail_test
+package logbuffer_test
 
 import (
 	"testing"
 
-	"github.com/leverdyke/leverdyke/internal/tail"
+	"github.com/leverdyke/leverdyke/internal/logbuffer"
 )
 
 func TestAfterHasNoGaps(t *testing.T) {
-	b := tail.NewBuffer(-1)
+	b := logbuffer.NewBuffer(-1)
 	large := make([]byte, 100<<10)
 	for offset := range int64(5) {
 		b.Add(offset, large)
 	}
 	for offset, want := range map[int64]int{
-		// Two fit; what follows offset 1 has been dropped in part.
+		// Only two batches fit, 3 and 4; some batches that follow offset 1 have
+		// been dropped, so that After(1) must return none.
 		-1: 0, 1: 0, 2: 2, 3: 1, 4: 0, 9: 0,
 	} {
 		got := b.After(offset)
@@ -30,12 +31,12 @@
 }
 
 func TestLastBatchIsKeptHoweverLong(t *testing.T) {
-	b := tail.NewBuffer(6)
+	b := logbuffer.NewBuffer(6)
 	b.Add(7, make([]byte, 1<<20))
 	if got := len(b.After(6)); got != 1 {
 		t.Errorf("got: %d batches, want: 1", got)
 	}
 	if got := len(b.After(5)); got != 0 {
-		t.Errorf("before its begin: got: %d batches, want: 0", got)
+		t.Errorf("before the buffer's first batch: got: %d batches, want: 0", got)
 	}
 }
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -12,50 +12,55 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// Victim is a running task that urgent work could push aside.
+// Victim is a running task that could be preempted for more urgent work.
 type Victim struct {
-	Key    worker.Key
+	Key worker.Key
+	// Charge is the resources that the task occupies on its VM.
 	Charge leverdyke.Resources
 	Class  leverdyke.Class
-	// IsOnce forbids it: the task may not start again.
-	IsOnce bool
-	// IsThrottled means that it was throttled before.
+	// IsAtMostOnce means that the task must not be started again, and is
+	// therefore never preempted.
+	IsAtMostOnce bool
+	// IsThrottled means that the task is throttled already.
 	IsThrottled bool
-	// Ran is how long it has run: what stopping it would waste.
-	Ran time.Duration
+	// RunTime is how long the task has run; stopping it wastes this time.
+	RunTime time.Duration
 }
 
-// Push is what to do to one victim.
-type Push struct {
-	Key  worker.Key
-	Deed worker.Deed
+// Preemption is the action to take on one victim.
+type Preemption struct {
+	Key    worker.Key
+	Action worker.Deed
 }
 
-// Preempt returns the gentlest deeds that free need on a VM with free left, or
-// nil if no set of them does. Only tasks of a lower class than the need's are
-// touched, and none that may not be repeated.
-func Preempt(need, free leverdyke.Resources, class leverdyke.Class, victims []Victim) []Push {
+// Preempt returns the least disruptive preemptions that make room for need on a
+// VM whose free capacity is given, or nil if none suffice. Throttling is
+// preferred to stopping; the least urgent tasks come first, and of those the
+// ones that have run for the shortest time. Only tasks of a less urgent class
+// are preempted, and none that must not be started again.
+func Preempt(need, free leverdyke.Resources, class leverdyke.Class, victims []Victim) []Preemption {
 	candidates := []Victim{}
 	for _, v := range victims {
-		if !v.IsOnce && v.Class.Rank() > class.Rank() {
+		if !v.IsAtMostOnce && v.Class.Rank() > class.Rank() {
 			candidates = append(candidates, v)
 		}
 	}
 	slices.SortFunc(candidates, func(a, b Victim) int {
 		return cmp.Or(
-			cmp.Compare(b.Class.Rank(), a.Class.Rank()), cmp.Compare(a.Ran, b.Ran),
+			cmp.Compare(b.Class.Rank(), a.Class.Rank()), cmp.Compare(a.RunTime, b.RunTime),
 			cmp.Compare(a.Key.Task.Job, b.Key.Task.Job), cmp.Compare(a.Key.Task.Index, b.Key.Task.Index),
 		)
 	})
-	if pushes := throttleOnly(need, free, candidates); pushes != nil {
-		return pushes
+	if preemptions := throttleOnly(need, free, candidates); preemptions != nil {
+		return preemptions
 	}
-	return stopSome(need, free, candidates)
+	return stopVictims(need, free, candidates)
 }
 
-// throttleOnly helps where only processors are short.
-func throttleOnly(need, free leverdyke.Resources, candidates []Victim) []Push {
-	pushes := []Push{}
+// throttleOnly throttles victims until need fits, or returns nil if throttling
+// does not suffice. Throttling frees CPU only, no memory, slots or accelerators.
+func throttleOnly(need, free leverdyke.Resources, candidates []Victim) []Preemption {
+	preemptions := []Preemption{}
 	for _, v := range candidates {
 		if need.FitsIn(free) {
 			break
@@ -64,17 +69,18 @@
 			continue
 		}
 		free.MilliCPU += v.Charge.MilliCPU - v.Charge.MilliCPU/worker.ThrottleDivisor
-		pushes = append(pushes, Push{v.Key, worker.DeedThrottle})
+		preemptions = append(preemptions, Preemption{v.Key, worker.DeedThrottle})
 	}
-	if !need.FitsIn(free) || len(pushes) == 0 {
+	if !need.FitsIn(free) || len(preemptions) == 0 {
 		return nil
 	}
-	return pushes
+	return preemptions
 }
 
-// stopSome checkpoints victims until the need fits, then spares those that
-// turned out not to be needed, dearest first.
-func stopSome(need, free leverdyke.Resources, candidates []Victim) []Push {
+// stopVictims checkpoints and stops victims until need fits, then spares those
+// whose resources turn out not to be needed. It checks in the reverse order, so
+// that the victims that are most costly to stop are spared first.
+func stopVictims(need, free leverdyke.Resources, candidates []Victim) []Preemption {
 	taken := []Victim{}
 	for _, v := range candidates {
 		if need.FitsIn(free) {
@@ -86,13 +92,13 @@
 	if !need.FitsIn(free) {
 		return nil
 	}
-	pushes := []Push{}
+	preemptions := []Preemption{}
 	for i := len(taken) - 1; i >= 0; i-- {
 		if need.FitsIn(free.Sub(taken[i].Charge)) {
 			free = free.Sub(taken[i].Charge)
 			continue
 		}
-		pushes = append(pushes, Push{taken[i].Key, worker.DeedCheckpoint})
+		preemptions = append(preemptions, Preemption{taken[i].Key, worker.DeedCheckpoint})
 	}
-	return pushes
+	return preemptions
 }
