--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -54,9 +54,9 @@
 }
 
 func (c *Core) performRack(id state.ShardID, o *ownedRack) (decided int, isBusy bool) {
-	out := o.rack.Take()
+	out := o.rack.TakeOutput()
 	for _, d := range out.Decisions {
-		events.Log(events.TaskPlaced, "task", d.Key.String(), "worker", d.Worker, "why", d.Why, "runnerUp", d.RunnerUp, "rack", id)
+		events.Log(events.TaskPlaced, "task", d.Key.String(), "worker", d.Worker, "why", d.Reason, "runnerUp", d.RunnerUp, "rack", id)
 	}
 	for _, e := range out.Events {
 		c.logRackEvent(id, &e)
@@ -69,7 +69,7 @@
 	}
 	for _, a := range out.Acts {
 		if l := o.links[a.Worker]; l != nil {
-			l.Act(a.Deed, a.Keys)
+			l.Act(a.Action, a.Keys)
 		}
 	}
 	for _, f := range out.Forgets {
@@ -77,21 +77,21 @@
 			l.Forget(f.Keys)
 		}
 	}
-	for i := range out.ToHome {
-		c.sendToHome(&out.ToHome[i])
+	for i := range out.ToJobShards {
+		c.sendToHome(&out.ToJobShards[i])
 	}
-	for i := range out.ToNode {
-		c.sendToNode(out.ToNode[i].Node, &out.ToNode[i].Message)
+	for i := range out.ToNodes {
+		c.sendToNode(out.ToNodes[i].Node, &out.ToNodes[i].Message)
 	}
-	return len(out.Decisions), len(out.ToHome)+len(out.ToNode)+len(out.Starts) > 0
+	return len(out.Decisions), len(out.ToJobShards)+len(out.ToNodes)+len(out.Starts) > 0
 }
 
-func (c *Core) sendToHome(m *rack.HomeMessage) {
-	if c.homes[m.Home] != nil {
+func (c *Core) sendToHome(m *rack.JobShardMessage) {
+	if c.homes[m.JobShard] != nil {
 		c.toOwnedHome(c.now(), &m.Message)
 		return
 	}
-	if owner, ok := c.OwnerOf(m.Home); ok {
+	if owner, ok := c.OwnerOf(m.JobShard); ok {
 		c.out.Send(owner, &m.Message)
 	}
 }
@@ -153,10 +153,10 @@
 func (c *Core) tellRooms() {
 	for _, id := range sorted(c.racks) {
 		o := c.racks[id]
-		if !o.rack.TakeChanged() {
+		if !o.rack.TakeSummaryChanged() {
 			continue
 		}
-		room := o.rack.Room(c.now())
+		room := o.rack.Summary(c.now())
 		if summary.IsSame(&room, &o.room) {
 			continue
 		}
@@ -180,16 +180,16 @@
 }
 
 var rackEvents = map[rack.EventKind]events.Event{
-	rack.EventWorkerLost:     events.WorkerLost,
-	rack.EventWorkerSetAside: events.WorkerSetAside,
-	rack.EventWorkerProbed:   events.WorkerProbed,
-	rack.EventWorkerBack:     events.WorkerBack,
-	rack.EventWorkerSilent:   events.WorkerSilent,
-	rack.EventWorkerLeaving:  events.WorkerLeaving,
-	rack.EventWorkerOverused: events.WorkerOverused,
-	rack.EventPreempted:      events.TaskPreempted,
-	rack.EventLateTask:       events.TaskLate,
-	rack.EventComplete:       events.RackComplete,
+	rack.EventWorkerLost:       events.WorkerLost,
+	rack.EventWorkerEjected:    events.WorkerSetAside,
+	rack.EventWorkerProbed:     events.WorkerProbed,
+	rack.EventWorkerReadmitted: events.WorkerBack,
+	rack.EventWorkerSilent:     events.WorkerSilent,
+	rack.EventWorkerLeaving:    events.WorkerLeaving,
+	rack.EventWorkerOverused:   events.WorkerOverused,
+	rack.EventPreempted:        events.TaskPreempted,
+	rack.EventLateTask:         events.TaskLate,
+	rack.EventComplete:         events.RackComplete,
 }
 
 func (c *Core) logRackEvent(id state.ShardID, e *rack.Event) {
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -73,19 +73,19 @@
 	r := o.rack
 	switch {
 	case m.Ask != nil:
-		r.OnAsk(m.Ask)
+		r.OnStartRequest(m.Ask)
 	case m.Deed != nil:
-		r.OnDeed(now, m.Deed)
+		r.OnAction(now, m.Deed)
 	case m.HomeSync != nil:
-		r.OnHomeSync(m.HomeSync)
+		r.OnShardSync(m.HomeSync)
 	case m.NewsAck != nil:
-		r.OnNewsAck(m.NewsAck)
+		r.OnUpdateAck(m.NewsAck)
 	case m.Hold != nil:
-		r.OnHold(now, m.Hold)
+		r.OnReserve(now, m.Hold)
 	case m.Release != nil:
 		r.OnRelease(m.Release)
 	case m.GrantAsk != nil:
-		r.OnGrantAsk(now, from, m.GrantAsk)
+		r.OnGrantRequest(now, from, m.GrantAsk)
 	case m.GrantDone != nil:
 		r.OnGrantDone(now, from, m.GrantDone)
 	}
@@ -233,7 +233,7 @@
 		return m == nil || m.HasLeft || (ok && now.Sub(since) > holderGone)
 	}
 	for _, id := range sorted(c.racks) {
-		c.racks[id].rack.DropHolder(now, isGone)
+		c.racks[id].rack.StopGrantsOf(now, isGone)
 	}
 }
 
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -296,7 +296,7 @@
 			continue
 		}
 		if _, ok := c.deputised[id]; !ok {
-			o.rack.SetSole(asOf)
+			o.rack.ConfirmSoleOwner(asOf)
 		}
 	}
 }
--- a/internal/core/workers.go
+++ b/internal/core/workers.go
@@ -27,7 +27,7 @@
 // OnSilent notes that a worker did not answer.
 func (c *Core) OnSilent(id state.ShardID, epoch worker.Epoch, w worker.ID) {
 	if r := c.owned(id, epoch); r != nil {
-		r.OnSilent(w)
+		r.OnUnresponsive(w)
 	}
 }
 
--- a/internal/rack/bench_test.go
+++ b/internal/rack/bench_test.go
@@ -38,13 +38,13 @@
 		began := time.Now()
 		at := placement.BestRack(placement.Fill, each, views, i, 8)
 		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, Home: string(home), Each: each}
-		racks[at].OnAsk(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch, Items: []node.AskItem{{Task: task, Packing: 1}}})
+		racks[at].OnStartRequest(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch, Items: []node.AskItem{{Task: task, Packing: 1}}})
 		racks[at].Flush(now)
 		_ = h.RecordValue(time.Since(began).Nanoseconds())
-		out := racks[at].Take()
+		out := racks[at].TakeOutput()
 		results := []worker.StartResult{{Key: task.Key, Refused: "the benchmark takes it back"}}
 		racks[at].OnStartResults(now, out.Starts[0].Worker, results)
-		racks[at].Take()
+		racks[at].TakeOutput()
 	}
 	b.ReportMetric(float64(h.ValueAtQuantile(50))/1000, "p50-us")
 	b.ReportMetric(float64(h.ValueAtQuantile(99))/1000, "p99-us")
@@ -76,7 +76,7 @@
 		if _, _, running := owner.Counts(now); running != 8*tasksEach {
 			panic(fmt.Sprintf("rack_test: got: %d tasks in a rack, want: %d", running, 8*tasksEach))
 		}
-		room := owner.Room(now)
+		room := owner.Summary(now)
 		racks = append(racks, owner)
 		views = append(views, placement.RackView{Free: room.Free, Largest: room.Largest, Capacity: room.Capacity})
 	}
@@ -90,6 +90,6 @@
 	racks, _ := newBenchRacks(now, 8, leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 4096, Slots: 1})
 	b.ReportAllocs()
 	for b.Loop() {
-		racks[0].DropHolder(now, func(state.NodeID) bool { return false })
+		racks[0].StopGrantsOf(now, func(state.NodeID) bool { return false })
 	}
 }
--- a/internal/rack/grantpreemption_test.go
+++ b/internal/rack/grantpreemption_test.go
@@ -27,7 +27,7 @@
 		b.ask(node.AskItem{Task: task})
 	}
 	b.run(1)
-	if got := b.rack.Room(b.clock.Now()).Free.Slots; got != 0 {
+	if got := b.rack.Summary(b.clock.Now()).Free.Slots; got != 0 {
 		t.Fatalf("got: %d slots free, want: 0", got)
 	}
 	return b
@@ -51,9 +51,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newFullBench(t, c.class, c.isOnce)
-			b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.asked})
+			b.rack.OnGrantRequest(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.asked})
 			b.perform()
-			b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.asked})
+			b.rack.OnGrantRequest(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.asked})
 			b.perform()
 			b.run(2)
 			given, refused := 0, 0
@@ -89,11 +89,11 @@
 // Room that does not come about is refused in time for another rack to be asked.
 func TestPushThatDoesNotHelpIsRefused(t *testing.T) {
 	b := newFullBench(t, leverdyke.ClassBatch, false)
-	b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 1, Class: leverdyke.ClassNormal})
+	b.rack.OnGrantRequest(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 1, Class: leverdyke.ClassNormal})
 	// The worker's answer is lost with the worker: nothing is performed.
-	b.rack.Take()
+	b.rack.TakeOutput()
 	b.clock.Advance(2 * time.Second)
-	b.rack.OnSilent("w0")
+	b.rack.OnUnresponsive("w0")
 	b.rack.Tick(b.clock.Now())
 	b.perform()
 	if len(b.toNode) != 1 || b.toNode[0].Grant == nil || b.toNode[0].Grant.Refused == "" {
@@ -105,7 +105,7 @@
 func TestSummaryTellsWhatBatchesYield(t *testing.T) {
 	for class, want := range map[leverdyke.Class]int{leverdyke.ClassBatch: 3, leverdyke.ClassNormal: 0} {
 		b := newFullBench(t, class, false)
-		room := b.rack.Room(b.clock.Now())
+		room := b.rack.Summary(b.clock.Now())
 		if got := room.Services[0]; got.Slots != 0 || got.Yield != want {
 			t.Errorf("%s: got: %+v, want: 0 slots and %d yielded", class, got, want)
 		}
--- a/internal/rack/grants.go
+++ b/internal/rack/grants.go
@@ -21,8 +21,8 @@
 	grantCheckPeriod = 5 * time.Second
 )
 
-// OnGrantAsk gives a node slots of a worker that runs the service.
-func (r *Rack) OnGrantAsk(now time.Time, from state.NodeID, m *node.GrantAsk) {
+// OnGrantRequest gives a node slots of a worker that runs the service.
+func (r *Rack) OnGrantRequest(now time.Time, from state.NodeID, m *node.GrantAsk) {
 	v, replica := r.bestReplica(now, m.Service)
 	switch {
 	case v != nil:
@@ -34,7 +34,7 @@
 
 func (r *Rack) refuseGrantAsk(to state.NodeID, m *node.GrantAsk) {
 	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: m.Service, Refused: whyNoRoom}
-	r.out.ToNode = append(r.out.ToNode, NodeMessage{to, node.Message{Grant: g}})
+	r.out.ToNodes = append(r.out.ToNodes, NodeMessage{to, node.Message{Grant: g}})
 }
 
 // giveGrant starts a grant on a worker that has room for one slot at least.
@@ -88,12 +88,12 @@
 		Rack: r.ID, RackEpoch: r.Epoch, Key: h.task.Key, Service: h.task.Service, Worker: h.vm.id,
 		Addr: h.vm.addr, Zone: h.vm.zone, Slots: int(h.task.Each.Slots), IsOnce: h.task.IsRequestOnce,
 	}
-	r.out.ToNode = append(r.out.ToNode, NodeMessage{state.NodeID(h.task.Holder), node.Message{Grant: g}})
+	r.out.ToNodes = append(r.out.ToNodes, NodeMessage{state.NodeID(h.task.Holder), node.Message{Grant: g}})
 }
 
 func (r *Rack) refuseGrant(h *held, why string) {
 	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: h.task.Service, Refused: why}
-	r.out.ToNode = append(r.out.ToNode, NodeMessage{state.NodeID(h.task.Holder), node.Message{Grant: g}})
+	r.out.ToNodes = append(r.out.ToNodes, NodeMessage{state.NodeID(h.task.Holder), node.Message{Grant: g}})
 }
 
 // grantEnded forgets a grant that the worker no longer counts.
@@ -107,7 +107,7 @@
 
 func (r *Rack) recall(h *held) {
 	m := node.Message{GrantRecall: &node.GrantRecall{Key: h.task.Key}}
-	r.out.ToNode = append(r.out.ToNode, NodeMessage{state.NodeID(h.task.Holder), m})
+	r.out.ToNodes = append(r.out.ToNodes, NodeMessage{state.NodeID(h.task.Holder), m})
 }
 
 // OnGrantDone takes a grant back. Its room is free when the worker says so.
@@ -118,9 +118,9 @@
 	}
 }
 
-// DropHolder takes back the grants of a node that has ended or is not heard.
+// StopGrantsOf takes back the grants of a node that has ended or is not heard.
 // A worker finishes what runs under a grant before it counts as ended.
-func (r *Rack) DropHolder(now time.Time, isGone func(state.NodeID) bool) {
+func (r *Rack) StopGrantsOf(now time.Time, isGone func(state.NodeID) bool) {
 	for _, h := range liveGrants(r.held) {
 		if isGone(state.NodeID(h.task.Holder)) {
 			r.stopGrant(now, h)
@@ -165,7 +165,7 @@
 	}
 	for _, holder := range slices.Sorted(maps.Keys(checks)) {
 		m := node.Message{GrantCheck: &node.GrantCheck{Rack: r.ID, Keys: checks[holder]}}
-		r.out.ToNode = append(r.out.ToNode, NodeMessage{holder, m})
+		r.out.ToNodes = append(r.out.ToNodes, NodeMessage{holder, m})
 	}
 }
 
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -139,13 +139,13 @@
 
 // Output is what the rack's owner wants done.
 type Output struct {
-	Starts    []StartOrder
-	Acts      []ActOrder
-	Forgets   []ForgetOrder
-	ToHome    []HomeMessage
-	ToNode    []NodeMessage
-	Decisions []Decision
-	Events    []Event
+	Starts      []StartOrder
+	Acts        []ActOrder
+	Forgets     []ForgetOrder
+	ToJobShards []JobShardMessage
+	ToNodes     []NodeMessage
+	Decisions   []Decision
+	Events      []Event
 }
 
 // StartOrder gives attempts to a worker. It is bound to what the owner knew of
@@ -161,7 +161,7 @@
 // ActOrder does a deed on a worker.
 type ActOrder struct {
 	Worker worker.ID
-	Deed   worker.Deed
+	Action worker.Deed
 	Keys   []worker.Key
 }
 
@@ -171,10 +171,10 @@
 	Keys   []worker.Key
 }
 
-// HomeMessage goes to whichever node owns the home.
-type HomeMessage struct {
-	Home    state.ShardID
-	Message node.Message
+// JobShardMessage goes to whichever node owns the home.
+type JobShardMessage struct {
+	JobShard state.ShardID
+	Message  node.Message
 }
 
 // NodeMessage goes to a node.
@@ -188,7 +188,7 @@
 	Key      worker.Key
 	Worker   worker.ID
 	RunnerUp worker.ID
-	Why      string
+	Reason   string
 }
 
 // Event is something that an operator may have to know.
@@ -204,16 +204,16 @@
 
 // The events of a rack.
 const (
-	EventWorkerSilent   EventKind = "worker-silent"
-	EventWorkerLeaving  EventKind = "worker-leaving"
-	EventWorkerOverused EventKind = "worker-overused"
-	EventWorkerLost     EventKind = "worker-lost"
-	EventWorkerSetAside EventKind = "worker-set-aside"
-	EventWorkerProbed   EventKind = "worker-probed"
-	EventWorkerBack     EventKind = "worker-back"
-	EventPreempted      EventKind = "preempted"
-	EventLateTask       EventKind = "late-task"
-	EventComplete       EventKind = "rack-complete"
+	EventWorkerSilent     EventKind = "worker-silent"
+	EventWorkerLeaving    EventKind = "worker-leaving"
+	EventWorkerOverused   EventKind = "worker-overused"
+	EventWorkerLost       EventKind = "worker-lost"
+	EventWorkerEjected    EventKind = "worker-set-aside"
+	EventWorkerProbed     EventKind = "worker-probed"
+	EventWorkerReadmitted EventKind = "worker-back"
+	EventPreempted        EventKind = "preempted"
+	EventLateTask         EventKind = "late-task"
+	EventComplete         EventKind = "rack-complete"
 )
 
 // NewRack takes ownership of a rack. Until SetSole is called, the leases of
@@ -236,17 +236,17 @@
 // TTL returns the length of the leases that this owner gives.
 func (r *Rack) TTL() time.Duration { return r.options.TTL }
 
-// SetSole says that, as late as asOf, every earlier owner had ended or had said
+// ConfirmSoleOwner says that, as late as asOf, every earlier owner had ended or had said
 // that it renews no more, and there was no later owner.
-func (r *Rack) SetSole(asOf time.Time) {
+func (r *Rack) ConfirmSoleOwner(asOf time.Time) {
 	if r.soleSince.IsZero() {
 		r.soleSince = asOf
 	}
 	r.soleAsOf = later(r.soleAsOf, asOf)
 }
 
-// IsSole reports whether SetSole was called.
-func (r *Rack) IsSole() bool { return !r.soleSince.IsZero() }
+// IsSoleOwner reports whether SetSole was called.
+func (r *Rack) IsSoleOwner() bool { return !r.soleSince.IsZero() }
 
 // SetWorkers brings the rack's workers up to the platform's list.
 func (r *Rack) SetWorkers(now time.Time, list []vmlist.VM) {
@@ -290,9 +290,9 @@
 	r.isChanged = true
 }
 
-// OnSilent notes that a worker did not answer; its tasks live on until their
+// OnUnresponsive notes that a worker did not answer; its tasks live on until their
 // leases have lapsed.
-func (r *Rack) OnSilent(id worker.ID) {
+func (r *Rack) OnUnresponsive(id worker.ID) {
 	v := r.vms[id]
 	if v == nil || v.isSilent {
 		return
@@ -302,8 +302,8 @@
 	r.event(EventWorkerSilent, id, worker.Key{}, "")
 }
 
-// Take returns what was ordered since the last call.
-func (r *Rack) Take() Output {
+// TakeOutput returns what was ordered since the last call.
+func (r *Rack) TakeOutput() Output {
 	out := r.out
 	r.out = Output{}
 	return out
@@ -335,8 +335,8 @@
 	return isFresh && !v.isSilent && !v.isLeaving && !v.isListedLeaving && !v.isDrained && !v.isGone && !r.options.IsDeputy
 }
 
-// TakeChanged reports whether the summary may have changed since the last call.
-func (r *Rack) TakeChanged() bool {
+// TakeSummaryChanged reports whether the summary may have changed since the last call.
+func (r *Rack) TakeSummaryChanged() bool {
 	isChanged := r.isChanged
 	r.isChanged = false
 	return isChanged
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -76,7 +76,7 @@
 	b.t.Helper()
 	for _, id := range b.names {
 		if b.workers[id].Mode() != native.ModeUp {
-			b.rack.OnSilent(id)
+			b.rack.OnUnresponsive(id)
 			continue
 		}
 		s := &worker.Sync{Epoch: epoch, TTL: b.rack.TTL(), Forget: b.forgets[id]}
@@ -97,7 +97,7 @@
 // perform carries out what the rack has ordered.
 func (b *bench) perform() {
 	b.t.Helper()
-	out := b.rack.Take()
+	out := b.rack.TakeOutput()
 	b.events = append(b.events, out.Events...)
 	b.decided = append(b.decided, out.Decisions...)
 	for _, o := range out.Starts {
@@ -115,15 +115,15 @@
 		b.forgets[f.Worker] = append(b.forgets[f.Worker], f.Keys...)
 	}
 	for _, o := range out.Acts {
-		if err := b.workers[o.Worker].Act(&worker.Act{Epoch: epoch, Deed: o.Deed, Keys: o.Keys}); err != nil {
+		if err := b.workers[o.Worker].Act(&worker.Act{Epoch: epoch, Deed: o.Action, Keys: o.Keys}); err != nil {
 			b.t.Fatal(err)
 		}
 	}
-	rest := b.rack.Take()
-	for _, m := range append(out.ToHome, rest.ToHome...) {
+	rest := b.rack.TakeOutput()
+	for _, m := range append(out.ToJobShards, rest.ToJobShards...) {
 		b.hear(&m.Message)
 	}
-	for _, m := range append(out.ToNode, rest.ToNode...) {
+	for _, m := range append(out.ToNodes, rest.ToNodes...) {
 		b.toNode = append(b.toNode, m.Message)
 	}
 }
@@ -149,7 +149,7 @@
 		for _, w := range b.workers {
 			w.Expire()
 		}
-		b.rack.SetSole(b.clock.Now())
+		b.rack.ConfirmSoleOwner(b.clock.Now())
 		b.sync()
 		b.rack.Tick(b.clock.Now())
 		b.perform()
@@ -165,7 +165,7 @@
 
 func (b *bench) ask(items ...node.AskItem) {
 	b.t.Helper()
-	b.rack.OnAsk(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch, Items: items})
+	b.rack.OnStartRequest(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch, Items: items})
 	b.rack.Flush(b.clock.Now())
 	b.perform()
 }
@@ -194,7 +194,7 @@
 func TestAskForAnotherEpochIsRefused(t *testing.T) {
 	b := newBench(t, 1, vm)
 	task := b.task("j", small, leverdyke.ClassNormal)
-	b.rack.OnAsk(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch - 1, Items: []node.AskItem{{Task: task}}})
+	b.rack.OnStartRequest(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch - 1, Items: []node.AskItem{{Task: task}}})
 	b.rack.Flush(b.clock.Now())
 	b.perform()
 	if got := b.answers[task.Key]; got.Refused == "" || b.starts != 0 {
@@ -204,7 +204,7 @@
 
 func TestLaterHomeShutsTheEarlierOneOut(t *testing.T) {
 	b := newBench(t, 1, vm)
-	b.rack.OnHomeSync(&node.HomeSync{Home: home, HomeEpoch: 2, Rack: "rack/r1/k"})
+	b.rack.OnShardSync(&node.HomeSync{Home: home, HomeEpoch: 2, Rack: "rack/r1/k"})
 	task := b.task("j", small, leverdyke.ClassNormal)
 	b.ask(node.AskItem{Task: task})
 	if got := b.answers[task.Key]; got.Refused == "" || b.starts != 0 {
@@ -235,7 +235,7 @@
 	b.ask(node.AskItem{Task: b.task("other", leverdyke.Resources{MilliCPU: 1, MemoryMiB: 1, Slots: 1}, leverdyke.ClassNormal)})
 	b.reports["w0"].Rev = 0
 	b.sync()
-	room := b.rack.Room(b.clock.Now())
+	room := b.rack.Summary(b.clock.Now())
 	if got, want := room.Free.MilliCPU, int64(4000-3000-1); got > want {
 		t.Errorf("got: %d free, want: at most %d, since the first task uses 3 times what it declared", got, want)
 	}
@@ -280,7 +280,7 @@
 		t.Errorf("got: %d batch tasks running, want: 1, throttled", got)
 	}
 	b.run(8)
-	if got := b.rack.Room(b.clock.Now()).Free.MilliCPU; got != 0 {
+	if got := b.rack.Summary(b.clock.Now()).Free.MilliCPU; got != 0 {
 		t.Errorf("got: %d free, want: 0: the batch has its processors back", got)
 	}
 	if got := b.oracle.Report(); got.OverCommits != 0 {
@@ -347,9 +347,9 @@
 	if got := b.news[task.Key]; !got.IsLost {
 		t.Fatalf("got: %+v, want: lost", got)
 	}
-	b.rack.OnNewsAck(&node.NewsAck{Home: home, Keys: []worker.Key{task.Key}})
+	b.rack.OnUpdateAck(&node.NewsAck{Home: home, Keys: []worker.Key{task.Key}})
 	// The word to forget goes with the link of an owner that is replaced.
-	b.rack.Take()
+	b.rack.TakeOutput()
 	b.workers["w0"].SetFaults(native.WorkerFaults{})
 	b.run(3)
 	rep, err := b.workers["w0"].Sync(&worker.Sync{Epoch: epoch})
@@ -364,9 +364,9 @@
 func TestHoldIsAllThereIsAndExpires(t *testing.T) {
 	b := newBench(t, 2, vm)
 	hold := &node.Hold{Home: home, HomeEpoch: 1, Rack: "rack/r1/k", RackEpoch: epoch, ID: 9, Each: small, Count: 20, Expiry: 5 * time.Second}
-	b.rack.OnHold(b.clock.Now(), hold)
-	out := b.rack.Take()
-	if got := out.ToHome[0].Message.HoldReply.Count; got != 8 {
+	b.rack.OnReserve(b.clock.Now(), hold)
+	out := b.rack.TakeOutput()
+	if got := out.ToJobShards[0].Message.HoldReply.Count; got != 8 {
 		t.Fatalf("got: %d places, want: 8", got)
 	}
 	task := b.task("small", small, leverdyke.ClassNormal)
@@ -392,21 +392,21 @@
 	replica := b.task("service", small, leverdyke.ClassNormal)
 	replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
 	b.ask(node.AskItem{Task: replica})
-	b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 9})
+	b.rack.OnGrantRequest(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 9})
 	b.perform()
 	b.run(1)
 	if len(b.toNode) != 1 || b.toNode[0].Grant.Slots != 3 {
 		t.Fatalf("got: %+v, want: one grant of 3 slots", b.toNode)
 	}
-	b.rack.OnGrantAsk(b.clock.Now(), "n2", &node.GrantAsk{Service: "s", Slots: 1})
+	b.rack.OnGrantRequest(b.clock.Now(), "n2", &node.GrantAsk{Service: "s", Slots: 1})
 	b.perform()
 	if got := b.toNode[1].Grant.Refused; got == "" {
 		t.Error("got: a grant, want: refused, since no slot is left")
 	}
-	b.rack.DropHolder(b.clock.Now(), func(n state.NodeID) bool { return n == "n1" })
+	b.rack.StopGrantsOf(b.clock.Now(), func(n state.NodeID) bool { return n == "n1" })
 	b.perform()
 	b.run(2)
-	if got := b.rack.Room(b.clock.Now()).Free.Slots; got != 7 {
+	if got := b.rack.Summary(b.clock.Now()).Free.Slots; got != 7 {
 		t.Errorf("got: %d slots free, want: 7 after the holder is gone", got)
 	}
 }
@@ -418,7 +418,7 @@
 	replica := b.task("service", small, leverdyke.ClassNormal)
 	replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
 	b.ask(node.AskItem{Task: replica})
-	b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 2})
+	b.rack.OnGrantRequest(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 2})
 	b.perform()
 	b.run(1)
 	grant := b.toNode[0].Grant.Key
@@ -430,7 +430,7 @@
 	b.rack.OnGrantDone(b.clock.Now(), "n1", &node.GrantDone{Key: grant})
 	b.perform()
 	b.run(2)
-	if got := b.rack.Room(b.clock.Now()).Free.Slots; got != 3 {
+	if got := b.rack.Summary(b.clock.Now()).Free.Slots; got != 3 {
 		t.Errorf("got: %d slots free, want: 3 after the holder said that it lacks the grant", got)
 	}
 }
@@ -448,7 +448,7 @@
 		replica := b.task("service", small, leverdyke.ClassNormal)
 		replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
 		b.ask(node.AskItem{Task: replica})
-		b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 2})
+		b.rack.OnGrantRequest(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 2})
 		b.perform()
 		b.run(1)
 		grant := b.toNode[0].Grant.Key
--- a/internal/rack/reports.go
+++ b/internal/rack/reports.go
@@ -154,10 +154,10 @@
 	f := r.health.Ended(now, h.vm.id, h.task.Key, h.task.State, len(r.vms))
 	h.isBlamed = f.IsWorkerAtFault
 	if f.IsReadmitted {
-		r.event(EventWorkerBack, h.vm.id, worker.Key{}, "")
+		r.event(EventWorkerReadmitted, h.vm.id, worker.Key{}, "")
 	}
 	if f.EjectedFor > 0 {
-		r.event(EventWorkerSetAside, h.vm.id, worker.Key{}, f.EjectedFor.String())
+		r.event(EventWorkerEjected, h.vm.id, worker.Key{}, f.EjectedFor.String())
 	}
 }
 
@@ -264,7 +264,7 @@
 func (r *Rack) upkeep(now time.Time) {
 	r.lapseWorkers(now)
 	for _, id := range r.health.ReadmitProbed(now) {
-		r.event(EventWorkerBack, id, worker.Key{}, "")
+		r.event(EventWorkerReadmitted, id, worker.Key{}, "")
 		r.isChanged = true
 	}
 	for _, id := range r.order {
--- a/internal/rack/requests.go
+++ b/internal/rack/requests.go
@@ -69,8 +69,8 @@
 	return true
 }
 
-// OnAsk takes an ask; it is settled with the others at the next Flush.
-func (r *Rack) OnAsk(ask *node.Ask) {
+// OnStartRequest takes an ask; it is settled with the others at the next Flush.
+func (r *Rack) OnStartRequest(ask *node.Ask) {
 	why := ""
 	switch {
 	case ask.RackEpoch != r.Epoch:
@@ -190,7 +190,7 @@
 		r.event(EventWorkerProbed, v.id, worker.Key{}, "")
 	}
 	r.orderStart(now, h)
-	d := Decision{Key: h.task.Key, Worker: v.id, Why: why}
+	d := Decision{Key: h.task.Key, Worker: v.id, Reason: why}
 	if second != nil {
 		d.RunnerUp = second.id
 	}
@@ -243,20 +243,20 @@
 
 // answer adds a result to the answers, joined with others for the same home.
 func (r *Rack) answer(ask *node.Ask, result node.AnswerResult) {
-	for i := range r.out.ToHome {
-		m := &r.out.ToHome[i]
-		if m.Home == ask.Home && m.Message.Answer != nil {
+	for i := range r.out.ToJobShards {
+		m := &r.out.ToJobShards[i]
+		if m.JobShard == ask.Home && m.Message.Answer != nil {
 			m.Message.Answer.Results = append(m.Message.Answer.Results, result)
 			return
 		}
 	}
 	a := &node.Answer{Home: ask.Home, Rack: r.ID, RackEpoch: ask.RackEpoch, Results: []node.AnswerResult{result}}
-	r.out.ToHome = append(r.out.ToHome, HomeMessage{ask.Home, node.Message{Answer: a}})
+	r.out.ToJobShards = append(r.out.ToJobShards, JobShardMessage{ask.Home, node.Message{Answer: a}})
 }
 
-// OnDeed does a home's deed to its attempts. Attempts that are not here are
+// OnAction does a home's deed to its attempts. Attempts that are not here are
 // left out: the home learns of them by news.
-func (r *Rack) OnDeed(now time.Time, d *node.Deed) {
+func (r *Rack) OnAction(now time.Time, d *node.Deed) {
 	if !r.acceptHome(d.Home, d.HomeEpoch) {
 		return
 	}
--- a/internal/rack/reservations.go
+++ b/internal/rack/reservations.go
@@ -42,8 +42,8 @@
 	until time.Time
 }
 
-// OnHold holds as many of the places as there are.
-func (r *Rack) OnHold(now time.Time, m *node.Hold) {
+// OnReserve holds as many of the places as there are.
+func (r *Rack) OnReserve(now time.Time, m *node.Hold) {
 	id := holdID{m.Home, m.ID}
 	reply := &node.HoldReply{Home: m.Home, Rack: r.ID, ID: m.ID}
 	isRefused := m.RackEpoch != r.Epoch || !r.acceptHome(m.Home, m.HomeEpoch) || r.options.IsDeputy
@@ -52,7 +52,7 @@
 		r.noteEarmark(now, id, m, reply.Count)
 		r.isChanged = true
 	}
-	r.out.ToHome = append(r.out.ToHome, HomeMessage{m.Home, node.Message{HoldReply: reply}})
+	r.out.ToJobShards = append(r.out.ToJobShards, JobShardMessage{m.Home, node.Message{HoldReply: reply}})
 }
 
 func (r *Rack) hold(now time.Time, id holdID, m *node.Hold) int {
--- a/internal/rack/summary.go
+++ b/internal/rack/summary.go
@@ -13,8 +13,8 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// Room returns the rack's summary.
-func (r *Rack) Room(now time.Time) node.Room {
+// Summary returns the rack's summary.
+func (r *Rack) Summary(now time.Time) node.Room {
 	room := node.Room{Rack: r.ID, Epoch: r.Epoch}
 	services := map[string]*node.ServiceRoom{}
 	for _, id := range r.order {
--- a/internal/rack/updates.go
+++ b/internal/rack/updates.go
@@ -13,9 +13,9 @@
 
 const newsRetry = 2 * time.Second
 
-// OnHomeSync makes the sender's epoch the home's own here and answers with all
+// OnShardSync makes the sender's epoch the home's own here and answers with all
 // of the home's attempts, now and again when the rack is complete.
-func (r *Rack) OnHomeSync(m *node.HomeSync) {
+func (r *Rack) OnShardSync(m *node.HomeSync) {
 	if !r.acceptHome(m.Home, m.HomeEpoch) {
 		return
 	}
@@ -44,7 +44,7 @@
 			n.Items = append(n.Items, newsItem(h))
 		}
 	}
-	r.out.ToHome = append(r.out.ToHome, HomeMessage{home, node.Message{News: n}})
+	r.out.ToJobShards = append(r.out.ToJobShards, JobShardMessage{home, node.Message{News: n}})
 }
 
 func newsItem(h *held) node.NewsItem {
@@ -58,15 +58,15 @@
 // tellNews tells the home of one attempt, joined with others for it.
 func (r *Rack) tellNews(h *held) {
 	home := state.ShardID(h.task.Home)
-	for i := range r.out.ToHome {
-		m := &r.out.ToHome[i]
-		if m.Home == home && m.Message.News != nil && !m.Message.News.IsWhole {
+	for i := range r.out.ToJobShards {
+		m := &r.out.ToJobShards[i]
+		if m.JobShard == home && m.Message.News != nil && !m.Message.News.IsWhole {
 			m.Message.News.Items = append(m.Message.News.Items, newsItem(h))
 			return
 		}
 	}
 	n := &node.News{Home: home, Rack: r.ID, RackEpoch: r.Epoch, IsComplete: r.IsComplete(), Items: []node.NewsItem{newsItem(h)}}
-	r.out.ToHome = append(r.out.ToHome, HomeMessage{home, node.Message{News: n}})
+	r.out.ToJobShards = append(r.out.ToJobShards, JobShardMessage{home, node.Message{News: n}})
 }
 
 func (r *Rack) resendNews(now time.Time) {
@@ -79,8 +79,8 @@
 	}
 }
 
-// OnNewsAck forgets attempts whose end the home has recorded.
-func (r *Rack) OnNewsAck(m *node.NewsAck) {
+// OnUpdateAck forgets attempts whose end the home has recorded.
+func (r *Rack) OnUpdateAck(m *node.NewsAck) {
 	forgets := map[worker.ID][]worker.Key{}
 	for _, k := range m.Keys {
 		h := r.held[k]
--- a/internal/rack/usage_test.go
+++ b/internal/rack/usage_test.go
@@ -82,7 +82,7 @@
 				continue
 			}
 			delete(running, key)
-			b.rack.OnNewsAck(&node.NewsAck{Home: home, Keys: []worker.Key{key}})
+			b.rack.OnUpdateAck(&node.NewsAck{Home: home, Keys: []worker.Key{key}})
 			if news.State == worker.StateDone {
 				ended++
 				continue
--- a/internal/rack/vmreservation_test.go
+++ b/internal/rack/vmreservation_test.go
@@ -54,7 +54,7 @@
 			if got := b.answers[other.Key].Worker != ""; got != c.isTaken {
 				t.Errorf("got: %+v, want: taken %v", b.answers[other.Key], c.isTaken)
 			}
-			if got := b.rack.Room(b.clock.Now()).Largest.Slots == 0; got != c.isStarved {
+			if got := b.rack.Summary(b.clock.Now()).Largest.Slots == 0; got != c.isStarved {
 				t.Errorf("got: the room of a kept VM is told %v, want: %v", !got, !c.isStarved)
 			}
 		})
