--- a/internal/rack/bench_test.go
+++ b/internal/rack/bench_test.go
@@ -23,35 +23,35 @@
 // at three sizes of the cell with 9 tasks on each worker (10,000 on 1,100).
 func BenchmarkDecision(b *testing.B) {
 	for _, workers := range []int{48, 200, 1100} {
-		b.Run(fmt.Sprint(workers), func(b *testing.B) { benchDecision(b, workers) })
+		b.Run(fmt.Sprint(workers), func(b *testing.B) { benchmarkDecision(b, workers) })
 	}
 }
 
-func benchDecision(b *testing.B, workers int) {
+func benchmarkDecision(b *testing.B, workers int) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	each := leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 4096, Slots: 1}
 	racks, views := newBenchRacks(now, workers, each)
-	h := hdrhistogram.New(1, 1_000_000_000, 3)
+	latencies := hdrhistogram.New(1, 1_000_000_000, 3)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		began := time.Now()
+		startTime := time.Now()
 		at := placement.BestRack(placement.Fill, each, views, i, 8)
-		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, Home: string(home), Each: each}
-		racks[at].OnStartRequest(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch, Items: []node.AskItem{{Task: task, Packing: 1}}})
+		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, Home: string(jobShard), Each: each}
+		racks[at].OnStartRequest(&node.Ask{Home: jobShard, HomeEpoch: 1, RackEpoch: epoch, Items: []node.AskItem{{Task: task, Packing: 1}}})
 		racks[at].Flush(now)
-		_ = h.RecordValue(time.Since(began).Nanoseconds())
+		_ = latencies.RecordValue(time.Since(startTime).Nanoseconds())
 		out := racks[at].TakeOutput()
 		results := []worker.StartResult{{Key: task.Key, Refused: "the benchmark takes it back"}}
 		racks[at].OnStartResults(now, out.Starts[0].Worker, results)
 		racks[at].TakeOutput()
 	}
-	b.ReportMetric(float64(h.ValueAtQuantile(50))/1000, "p50-us")
-	b.ReportMetric(float64(h.ValueAtQuantile(99))/1000, "p99-us")
+	b.ReportMetric(float64(latencies.ValueAtQuantile(50))/1000, "p50-us")
+	b.ReportMetric(float64(latencies.ValueAtQuantile(99))/1000, "p99-us")
 }
 
 // tasksEach is how many tasks run on each worker: 10,000 on 1,100.
-const tasksEach = 9
+const tasksPerWorker = 9
 
 // newBenchRacks returns racks of 8 workers with 9 tasks each, and their
 // summaries.
@@ -67,18 +67,18 @@
 		owner.SetWorkers(now, list)
 		for w := range list {
 			rep := &worker.Report{Boot: "1", Rev: 1, IsWhole: true, Capacity: capacity}
-			for i := range tasksEach {
-				t := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: fmt.Sprintf("j%d-%d", r, w), Index: i}, Attempt: 1}, Home: string(home), Each: each, State: worker.StateRunning}
+			for i := range tasksPerWorker {
+				t := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: fmt.Sprintf("j%d-%d", r, w), Index: i}, Attempt: 1}, Home: string(jobShard), Each: each, State: worker.StateRunning}
 				rep.Tasks = append(rep.Tasks, t)
 			}
 			owner.OnReport(now, worker.ID(list[w].Name), rep)
 		}
-		if _, _, running := owner.Counts(now); running != 8*tasksEach {
-			panic(fmt.Sprintf("rack_test: got: %d tasks in a rack, want: %d", running, 8*tasksEach))
+		if _, _, running := owner.Counts(now); running != 8*tasksPerWorker {
+			panic(fmt.Sprintf("rack_test: got: %d tasks in a rack, want: %d", running, 8*tasksPerWorker))
 		}
-		room := owner.Summary(now)
+		summary := owner.Summary(now)
 		racks = append(racks, owner)
-		views = append(views, placement.RackView{Free: room.Free, Largest: room.Largest, Capacity: room.Capacity})
+		views = append(views, placement.RackView{Free: summary.Free, Largest: summary.Largest, Capacity: summary.Capacity})
 	}
 	return racks, views
 }
--- a/internal/rack/grantpreemption.go
+++ b/internal/rack/grantpreemption.go
@@ -18,77 +18,77 @@
 // pushedGrant is a grant that waits for less urgent tasks to leave its worker:
 // a caller waits at the counter, a batch can wait (decision 0011). Its room is
 // kept by a hold, so that nobody else takes what becomes free.
-type pushedGrant struct {
-	from    state.NodeID
-	ask     *node.GrantAsk
-	vm      *vm
-	replica worker.Task
-	slots   int64
-	hold    holdID
-	since   time.Time
+type preemptingGrant struct {
+	from        state.NodeID
+	request     *node.GrantAsk
+	vm          *vm
+	replica     worker.Task
+	slots       int64
+	reservation reservationID
+	since       time.Time
 }
 
 // pushForGrant makes room for a caller's requests beside a replica of their
 // service, and reports whether it will come. Only tasks of a lower class than
 // the most urgent request's are touched, and none that may not be repeated.
-func (r *Rack) pushForGrant(now time.Time, from state.NodeID, m *node.GrantAsk) bool {
-	if r.isPushing(from, m.Service) {
+func (r *Rack) preemptForGrant(now time.Time, from state.NodeID, m *node.GrantAsk) bool {
+	if r.isPreemptingFor(from, m.Service) {
 		// The ask was sent again: the first one will be answered.
 		return true
 	}
-	v, replica, pushes := r.cheapestReplica(now, m)
+	v, replica, preemptions := r.cheapestReplicaPreemption(now, m)
 	if v == nil {
 		return false
 	}
-	r.nextGrant++
-	g := &pushedGrant{
-		from: from, ask: m, vm: v, replica: replica.task, slots: 1, since: now,
-		hold: holdID{home: state.ShardID(fmt.Sprintf("grant-%d", r.nextGrant))},
+	r.lastGrant++
+	g := &preemptingGrant{
+		from: from, request: m, vm: v, replica: replica.task, slots: 1, since: now,
+		reservation: reservationID{owner: state.ShardID(fmt.Sprintf("grant-%d", r.lastGrant))},
 	}
-	r.holds[g.hold] = &hold{each: replica.task.Request.Times(g.slots), places: map[worker.ID]int{v.id: 1}, until: now.Add(maxHold)}
-	r.pushedGrants = append(r.pushedGrants, g)
-	r.push(now, v, pushes, "for requests of "+m.Service)
+	r.reservations[g.reservation] = &reservation{each: replica.task.Request.Times(g.slots), places: map[worker.ID]int{v.id: 1}, expiresAt: now.Add(maxReservationTime)}
+	r.preemptingGrants = append(r.preemptingGrants, g)
+	r.preempt(now, v, preemptions, "for requests of "+m.Service)
 	return true
 }
 
-func (r *Rack) isPushing(from state.NodeID, service string) bool {
-	return slices.ContainsFunc(r.pushedGrants, func(g *pushedGrant) bool { return g.from == from && g.ask.Service == service })
+func (r *Rack) isPreemptingFor(from state.NodeID, service string) bool {
+	return slices.ContainsFunc(r.preemptingGrants, func(g *preemptingGrant) bool { return g.from == from && g.request.Service == service })
 }
 
 // cheapestReplica returns the worker with a replica of the service on which the
 // fewest and gentlest deeds make room for one request.
-func (r *Rack) cheapestReplica(now time.Time, m *node.GrantAsk) (best *vm, replica *held, pushes []placement.Push) {
-	for _, id := range r.order {
+func (r *Rack) cheapestReplicaPreemption(now time.Time, m *node.GrantAsk) (best *vm, replica *assignment, preemptions []placement.Push) {
+	for _, id := range r.sortedIDs {
 		v := r.vms[id]
 		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
 			continue
 		}
-		h := replicaOn(v, m.Service)
-		if h == nil {
+		a := replicaOn(v, m.Service)
+		if a == nil {
 			continue
 		}
-		p := placement.Preempt(h.task.Request, r.free(v), m.Class, withoutServices(v, r.victims(now, v)))
-		if p != nil && (best == nil || costOf(p) < costOf(pushes)) {
-			best, replica, pushes = v, h, p
+		p := placement.Preempt(a.task.Request, r.free(v), m.Class, withoutServices(v, r.victims(now, v)))
+		if p != nil && (best == nil || preemptionCost(p) < preemptionCost(preemptions)) {
+			best, replica, preemptions = v, a, p
 		}
 	}
-	return best, replica, pushes
+	return best, replica, preemptions
 }
 
 // retryPushedGrants gives the grants whose room has become free, with as many
 // slots as there are by then.
-func (r *Rack) retryPushedGrants(now time.Time) {
-	r.pushedGrants = slices.DeleteFunc(r.pushedGrants, func(g *pushedGrant) bool {
-		isOver := now.Sub(g.since) >= urgentPatience
-		isFree := r.isUsable(now, g.vm) && zero.FitsIn(r.free(g.vm)) && replicaOn(g.vm, g.ask.Service) != nil
-		if !isOver && !isFree {
+func (r *Rack) retryPreemptingGrants(now time.Time) {
+	r.preemptingGrants = slices.DeleteFunc(r.preemptingGrants, func(g *preemptingGrant) bool {
+		isExpired := now.Sub(g.since) >= urgentTimeout
+		isFree := r.isUsable(now, g.vm) && zero.FitsIn(r.free(g.vm)) && replicaOn(g.vm, g.request.Service) != nil
+		if !isExpired && !isFree {
 			return false
 		}
-		delete(r.holds, g.hold)
+		delete(r.reservations, g.reservation)
 		if isFree {
-			r.giveGrant(now, g.from, g.ask, g.vm, &g.replica)
+			r.startGrant(now, g.from, g.request, g.vm, &g.replica)
 		} else {
-			r.refuseGrantAsk(g.from, g.ask)
+			r.refuseGrantRequest(g.from, g.request)
 		}
 		return true
 	})
@@ -96,11 +96,11 @@
 
 // yieldTo is what is left on a worker, and what pushing off the batches there
 // would leave to callers' requests.
-func yieldTo(v *vm, free leverdyke.Resources) leverdyke.Resources {
-	for _, h := range v.held {
-		isBatch := h.task.Class == leverdyke.ClassBatch && h.task.Service == ""
-		if h.phase == phaseRunning && h.deed == "" && isBatch && !h.task.IsOnce && h.task.Holder == "" {
-			free = free.Add(h.task.Charge())
+func freeWithoutBatches(v *vm, free leverdyke.Resources) leverdyke.Resources {
+	for _, a := range v.assignments {
+		isBatch := a.task.Class == leverdyke.ClassBatch && a.task.Service == ""
+		if a.phase == phaseRunning && a.pendingAction == "" && isBatch && !a.task.IsOnce && a.task.Holder == "" {
+			free = free.Add(a.task.Charge())
 		}
 	}
 	return free
--- a/internal/rack/grantpreemption_test.go
+++ b/internal/rack/grantpreemption_test.go
@@ -14,33 +14,33 @@
 
 // newFullBench returns a rack of one worker with a replica of a service and
 // tasks of a class in all other slots.
-func newFullBench(t *testing.T, class leverdyke.Class, isOnce bool) *bench {
+func newFullHarness(t *testing.T, class leverdyke.Class, isOnce bool) *harness {
 	t.Helper()
-	b := newBench(t, 1, vm)
-	replica := b.task("service", small, leverdyke.ClassNormal)
+	h := newHarness(t, 1, vmCapacity)
+	replica := h.newTask("service", small, leverdyke.ClassNormal)
 	replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
-	b.ask(node.AskItem{Task: replica})
+	h.requestStarts(node.AskItem{Task: replica})
 	for range 3 {
-		task := b.task("fill", small, class)
+		task := h.newTask("fill", small, class)
 		task.IsOnce = isOnce
 		task.RunTime = time.Hour
-		b.ask(node.AskItem{Task: task})
+		h.requestStarts(node.AskItem{Task: task})
 	}
-	b.run(1)
-	if got := b.rack.Summary(b.clock.Now()).Free.Slots; got != 0 {
+	h.advanceSeconds(1)
+	if got := h.rack.Summary(h.clock.Now()).Free.Slots; got != 0 {
 		t.Fatalf("got: %d slots free, want: 0", got)
 	}
-	return b
+	return h
 }
 
 // A caller waits at the counter and a batch can wait: requests push batches
 // aside, but nothing as urgent as they are and nothing that may not be repeated.
-func TestRequestsPushBatchesAside(t *testing.T) {
+func TestServiceRequestsPreemptBatchTasks(t *testing.T) {
 	for name, c := range map[string]struct {
-		class   leverdyke.Class
-		isOnce  bool
-		asked   leverdyke.Class
-		isGiven bool
+		class        leverdyke.Class
+		isOnce       bool
+		requestClass leverdyke.Class
+		isGranted    bool
 	}{
 		"a batch for a normal request":       {leverdyke.ClassBatch, false, leverdyke.ClassNormal, true},
 		"a batch for an urgent request":      {leverdyke.ClassBatch, false, leverdyke.ClassUrgent, true},
@@ -50,36 +50,36 @@
 		"not what may not be repeated":       {leverdyke.ClassBatch, true, leverdyke.ClassUrgent, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newFullBench(t, c.class, c.isOnce)
-			b.rack.OnGrantRequest(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.asked})
-			b.perform()
-			b.rack.OnGrantRequest(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.asked})
-			b.perform()
-			b.run(2)
-			given, refused := 0, 0
-			for i := range b.toNode {
-				if g := b.toNode[i].Grant; g != nil && g.Refused == "" {
-					given++
+			h := newFullHarness(t, c.class, c.isOnce)
+			h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.requestClass})
+			h.executeOrders()
+			h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.requestClass})
+			h.executeOrders()
+			h.advanceSeconds(2)
+			granted, refused := 0, 0
+			for i := range h.toNode {
+				if g := h.toNode[i].Grant; g != nil && g.Refused == "" {
+					granted++
 				} else if g != nil {
 					refused++
 				}
 			}
 			want := 0
-			if c.isGiven {
+			if c.isGranted {
 				want = 1
 			}
-			if given != want || (refused > 0) == c.isGiven {
-				t.Errorf("got: %d grants and %d refusals, want: %d grants", given, refused, want)
+			if granted != want || (refused > 0) == c.isGranted {
+				t.Errorf("got: %d grants and %d refusals, want: %d grants", granted, refused, want)
 			}
-			if got := b.workers["w0"].Running("fill"); got != 3-want {
+			if got := h.workers["w0"].Running("fill"); got != 3-want {
 				t.Errorf("got: %d tasks left, want: %d", got, 3-want)
 			}
-			for key, n := range b.news {
+			for key, n := range h.updates {
 				if n.State != worker.StateCheckpointed {
 					t.Errorf("%s: got: %v, want: checkpointed", key, n.State)
 				}
 			}
-			if got := b.oracle.Report().OverCommits; got != 0 {
+			if got := h.oracle.Report().OverCommits; got != 0 {
 				t.Errorf("got: %d over-commits, want: 0", got)
 			}
 		})
@@ -87,26 +87,26 @@
 }
 
 // Room that does not come about is refused in time for another rack to be asked.
-func TestPushThatDoesNotHelpIsRefused(t *testing.T) {
-	b := newFullBench(t, leverdyke.ClassBatch, false)
-	b.rack.OnGrantRequest(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 1, Class: leverdyke.ClassNormal})
+func TestGrantIsRefusedWhenPreemptionTimesOut(t *testing.T) {
+	h := newFullHarness(t, leverdyke.ClassBatch, false)
+	h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 1, Class: leverdyke.ClassNormal})
 	// The worker's answer is lost with the worker: nothing is performed.
-	b.rack.TakeOutput()
-	b.clock.Advance(2 * time.Second)
-	b.rack.OnUnresponsive("w0")
-	b.rack.Tick(b.clock.Now())
-	b.perform()
-	if len(b.toNode) != 1 || b.toNode[0].Grant == nil || b.toNode[0].Grant.Refused == "" {
-		t.Errorf("got: %+v, want: one refusal", b.toNode)
+	h.rack.TakeOutput()
+	h.clock.Advance(2 * time.Second)
+	h.rack.OnUnresponsive("w0")
+	h.rack.Tick(h.clock.Now())
+	h.executeOrders()
+	if len(h.toNode) != 1 || h.toNode[0].Grant == nil || h.toNode[0].Grant.Refused == "" {
+		t.Errorf("got: %+v, want: one refusal", h.toNode)
 	}
 }
 
 // The summary says for how many requests batches could be pushed aside.
-func TestSummaryTellsWhatBatchesYield(t *testing.T) {
+func TestSummaryCountsSlotsOfPreemptibleBatches(t *testing.T) {
 	for class, want := range map[leverdyke.Class]int{leverdyke.ClassBatch: 3, leverdyke.ClassNormal: 0} {
-		b := newFullBench(t, class, false)
-		room := b.rack.Summary(b.clock.Now())
-		if got := room.Services[0]; got.Slots != 0 || got.Yield != want {
+		h := newFullHarness(t, class, false)
+		summary := h.rack.Summary(h.clock.Now())
+		if got := summary.Services[0]; got.Slots != 0 || got.Yield != want {
 			t.Errorf("%s: got: %+v, want: 0 slots and %d yielded", class, got, want)
 		}
 	}
--- a/internal/rack/grants.go
+++ b/internal/rack/grants.go
@@ -26,104 +26,104 @@
 	v, replica := r.bestReplica(now, m.Service)
 	switch {
 	case v != nil:
-		r.giveGrant(now, from, m, v, &replica.task)
-	case !r.pushForGrant(now, from, m):
-		r.refuseGrantAsk(from, m)
+		r.startGrant(now, from, m, v, &replica.task)
+	case !r.preemptForGrant(now, from, m):
+		r.refuseGrantRequest(from, m)
 	}
 }
 
-func (r *Rack) refuseGrantAsk(to state.NodeID, m *node.GrantAsk) {
-	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: m.Service, Refused: whyNoRoom}
-	r.out.ToNodes = append(r.out.ToNodes, NodeMessage{to, node.Message{Grant: g}})
+func (r *Rack) refuseGrantRequest(to state.NodeID, m *node.GrantAsk) {
+	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: m.Service, Refused: refusedNoCapacity}
+	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{to, node.Message{Grant: g}})
 }
 
 // giveGrant starts a grant on a worker that has room for one slot at least.
-func (r *Rack) giveGrant(now time.Time, to state.NodeID, m *node.GrantAsk, v *vm, replica *worker.Task) {
+func (r *Rack) startGrant(now time.Time, to state.NodeID, m *node.GrantAsk, v *vm, replica *worker.Task) {
 	slots := min(replica.Request.Count(r.free(v)), int64(max(m.Slots, 1)), maxGrantSlots)
-	r.nextGrant++
-	key := worker.Key{Attempt: r.nextGrant}
+	r.lastGrant++
+	key := worker.Key{Attempt: r.lastGrant}
 	key.Task.Job = fmt.Sprintf("grant-%d", r.Epoch)
 	t := worker.Task{
 		Key: key, Holder: string(to), Each: replica.Request.Times(slots), Class: m.Class,
 		Service: m.Service, Request: replica.Request, IsRequestOnce: replica.IsRequestOnce, State: worker.StateRunning,
 	}
-	h := &held{task: t, vm: v, phase: phaseStarting, since: now, told: now}
-	r.add(h)
-	r.orderStart(now, h)
-	r.isChanged = true
+	a := &assignment{task: t, vm: v, phase: phaseStarting, since: now, lastSentAt: now}
+	r.addAssignment(a)
+	r.orderStart(now, a)
+	r.isSummaryChanged = true
 }
 
 // bestReplica returns the worker with the most room that runs the service.
-func (r *Rack) bestReplica(now time.Time, service string) (*vm, *held) {
+func (r *Rack) bestReplica(now time.Time, service string) (*vm, *assignment) {
 	var best *vm
-	var replica *held
+	var replica *assignment
 	most := int64(0)
-	for _, id := range r.order {
+	for _, id := range r.sortedIDs {
 		v := r.vms[id]
 		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
 			continue
 		}
-		h := replicaOn(v, service)
-		if h == nil {
+		a := replicaOn(v, service)
+		if a == nil {
 			continue
 		}
-		if n := h.task.Request.Count(r.free(v)); n > most {
-			best, replica, most = v, h, n
+		if n := a.task.Request.Count(r.free(v)); n > most {
+			best, replica, most = v, a, n
 		}
 	}
 	return best, replica
 }
 
-func replicaOn(v *vm, service string) *held {
-	for _, h := range v.held {
-		if h.phase == phaseRunning && h.task.Service == service && h.task.Holder == "" {
-			return h
+func replicaOn(v *vm, service string) *assignment {
+	for _, a := range v.assignments {
+		if a.phase == phaseRunning && a.task.Service == service && a.task.Holder == "" {
+			return a
 		}
 	}
 	return nil
 }
 
-func (r *Rack) tellGrant(h *held) {
+func (r *Rack) sendGrant(a *assignment) {
 	g := &node.Grant{
-		Rack: r.ID, RackEpoch: r.Epoch, Key: h.task.Key, Service: h.task.Service, Worker: h.vm.id,
-		Addr: h.vm.addr, Zone: h.vm.zone, Slots: int(h.task.Each.Slots), IsOnce: h.task.IsRequestOnce,
+		Rack: r.ID, RackEpoch: r.Epoch, Key: a.task.Key, Service: a.task.Service, Worker: a.vm.id,
+		Addr: a.vm.addr, Zone: a.vm.zone, Slots: int(a.task.Each.Slots), IsOnce: a.task.IsRequestOnce,
 	}
-	r.out.ToNodes = append(r.out.ToNodes, NodeMessage{state.NodeID(h.task.Holder), node.Message{Grant: g}})
+	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{state.NodeID(a.task.Holder), node.Message{Grant: g}})
 }
 
-func (r *Rack) refuseGrant(h *held, why string) {
-	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: h.task.Service, Refused: why}
-	r.out.ToNodes = append(r.out.ToNodes, NodeMessage{state.NodeID(h.task.Holder), node.Message{Grant: g}})
+func (r *Rack) refuseGrant(a *assignment, reason string) {
+	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: a.task.Service, Refused: reason}
+	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{state.NodeID(a.task.Holder), node.Message{Grant: g}})
 }
 
 // grantEnded forgets a grant that the worker no longer counts.
-func (r *Rack) grantEnded(h *held) {
-	r.recall(h)
-	r.remove(h)
-	if !h.isLost {
-		r.out.Forgets = append(r.out.Forgets, ForgetOrder{h.vm.id, []worker.Key{h.task.Key}})
+func (r *Rack) forgetGrant(a *assignment) {
+	r.sendRecall(a)
+	r.removeAssignment(a)
+	if !a.isLost {
+		r.output.Forgets = append(r.output.Forgets, ForgetOrder{a.vm.id, []worker.Key{a.task.Key}})
 	}
 }
 
-func (r *Rack) recall(h *held) {
-	m := node.Message{GrantRecall: &node.GrantRecall{Key: h.task.Key}}
-	r.out.ToNodes = append(r.out.ToNodes, NodeMessage{state.NodeID(h.task.Holder), m})
+func (r *Rack) sendRecall(a *assignment) {
+	m := node.Message{GrantRecall: &node.GrantRecall{Key: a.task.Key}}
+	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{state.NodeID(a.task.Holder), m})
 }
 
 // OnGrantDone takes a grant back. Its room is free when the worker says so.
 func (r *Rack) OnGrantDone(now time.Time, from state.NodeID, m *node.GrantDone) {
-	h := r.held[m.Key]
-	if h != nil && h.task.Holder == string(from) {
-		r.stopGrant(now, h)
+	a := r.assignments[m.Key]
+	if a != nil && a.task.Holder == string(from) {
+		r.stopGrant(now, a)
 	}
 }
 
 // StopGrantsOf takes back the grants of a node that has ended or is not heard.
 // A worker finishes what runs under a grant before it counts as ended.
-func (r *Rack) StopGrantsOf(now time.Time, isGone func(state.NodeID) bool) {
-	for _, h := range liveGrants(r.held) {
-		if isGone(state.NodeID(h.task.Holder)) {
-			r.stopGrant(now, h)
+func (r *Rack) StopGrantsOf(now time.Time, hasEnded func(state.NodeID) bool) {
+	for _, a := range liveGrants(r.assignments) {
+		if hasEnded(state.NodeID(a.task.Holder)) {
+			r.stopGrant(now, a)
 		}
 	}
 }
@@ -131,23 +131,23 @@
 // liveGrants returns the grants that still count, in order. It leaves the tasks
 // out before it sorts: a node asks at each tick whether holders are gone, and
 // has hundreds of tasks and few grants.
-func liveGrants(m map[worker.Key]*held) []*held {
-	grants := map[worker.Key]*held{}
-	for k, h := range m {
-		if h.task.Holder != "" && h.phase != phaseEnded {
-			grants[k] = h
+func liveGrants(m map[worker.Key]*assignment) []*assignment {
+	grants := map[worker.Key]*assignment{}
+	for k, a := range m {
+		if a.task.Holder != "" && a.phase != phaseEnded {
+			grants[k] = a
 		}
 	}
-	return sortedHeld(grants)
+	return sortedAssignments(grants)
 }
 
-func (r *Rack) stopGrant(now time.Time, h *held) {
-	if h.phase == phaseEnded || h.deed != "" {
+func (r *Rack) stopGrant(now time.Time, a *assignment) {
+	if a.phase == phaseEnded || a.pendingAction != "" {
 		return
 	}
-	h.deed = worker.DeedStop
-	h.told = now
-	r.out.Acts = append(r.out.Acts, ActOrder{h.vm.id, worker.DeedStop, []worker.Key{h.task.Key}})
+	a.pendingAction = worker.DeedStop
+	a.lastSentAt = now
+	r.output.Acts = append(r.output.Acts, ActOrder{a.vm.id, worker.DeedStop, []worker.Key{a.task.Key}})
 }
 
 // checkGrants asks the holders of grants whether they have them. Without this,
@@ -155,32 +155,32 @@
 // lives.
 func (r *Rack) checkGrants(now time.Time) {
 	checks := map[state.NodeID][]worker.Key{}
-	for _, h := range liveGrants(r.held) {
-		if h.phase != phaseRunning || h.deed != "" || now.Sub(later(h.since, h.told)) < grantCheckPeriod {
+	for _, a := range liveGrants(r.assignments) {
+		if a.phase != phaseRunning || a.pendingAction != "" || now.Sub(later(a.since, a.lastSentAt)) < grantCheckPeriod {
 			continue
 		}
-		h.told = now
-		holder := state.NodeID(h.task.Holder)
-		checks[holder] = append(checks[holder], h.task.Key)
+		a.lastSentAt = now
+		holder := state.NodeID(a.task.Holder)
+		checks[holder] = append(checks[holder], a.task.Key)
 	}
 	for _, holder := range slices.Sorted(maps.Keys(checks)) {
 		m := node.Message{GrantCheck: &node.GrantCheck{Rack: r.ID, Keys: checks[holder]}}
-		r.out.ToNodes = append(r.out.ToNodes, NodeMessage{holder, m})
+		r.output.ToNodes = append(r.output.ToNodes, NodeMessage{holder, m})
 	}
 }
 
 // recallLeaving takes back the grants on workers that get nothing new: requests
 // are new work too.
-func (r *Rack) recallLeaving(now time.Time) {
-	for _, id := range r.order {
+func (r *Rack) recallGrantsOfLeaving(now time.Time) {
+	for _, id := range r.sortedIDs {
 		v := r.vms[id]
-		if !v.isLeaving && !v.isListedLeaving && !v.isDrained && !v.isGone {
+		if !v.isLeaving && !v.isListedLeaving && !v.isDrained && !v.isRemoved {
 			continue
 		}
-		for _, h := range liveGrants(v.held) {
-			if h.deed == "" {
-				r.recall(h)
-				r.stopGrant(now, h)
+		for _, a := range liveGrants(v.assignments) {
+			if a.pendingAction == "" {
+				r.sendRecall(a)
+				r.stopGrant(now, a)
 			}
 		}
 	}
@@ -188,11 +188,11 @@
 
 // dropGrantsWithout takes back the grants of services that no longer run on
 // the worker.
-func (r *Rack) dropGrantsWithout(now time.Time, v *vm) {
-	for _, h := range liveGrants(v.held) {
-		if replicaOn(v, h.task.Service) == nil {
-			r.recall(h)
-			r.stopGrant(now, h)
+func (r *Rack) stopGrantsWithoutReplica(now time.Time, v *vm) {
+	for _, a := range liveGrants(v.assignments) {
+		if replicaOn(v, a.task.Service) == nil {
+			r.sendRecall(a)
+			r.stopGrant(now, a)
 		}
 	}
 }
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -34,79 +34,79 @@
 	defaultTTL    = 20 * time.Second
 	defaultMargin = time.Second
 	// driftDivisor allows clocks to differ by one part in fifty.
-	driftDivisor = 50
+	clockDriftDivisor = 50
 	// upkeepPeriod is how often every attempt is looked at.
-	upkeepPeriod = 300 * time.Millisecond
+	maintenancePeriod = 300 * time.Millisecond
 	// retryPeriod is after how long an unanswered order is given again.
-	retryPeriod = time.Second
+	orderRetryPeriod = time.Second
 )
 
 // Rack is the owner's view of a rack. It belongs to one goroutine.
 type Rack struct {
 	// ID and Epoch never change; a new epoch is a new Rack.
-	ID      state.ShardID
-	Epoch   worker.Epoch
-	options NewRackOptions
-	began   time.Time
+	ID        state.ShardID
+	Epoch     worker.Epoch
+	options   NewRackOptions
+	createdAt time.Time
 	// upkeptAt is when every attempt was looked at last.
-	upkeptAt time.Time
+	maintainedAt time.Time
 	// soleSince and soleAsOf bound the time in which it is known that nobody
 	// else renews leases here; zero until that is known.
-	soleSince, soleAsOf time.Time
+	soleOwnerSince, soleOwnerAsOf time.Time
 
-	vms   map[worker.ID]*vm
-	order []worker.ID
+	vms       map[worker.ID]*vm
+	sortedIDs []worker.ID
 	// held has every attempt and grant that is not forgotten.
-	held   map[worker.Key]*held
-	byTask map[leverdyke.TaskID]worker.Key
+	assignments map[worker.Key]*assignment
+	byTask      map[leverdyke.TaskID]worker.Key
 	// homes has the highest epoch of each home that has spoken here.
-	homes map[state.ShardID]uint64
+	shardEpochs map[state.ShardID]uint64
 	// synced has the homes that wait for a complete report.
-	synced map[state.ShardID]bool
+	syncedShards map[state.ShardID]bool
 
 	// settled has the attempts of each home that were refused, with the reason,
 	// or have ended, until the home's floor is above them: a late copy of their
 	// ask must not start them.
-	settled map[state.ShardID]*settled
+	closedAttempts map[state.ShardID]*closedAttempts
 
-	asks    []pendingAsk
-	urgents []*urgent
+	pendingStarts []pendingStart
+	urgentStarts  []*urgentStart
 	// pushedGrants wait for batches to leave, as urgents do.
-	pushedGrants []*pushedGrant
-	holds        map[holdID]*hold
-	earmark      *earmark
-	health       *health.Detector
-	learned      *sizes.Learned
+	preemptingGrants []*preemptingGrant
+	reservations     map[reservationID]*reservation
+	gangPriority     *gangPriority
+	health           *health.Detector
+	learnedUsage     *sizes.Learned
 	// kept is the VM that is kept for a starved task; nil for none.
-	kept      *keep
-	nextGrant uint64
-	isChanged bool
-	out       Output
+	reservedVM       *vmReservation
+	lastGrant        uint64
+	isSummaryChanged bool
+	output           Output
 }
 
 // vm is one worker of the rack.
 type vm struct {
-	id       worker.ID
-	addr     netip.AddrPort
-	zone     string
-	capacity leverdyke.Resources
-	boot     string
-	asOf     int64
+	id         worker.ID
+	addr       netip.AddrPort
+	zone       string
+	capacity   leverdyke.Resources
+	bootID     string
+	workerTime int64
 	// heardAt is when the report with boot and asOf came; leases that were
 	// renewed by it end at the latest heardAt plus TTL.
-	heardAt time.Time
-	addedAt time.Time
+	reportedAt time.Time
+	addedAt    time.Time
 	// isKnown means that the worker has listed its tasks in this epoch, or that
 	// every lease there has lapsed since.
-	isKnown bool
+	isReconciled bool
 	// isLeaving is the worker's own word; isListedLeaving the list's; isDrained
 	// the operator's.
-	isLeaving, isListedLeaving, isDrained, isGone bool
+	isLeaving, isListedLeaving, isDrained, isRemoved bool
 	// overusedAt is when it was last reported to be used beyond what it has.
-	overusedAt time.Time
+	overuseLoggedAt time.Time
 	// isSilent means that it did not answer the last time; it gets nothing new.
-	isSilent bool
-	held     map[worker.Key]*held
+	isUnresponsive bool
+	assignments    map[worker.Key]*assignment
 }
 
 // phase is where an attempt is in the owner's eyes.
@@ -119,22 +119,22 @@
 )
 
 // held is an attempt or grant on a worker.
-type held struct {
+type assignment struct {
 	task  worker.Task
 	vm    *vm
 	phase phase
 	// isLost means that it ended with its worker or its lease.
-	isLost   bool
-	isBlamed bool
+	isLost          bool
+	isWorkerAtFault bool
 	// since is when the phase began, told when an order was last given.
-	since, told time.Time
+	since, lastSentAt time.Time
 	// isOrdered means that a start is on its way and has not been answered: no
 	// second one may follow it, since a refusal of the first would not hold.
-	isOrdered bool
+	isStartPending bool
 	// deed is what was ordered and has not shown in a report; empty for none.
-	deed worker.Deed
+	pendingAction worker.Deed
 	// asked is the home's ask that waits for the start; nil for none.
-	asked *node.Ask
+	request *node.Ask
 }
 
 // Output is what the rack's owner wants done.
@@ -226,10 +226,10 @@
 		options.Margin = defaultMargin
 	}
 	return &Rack{
-		ID: id, Epoch: epoch, options: options, began: now,
-		vms: map[worker.ID]*vm{}, held: map[worker.Key]*held{}, byTask: map[leverdyke.TaskID]worker.Key{},
-		homes: map[state.ShardID]uint64{}, synced: map[state.ShardID]bool{},
-		settled: map[state.ShardID]*settled{}, holds: map[holdID]*hold{}, health: health.NewDetector(), learned: sizes.NewLearned(),
+		ID: id, Epoch: epoch, options: options, createdAt: now,
+		vms: map[worker.ID]*vm{}, assignments: map[worker.Key]*assignment{}, byTask: map[leverdyke.TaskID]worker.Key{},
+		shardEpochs: map[state.ShardID]uint64{}, syncedShards: map[state.ShardID]bool{},
+		closedAttempts: map[state.ShardID]*closedAttempts{}, reservations: map[reservationID]*reservation{}, health: health.NewDetector(), learnedUsage: sizes.NewLearned(),
 	}
 }
 
@@ -239,38 +239,38 @@
 // ConfirmSoleOwner says that, as late as asOf, every earlier owner had ended or had said
 // that it renews no more, and there was no later owner.
 func (r *Rack) ConfirmSoleOwner(asOf time.Time) {
-	if r.soleSince.IsZero() {
-		r.soleSince = asOf
+	if r.soleOwnerSince.IsZero() {
+		r.soleOwnerSince = asOf
 	}
-	r.soleAsOf = later(r.soleAsOf, asOf)
+	r.soleOwnerAsOf = later(r.soleOwnerAsOf, asOf)
 }
 
 // IsSoleOwner reports whether SetSole was called.
-func (r *Rack) IsSoleOwner() bool { return !r.soleSince.IsZero() }
+func (r *Rack) IsSoleOwner() bool { return !r.soleOwnerSince.IsZero() }
 
 // SetWorkers brings the rack's workers up to the platform's list.
 func (r *Rack) SetWorkers(now time.Time, list []vmlist.VM) {
 	listed := map[worker.ID]bool{}
 	for i := range list {
-		e := &list[i]
-		id := worker.ID(e.Name)
-		listed[id] = e.Status != vmlist.StatusGone
+		entry := &list[i]
+		id := worker.ID(entry.Name)
+		listed[id] = entry.Status != vmlist.StatusGone
 		v := r.vms[id]
 		if v == nil {
-			if e.Status == vmlist.StatusGone {
+			if entry.Status == vmlist.StatusGone {
 				continue
 			}
-			v = &vm{id: id, addr: e.Addr, zone: e.Zone, addedAt: now, held: map[worker.Key]*held{}}
+			v = &vm{id: id, addr: entry.Addr, zone: entry.Zone, addedAt: now, assignments: map[worker.Key]*assignment{}}
 			r.vms[id] = v
-			r.order = append(r.order, id)
-			slices.Sort(r.order)
+			r.sortedIDs = append(r.sortedIDs, id)
+			slices.Sort(r.sortedIDs)
 		}
-		v.isListedLeaving = e.Status == vmlist.StatusLeaving
+		v.isListedLeaving = entry.Status == vmlist.StatusLeaving
 	}
 	for id, v := range r.vms {
-		v.isGone = !listed[id]
+		v.isRemoved = !listed[id]
 	}
-	r.isChanged = true
+	r.isSummaryChanged = true
 }
 
 // Addrs returns the workers to keep links to.
@@ -287,57 +287,57 @@
 	for id, v := range r.vms {
 		v.isDrained = isDrained(id)
 	}
-	r.isChanged = true
+	r.isSummaryChanged = true
 }
 
 // OnUnresponsive notes that a worker did not answer; its tasks live on until their
 // leases have lapsed.
 func (r *Rack) OnUnresponsive(id worker.ID) {
 	v := r.vms[id]
-	if v == nil || v.isSilent {
+	if v == nil || v.isUnresponsive {
 		return
 	}
-	v.isSilent = true
-	r.isChanged = true
+	v.isUnresponsive = true
+	r.isSummaryChanged = true
 	r.event(EventWorkerSilent, id, worker.Key{}, "")
 }
 
 // TakeOutput returns what was ordered since the last call.
 func (r *Rack) TakeOutput() Output {
-	out := r.out
-	r.out = Output{}
-	return out
+	output := r.output
+	r.output = Output{}
+	return output
 }
 
 // lapse is how long after the last renewal every lease has surely ended.
-func (r *Rack) lapse() time.Duration {
-	return r.options.TTL + r.options.TTL/driftDivisor + r.options.Margin
+func (r *Rack) leaseExpiry() time.Duration {
+	return r.options.TTL + r.options.TTL/clockDriftDivisor + r.options.Margin
 }
 
 // free is what is left of a worker, with holds and urgent work taken off; it is
 // negative where reported use is above what was declared.
 func (r *Rack) free(v *vm) leverdyke.Resources {
 	free := v.capacity
-	for _, h := range v.held {
-		if h.phase != phaseEnded {
-			free = free.Sub(h.task.Charge())
+	for _, a := range v.assignments {
+		if a.phase != phaseEnded {
+			free = free.Sub(a.task.Charge())
 		}
 	}
-	for _, h := range r.holds {
-		free = free.Sub(h.each.Times(int64(h.places[v.id])))
+	for _, res := range r.reservations {
+		free = free.Sub(res.each.Times(int64(res.places[v.id])))
 	}
 	return free
 }
 
 // isUsable reports whether new work may be put on the worker.
 func (r *Rack) isUsable(now time.Time, v *vm) bool {
-	isFresh := v.isKnown && v.boot != "" && now.Sub(v.heardAt) < r.options.TTL/2
-	return isFresh && !v.isSilent && !v.isLeaving && !v.isListedLeaving && !v.isDrained && !v.isGone && !r.options.IsDeputy
+	isFresh := v.isReconciled && v.bootID != "" && now.Sub(v.reportedAt) < r.options.TTL/2
+	return isFresh && !v.isUnresponsive && !v.isLeaving && !v.isListedLeaving && !v.isDrained && !v.isRemoved && !r.options.IsDeputy
 }
 
 // TakeSummaryChanged reports whether the summary may have changed since the last call.
 func (r *Rack) TakeSummaryChanged() bool {
-	isChanged := r.isChanged
-	r.isChanged = false
-	return isChanged
+	isSummaryChanged := r.isSummaryChanged
+	r.isSummaryChanged = false
+	return isSummaryChanged
 }
--- a/internal/rack/reports.go
+++ b/internal/rack/reports.go
@@ -19,20 +19,20 @@
 	if v == nil {
 		return
 	}
-	isNewBoot := v.boot != "" && v.boot != rep.Boot
-	if isNewBoot {
+	isRestarted := v.bootID != "" && v.bootID != rep.Boot
+	if isRestarted {
 		// The restart ended all that ran there.
-		r.loseAll(now, v)
+		r.markAllLost(now, v)
 	}
-	if v.capacity != rep.Capacity || v.isLeaving != rep.IsLeaving || !v.isKnown {
-		r.isChanged = true
+	if v.capacity != rep.Capacity || v.isLeaving != rep.IsLeaving || !v.isReconciled {
+		r.isSummaryChanged = true
 	}
 	if rep.IsLeaving && !v.isLeaving {
 		r.event(EventWorkerLeaving, v.id, worker.Key{}, "")
 	}
-	r.isChanged = r.isChanged || v.isSilent
-	v.isSilent = false
-	v.boot, v.asOf, v.heardAt = rep.Boot, rep.Now, now
+	r.isSummaryChanged = r.isSummaryChanged || v.isUnresponsive
+	v.isUnresponsive = false
+	v.bootID, v.workerTime, v.reportedAt = rep.Boot, rep.Now, now
 	v.capacity, v.isLeaving = rep.Capacity, rep.IsLeaving
 	for i := range rep.Tasks {
 		r.observe(now, v, &rep.Tasks[i])
@@ -40,152 +40,152 @@
 	if !rep.IsWhole {
 		return
 	}
-	r.dropMissing(now, v, rep)
-	if !v.isKnown {
-		v.isKnown = true
-		r.tellIfComplete(now)
+	r.markMissingLost(now, v, rep)
+	if !v.isReconciled {
+		v.isReconciled = true
+		r.reportIfComplete(now)
 	}
 }
 
 // observe takes what a worker says of one attempt.
 func (r *Rack) observe(now time.Time, v *vm, t *worker.Task) {
-	h := v.held[t.Key]
-	if h == nil {
+	a := v.assignments[t.Key]
+	if a == nil {
 		r.adopt(now, v, t)
 		return
 	}
-	if h.phase == phaseEnded {
+	if a.phase == phaseEnded {
 		return
 	}
-	r.isChanged = true
-	isOwnThrottle := h.deed == worker.DeedUnthrottle && t.IsThrottled
-	if !isOwnThrottle {
-		h.task.IsThrottled = t.IsThrottled
+	r.isSummaryChanged = true
+	isUnthrottlePending := a.pendingAction == worker.DeedUnthrottle && t.IsThrottled
+	if !isUnthrottlePending {
+		a.task.IsThrottled = t.IsThrottled
 	}
-	if (h.deed == worker.DeedThrottle && t.IsThrottled) || (h.deed == worker.DeedUnthrottle && !t.IsThrottled) {
-		h.deed = ""
+	if (a.pendingAction == worker.DeedThrottle && t.IsThrottled) || (a.pendingAction == worker.DeedUnthrottle && !t.IsThrottled) {
+		a.pendingAction = ""
 	}
-	h.task.Usage = t.Usage
-	r.learn(h)
+	a.task.Usage = t.Usage
+	r.recordUsage(a)
 	if t.State != worker.StateRunning {
-		r.end(now, h, t.State)
+		r.markEnded(now, a, t.State)
 		return
 	}
-	r.started(now, h)
+	r.markRunning(now, a)
 }
 
 // adopt takes over an attempt that an earlier owner started.
 func (r *Rack) adopt(now time.Time, v *vm, t *worker.Task) {
-	if t.State == worker.StateRunning && v.isKnown {
+	if t.State == worker.StateRunning && v.isReconciled {
 		// Nothing that this owner does not know may run on a worker that has
 		// told all: its lease was taken to have lapsed. It must end.
 		r.event(EventLateTask, v.id, t.Key, "")
-		r.out.Acts = append(r.out.Acts, ActOrder{v.id, worker.DeedStop, []worker.Key{t.Key}})
+		r.output.Acts = append(r.output.Acts, ActOrder{v.id, worker.DeedStop, []worker.Key{t.Key}})
 		return
 	}
 	if t.Home == "" && t.Holder == "" {
 		// The end of an attempt that was forgotten here while the worker was out
 		// of reach. Left in its list, it would be news to every later owner.
-		r.out.Forgets = append(r.out.Forgets, ForgetOrder{v.id, []worker.Key{t.Key}})
+		r.output.Forgets = append(r.output.Forgets, ForgetOrder{v.id, []worker.Key{t.Key}})
 		return
 	}
-	h := &held{task: *t, vm: v, phase: phaseRunning, since: now}
-	r.add(h)
-	r.learn(h)
+	a := &assignment{task: *t, vm: v, phase: phaseRunning, since: now}
+	r.addAssignment(a)
+	r.recordUsage(a)
 	if t.State != worker.StateRunning {
-		r.end(now, h, t.State)
+		r.markEnded(now, a, t.State)
 	}
-	r.isChanged = true
+	r.isSummaryChanged = true
 }
 
-func (r *Rack) add(h *held) {
-	h.vm.held[h.task.Key] = h
-	r.held[h.task.Key] = h
-	if h.task.Holder == "" {
-		r.byTask[h.task.Key.Task] = h.task.Key
+func (r *Rack) addAssignment(a *assignment) {
+	a.vm.assignments[a.task.Key] = a
+	r.assignments[a.task.Key] = a
+	if a.task.Holder == "" {
+		r.byTask[a.task.Key.Task] = a.task.Key
 	}
 }
 
-func (r *Rack) remove(h *held) {
-	delete(h.vm.held, h.task.Key)
-	delete(r.held, h.task.Key)
-	if r.byTask[h.task.Key.Task] == h.task.Key {
-		delete(r.byTask, h.task.Key.Task)
+func (r *Rack) removeAssignment(a *assignment) {
+	delete(a.vm.assignments, a.task.Key)
+	delete(r.assignments, a.task.Key)
+	if r.byTask[a.task.Key.Task] == a.task.Key {
+		delete(r.byTask, a.task.Key.Task)
 	}
 }
 
 // started notes that an attempt runs, and tells whoever asked for it.
-func (r *Rack) started(now time.Time, h *held) {
-	if h.phase != phaseStarting {
+func (r *Rack) markRunning(now time.Time, a *assignment) {
+	if a.phase != phaseStarting {
 		return
 	}
-	h.phase = phaseRunning
-	h.since = now
-	if h.task.Holder != "" {
-		r.tellGrant(h)
+	a.phase = phaseRunning
+	a.since = now
+	if a.task.Holder != "" {
+		r.sendGrant(a)
 		return
 	}
-	r.answerStarted(h)
+	r.answerStarted(a)
 }
 
 // end notes that an attempt is over; its room is free from now on.
-func (r *Rack) end(now time.Time, h *held, s worker.TaskState) {
-	isStarting := h.phase == phaseStarting
-	h.task.State = s
-	h.phase = phaseEnded
-	h.since = now
-	r.isChanged = true
-	if h.task.Holder != "" {
-		r.grantEnded(h)
+func (r *Rack) markEnded(now time.Time, a *assignment, s worker.TaskState) {
+	isStarting := a.phase == phaseStarting
+	a.task.State = s
+	a.phase = phaseEnded
+	a.since = now
+	r.isSummaryChanged = true
+	if a.task.Holder != "" {
+		r.forgetGrant(a)
 		return
 	}
-	r.judge(now, h)
+	r.recordHealth(now, a)
 	if isStarting {
-		r.answerStarted(h)
+		r.answerStarted(a)
 	}
-	h.told = now
-	r.tellNews(h)
-	r.dropGrantsWithout(now, h.vm)
+	a.lastSentAt = now
+	r.sendUpdate(a)
+	r.stopGrantsWithoutReplica(now, a.vm)
 }
 
 // judge learns from the end of an attempt whether its worker or its job is at
 // fault. A lost one counts as stopped: its state says so.
-func (r *Rack) judge(now time.Time, h *held) {
-	f := r.health.Ended(now, h.vm.id, h.task.Key, h.task.State, len(r.vms))
-	h.isBlamed = f.IsWorkerAtFault
+func (r *Rack) recordHealth(now time.Time, a *assignment) {
+	f := r.health.Ended(now, a.vm.id, a.task.Key, a.task.State, len(r.vms))
+	a.isWorkerAtFault = f.IsWorkerAtFault
 	if f.IsReadmitted {
-		r.event(EventWorkerReadmitted, h.vm.id, worker.Key{}, "")
+		r.event(EventWorkerReadmitted, a.vm.id, worker.Key{}, "")
 	}
 	if f.EjectedFor > 0 {
-		r.event(EventWorkerEjected, h.vm.id, worker.Key{}, f.EjectedFor.String())
+		r.event(EventWorkerEjected, a.vm.id, worker.Key{}, f.EjectedFor.String())
 	}
 }
 
 // lose ends an attempt that went with its worker or its lease.
-func (r *Rack) lose(now time.Time, h *held) {
-	if h.phase == phaseEnded {
+func (r *Rack) markLost(now time.Time, a *assignment) {
+	if a.phase == phaseEnded {
 		return
 	}
-	h.isLost = true
-	r.end(now, h, worker.StateStopped)
+	a.isLost = true
+	r.markEnded(now, a, worker.StateStopped)
 }
 
-func (r *Rack) loseAll(now time.Time, v *vm) {
-	for _, h := range sortedHeld(v.held) {
-		r.lose(now, h)
+func (r *Rack) markAllLost(now time.Time, v *vm) {
+	for _, a := range sortedAssignments(v.assignments) {
+		r.markLost(now, a)
 	}
 }
 
 // dropMissing loses what the worker's whole list does not have. An attempt
 // whose start is still under way may yet come.
-func (r *Rack) dropMissing(now time.Time, v *vm, rep *worker.Report) {
+func (r *Rack) markMissingLost(now time.Time, v *vm, rep *worker.Report) {
 	listed := make(map[worker.Key]bool, len(rep.Tasks))
 	for i := range rep.Tasks {
 		listed[rep.Tasks[i].Key] = true
 	}
-	for _, h := range sortedHeld(v.held) {
-		if h.phase == phaseRunning && !listed[h.task.Key] {
-			r.lose(now, h)
+	for _, a := range sortedAssignments(v.assignments) {
+		if a.phase == phaseRunning && !listed[a.task.Key] {
+			r.markLost(now, a)
 		}
 	}
 }
@@ -193,48 +193,48 @@
 // lapseWorkers gives up the workers that have been silent for longer than any
 // lease there can last. The time that counts is the last at which nobody else
 // can have renewed them: a later owner may keep alive what this one cannot see.
-func (r *Rack) lapseWorkers(now time.Time) {
-	if r.soleSince.IsZero() {
+func (r *Rack) expireWorkers(now time.Time) {
+	if r.soleOwnerSince.IsZero() {
 		return
 	}
-	for _, id := range r.order {
+	for _, id := range r.sortedIDs {
 		v := r.vms[id]
-		last := later(later(v.heardAt, r.soleSince), v.addedAt)
-		if v.isKnown {
-			last = v.heardAt
+		lastPossibleRenewal := later(later(v.reportedAt, r.soleOwnerSince), v.addedAt)
+		if v.isReconciled {
+			lastPossibleRenewal = v.reportedAt
 		}
-		if r.soleAsOf.Sub(last) <= r.lapse() {
+		if r.soleOwnerAsOf.Sub(lastPossibleRenewal) <= r.leaseExpiry() {
 			continue
 		}
-		if len(v.held) > 0 && hasLive(v) {
+		if len(v.assignments) > 0 && hasLiveAssignment(v) {
 			r.event(EventWorkerLost, v.id, worker.Key{}, "")
 		}
-		r.loseAll(now, v)
-		if !v.isKnown {
-			v.isKnown = true
-			r.tellIfComplete(now)
+		r.markAllLost(now, v)
+		if !v.isReconciled {
+			v.isReconciled = true
+			r.reportIfComplete(now)
 		}
 	}
-	r.dropGone(now)
+	r.dropRemoved(now)
 }
 
-func (r *Rack) dropGone(now time.Time) {
-	kept := r.order[:0]
-	for _, id := range r.order {
+func (r *Rack) dropRemoved(now time.Time) {
+	remaining := r.sortedIDs[:0]
+	for _, id := range r.sortedIDs {
 		v := r.vms[id]
-		if v.isGone && v.isKnown && len(v.held) == 0 && now.Sub(v.heardAt) > r.lapse() {
+		if v.isRemoved && v.isReconciled && len(v.assignments) == 0 && now.Sub(v.reportedAt) > r.leaseExpiry() {
 			delete(r.vms, id)
 			r.health.Forget(id)
 			continue
 		}
-		kept = append(kept, id)
+		remaining = append(remaining, id)
 	}
-	r.order = kept
+	r.sortedIDs = remaining
 }
 
-func hasLive(v *vm) bool {
-	for _, h := range v.held {
-		if h.phase != phaseEnded {
+func hasLiveAssignment(v *vm) bool {
+	for _, a := range v.assignments {
+		if a.phase != phaseEnded {
 			return true
 		}
 	}
@@ -251,54 +251,54 @@
 // Tick does what is due: lapses, orders that were not answered, news that were
 // not acknowledged.
 func (r *Rack) Tick(now time.Time) {
-	r.expireHolds(now)
-	r.expireUrgents(now)
-	if now.Sub(r.upkeptAt) >= upkeepPeriod {
-		r.upkeptAt = now
-		r.upkeep(now)
+	r.expireReservations(now)
+	r.expireUrgentStarts(now)
+	if now.Sub(r.maintainedAt) >= maintenancePeriod {
+		r.maintainedAt = now
+		r.maintain(now)
 	}
 	r.Flush(now)
 }
 
 // upkeep looks at every attempt, which takes too long to be done at each tick.
-func (r *Rack) upkeep(now time.Time) {
-	r.lapseWorkers(now)
+func (r *Rack) maintain(now time.Time) {
+	r.expireWorkers(now)
 	for _, id := range r.health.ReadmitProbed(now) {
 		r.event(EventWorkerReadmitted, id, worker.Key{}, "")
-		r.isChanged = true
+		r.isSummaryChanged = true
 	}
-	for _, id := range r.order {
+	for _, id := range r.sortedIDs {
 		r.retryOrders(now, r.vms[id])
 	}
-	r.resendNews(now)
-	r.recallLeaving(now)
+	r.resendUpdates(now)
+	r.recallGrantsOfLeaving(now)
 	r.checkGrants(now)
-	r.relieve(now)
+	r.relieveOverused(now)
 	r.unthrottle(now)
 }
 
 // retryOrders gives again what a worker has not confirmed. Orders are keyed by
 // attempt, so that a second copy does nothing.
 func (r *Rack) retryOrders(now time.Time, v *vm) {
-	acts := map[worker.Deed][]worker.Key{}
-	for _, h := range sortedHeld(v.held) {
-		if h.phase == phaseEnded || now.Sub(h.told) < retryPeriod {
+	actions := map[worker.Deed][]worker.Key{}
+	for _, a := range sortedAssignments(v.assignments) {
+		if a.phase == phaseEnded || now.Sub(a.lastSentAt) < orderRetryPeriod {
 			continue
 		}
 		switch {
-		case h.phase == phaseStarting:
-			if !h.isOrdered {
-				r.orderStart(now, h)
+		case a.phase == phaseStarting:
+			if !a.isStartPending {
+				r.orderStart(now, a)
 			}
-		case h.deed != "":
-			h.told = now
-			deed := r.escalate(now, h)
-			acts[deed] = append(acts[deed], h.task.Key)
+		case a.pendingAction != "":
+			a.lastSentAt = now
+			action := r.escalate(now, a)
+			actions[action] = append(actions[action], a.task.Key)
 		}
 	}
 	for _, d := range []worker.Deed{worker.DeedUnthrottle, worker.DeedThrottle, worker.DeedCheckpoint, worker.DeedStop} {
-		if len(acts[d]) > 0 {
-			r.out.Acts = append(r.out.Acts, ActOrder{v.id, d, acts[d]})
+		if len(actions[d]) > 0 {
+			r.output.Acts = append(r.output.Acts, ActOrder{v.id, d, actions[d]})
 		}
 	}
 }
@@ -310,18 +310,18 @@
 		return
 	}
 	for _, s := range results {
-		h := v.held[s.Key]
-		if h == nil || h.phase != phaseStarting {
+		a := v.assignments[s.Key]
+		if a == nil || a.phase != phaseStarting {
 			continue
 		}
-		h.isOrdered = false
+		a.isStartPending = false
 		if s.Refused == "" {
-			r.started(now, h)
+			r.markRunning(now, a)
 			continue
 		}
-		r.refuseStart(h, s.Refused)
+		r.refuseStart(a, s.Refused)
 	}
-	r.isChanged = true
+	r.isSummaryChanged = true
 }
 
 // OnStartFailed notes that it is not known whether a worker got a start.
@@ -331,51 +331,51 @@
 		return
 	}
 	for i := range tasks {
-		if h := v.held[tasks[i].Key]; h != nil {
-			h.isOrdered = false
+		if a := v.assignments[tasks[i].Key]; a != nil {
+			a.isStartPending = false
 		}
 	}
 }
 
-func (r *Rack) refuseStart(h *held, why string) {
-	r.remove(h)
-	if h.task.Holder != "" {
-		r.refuseGrant(h, why)
+func (r *Rack) refuseStart(a *assignment, reason string) {
+	r.removeAssignment(a)
+	if a.task.Holder != "" {
+		r.refuseGrant(a, reason)
 		return
 	}
-	r.answerRefused(h.asked, h.task.Key, "the worker refused: "+why)
+	r.answerRefused(a.request, a.task.Key, "the worker refused: "+reason)
 }
 
 func (r *Rack) event(kind EventKind, w worker.ID, k worker.Key, detail string) {
-	r.out.Events = append(r.out.Events, Event{kind, w, k, detail})
+	r.output.Events = append(r.output.Events, Event{kind, w, k, detail})
 }
 
 // IsComplete reports whether no worker may run an attempt that this owner does
 // not know of.
 func (r *Rack) IsComplete() bool {
 	for _, v := range r.vms {
-		if !v.isKnown {
+		if !v.isReconciled {
 			return false
 		}
 	}
 	return true
 }
 
-func (r *Rack) tellIfComplete(now time.Time) {
+func (r *Rack) reportIfComplete(now time.Time) {
 	if !r.IsComplete() {
 		return
 	}
-	r.event(EventComplete, "", worker.Key{}, now.Sub(r.began).Round(time.Millisecond).String())
-	for _, home := range slices.Sorted(maps.Keys(r.synced)) {
-		r.tellWhole(home)
+	r.event(EventComplete, "", worker.Key{}, now.Sub(r.createdAt).Round(time.Millisecond).String())
+	for _, jobShard := range slices.Sorted(maps.Keys(r.syncedShards)) {
+		r.sendFullUpdate(jobShard)
 	}
 }
 
 // siblings counts the live attempts of a job on a worker.
 func siblings(v *vm, job string) int {
 	n := 0
-	for _, h := range v.held {
-		if h.phase != phaseEnded && h.task.Key.Task.Job == job {
+	for _, a := range v.assignments {
+		if a.phase != phaseEnded && a.task.Key.Task.Job == job {
 			n++
 		}
 	}
--- a/internal/rack/requests.go
+++ b/internal/rack/requests.go
@@ -16,151 +16,151 @@
 )
 
 // pendingAsk is one attempt that is asked for, until the next Flush.
-type pendingAsk struct {
-	ask  *node.Ask
-	item *node.AskItem
+type pendingStart struct {
+	request *node.Ask
+	item    *node.AskItem
 }
 
 // The reasons for refusing an attempt. None of them lets it be started later.
 const (
-	whyEpoch   = "the ask is for another epoch of the rack"
-	whyHome    = "another node is the home now"
-	whyDeputy  = "the rack is kept alive by a deputy while the log is out"
-	whyNoRoom  = "no room"
-	whyOther   = "another attempt of the task is here"
-	whyEarmark = "the room is kept for an all-at-once job"
-	whyNoHold  = "the held place has lapsed"
+	refusedWrongEpoch    = "the ask is for another epoch of the rack"
+	refusedOldShardOwner = "another node is the home now"
+	refusedByDeputy      = "the rack is kept alive by a deputy while the log is out"
+	refusedNoCapacity    = "no room"
+	refusedOtherAttempt  = "another attempt of the task is here"
+	refusedForGang       = "the room is kept for an all-at-once job"
+	refusedNoReservation = "the held place has lapsed"
 )
 
 // settled are a home's attempts that must not start any more.
-type settled struct {
-	floor uint64
-	why   map[uint64]string
+type closedAttempts struct {
+	floor   uint64
+	reasons map[uint64]string
 }
 
-func (r *Rack) settledOf(home state.ShardID) *settled {
-	s := r.settled[home]
+func (r *Rack) closedAttemptsOf(jobShard state.ShardID) *closedAttempts {
+	s := r.closedAttempts[jobShard]
 	if s == nil {
-		s = &settled{why: map[uint64]string{}}
-		r.settled[home] = s
+		s = &closedAttempts{reasons: map[uint64]string{}}
+		r.closedAttempts[jobShard] = s
 	}
 	return s
 }
 
 // raiseFloor forgets what no late ask can bring back.
-func (s *settled) raiseFloor(floor uint64) {
+func (s *closedAttempts) raiseFloor(floor uint64) {
 	if floor <= s.floor {
 		return
 	}
 	s.floor = floor
-	for attempt := range s.why {
+	for attempt := range s.reasons {
 		if attempt < floor {
-			delete(s.why, attempt)
+			delete(s.reasons, attempt)
 		}
 	}
 }
 
 // acceptHome reports whether the epoch is the home's highest seen here.
-func (r *Rack) acceptHome(home state.ShardID, epoch uint64) bool {
-	if epoch < r.homes[home] {
+func (r *Rack) acceptShardEpoch(jobShard state.ShardID, epoch uint64) bool {
+	if epoch < r.shardEpochs[jobShard] {
 		return false
 	}
-	r.homes[home] = epoch
+	r.shardEpochs[jobShard] = epoch
 	return true
 }
 
 // OnStartRequest takes an ask; it is settled with the others at the next Flush.
-func (r *Rack) OnStartRequest(ask *node.Ask) {
-	why := ""
+func (r *Rack) OnStartRequest(request *node.Ask) {
+	reason := ""
 	switch {
-	case ask.RackEpoch != r.Epoch:
-		why = whyEpoch
-	case !r.acceptHome(ask.Home, ask.HomeEpoch):
-		why = whyHome
+	case request.RackEpoch != r.Epoch:
+		reason = refusedWrongEpoch
+	case !r.acceptShardEpoch(request.Home, request.HomeEpoch):
+		reason = refusedOldShardOwner
 	case r.options.IsDeputy:
-		why = whyDeputy
+		reason = refusedByDeputy
 	}
-	if why == "" {
-		r.settledOf(ask.Home).raiseFloor(ask.Floor)
+	if reason == "" {
+		r.closedAttemptsOf(request.Home).raiseFloor(request.Floor)
 	}
-	for i := range ask.Items {
-		if why != "" {
-			r.answerRefused(ask, ask.Items[i].Task.Key, why)
+	for i := range request.Items {
+		if reason != "" {
+			r.answerRefused(request, request.Items[i].Task.Key, reason)
 			continue
 		}
-		r.asks = append(r.asks, pendingAsk{ask, &ask.Items[i]})
+		r.pendingStarts = append(r.pendingStarts, pendingStart{request, &request.Items[i]})
 	}
 }
 
 // Flush settles the asks that came since the last one: class, then the team's
 // share of its quota, then age.
 func (r *Rack) Flush(now time.Time) {
-	r.retryUrgents(now)
-	r.retryPushedGrants(now)
-	if len(r.asks) == 0 {
+	r.retryUrgentStarts(now)
+	r.retryPreemptingGrants(now)
+	if len(r.pendingStarts) == 0 {
 		return
 	}
-	asks := r.asks
-	r.asks = nil
-	slices.SortStableFunc(asks, func(a, b pendingAsk) int {
+	pendingStarts := r.pendingStarts
+	r.pendingStarts = nil
+	slices.SortStableFunc(pendingStarts, func(a, b pendingStart) int {
 		return cmp.Or(
 			cmp.Compare(a.item.Task.Class.Rank(), b.item.Task.Class.Rank()),
 			cmp.Compare(a.item.Share, b.item.Share), cmp.Compare(b.item.Age, a.item.Age),
 		)
 	})
-	for _, p := range asks {
-		r.settle(now, p)
+	for _, p := range pendingStarts {
+		r.decide(now, p)
 	}
 }
 
 // settle starts one attempt or refuses it. An attempt that is here already is
 // answered as it stands, so that an ask may be sent again.
-func (r *Rack) settle(now time.Time, p pendingAsk) {
+func (r *Rack) decide(now time.Time, p pendingStart) {
 	key := p.item.Task.Key
-	s := r.settledOf(p.ask.Home)
-	if why, ok := s.why[key.Attempt]; ok || key.Attempt < s.floor {
-		if why != "" {
-			r.answerRefused(p.ask, key, why)
+	s := r.closedAttemptsOf(p.request.Home)
+	if reason, ok := s.reasons[key.Attempt]; ok || key.Attempt < s.floor {
+		if reason != "" {
+			r.answerRefused(p.request, key, reason)
 		}
 		return
 	}
-	if h := r.held[key]; h != nil {
-		h.asked = p.ask
-		if h.phase != phaseStarting {
-			r.answerStarted(h)
+	if a := r.assignments[key]; a != nil {
+		a.request = p.request
+		if a.phase != phaseStarting {
+			r.answerStarted(a)
 		}
 		return
 	}
-	if r.isUrgentWaiting(key) {
+	if r.isUrgentStartWaiting(key) {
 		return
 	}
-	if other, ok := r.byTask[key.Task]; ok && r.held[other].phase != phaseEnded {
-		r.answerRefused(p.ask, key, whyOther)
+	if other, ok := r.byTask[key.Task]; ok && r.assignments[other].phase != phaseEnded {
+		r.answerRefused(p.request, key, refusedOtherAttempt)
 		return
 	}
 	if p.item.HoldID != 0 {
-		r.settleHeld(now, p)
+		r.startReserved(now, p)
 		return
 	}
-	if r.isEarmarkedAgainst(now, p.item) {
-		r.answerRefused(p.ask, key, whyEarmark)
+	if r.isBlockedByGang(now, p.item) {
+		r.answerRefused(p.request, key, refusedForGang)
 		return
 	}
-	best, second := r.choose(now, p.item)
+	best, runnerUp := r.chooseWorker(now, p.item)
 	if best == nil {
-		r.keepFor(now, p.item)
-		r.settleUrgent(now, p)
+		r.reserveVMFor(now, p.item)
+		r.preemptOrRefuse(now, p)
 		return
 	}
-	r.place(now, p, best, second, "best of the rack")
+	r.place(now, p, best, runnerUp, "best of the rack")
 }
 
 // choose returns the worker to take and the runner-up, or nil.
-func (r *Rack) choose(now time.Time, item *node.AskItem) (best, second *vm) {
-	candidates := make([]placement.Candidate, len(r.order))
-	for i, id := range r.order {
+func (r *Rack) chooseWorker(now time.Time, item *node.AskItem) (best, runnerUp *vm) {
+	candidates := make([]placement.Candidate, len(r.sortedIDs))
+	for i, id := range r.sortedIDs {
 		v := r.vms[id]
-		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) || r.isKeptFrom(now, v, item) {
+		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) || r.isReservedAgainst(now, v, item) {
 			candidates[i].IsShut = true
 			continue
 		}
@@ -171,119 +171,119 @@
 	}
 	b, s := placement.Best(placement.Policy{Waiting: item.Waiting, Packing: item.Packing}, r.expected(&item.Task), candidates)
 	if b >= 0 {
-		best = r.vms[r.order[b]]
+		best = r.vms[r.sortedIDs[b]]
 	}
 	if s >= 0 {
-		second = r.vms[r.order[s]]
+		runnerUp = r.vms[r.sortedIDs[s]]
 	}
-	return best, second
+	return best, runnerUp
 }
 
-func (r *Rack) place(now time.Time, p pendingAsk, v, second *vm, why string) {
-	h := &held{task: p.item.Task, vm: v, phase: phaseStarting, since: now, told: now, asked: p.ask}
-	h.task.State = worker.StateRunning
+func (r *Rack) place(now time.Time, p pendingStart, v, runnerUp *vm, reason string) {
+	a := &assignment{task: p.item.Task, vm: v, phase: phaseStarting, since: now, lastSentAt: now, request: p.request}
+	a.task.State = worker.StateRunning
 	// Until it reports itself, it counts for what others of its job have used.
-	h.task.Usage = r.expected(&h.task)
-	r.add(h)
-	r.endKeep(h.task.Key.Task.Job)
-	if r.health.Placed(now, v.id, h.task.Key) {
+	a.task.Usage = r.expected(&a.task)
+	r.addAssignment(a)
+	r.releaseReservedVM(a.task.Key.Task.Job)
+	if r.health.Placed(now, v.id, a.task.Key) {
 		r.event(EventWorkerProbed, v.id, worker.Key{}, "")
 	}
-	r.orderStart(now, h)
-	d := Decision{Key: h.task.Key, Worker: v.id, Reason: why}
-	if second != nil {
-		d.RunnerUp = second.id
+	r.orderStart(now, a)
+	d := Decision{Key: a.task.Key, Worker: v.id, Reason: reason}
+	if runnerUp != nil {
+		d.RunnerUp = runnerUp.id
 	}
-	r.out.Decisions = append(r.out.Decisions, d)
-	r.isChanged = true
+	r.output.Decisions = append(r.output.Decisions, d)
+	r.isSummaryChanged = true
 }
 
 // orderStart adds a start to the orders, joined with others for the same worker.
-func (r *Rack) orderStart(now time.Time, h *held) {
-	h.told = now
-	h.isOrdered = true
-	for i := range r.out.Starts {
-		if r.out.Starts[i].Worker == h.vm.id {
-			r.out.Starts[i].Tasks = append(r.out.Starts[i].Tasks, h.task)
+func (r *Rack) orderStart(now time.Time, a *assignment) {
+	a.lastSentAt = now
+	a.isStartPending = true
+	for i := range r.output.Starts {
+		if r.output.Starts[i].Worker == a.vm.id {
+			r.output.Starts[i].Tasks = append(r.output.Starts[i].Tasks, a.task)
 			return
 		}
 	}
-	r.out.Starts = append(r.out.Starts, StartOrder{h.vm.id, h.vm.boot, h.vm.asOf, []worker.Task{h.task}})
+	r.output.Starts = append(r.output.Starts, StartOrder{a.vm.id, a.vm.bootID, a.vm.workerTime, []worker.Task{a.task}})
 }
 
-func (r *Rack) answerStarted(h *held) {
-	if h.asked == nil {
+func (r *Rack) answerStarted(a *assignment) {
+	if a.request == nil {
 		return
 	}
-	r.answer(h.asked, node.AnswerResult{Key: h.task.Key, Worker: h.vm.id})
-	h.asked = nil
+	r.answer(a.request, node.AnswerResult{Key: a.task.Key, Worker: a.vm.id})
+	a.request = nil
 }
 
-func (r *Rack) answerRefused(ask *node.Ask, key worker.Key, why string) {
-	r.refuse(ask, node.AnswerResult{Key: key, Refused: why})
+func (r *Rack) answerRefused(request *node.Ask, key worker.Key, reason string) {
+	r.refuseAttempt(request, node.AnswerResult{Key: key, Refused: reason})
 }
 
-func (r *Rack) refuse(ask *node.Ask, result node.AnswerResult) {
-	if ask == nil {
+func (r *Rack) refuseAttempt(request *node.Ask, result node.AnswerResult) {
+	if request == nil {
 		return
 	}
-	r.settledOf(ask.Home).why[result.Key.Attempt] = result.Refused
-	r.answer(ask, result)
+	r.closedAttemptsOf(request.Home).reasons[result.Key.Attempt] = result.Refused
+	r.answer(request, result)
 }
 
 // refuseForRoom refuses an ask for which there is no room, and tells the home
 // if more was needed than the task declares.
-func (r *Rack) refuseForRoom(p pendingAsk) {
-	result := node.AnswerResult{Key: p.item.Task.Key, Refused: whyNoRoom}
+func (r *Rack) refuseForCapacity(p pendingStart) {
+	result := node.AnswerResult{Key: p.item.Task.Key, Refused: refusedNoCapacity}
 	if need := r.expected(&p.item.Task); need != p.item.Task.Each {
 		result.Expected = &need
 	}
-	r.refuse(p.ask, result)
+	r.refuseAttempt(p.request, result)
 }
 
 // answer adds a result to the answers, joined with others for the same home.
-func (r *Rack) answer(ask *node.Ask, result node.AnswerResult) {
-	for i := range r.out.ToJobShards {
-		m := &r.out.ToJobShards[i]
-		if m.JobShard == ask.Home && m.Message.Answer != nil {
+func (r *Rack) answer(request *node.Ask, result node.AnswerResult) {
+	for i := range r.output.ToJobShards {
+		m := &r.output.ToJobShards[i]
+		if m.JobShard == request.Home && m.Message.Answer != nil {
 			m.Message.Answer.Results = append(m.Message.Answer.Results, result)
 			return
 		}
 	}
-	a := &node.Answer{Home: ask.Home, Rack: r.ID, RackEpoch: ask.RackEpoch, Results: []node.AnswerResult{result}}
-	r.out.ToJobShards = append(r.out.ToJobShards, JobShardMessage{ask.Home, node.Message{Answer: a}})
+	a := &node.Answer{Home: request.Home, Rack: r.ID, RackEpoch: request.RackEpoch, Results: []node.AnswerResult{result}}
+	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{request.Home, node.Message{Answer: a}})
 }
 
 // OnAction does a home's deed to its attempts. Attempts that are not here are
 // left out: the home learns of them by news.
 func (r *Rack) OnAction(now time.Time, d *node.Deed) {
-	if !r.acceptHome(d.Home, d.HomeEpoch) {
+	if !r.acceptShardEpoch(d.Home, d.HomeEpoch) {
 		return
 	}
 	orders := map[worker.ID][]worker.Key{}
 	for _, k := range d.Keys {
-		r.cancelUrgent(k)
-		h := r.held[k]
-		if h == nil || h.phase == phaseEnded {
+		r.cancelUrgentStart(k)
+		a := r.assignments[k]
+		if a == nil || a.phase == phaseEnded {
 			continue
 		}
-		h.deed = d.Deed
-		h.told = now
-		orders[h.vm.id] = append(orders[h.vm.id], k)
+		a.pendingAction = d.Deed
+		a.lastSentAt = now
+		orders[a.vm.id] = append(orders[a.vm.id], k)
 	}
-	for _, id := range r.order {
+	for _, id := range r.sortedIDs {
 		if keys := orders[id]; len(keys) > 0 {
-			r.out.Acts = append(r.out.Acts, ActOrder{id, d.Deed, keys})
+			r.output.Acts = append(r.output.Acts, ActOrder{id, d.Deed, keys})
 		}
 	}
 }
 
-func sortedHeld(m map[worker.Key]*held) []*held {
-	list := make([]*held, 0, len(m))
-	for _, h := range m {
-		list = append(list, h)
+func sortedAssignments(m map[worker.Key]*assignment) []*assignment {
+	list := make([]*assignment, 0, len(m))
+	for _, a := range m {
+		list = append(list, a)
 	}
-	slices.SortFunc(list, func(a, b *held) int { return compareKeys(a.task.Key, b.task.Key) })
+	slices.SortFunc(list, func(a, b *assignment) int { return compareKeys(a.task.Key, b.task.Key) })
 	return list
 }
 
@@ -292,4 +292,4 @@
 }
 
 // isLower reports whether a is less urgent than b.
-func isLower(a, b leverdyke.Class) bool { return a.Rank() > b.Rank() }
+func isLessUrgent(a, b leverdyke.Class) bool { return a.Rank() > b.Rank() }
--- a/internal/rack/reservations.go
+++ b/internal/rack/reservations.go
@@ -15,153 +15,153 @@
 const (
 	// earmarkAge is how long an all-at-once job must have waited before a rack
 	// keeps room for it, and earmarkTime how long without a further try.
-	earmarkAge  = 10 * time.Second
-	earmarkTime = 5 * time.Second
-	maxHold     = 30 * time.Second
+	gangPriorityMinWait = 10 * time.Second
+	priorityTimeout     = 5 * time.Second
+	maxReservationTime  = 30 * time.Second
 )
 
-type holdID struct {
-	home state.ShardID
-	id   uint64
+type reservationID struct {
+	owner state.ShardID
+	id    uint64
 }
 
 // hold is room that is kept for an all-at-once job until it expires.
-type hold struct {
-	each   leverdyke.Resources
-	places map[worker.ID]int
-	until  time.Time
+type reservation struct {
+	each      leverdyke.Resources
+	places    map[worker.ID]int
+	expiresAt time.Time
 }
 
 // earmark keeps small work out of a rack in which an all-at-once job that has
 // waited long could not get all its places.
-type earmark struct {
-	owner holdID
-	class leverdyke.Class
+type gangPriority struct {
+	reservation reservationID
+	class       leverdyke.Class
 	// since is when the job began to wait; the older job keeps the earmark.
-	since time.Time
-	until time.Time
+	since     time.Time
+	expiresAt time.Time
 }
 
 // OnReserve holds as many of the places as there are.
 func (r *Rack) OnReserve(now time.Time, m *node.Hold) {
-	id := holdID{m.Home, m.ID}
+	id := reservationID{m.Home, m.ID}
 	reply := &node.HoldReply{Home: m.Home, Rack: r.ID, ID: m.ID}
-	isRefused := m.RackEpoch != r.Epoch || !r.acceptHome(m.Home, m.HomeEpoch) || r.options.IsDeputy
+	isRefused := m.RackEpoch != r.Epoch || !r.acceptShardEpoch(m.Home, m.HomeEpoch) || r.options.IsDeputy
 	if !isRefused {
-		reply.Count = r.hold(now, id, m)
-		r.noteEarmark(now, id, m, reply.Count)
-		r.isChanged = true
+		reply.Count = r.reserve(now, id, m)
+		r.updateGangPriority(now, id, m, reply.Count)
+		r.isSummaryChanged = true
 	}
-	r.out.ToJobShards = append(r.out.ToJobShards, JobShardMessage{m.Home, node.Message{HoldReply: reply}})
+	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{m.Home, node.Message{HoldReply: reply}})
 }
 
-func (r *Rack) hold(now time.Time, id holdID, m *node.Hold) int {
-	if h := r.holds[id]; h != nil {
-		h.until = now.Add(min(m.Expiry, maxHold))
-		return h.count()
+func (r *Rack) reserve(now time.Time, id reservationID, m *node.Hold) int {
+	if res := r.reservations[id]; res != nil {
+		res.expiresAt = now.Add(min(m.Expiry, maxReservationTime))
+		return res.count()
 	}
-	if e := r.earmark; e != nil && e.owner != id && now.Before(e.until) && e.since.Before(now.Add(-m.Age)) && !isLower(e.class, m.Class) {
+	if current := r.gangPriority; current != nil && current.reservation != id && now.Before(current.expiresAt) && current.since.Before(now.Add(-m.Age)) && !isLessUrgent(current.class, m.Class) {
 		return 0
 	}
-	h := &hold{each: m.Each, places: map[worker.ID]int{}, until: now.Add(min(m.Expiry, maxHold))}
-	r.holds[id] = h
+	res := &reservation{each: m.Each, places: map[worker.ID]int{}, expiresAt: now.Add(min(m.Expiry, maxReservationTime))}
+	r.reservations[id] = res
 	for range m.Count {
-		v := r.bestFor(now, m.Each)
+		v := r.bestWorkerFor(now, m.Each)
 		if v == nil {
 			break
 		}
-		h.places[v.id]++
+		res.places[v.id]++
 	}
-	if len(h.places) == 0 {
-		delete(r.holds, id)
+	if len(res.places) == 0 {
+		delete(r.reservations, id)
 	}
-	return h.count()
+	return res.count()
 }
 
-func (h *hold) count() int {
+func (res *reservation) count() int {
 	n := 0
-	for _, c := range h.places {
+	for _, c := range res.places {
 		n += c
 	}
 	return n
 }
 
 // bestFor returns the worker that the need fills best, or nil.
-func (r *Rack) bestFor(now time.Time, need leverdyke.Resources) *vm {
+func (r *Rack) bestWorkerFor(now time.Time, need leverdyke.Resources) *vm {
 	// A run time, since only services pass a VM that is kept for another task.
 	item := &node.AskItem{Task: worker.Task{Each: need, Class: leverdyke.ClassBatch, RunTime: 1}, Packing: 1}
-	best, _ := r.choose(now, item)
+	best, _ := r.chooseWorker(now, item)
 	return best
 }
 
-func (r *Rack) noteEarmark(now time.Time, id holdID, m *node.Hold, count int) {
-	if count >= m.Count || m.Age < earmarkAge {
+func (r *Rack) updateGangPriority(now time.Time, id reservationID, m *node.Hold, count int) {
+	if count >= m.Count || m.Age < gangPriorityMinWait {
 		return
 	}
 	since := now.Add(-m.Age)
-	e := r.earmark
-	if e != nil && e.owner != id && now.Before(e.until) && e.since.Before(since) {
+	current := r.gangPriority
+	if current != nil && current.reservation != id && now.Before(current.expiresAt) && current.since.Before(since) {
 		return
 	}
-	r.earmark = &earmark{owner: id, class: m.Class, since: since, until: now.Add(earmarkTime)}
+	r.gangPriority = &gangPriority{reservation: id, class: m.Class, since: since, expiresAt: now.Add(priorityTimeout)}
 }
 
 // isEarmarkedAgainst reports whether an ask has to leave the room to the
 // all-at-once job that waits. More urgent work and services do not wait.
-func (r *Rack) isEarmarkedAgainst(now time.Time, item *node.AskItem) bool {
-	e := r.earmark
-	if e == nil || !now.Before(e.until) || item.Task.RunTime == 0 {
+func (r *Rack) isBlockedByGang(now time.Time, item *node.AskItem) bool {
+	current := r.gangPriority
+	if current == nil || !now.Before(current.expiresAt) || item.Task.RunTime == 0 {
 		return false
 	}
-	return item.Task.Class.Rank() >= e.class.Rank()
+	return item.Task.Class.Rank() >= current.class.Rank()
 }
 
 // settleHeld starts an attempt on a place that its job holds.
-func (r *Rack) settleHeld(now time.Time, p pendingAsk) {
-	id := holdID{p.ask.Home, p.item.HoldID}
-	h := r.holds[id]
-	if h == nil {
-		r.answerRefused(p.ask, p.item.Task.Key, whyNoHold)
+func (r *Rack) startReserved(now time.Time, p pendingStart) {
+	id := reservationID{p.request.Home, p.item.HoldID}
+	res := r.reservations[id]
+	if res == nil {
+		r.answerRefused(p.request, p.item.Task.Key, refusedNoReservation)
 		return
 	}
-	for _, wid := range r.order {
-		v := r.vms[wid]
-		if h.places[wid] == 0 || !r.isUsable(now, v) {
+	for _, workerID := range r.sortedIDs {
+		v := r.vms[workerID]
+		if res.places[workerID] == 0 || !r.isUsable(now, v) {
 			continue
 		}
-		h.places[wid]--
-		if h.places[wid] == 0 {
-			delete(h.places, wid)
+		res.places[workerID]--
+		if res.places[workerID] == 0 {
+			delete(res.places, workerID)
 		}
-		if len(h.places) == 0 {
-			delete(r.holds, id)
+		if len(res.places) == 0 {
+			delete(r.reservations, id)
 		}
 		r.place(now, p, v, nil, "a held place")
 		return
 	}
-	r.answerRefused(p.ask, p.item.Task.Key, whyNoHold)
+	r.answerRefused(p.request, p.item.Task.Key, refusedNoReservation)
 }
 
 // OnRelease gives held places back.
 func (r *Rack) OnRelease(m *node.Release) {
-	id := holdID{m.Home, m.ID}
-	if r.holds[id] != nil {
-		delete(r.holds, id)
-		r.isChanged = true
+	id := reservationID{m.Home, m.ID}
+	if r.reservations[id] != nil {
+		delete(r.reservations, id)
+		r.isSummaryChanged = true
 	}
 }
 
-func (r *Rack) expireHolds(now time.Time) {
-	for id, h := range r.holds {
-		if !now.Before(h.until) {
-			delete(r.holds, id)
-			r.isChanged = true
+func (r *Rack) expireReservations(now time.Time) {
+	for id, res := range r.reservations {
+		if !now.Before(res.expiresAt) {
+			delete(r.reservations, id)
+			r.isSummaryChanged = true
 		}
 	}
-	if r.earmark != nil && !now.Before(r.earmark.until) {
-		r.earmark = nil
+	if r.gangPriority != nil && !now.Before(r.gangPriority.expiresAt) {
+		r.gangPriority = nil
 	}
-	if r.kept != nil && !now.Before(r.kept.until) {
-		r.endKeep(r.kept.job)
+	if r.reservedVM != nil && !now.Before(r.reservedVM.expiresAt) {
+		r.releaseReservedVM(r.reservedVM.job)
 	}
 }
--- a/internal/rack/summary.go
+++ b/internal/rack/summary.go
@@ -15,59 +15,59 @@
 
 // Summary returns the rack's summary.
 func (r *Rack) Summary(now time.Time) node.Room {
-	room := node.Room{Rack: r.ID, Epoch: r.Epoch}
+	summary := node.Room{Rack: r.ID, Epoch: r.Epoch}
 	services := map[string]*node.ServiceRoom{}
-	for _, id := range r.order {
+	for _, id := range r.sortedIDs {
 		v := r.vms[id]
-		room.Zone = v.zone
+		summary.Zone = v.zone
 		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
 			continue
 		}
 		free := r.free(v).Max(leverdyke.Resources{})
-		room.Workers++
-		if !r.isKept(now, v) {
-			room.Free = room.Free.Add(free)
-			room.Largest = room.Largest.Max(free)
+		summary.Workers++
+		if !r.isReserved(now, v) {
+			summary.Free = summary.Free.Add(free)
+			summary.Largest = summary.Largest.Max(free)
 		}
-		room.Capacity = room.Capacity.Max(v.capacity)
-		room.Yield = room.Yield.Max(r.yield(v))
-		countServices(v, free, services)
+		summary.Capacity = summary.Capacity.Max(v.capacity)
+		summary.Yield = summary.Yield.Max(r.freeAfterPreemption(v))
+		addServiceCapacity(v, free, services)
 	}
 	for _, s := range services {
-		room.Services = append(room.Services, *s)
+		summary.Services = append(summary.Services, *s)
 	}
-	slices.SortFunc(room.Services, func(a, b node.ServiceRoom) int {
+	slices.SortFunc(summary.Services, func(a, b node.ServiceRoom) int {
 		if a.Service < b.Service {
 			return -1
 		}
 		return 1
 	})
-	return room
+	return summary
 }
 
-func countServices(v *vm, free leverdyke.Resources, services map[string]*node.ServiceRoom) {
-	for _, h := range v.held {
-		if h.phase != phaseRunning || h.task.Service == "" || h.task.Holder != "" {
+func addServiceCapacity(v *vm, free leverdyke.Resources, services map[string]*node.ServiceRoom) {
+	for _, a := range v.assignments {
+		if a.phase != phaseRunning || a.task.Service == "" || a.task.Holder != "" {
 			continue
 		}
-		s := services[h.task.Service]
+		s := services[a.task.Service]
 		if s == nil {
-			s = &node.ServiceRoom{Service: h.task.Service}
-			services[h.task.Service] = s
+			s = &node.ServiceRoom{Service: a.task.Service}
+			services[a.task.Service] = s
 		}
 		s.Replicas++
-		slots := h.task.Request.Count(free)
+		slots := a.task.Request.Count(free)
 		s.Slots += int(slots)
-		s.Yield += int(h.task.Request.Count(yieldTo(v, free)) - slots)
+		s.Yield += int(a.task.Request.Count(freeWithoutBatches(v, free)) - slots)
 	}
 }
 
 // yield is what preemption for urgent work could leave on a worker at most.
-func (r *Rack) yield(v *vm) leverdyke.Resources {
+func (r *Rack) freeAfterPreemption(v *vm) leverdyke.Resources {
 	free := r.free(v)
-	for _, h := range v.held {
-		if h.phase == phaseRunning && !h.task.IsOnce && h.task.Holder == "" && h.task.Class != leverdyke.ClassUrgent {
-			free = free.Add(h.task.Charge())
+	for _, a := range v.assignments {
+		if a.phase == phaseRunning && !a.task.IsOnce && a.task.Holder == "" && a.task.Class != leverdyke.ClassUrgent {
+			free = free.Add(a.task.Charge())
 		}
 	}
 	return free.Max(leverdyke.Resources{})
@@ -81,8 +81,8 @@
 		if r.isUsable(now, v) {
 			usable++
 		}
-		for _, h := range v.held {
-			if h.phase != phaseEnded && h.task.Holder == "" {
+		for _, a := range v.assignments {
+			if a.phase != phaseEnded && a.task.Holder == "" {
 				running++
 			}
 		}
@@ -94,9 +94,9 @@
 func (r *Rack) Used() (used, capacity leverdyke.Resources) {
 	for _, v := range r.vms {
 		capacity = capacity.Add(v.capacity)
-		for _, h := range v.held {
-			if h.phase != phaseEnded {
-				used = used.Add(h.task.Charge())
+		for _, a := range v.assignments {
+			if a.phase != phaseEnded {
+				used = used.Add(a.task.Charge())
 			}
 		}
 	}
@@ -116,12 +116,12 @@
 
 // Status lists the rack's workers.
 func (r *Rack) Status(now time.Time) []WorkerStatus {
-	list := make([]WorkerStatus, 0, len(r.order))
-	for _, id := range r.order {
+	list := make([]WorkerStatus, 0, len(r.sortedIDs))
+	for _, id := range r.sortedIDs {
 		v := r.vms[id]
 		s := WorkerStatus{ID: id, Rack: r.ID, Zone: v.zone, Status: r.statusOf(now, v), Free: r.free(v), Capacity: v.capacity}
-		for _, h := range v.held {
-			if h.phase != phaseEnded {
+		for _, a := range v.assignments {
+			if a.phase != phaseEnded {
 				s.Running++
 			}
 		}
@@ -132,13 +132,13 @@
 
 func (r *Rack) statusOf(now time.Time, v *vm) string {
 	switch {
-	case v.isGone:
+	case v.isRemoved:
 		return "gone"
 	case v.isDrained:
 		return "drained"
 	case v.isLeaving || v.isListedLeaving:
 		return "leaving"
-	case !v.isKnown:
+	case !v.isReconciled:
 		return "unknown"
 	case r.health.IsEjected(now, v.id):
 		return "set-aside"
--- a/internal/rack/updates.go
+++ b/internal/rack/updates.go
@@ -11,71 +11,71 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-const newsRetry = 2 * time.Second
+const updateRetryPeriod = 2 * time.Second
 
 // OnShardSync makes the sender's epoch the home's own here and answers with all
 // of the home's attempts, now and again when the rack is complete.
 func (r *Rack) OnShardSync(m *node.HomeSync) {
-	if !r.acceptHome(m.Home, m.HomeEpoch) {
+	if !r.acceptShardEpoch(m.Home, m.HomeEpoch) {
 		return
 	}
-	r.synced[m.Home] = true
-	r.dropOldAsks(m.Home, m.HomeEpoch)
-	r.tellWhole(m.Home)
+	r.syncedShards[m.Home] = true
+	r.dropSupersededStarts(m.Home, m.HomeEpoch)
+	r.sendFullUpdate(m.Home)
 }
 
 // dropOldAsks forgets what an earlier owner of the home asked for and has not
 // been started.
-func (r *Rack) dropOldAsks(home state.ShardID, epoch uint64) {
-	kept := r.asks[:0]
-	for _, p := range r.asks {
-		if p.ask.Home != home || p.ask.HomeEpoch >= epoch {
-			kept = append(kept, p)
+func (r *Rack) dropSupersededStarts(jobShard state.ShardID, epoch uint64) {
+	remaining := r.pendingStarts[:0]
+	for _, p := range r.pendingStarts {
+		if p.request.Home != jobShard || p.request.HomeEpoch >= epoch {
+			remaining = append(remaining, p)
 		}
 	}
-	r.asks = kept
-	r.dropOldUrgents(home, epoch)
+	r.pendingStarts = remaining
+	r.dropSupersededUrgents(jobShard, epoch)
 }
 
-func (r *Rack) tellWhole(home state.ShardID) {
-	n := &node.News{Home: home, Rack: r.ID, RackEpoch: r.Epoch, IsWhole: true, IsComplete: r.IsComplete()}
-	for _, h := range sortedHeld(r.held) {
-		if h.task.Home == string(home) {
-			n.Items = append(n.Items, newsItem(h))
+func (r *Rack) sendFullUpdate(jobShard state.ShardID) {
+	n := &node.News{Home: jobShard, Rack: r.ID, RackEpoch: r.Epoch, IsWhole: true, IsComplete: r.IsComplete()}
+	for _, a := range sortedAssignments(r.assignments) {
+		if a.task.Home == string(jobShard) {
+			n.Items = append(n.Items, updateItem(a))
 		}
 	}
-	r.out.ToJobShards = append(r.out.ToJobShards, JobShardMessage{home, node.Message{News: n}})
+	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{jobShard, node.Message{News: n}})
 }
 
-func newsItem(h *held) node.NewsItem {
-	s := h.task.State
-	if h.phase != phaseEnded {
+func updateItem(a *assignment) node.NewsItem {
+	s := a.task.State
+	if a.phase != phaseEnded {
 		s = worker.StateRunning
 	}
-	return node.NewsItem{Key: h.task.Key, State: s, Worker: h.vm.id, IsLost: h.isLost, IsBlamed: h.isBlamed}
+	return node.NewsItem{Key: a.task.Key, State: s, Worker: a.vm.id, IsLost: a.isLost, IsBlamed: a.isWorkerAtFault}
 }
 
 // tellNews tells the home of one attempt, joined with others for it.
-func (r *Rack) tellNews(h *held) {
-	home := state.ShardID(h.task.Home)
-	for i := range r.out.ToJobShards {
-		m := &r.out.ToJobShards[i]
-		if m.JobShard == home && m.Message.News != nil && !m.Message.News.IsWhole {
-			m.Message.News.Items = append(m.Message.News.Items, newsItem(h))
+func (r *Rack) sendUpdate(a *assignment) {
+	jobShard := state.ShardID(a.task.Home)
+	for i := range r.output.ToJobShards {
+		m := &r.output.ToJobShards[i]
+		if m.JobShard == jobShard && m.Message.News != nil && !m.Message.News.IsWhole {
+			m.Message.News.Items = append(m.Message.News.Items, updateItem(a))
 			return
 		}
 	}
-	n := &node.News{Home: home, Rack: r.ID, RackEpoch: r.Epoch, IsComplete: r.IsComplete(), Items: []node.NewsItem{newsItem(h)}}
-	r.out.ToJobShards = append(r.out.ToJobShards, JobShardMessage{home, node.Message{News: n}})
+	n := &node.News{Home: jobShard, Rack: r.ID, RackEpoch: r.Epoch, IsComplete: r.IsComplete(), Items: []node.NewsItem{updateItem(a)}}
+	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{jobShard, node.Message{News: n}})
 }
 
-func (r *Rack) resendNews(now time.Time) {
-	for _, h := range sortedHeld(r.held) {
-		if h.phase != phaseEnded || h.task.Holder != "" || now.Sub(h.told) < newsRetry {
+func (r *Rack) resendUpdates(now time.Time) {
+	for _, a := range sortedAssignments(r.assignments) {
+		if a.phase != phaseEnded || a.task.Holder != "" || now.Sub(a.lastSentAt) < updateRetryPeriod {
 			continue
 		}
-		h.told = now
-		r.tellNews(h)
+		a.lastSentAt = now
+		r.sendUpdate(a)
 	}
 }
 
@@ -83,17 +83,17 @@
 func (r *Rack) OnUpdateAck(m *node.NewsAck) {
 	forgets := map[worker.ID][]worker.Key{}
 	for _, k := range m.Keys {
-		h := r.held[k]
-		if h == nil || h.phase != phaseEnded {
+		a := r.assignments[k]
+		if a == nil || a.phase != phaseEnded {
 			continue
 		}
-		r.remove(h)
-		r.settledOf(m.Home).why[k.Attempt] = ""
-		forgets[h.vm.id] = append(forgets[h.vm.id], k)
+		r.removeAssignment(a)
+		r.closedAttemptsOf(m.Home).reasons[k.Attempt] = ""
+		forgets[a.vm.id] = append(forgets[a.vm.id], k)
 	}
-	for _, id := range r.order {
+	for _, id := range r.sortedIDs {
 		if keys := forgets[id]; len(keys) > 0 {
-			r.out.Forgets = append(r.out.Forgets, ForgetOrder{id, keys})
+			r.output.Forgets = append(r.output.Forgets, ForgetOrder{id, keys})
 		}
 	}
 }
--- a/internal/rack/urgent.go
+++ b/internal/rack/urgent.go
@@ -17,63 +17,63 @@
 const (
 	// urgentPatience is how long urgent work waits here for its victims; the
 	// home then tries another rack, within the 3.4 s that it has in all.
-	urgentPatience = 1500 * time.Millisecond
+	urgentTimeout = 1500 * time.Millisecond
 	// checkpointPatience is after how long a checkpoint becomes a stop.
-	checkpointPatience = 700 * time.Millisecond
+	checkpointTimeout = 700 * time.Millisecond
 )
 
 // urgent is an attempt that waits for victims to leave its worker. Its room is
 // kept by a hold, so that nobody else takes what becomes free.
-type urgent struct {
-	ask   pendingAsk
-	vm    *vm
-	hold  holdID
-	since time.Time
+type urgentStart struct {
+	start       pendingStart
+	vm          *vm
+	reservation reservationID
+	since       time.Time
 }
 
 // settleUrgent makes room for urgent work by pushing others aside, or refuses.
-func (r *Rack) settleUrgent(now time.Time, p pendingAsk) {
+func (r *Rack) preemptOrRefuse(now time.Time, p pendingStart) {
 	if p.item.Task.Class != leverdyke.ClassUrgent {
-		r.refuseForRoom(p)
+		r.refuseForCapacity(p)
 		return
 	}
-	v, pushes := r.cheapest(now, p.item)
+	v, preemptions := r.cheapestPreemption(now, p.item)
 	if v == nil {
-		r.refuseForRoom(p)
+		r.refuseForCapacity(p)
 		return
 	}
 	key := p.item.Task.Key
-	id := holdID{home: state.ShardID(key.String())}
-	r.holds[id] = &hold{each: r.expected(&p.item.Task), places: map[worker.ID]int{v.id: 1}, until: now.Add(maxHold)}
-	r.urgents = append(r.urgents, &urgent{p, v, id, now})
-	r.push(now, v, pushes, "for "+key.String())
+	id := reservationID{owner: state.ShardID(key.String())}
+	r.reservations[id] = &reservation{each: r.expected(&p.item.Task), places: map[worker.ID]int{v.id: 1}, expiresAt: now.Add(maxReservationTime)}
+	r.urgentStarts = append(r.urgentStarts, &urgentStart{p, v, id, now})
+	r.preempt(now, v, preemptions, "for "+key.String())
 }
 
 // cheapest returns the worker where the fewest and gentlest deeds make room.
-func (r *Rack) cheapest(now time.Time, item *node.AskItem) (*vm, []placement.Push) {
+func (r *Rack) cheapestPreemption(now time.Time, item *node.AskItem) (*vm, []placement.Push) {
 	var best *vm
-	var bestPushes []placement.Push
+	var bestPreemptions []placement.Push
 	bestCost := 0
 	need := r.expected(&item.Task)
-	for _, id := range r.order {
+	for _, id := range r.sortedIDs {
 		v := r.vms[id]
 		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
 			continue
 		}
-		pushes := placement.Preempt(need, r.free(v), item.Task.Class, r.victims(now, v))
-		if pushes == nil {
+		preemptions := placement.Preempt(need, r.free(v), item.Task.Class, r.victims(now, v))
+		if preemptions == nil {
 			continue
 		}
-		if cost := costOf(pushes); best == nil || cost < bestCost {
-			best, bestPushes, bestCost = v, pushes, cost
+		if cost := preemptionCost(preemptions); best == nil || cost < bestCost {
+			best, bestPreemptions, bestCost = v, preemptions, cost
 		}
 	}
-	return best, bestPushes
+	return best, bestPreemptions
 }
 
-func costOf(pushes []placement.Push) int {
+func preemptionCost(preemptions []placement.Push) int {
 	cost := 0
-	for _, p := range pushes {
+	for _, p := range preemptions {
 		cost++
 		if p.Deed != worker.DeedThrottle {
 			cost += 10
@@ -84,98 +84,100 @@
 
 func (r *Rack) victims(now time.Time, v *vm) []placement.Victim {
 	list := []placement.Victim{}
-	for _, h := range sortedHeld(v.held) {
-		if h.phase != phaseRunning || h.deed != "" || h.task.Holder != "" {
+	for _, a := range sortedAssignments(v.assignments) {
+		if a.phase != phaseRunning || a.pendingAction != "" || a.task.Holder != "" {
 			continue
 		}
 		list = append(list, placement.Victim{
-			Key: h.task.Key, Charge: h.task.Charge(), Class: h.task.Class, IsOnce: h.task.IsOnce,
-			IsThrottled: h.task.IsThrottled, Ran: now.Sub(h.since),
+			Key: a.task.Key, Charge: a.task.Charge(), Class: a.task.Class, IsOnce: a.task.IsOnce,
+			IsThrottled: a.task.IsThrottled, Ran: now.Sub(a.since),
 		})
 	}
 	return list
 }
 
 // retryUrgents starts the urgent work whose room has become free.
-func (r *Rack) retryUrgents(now time.Time) {
-	kept := r.urgents[:0]
-	for _, u := range r.urgents {
+func (r *Rack) retryUrgentStarts(now time.Time) {
+	remaining := r.urgentStarts[:0]
+	for _, u := range r.urgentStarts {
 		if !r.isUsable(now, u.vm) || !zero.FitsIn(r.free(u.vm)) {
-			kept = append(kept, u)
+			remaining = append(remaining, u)
 			continue
 		}
-		delete(r.holds, u.hold)
-		r.place(now, u.ask, u.vm, nil, "room was made")
+		delete(r.reservations, u.reservation)
+		r.place(now, u.start, u.vm, nil, "room was made")
 	}
-	r.urgents = kept
+	r.urgentStarts = remaining
 }
 
-func (r *Rack) expireUrgents(now time.Time) {
-	r.dropUrgents(func(u *urgent) bool {
-		if now.Sub(u.since) < urgentPatience {
+func (r *Rack) expireUrgentStarts(now time.Time) {
+	r.dropUrgentStarts(func(u *urgentStart) bool {
+		if now.Sub(u.since) < urgentTimeout {
 			return false
 		}
-		r.refuseForRoom(u.ask)
+		r.refuseForCapacity(u.start)
 		return true
 	})
 }
 
-func (r *Rack) cancelUrgent(k worker.Key) {
-	r.dropUrgents(func(u *urgent) bool {
-		if u.ask.item.Task.Key != k {
+func (r *Rack) cancelUrgentStart(k worker.Key) {
+	r.dropUrgentStarts(func(u *urgentStart) bool {
+		if u.start.item.Task.Key != k {
 			return false
 		}
-		r.answerRefused(u.ask.ask, k, "cancelled")
+		r.answerRefused(u.start.request, k, "cancelled")
 		return true
 	})
 }
 
-func (r *Rack) dropOldUrgents(home state.ShardID, epoch uint64) {
-	r.dropUrgents(func(u *urgent) bool { return u.ask.ask.Home == home && u.ask.ask.HomeEpoch < epoch })
+func (r *Rack) dropSupersededUrgents(jobShard state.ShardID, epoch uint64) {
+	r.dropUrgentStarts(func(u *urgentStart) bool {
+		return u.start.request.Home == jobShard && u.start.request.HomeEpoch < epoch
+	})
 }
 
-func (r *Rack) dropUrgents(isOver func(*urgent) bool) {
-	r.urgents = slices.DeleteFunc(r.urgents, func(u *urgent) bool {
-		if !isOver(u) {
+func (r *Rack) dropUrgentStarts(isExpired func(*urgentStart) bool) {
+	r.urgentStarts = slices.DeleteFunc(r.urgentStarts, func(u *urgentStart) bool {
+		if !isExpired(u) {
 			return false
 		}
-		delete(r.holds, u.hold)
+		delete(r.reservations, u.reservation)
 		return true
 	})
 }
 
-func (r *Rack) isUrgentWaiting(k worker.Key) bool {
-	return slices.ContainsFunc(r.urgents, func(u *urgent) bool { return u.ask.item.Task.Key == k })
+func (r *Rack) isUrgentStartWaiting(k worker.Key) bool {
+	return slices.ContainsFunc(r.urgentStarts, func(u *urgentStart) bool { return u.start.item.Task.Key == k })
 }
 
 // escalate returns the deed to order again: a checkpoint that does not come
 // about becomes a stop.
-func (r *Rack) escalate(now time.Time, h *held) worker.Deed {
-	if h.deed == worker.DeedCheckpoint && now.Sub(h.since) > checkpointPatience {
-		h.deed = worker.DeedStop
+func (r *Rack) escalate(now time.Time, a *assignment) worker.Deed {
+	if a.pendingAction == worker.DeedCheckpoint && now.Sub(a.since) > checkpointTimeout {
+		a.pendingAction = worker.DeedStop
 	}
-	return h.deed
+	return a.pendingAction
 }
 
 // unthrottle gives throttled tasks their processors back where there is room
 // and nobody urgent waits. The charge grows before the worker is told.
 func (r *Rack) unthrottle(now time.Time) {
-	if len(r.urgents)+len(r.pushedGrants) > 0 {
+	if len(r.urgentStarts)+len(r.preemptingGrants) > 0 {
 		return
 	}
-	for _, h := range sortedHeld(r.held) {
-		if h.phase != phaseRunning || !h.task.IsThrottled || h.deed != "" {
+	for _, a := range sortedAssignments(r.assignments) {
+		if a.phase != phaseRunning || !a.task.IsThrottled || a.pendingAction != "" {
 			continue
 		}
 		// A throttled task reports less than it will use.
-		h.task.Usage = h.task.Usage.Max(r.expected(&h.task))
-		h.task.IsThrottled = false
-		if !zero.FitsIn(r.free(h.vm)) {
-			h.task.IsThrottled = true
+		a.task.Usage = a.task.Usage.Max(r.expected(&a.task))
+		a.task.IsThrottled = false
+		if !zero.FitsIn(r.free(a.vm)) {
+			a.task.IsThrottled = true
 			continue
 		}
-		h.deed = worker.DeedUnthrottle
-		h.told = now
-		r.out.Acts = append(r.out.Acts, ActOrder{h.vm.id, worker.DeedUnthrottle, []worker.Key{h.task.Key}})
+		a.pendingAction = worker.DeedUnthrottle
+		a.lastSentAt = now
+		r.output.Acts = append(r.output.Acts, ActOrder{a.vm.id, worker.DeedUnthrottle, []worker.Key{a.task.Key}})
 	}
 }
--- a/internal/rack/usage.go
+++ b/internal/rack/usage.go
@@ -15,9 +15,9 @@
 const overusedPeriod = time.Minute
 
 // learn takes the use that an attempt has reported.
-func (r *Rack) learn(h *held) {
-	if h.task.Holder == "" {
-		r.learned.Report(h.task.Key.Task.Job, h.task.Each, h.task.Usage)
+func (r *Rack) recordUsage(a *assignment) {
+	if a.task.Holder == "" {
+		r.learnedUsage.Report(a.task.Key.Task.Job, a.task.Each, a.task.Usage)
 	}
 }
 
@@ -27,46 +27,46 @@
 	for _, v := range r.vms {
 		largest = largest.Max(v.capacity)
 	}
-	return r.learned.Expected(t.Key.Task.Job, t.Each, largest)
+	return r.learnedUsage.Expected(t.Key.Task.Job, t.Each, largest)
 }
 
 // relieve pushes tasks off the VMs whose tasks use more than there is, because
 // they use more than was declared: the cheapest ones, gentlest deeds first,
 // services last, and none that is urgent or may not be repeated.
-func (r *Rack) relieve(now time.Time) {
-	for _, id := range r.order {
+func (r *Rack) relieveOverused(now time.Time) {
+	for _, id := range r.sortedIDs {
 		v := r.vms[id]
 		free := r.free(v)
-		if !v.isKnown || zero.FitsIn(free) || hasDeeds(v) {
+		if !v.isReconciled || zero.FitsIn(free) || hasPendingAction(v) {
 			continue
 		}
 		victims := r.victims(now, v)
-		pushes := placement.Preempt(zero, free, leverdyke.ClassUrgent, withoutServices(v, victims))
-		if pushes == nil {
-			pushes = placement.Preempt(zero, free, leverdyke.ClassUrgent, victims)
+		preemptions := placement.Preempt(zero, free, leverdyke.ClassUrgent, withoutServices(v, victims))
+		if preemptions == nil {
+			preemptions = placement.Preempt(zero, free, leverdyke.ClassUrgent, victims)
 		}
-		if pushes == nil {
-			r.noteOverused(now, v)
+		if preemptions == nil {
+			r.reportOverused(now, v)
 			continue
 		}
-		r.push(now, v, pushes, "its VM is used beyond what it has")
+		r.preempt(now, v, preemptions, "its VM is used beyond what it has")
 	}
 }
 
 // noteOverused tells the operator now and then of a VM that nothing can be
 // pushed off.
-func (r *Rack) noteOverused(now time.Time, v *vm) {
-	if now.Sub(v.overusedAt) < overusedPeriod {
+func (r *Rack) reportOverused(now time.Time, v *vm) {
+	if now.Sub(v.overuseLoggedAt) < overusedPeriod {
 		return
 	}
-	v.overusedAt = now
+	v.overuseLoggedAt = now
 	r.event(EventWorkerOverused, v.id, worker.Key{}, "beyond it: "+zero.Sub(r.free(v)).Max(zero).String())
 }
 
 // hasDeeds reports whether orders are under way that may make room.
-func hasDeeds(v *vm) bool {
-	for _, h := range v.held {
-		if h.phase != phaseEnded && h.deed != "" {
+func hasPendingAction(v *vm) bool {
+	for _, a := range v.assignments {
+		if a.phase != phaseEnded && a.pendingAction != "" {
 			return true
 		}
 	}
@@ -76,7 +76,7 @@
 func withoutServices(v *vm, victims []placement.Victim) []placement.Victim {
 	list := []placement.Victim{}
 	for _, c := range victims {
-		if v.held[c.Key].task.Service == "" {
+		if v.assignments[c.Key].task.Service == "" {
 			list = append(list, c)
 		}
 	}
@@ -84,13 +84,13 @@
 }
 
 // push orders deeds that make room on a worker.
-func (r *Rack) push(now time.Time, v *vm, pushes []placement.Push, why string) {
-	for _, p := range pushes {
-		h := r.held[p.Key]
-		h.deed = p.Deed
-		h.since = now
-		h.told = now
-		r.out.Acts = append(r.out.Acts, ActOrder{v.id, p.Deed, []worker.Key{p.Key}})
-		r.event(EventPreempted, v.id, p.Key, string(p.Deed)+": "+why)
+func (r *Rack) preempt(now time.Time, v *vm, preemptions []placement.Push, reason string) {
+	for _, p := range preemptions {
+		a := r.assignments[p.Key]
+		a.pendingAction = p.Deed
+		a.since = now
+		a.lastSentAt = now
+		r.output.Acts = append(r.output.Acts, ActOrder{v.id, p.Deed, []worker.Key{p.Key}})
+		r.event(EventPreempted, v.id, p.Key, string(p.Deed)+": "+reason)
 	}
 }
--- a/internal/rack/usage_test.go
+++ b/internal/rack/usage_test.go
@@ -16,60 +16,60 @@
 )
 
 const (
-	sizeVMs    = 8
-	sizeJobs   = 10
-	sizeTasks  = 40
-	sizeFactor = 3
-	sizeTime   = 600
+	vmCount     = 8
+	jobCount    = 10
+	tasksPerJob = 40
+	usageFactor = 3
+	maxSeconds  = 600
 )
 
 var (
-	sizeVM   = leverdyke.Resources{MilliCPU: 16000, MemoryMiB: 32768, Slots: 32}
-	sizeEach = leverdyke.Resources{MilliCPU: 250, MemoryMiB: 2048, Slots: 1}
+	largeVM      = leverdyke.Resources{MilliCPU: 16000, MemoryMiB: 32768, Slots: 32}
+	declaredSize = leverdyke.Resources{MilliCPU: 250, MemoryMiB: 2048, Slots: 1}
 )
 
 // sizeOutcome is what a run with wrong sizes came to.
-type sizeOutcome struct {
+type simulationResult struct {
 	// over counts the seconds of VMs whose tasks used more memory than there
 	// is, worst the most that one VM's tasks used of it.
-	over  int
-	worst float64
+	overusedVMSeconds  int
+	peakMemoryFraction float64
 	// lost counts attempts that were checkpointed, done the seconds until all
 	// tasks had ended; 0 if they had not.
-	lost, done int
+	checkpointed, finishedAt int
 }
 
 // playSizes runs a queue of jobs whose tasks use sizeFactor times, or a third
 // of, what they declare. It stands in for the homes: what is refused or
 // checkpointed is asked for again.
-func playSizes(t *testing.T, factor float64, isReported bool) sizeOutcome {
+func simulateWrongSizes(t *testing.T, factor float64, isUsageReported bool) simulationResult {
 	t.Helper()
-	b := newBench(t, sizeVMs, sizeVM)
-	if isReported {
-		for _, w := range b.workers {
+	h := newHarness(t, vmCount, largeVM)
+	if isUsageReported {
+		for _, w := range h.workers {
 			w.SetFaults(native.WorkerFaults{UsageFactor: factor})
 		}
 	}
 	waiting, running := []worker.Task{}, map[worker.Key]worker.Task{}
-	for i := range sizeJobs * sizeTasks {
-		task := b.task(fmt.Sprint("job-", i/sizeTasks), sizeEach, leverdyke.ClassBatch)
+	for i := range jobCount * tasksPerJob {
+		task := h.newTask(fmt.Sprint("job-", i/tasksPerJob), declaredSize, leverdyke.ClassBatch)
 		task.RunTime = 30 * time.Second
 		waiting = append(waiting, task)
 	}
-	o := sizeOutcome{}
+	result := simulationResult{}
 	ended := 0
-	for second := 1; second <= sizeTime && o.done == 0; second++ {
+	for second := 1; second <= maxSeconds && result.finishedAt == 0; second++ {
 		items := []node.AskItem{}
 		for i := range waiting {
-			b.attempt++
-			waiting[i].Key.Attempt = b.attempt
+			h.attempt++
+			waiting[i].Key.Attempt = h.attempt
 			items = append(items, node.AskItem{Task: waiting[i], Packing: 1})
 		}
-		b.ask(items...)
-		b.run(1)
+		h.requestStarts(items...)
+		h.advanceSeconds(1)
 		refused := []worker.Task{}
 		for _, task := range waiting {
-			if b.answers[task.Key].Worker == "" {
+			if h.answers[task.Key].Worker == "" {
 				refused = append(refused, task)
 			} else {
 				running[task.Key] = task
@@ -77,73 +77,73 @@
 		}
 		waiting = refused
 		for key, task := range running {
-			news, ok := b.news[key]
+			update, ok := h.updates[key]
 			if !ok {
 				continue
 			}
 			delete(running, key)
-			b.rack.OnUpdateAck(&node.NewsAck{Home: home, Keys: []worker.Key{key}})
-			if news.State == worker.StateDone {
+			h.rack.OnUpdateAck(&node.NewsAck{Home: jobShard, Keys: []worker.Key{key}})
+			if update.State == worker.StateDone {
 				ended++
 				continue
 			}
-			o.lost++
+			result.checkpointed++
 			waiting = append(waiting, task)
 		}
-		o.note(b, factor)
-		if ended == sizeJobs*sizeTasks {
-			o.done = second
+		result.recordMemoryUsage(h, factor)
+		if ended == jobCount*tasksPerJob {
+			result.finishedAt = second
 		}
 	}
-	return o
+	return result
 }
 
 // note counts the VMs whose tasks use more memory than there is.
-func (o *sizeOutcome) note(b *bench, factor float64) {
-	for _, w := range b.workers {
+func (result *simulationResult) recordMemoryUsage(h *harness, factor float64) {
+	for _, w := range h.workers {
 		used := 0.0
-		for job := range sizeJobs {
-			used += float64(w.Running(fmt.Sprint("job-", job))) * float64(sizeEach.MemoryMiB) * factor
+		for job := range jobCount {
+			used += float64(w.Running(fmt.Sprint("job-", job))) * float64(declaredSize.MemoryMiB) * factor
 		}
-		part := used / float64(sizeVM.MemoryMiB)
-		o.worst = max(o.worst, part)
-		if part > 1 {
-			o.over++
+		fraction := used / float64(largeVM.MemoryMiB)
+		result.peakMemoryFraction = max(result.peakMemoryFraction, fraction)
+		if fraction > 1 {
+			result.overusedVMSeconds++
 		}
 	}
 }
 
 // TestCompareWrongSizes prints what declared sizes cost that are wrong by a
 // factor, with reports of use and without.
-func TestCompareWrongSizes(t *testing.T) {
+func TestCompareWrongDeclaredSizes(t *testing.T) {
 	t.Log("\n| real over declared | use is reported | VM-seconds over the memory | worst (%) | attempts checkpointed | all done after (s) |\n|---|---|---|---|---|---|")
-	for _, factor := range []float64{1, sizeFactor, 1.0 / sizeFactor} {
-		over := map[bool]int{}
-		for _, isReported := range []bool{false, true} {
-			o := playSizes(t, factor, isReported)
-			over[isReported] = o.over
-			t.Logf("\n| %.2f | %v | %d | %.0f | %d | %d |", factor, isReported, o.over, 100*o.worst, o.lost, o.done)
+	for _, factor := range []float64{1, usageFactor, 1.0 / usageFactor} {
+		overusedVMSeconds := map[bool]int{}
+		for _, isUsageReported := range []bool{false, true} {
+			result := simulateWrongSizes(t, factor, isUsageReported)
+			overusedVMSeconds[isUsageReported] = result.overusedVMSeconds
+			t.Logf("\n| %.2f | %v | %d | %.0f | %d | %d |", factor, isUsageReported, result.overusedVMSeconds, 100*result.peakMemoryFraction, result.checkpointed, result.finishedAt)
 		}
-		if over[true] > over[false] || (factor > 1 && 4*over[true] > over[false]) {
-			t.Errorf("factor %.2f: got: %d VM-seconds over with reports, want: at most a quarter of %d", factor, over[true], over[false])
+		if overusedVMSeconds[true] > overusedVMSeconds[false] || (factor > 1 && 4*overusedVMSeconds[true] > overusedVMSeconds[false]) {
+			t.Errorf("factor %.2f: got: %d VM-seconds over with reports, want: at most a quarter of %d", factor, overusedVMSeconds[true], overusedVMSeconds[false])
 		}
 	}
 }
 
 // place asks for tasks of a job, one at a time, and lets their use be reported.
-func (b *bench) place(job string, count int, each leverdyke.Resources, change func(*worker.Task)) {
-	b.t.Helper()
+func (h *harness) placeTasks(job string, count int, each leverdyke.Resources, change func(*worker.Task)) {
+	h.t.Helper()
 	for range count {
-		task := b.task(job, each, leverdyke.ClassBatch)
+		task := h.newTask(job, each, leverdyke.ClassBatch)
 		if change != nil {
 			change(&task)
 		}
-		b.ask(node.AskItem{Task: task})
+		h.requestStarts(node.AskItem{Task: task})
 	}
-	b.run(6)
+	h.advanceSeconds(6)
 }
 
-func TestOverusedVMIsRelieved(t *testing.T) {
+func TestOverusedVMPreemptsTasks(t *testing.T) {
 	once := func(task *worker.Task) { task.IsOnce = true }
 	urgent := func(task *worker.Task) { task.Class = leverdyke.ClassUrgent }
 	processors := leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 100, Slots: 1}
@@ -161,14 +161,14 @@
 		"processors of once-only work stay": {processors, once, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 1, vm)
-			b.workers["w0"].SetFaults(native.WorkerFaults{UsageFactor: 2})
-			b.place("j", 4, c.each, c.change)
-			if got := b.workers["w0"].Running("j"); got != c.running {
+			h := newHarness(t, 1, vmCapacity)
+			h.workers["w0"].SetFaults(native.WorkerFaults{UsageFactor: 2})
+			h.placeTasks("j", 4, c.each, c.change)
+			if got := h.workers["w0"].Running("j"); got != c.running {
 				t.Errorf("got: %d running, want: %d", got, c.running)
 			}
 			throttled := 0
-			rep, err := b.workers["w0"].Sync(&worker.Sync{Epoch: epoch})
+			rep, err := h.workers["w0"].Sync(&worker.Sync{Epoch: epoch})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -177,26 +177,26 @@
 					throttled++
 				}
 			}
-			b.run(20)
-			pushes, reports := 0, 0
-			for _, e := range b.events {
+			h.advanceSeconds(20)
+			preemptions, overuseEvents := 0, 0
+			for _, e := range h.events {
 				switch e.Kind {
 				case rack.EventPreempted:
-					pushes++
+					preemptions++
 				case rack.EventWorkerOverused:
-					reports++
+					overuseEvents++
 				}
 			}
-			if want := c.change != nil; (reports == 1) != want {
-				t.Errorf("got: %d reports to the operator, want one: %v", reports, want)
+			if want := c.change != nil; (overuseEvents == 1) != want {
+				t.Errorf("got: %d reports to the operator, want one: %v", overuseEvents, want)
 			}
-			if pushes > 4 {
-				t.Errorf("got: %d tasks pushed, want: at most one push a task", pushes)
+			if preemptions > 4 {
+				t.Errorf("got: %d tasks pushed, want: at most one push a task", preemptions)
 			}
 			if want := c.each == processors && c.change == nil; (throttled > 0) != want {
 				t.Errorf("got: %d throttled, want some: %v", throttled, want)
 			}
-			for key, n := range b.news {
+			for key, n := range h.updates {
 				if n.State != worker.StateCheckpointed || n.IsBlamed {
 					t.Errorf("%s: got: %+v, want: checkpointed and nobody blamed", key, n)
 				}
@@ -207,25 +207,25 @@
 
 // A task of a job whose others use more than they declare is placed by what
 // they use, but is never kept from running where it fits an empty VM.
-func TestTaskIsPlacedByWhatOthersOfItsJobUse(t *testing.T) {
-	b := newBench(t, 2, vm)
-	for _, w := range b.workers {
+func TestTaskIsPlacedByUsageOfOthersInItsJob(t *testing.T) {
+	h := newHarness(t, 2, vmCapacity)
+	for _, w := range h.workers {
 		w.SetFaults(native.WorkerFaults{UsageFactor: 3})
 	}
-	b.place("j", 1, small, nil)
-	b.place("j", 2, small, nil)
-	for _, id := range b.names {
-		if got := b.workers[id].Running("j"); got != 1 {
+	h.placeTasks("j", 1, small, nil)
+	h.placeTasks("j", 2, small, nil)
+	for _, id := range h.names {
+		if got := h.workers[id].Running("j"); got != 1 {
 			t.Errorf("%s: got: %d running, want: 1: two use more than there is", id, got)
 		}
 	}
-	if len(b.news) > 0 {
-		t.Errorf("got: %v, want: no task that had to be moved", b.news)
+	if len(h.updates) > 0 {
+		t.Errorf("got: %v, want: no task that had to be moved", h.updates)
 	}
-	huge := newBench(t, 1, vm)
+	huge := newHarness(t, 1, vmCapacity)
 	huge.workers["w0"].SetFaults(native.WorkerFaults{UsageFactor: 9})
-	huge.place("j", 1, small, func(task *worker.Task) { task.RunTime = 4 * time.Second })
-	huge.place("j", 1, small, nil)
+	huge.placeTasks("j", 1, small, func(task *worker.Task) { task.RunTime = 4 * time.Second })
+	huge.placeTasks("j", 1, small, nil)
 	if got := huge.workers["w0"].Starts(); got != 2 {
 		t.Errorf("got: %d starts, want: 2: the VM was empty", got)
 	}
@@ -234,13 +234,13 @@
 // No decision hangs on how long a task says that it runs.
 func TestWrongRunTimesChangeNoDecision(t *testing.T) {
 	decide := func(factor time.Duration) string {
-		b := newBench(t, 3, vm)
+		h := newHarness(t, 3, vmCapacity)
 		for i := range 40 {
-			task := b.task(fmt.Sprint("j", i%5), leverdyke.Resources{MilliCPU: int64(300 + 97*i%1500), MemoryMiB: int64(200 + 61*i%900), Slots: 1}, leverdyke.ClassNormal)
+			task := h.newTask(fmt.Sprint("j", i%5), leverdyke.Resources{MilliCPU: int64(300 + 97*i%1500), MemoryMiB: int64(200 + 61*i%900), Slots: 1}, leverdyke.ClassNormal)
 			task.RunTime = time.Minute * factor / 10
-			b.ask(node.AskItem{Task: task, Packing: 1})
+			h.requestStarts(node.AskItem{Task: task, Packing: 1})
 		}
-		return fmt.Sprint(b.decided)
+		return fmt.Sprint(h.decisions)
 	}
 	want := decide(10)
 	for _, factor := range []time.Duration{1, 100} {
--- a/internal/rack/vmreservation_test.go
+++ b/internal/rack/vmreservation_test.go
@@ -13,26 +13,26 @@
 )
 
 // batchTask returns a task with a run time, as everything but a service has.
-func (b *bench) batchTask(job string, each leverdyke.Resources, class leverdyke.Class, run time.Duration) worker.Task {
-	t := b.task(job, each, class)
-	t.RunTime = run
+func (h *harness) newBatchTask(job string, each leverdyke.Resources, class leverdyke.Class, runTime time.Duration) worker.Task {
+	t := h.newTask(job, each, class)
+	t.RunTime = runTime
 	return t
 }
 
 // starve asks for a task that needs a whole VM, and has waited so long.
-func (b *bench) starve(job string, class leverdyke.Class, age time.Duration) worker.Task {
-	b.t.Helper()
-	t := b.batchTask(job, leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 1000, Slots: 1}, class, time.Hour)
-	b.ask(node.AskItem{Task: t, Age: age, IsStarved: true})
+func (h *harness) requestStarvedTask(job string, class leverdyke.Class, age time.Duration) worker.Task {
+	h.t.Helper()
+	t := h.newBatchTask(job, leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 1000, Slots: 1}, class, time.Hour)
+	h.requestStarts(node.AskItem{Task: t, Age: age, IsStarved: true})
 	return t
 }
 
-func TestVMIsKeptForAStarvedTask(t *testing.T) {
+func TestStarvedTaskReservesVM(t *testing.T) {
 	for name, c := range map[string]struct {
-		isStarved bool
-		class     leverdyke.Class
-		run       time.Duration
-		isTaken   bool
+		hasStarvedTask bool
+		class          leverdyke.Class
+		runTime        time.Duration
+		isPlaced       bool
 	}{
 		"another task waits":         {true, leverdyke.ClassNormal, time.Hour, false},
 		"a less urgent one waits":    {true, leverdyke.ClassBatch, time.Hour, false},
@@ -41,55 +41,55 @@
 		"nothing is kept without":    {false, leverdyke.ClassNormal, time.Hour, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 1, vm)
+			h := newHarness(t, 1, vmCapacity)
 			for range 4 {
-				b.ask(node.AskItem{Task: b.batchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
+				h.requestStarts(node.AskItem{Task: h.newBatchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
 			}
-			if c.isStarved {
-				b.starve("large", leverdyke.ClassNormal, 20*time.Second)
+			if c.hasStarvedTask {
+				h.requestStarvedTask("large", leverdyke.ClassNormal, 20*time.Second)
 			}
-			b.run(4)
-			other := b.batchTask("other", small, c.class, c.run)
-			b.ask(node.AskItem{Task: other})
-			if got := b.answers[other.Key].Worker != ""; got != c.isTaken {
-				t.Errorf("got: %+v, want: taken %v", b.answers[other.Key], c.isTaken)
+			h.advanceSeconds(4)
+			other := h.newBatchTask("other", small, c.class, c.runTime)
+			h.requestStarts(node.AskItem{Task: other})
+			if got := h.answers[other.Key].Worker != ""; got != c.isPlaced {
+				t.Errorf("got: %+v, want: taken %v", h.answers[other.Key], c.isPlaced)
 			}
-			if got := b.rack.Summary(b.clock.Now()).Largest.Slots == 0; got != c.isStarved {
-				t.Errorf("got: the room of a kept VM is told %v, want: %v", !got, !c.isStarved)
+			if got := h.rack.Summary(h.clock.Now()).Largest.Slots == 0; got != c.hasStarvedTask {
+				t.Errorf("got: the room of a kept VM is told %v, want: %v", !got, !c.hasStarvedTask)
 			}
 		})
 	}
 }
 
-func TestStarvedTaskGetsTheVMThatIsKept(t *testing.T) {
-	b := newBench(t, 2, vm)
+func TestStarvedTaskStartsOnItsReservedVM(t *testing.T) {
+	h := newHarness(t, 2, vmCapacity)
 	for range 8 {
-		b.ask(node.AskItem{Task: b.batchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
+		h.requestStarts(node.AskItem{Task: h.newBatchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
 	}
-	b.starve("large", leverdyke.ClassNormal, 20*time.Second)
+	h.requestStarvedTask("large", leverdyke.ClassNormal, 20*time.Second)
 	// A younger one waits for the older.
-	b.starve("younger", leverdyke.ClassNormal, 15*time.Second)
-	b.run(4)
-	large := b.starve("large", leverdyke.ClassNormal, 24*time.Second)
-	if got := b.answers[large.Key]; got.Worker == "" {
+	h.requestStarvedTask("younger", leverdyke.ClassNormal, 15*time.Second)
+	h.advanceSeconds(4)
+	large := h.requestStarvedTask("large", leverdyke.ClassNormal, 24*time.Second)
+	if got := h.answers[large.Key]; got.Worker == "" {
 		t.Errorf("got: %+v, want: started", got)
 	}
-	younger := b.starve("younger", leverdyke.ClassNormal, 19*time.Second)
-	if got := b.answers[younger.Key]; got.Worker == "" {
+	younger := h.requestStarvedTask("younger", leverdyke.ClassNormal, 19*time.Second)
+	if got := h.answers[younger.Key]; got.Worker == "" {
 		t.Errorf("got: %+v, want: started on the other VM, which is empty", got)
 	}
 }
 
-func TestKeptVMIsGivenBackWithoutFurtherAsks(t *testing.T) {
-	b := newBench(t, 1, vm)
+func TestVMReservationExpiresWithoutFurtherRequests(t *testing.T) {
+	h := newHarness(t, 1, vmCapacity)
 	for range 4 {
-		b.ask(node.AskItem{Task: b.batchTask("small", small, leverdyke.ClassNormal, 2*time.Second)})
+		h.requestStarts(node.AskItem{Task: h.newBatchTask("small", small, leverdyke.ClassNormal, 2*time.Second)})
 	}
-	b.starve("large", leverdyke.ClassNormal, 20*time.Second)
-	b.run(6)
-	other := b.batchTask("other", small, leverdyke.ClassNormal, time.Hour)
-	b.ask(node.AskItem{Task: other})
-	if got := b.answers[other.Key]; got.Worker == "" {
+	h.requestStarvedTask("large", leverdyke.ClassNormal, 20*time.Second)
+	h.advanceSeconds(6)
+	other := h.newBatchTask("other", small, leverdyke.ClassNormal, time.Hour)
+	h.requestStarts(node.AskItem{Task: other})
+	if got := h.answers[other.Key]; got.Worker == "" {
 		t.Errorf("got: %+v, want: started, since nobody asked again", got)
 	}
 }
