--- a/internal/rack/bench_test.go
+++ b/internal/rack/bench_test.go
@@ -19,8 +19,9 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// BenchmarkDecision chooses a rack by the summaries and a worker in the rack,
-// at three sizes of the cell with 9 tasks on each worker (10,000 on 1,100).
+// BenchmarkDecision measures the choice of a rack by the summaries and of a
+// worker in that rack, at three cluster sizes with 9 tasks on each worker
+// (10,000 on 1,100).
 func BenchmarkDecision(b *testing.B) {
 	for _, workers := range []int{48, 200, 1100} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) { benchmarkDecision(b, workers) })
@@ -50,7 +51,7 @@
 	b.ReportMetric(float64(latencies.ValueAtQuantile(99))/1000, "p99-us")
 }
 
-// tasksEach is how many tasks run on each worker: 10,000 on 1,100.
+// tasksPerWorker makes 10,000 tasks on 1,100 workers.
 const tasksPerWorker = 9
 
 // newBenchRacks returns racks of 8 workers with 9 tasks each, and their
@@ -83,9 +84,9 @@
 	return racks, views
 }
 
-// BenchmarkDropHolder asks, as a node does at each tick, whether the holders of
-// grants are gone, in one rack of 72 tasks and no grant.
-func BenchmarkDropHolder(b *testing.B) {
+// BenchmarkStopGrantsOf measures the check for grants whose holders have ended,
+// which a node runs at each tick, in a rack of 72 tasks and no grant.
+func BenchmarkStopGrantsOf(b *testing.B) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	racks, _ := newBenchRacks(now, 8, leverdyke.Resources{MilliCPU: 2000, MemoryMiB: 4096, Slots: 1})
 	b.ReportAllocs()
--- a/internal/rack/grantpreemption.go
+++ b/internal/rack/grantpreemption.go
@@ -15,9 +15,10 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// pushedGrant is a grant that waits for less urgent tasks to leave its worker:
-// a caller waits at the counter, a batch can wait (decision 0011). Its room is
-// kept by a hold, so that nobody else takes what becomes free.
+// preemptingGrant is a grant that waits until preempted tasks have left its
+// worker. The clients of a service wait for their answers while a batch task
+// can run later, so requests preempt batch tasks (decision 0011). A reservation
+// keeps other tasks from using the capacity that becomes free.
 type preemptingGrant struct {
 	from        state.NodeID
 	request     *node.GrantAsk
@@ -28,12 +29,13 @@
 	since       time.Time
 }
 
-// pushForGrant makes room for a caller's requests beside a replica of their
-// service, and reports whether it will come. Only tasks of a lower class than
-// the most urgent request's are touched, and none that may not be repeated.
+// preemptForGrant preempts tasks on a worker with a replica of the service, to
+// free capacity for one request, and reports whether the grant will be answered
+// later. Only tasks less urgent than the requests are preempted, and none that
+// must not run twice.
 func (r *Rack) preemptForGrant(now time.Time, from state.NodeID, m *node.GrantAsk) bool {
 	if r.isPreemptingFor(from, m.Service) {
-		// The ask was sent again: the first one will be answered.
+		// This is a repeated request: the answer to the first one serves both.
 		return true
 	}
 	v, replica, preemptions := r.cheapestReplicaPreemption(now, m)
@@ -51,12 +53,14 @@
 	return true
 }
 
+// isPreemptingFor reports whether a grant of the service for the node waits for
+// preempted tasks.
 func (r *Rack) isPreemptingFor(from state.NodeID, service string) bool {
 	return slices.ContainsFunc(r.preemptingGrants, func(g *preemptingGrant) bool { return g.from == from && g.request.Service == service })
 }
 
-// cheapestReplica returns the worker with a replica of the service on which the
-// fewest and gentlest deeds make room for one request.
+// cheapestReplicaPreemption returns the worker, among those with a replica of
+// the service, on which the cheapest preemption frees capacity for one request.
 func (r *Rack) cheapestReplicaPreemption(now time.Time, m *node.GrantAsk) (best *vm, replica *assignment, preemptions []placement.Push) {
 	for _, id := range r.sortedIDs {
 		v := r.vms[id]
@@ -75,8 +79,9 @@
 	return best, replica, preemptions
 }
 
-// retryPushedGrants gives the grants whose room has become free, with as many
-// slots as there are by then.
+// retryPreemptingGrants starts the grants whose capacity has become free, with
+// as many slots as are free by then, and refuses those that have waited for
+// urgentTimeout.
 func (r *Rack) retryPreemptingGrants(now time.Time) {
 	r.preemptingGrants = slices.DeleteFunc(r.preemptingGrants, func(g *preemptingGrant) bool {
 		isExpired := now.Sub(g.since) >= urgentTimeout
@@ -94,8 +99,8 @@
 	})
 }
 
-// yieldTo is what is left on a worker, and what pushing off the batches there
-// would leave to callers' requests.
+// freeWithoutBatches returns free plus the capacity that preempting the batch
+// tasks on the worker would give to requests of services.
 func freeWithoutBatches(v *vm, free leverdyke.Resources) leverdyke.Resources {
 	for _, a := range v.assignments {
 		isBatch := a.task.Class == leverdyke.ClassBatch && a.task.Service == ""
--- a/internal/rack/grantpreemption_test.go
+++ b/internal/rack/grantpreemption_test.go
@@ -12,8 +12,8 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// newFullBench returns a rack of one worker with a replica of a service and
-// tasks of a class in all other slots.
+// newFullHarness returns a rack of one worker that runs a replica of a service,
+// with tasks of the class in all other slots.
 func newFullHarness(t *testing.T, class leverdyke.Class, isOnce bool) *harness {
 	t.Helper()
 	h := newHarness(t, 1, vmCapacity)
@@ -33,8 +33,9 @@
 	return h
 }
 
-// A caller waits at the counter and a batch can wait: requests push batches
-// aside, but nothing as urgent as they are and nothing that may not be repeated.
+// Requests of a service preempt batch tasks, because clients wait for the
+// answers while a batch task can run later. They must not preempt tasks as
+// urgent as they are, nor tasks that must not run twice.
 func TestServiceRequestsPreemptBatchTasks(t *testing.T) {
 	for name, c := range map[string]struct {
 		class        leverdyke.Class
@@ -86,11 +87,13 @@
 	}
 }
 
-// Room that does not come about is refused in time for another rack to be asked.
+// If preemption frees no capacity, the grant must be refused in time for the
+// node to request one from another rack.
 func TestGrantIsRefusedWhenPreemptionTimesOut(t *testing.T) {
 	h := newFullHarness(t, leverdyke.ClassBatch, false)
 	h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 1, Class: leverdyke.ClassNormal})
-	// The worker's answer is lost with the worker: nothing is performed.
+	// The worker becomes unresponsive before it gets the orders, so none is
+	// carried out.
 	h.rack.TakeOutput()
 	h.clock.Advance(2 * time.Second)
 	h.rack.OnUnresponsive("w0")
@@ -101,13 +104,14 @@
 	}
 }
 
-// The summary says for how many requests batches could be pushed aside.
+// The summary must say for how many requests batch tasks could be preempted, or
+// a node would not request a grant from a full rack.
 func TestSummaryCountsSlotsOfPreemptibleBatches(t *testing.T) {
 	for class, want := range map[leverdyke.Class]int{leverdyke.ClassBatch: 3, leverdyke.ClassNormal: 0} {
 		h := newFullHarness(t, class, false)
 		summary := h.rack.Summary(h.clock.Now())
 		if got := summary.Services[0]; got.Slots != 0 || got.Yield != want {
-			t.Errorf("%s: got: %+v, want: 0 slots and %d yielded", class, got, want)
+			t.Errorf("%s: got: %+v, want: 0 free slots and %d by preemption", class, got, want)
 		}
 	}
 }
--- a/internal/rack/grants.go
+++ b/internal/rack/grants.go
@@ -15,13 +15,16 @@
 )
 
 const (
-	// maxGrantSlots bounds one grant, so that slots are shared among nodes.
+	// maxGrantSlots limits the slots of one grant, so that one node cannot take
+	// all slots of a worker.
 	maxGrantSlots = 4
-	// grantCheckPeriod is how often a holder is asked whether it has a grant.
+	// grantCheckPeriod is how often a holder is asked whether it still has its
+	// grant.
 	grantCheckPeriod = 5 * time.Second
 )
 
-// OnGrantRequest gives a node slots of a worker that runs the service.
+// OnGrantRequest grants a node slots on a worker that runs a replica of the
+// service. Without free capacity it preempts less urgent tasks, or refuses.
 func (r *Rack) OnGrantRequest(now time.Time, from state.NodeID, m *node.GrantAsk) {
 	v, replica := r.bestReplica(now, m.Service)
 	switch {
@@ -37,7 +40,9 @@
 	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{to, node.Message{Grant: g}})
 }
 
-// giveGrant starts a grant on a worker that has room for one slot at least.
+// startGrant starts a grant of up to maxGrantSlots slots on a worker that has
+// capacity for at least one. The node gets the grant when the worker has
+// accepted it.
 func (r *Rack) startGrant(now time.Time, to state.NodeID, m *node.GrantAsk, v *vm, replica *worker.Task) {
 	slots := min(replica.Request.Count(r.free(v)), int64(max(m.Slots, 1)), maxGrantSlots)
 	r.lastGrant++
@@ -53,7 +58,9 @@
 	r.isSummaryChanged = true
 }
 
-// bestReplica returns the worker with the most room that runs the service.
+// bestReplica returns the worker with a replica of the service that has free
+// capacity for the most requests, and the replica; nil if no worker has
+// capacity for one.
 func (r *Rack) bestReplica(now time.Time, service string) (*vm, *assignment) {
 	var best *vm
 	var replica *assignment
@@ -74,6 +81,7 @@
 	return best, replica
 }
 
+// replicaOn returns a running replica of the service on the worker, or nil.
 func replicaOn(v *vm, service string) *assignment {
 	for _, a := range v.assignments {
 		if a.phase == phaseRunning && a.task.Service == service && a.task.Holder == "" {
@@ -83,6 +91,7 @@
 	return nil
 }
 
+// sendGrant sends a grant that the worker has accepted to its holder.
 func (r *Rack) sendGrant(a *assignment) {
 	g := &node.Grant{
 		Rack: r.ID, RackEpoch: r.Epoch, Key: a.task.Key, Service: a.task.Service, Worker: a.vm.id,
@@ -96,7 +105,8 @@
 	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{state.NodeID(a.task.Holder), node.Message{Grant: g}})
 }
 
-// grantEnded forgets a grant that the worker no longer counts.
+// forgetGrant removes a grant that the worker no longer counts, and recalls it
+// from its holder.
 func (r *Rack) forgetGrant(a *assignment) {
 	r.sendRecall(a)
 	r.removeAssignment(a)
@@ -110,7 +120,8 @@
 	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{state.NodeID(a.task.Holder), m})
 }
 
-// OnGrantDone takes a grant back. Its room is free when the worker says so.
+// OnGrantDone stops a grant that its holder has returned. Its capacity becomes
+// free when the worker reports the end.
 func (r *Rack) OnGrantDone(now time.Time, from state.NodeID, m *node.GrantDone) {
 	a := r.assignments[m.Key]
 	if a != nil && a.task.Holder == string(from) {
@@ -118,8 +129,9 @@
 	}
 }
 
-// StopGrantsOf takes back the grants of a node that has ended or is not heard.
-// A worker finishes what runs under a grant before it counts as ended.
+// StopGrantsOf stops the grants of the nodes that have ended or are no longer
+// heard from. The worker lets the requests that run under a grant finish before
+// it reports the grant as ended.
 func (r *Rack) StopGrantsOf(now time.Time, hasEnded func(state.NodeID) bool) {
 	for _, a := range liveGrants(r.assignments) {
 		if hasEnded(state.NodeID(a.task.Holder)) {
@@ -128,9 +140,9 @@
 	}
 }
 
-// liveGrants returns the grants that still count, in order. It leaves the tasks
-// out before it sorts: a node asks at each tick whether holders are gone, and
-// has hundreds of tasks and few grants.
+// liveGrants returns the grants that have not ended, sorted by key. It filters
+// before it sorts, since it runs at each tick of the node and a rack has
+// hundreds of tasks but few grants.
 func liveGrants(m map[worker.Key]*assignment) []*assignment {
 	grants := map[worker.Key]*assignment{}
 	for k, a := range m {
@@ -141,6 +153,8 @@
 	return sortedAssignments(grants)
 }
 
+// stopGrant orders the worker to stop a grant, unless an action is already
+// pending.
 func (r *Rack) stopGrant(now time.Time, a *assignment) {
 	if a.phase == phaseEnded || a.pendingAction != "" {
 		return
@@ -150,9 +164,9 @@
 	r.output.Acts = append(r.output.Acts, ActOrder{a.vm.id, worker.DeedStop, []worker.Key{a.task.Key}})
 }
 
-// checkGrants asks the holders of grants whether they have them. Without this,
-// one lost message would keep a slot from everybody for as long as its holder
-// lives.
+// checkGrants asks the holders whether they still have their grants. Otherwise
+// a single lost message, of a grant or of its return, would keep slots in use
+// until the holder's process ends.
 func (r *Rack) checkGrants(now time.Time) {
 	checks := map[state.NodeID][]worker.Key{}
 	for _, a := range liveGrants(r.assignments) {
@@ -169,8 +183,8 @@
 	}
 }
 
-// recallLeaving takes back the grants on workers that get nothing new: requests
-// are new work too.
+// recallGrantsOfLeaving recalls the grants on workers that are leaving, drained
+// or removed: the requests sent under a grant are new work.
 func (r *Rack) recallGrantsOfLeaving(now time.Time) {
 	for _, id := range r.sortedIDs {
 		v := r.vms[id]
@@ -186,8 +200,8 @@
 	}
 }
 
-// dropGrantsWithout takes back the grants of services that no longer run on
-// the worker.
+// stopGrantsWithoutReplica recalls the grants on a worker that no longer runs a
+// replica of their service.
 func (r *Rack) stopGrantsWithoutReplica(now time.Time, v *vm) {
 	for _, a := range liveGrants(v.assignments) {
 		if replicaOn(v, a.task.Service) == nil {
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -1,9 +1,12 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rack is the owner of one rack: the one writer that decides what runs
-// on the rack's workers, so that "never more than the VM holds" is a check in
-// one place. It is pure: events in, orders out; it has no clock and no I/O.
+// Package rack is the owner of one rack: the only process that decides what
+// runs on the rack's workers. With a single writer, one check here is enough to
+// ensure that no VM is given more than its capacity.
+//
+// The package does no I/O and reads no clock: callers pass events and the
+// current time in, and collect orders and messages with TakeOutput.
 package rack
 
 import (
@@ -20,64 +23,74 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// NewRackOptions sets the bounds. Zero values mean the defaults.
+// NewRackOptions configures a Rack. Zero values mean the defaults.
 type NewRackOptions struct {
-	// TTL is how long a lease lasts; 0 means 20 s.
+	// TTL is the lease duration; 0 means 20 s.
 	TTL time.Duration
-	// Margin is added to the lease before it counts as lapsed; 0 means 1 s.
+	// Margin is added to the lease duration before a lease counts as expired; 0
+	// means 1 s.
 	Margin time.Duration
-	// IsDeputy means that the rack is only kept alive: nothing new is placed.
+	// IsDeputy means that this owner took over while the log is unavailable. It
+	// renews the leases of what runs in the rack and places nothing new.
 	IsDeputy bool
 }
 
 const (
 	defaultTTL    = 20 * time.Second
 	defaultMargin = time.Second
-	// driftDivisor allows clocks to differ by one part in fifty.
+	// clockDriftDivisor bounds clock drift: the clocks of a worker and of its
+	// owner may run apart by one fiftieth of the elapsed time.
 	clockDriftDivisor = 50
-	// upkeepPeriod is how often every attempt is looked at.
+	// maintenancePeriod is the interval between two passes over all
+	// assignments.
 	maintenancePeriod = 300 * time.Millisecond
-	// retryPeriod is after how long an unanswered order is given again.
+	// orderRetryPeriod is the delay after which an unacknowledged order is sent
+	// again.
 	orderRetryPeriod = time.Second
 )
 
-// Rack is the owner's view of a rack. It belongs to one goroutine.
+// Rack is the owner's state of one rack. It is not safe for concurrent use.
 type Rack struct {
-	// ID and Epoch never change; a new epoch is a new Rack.
+	// ID and Epoch never change; a new epoch gets a new Rack.
 	ID        state.ShardID
 	Epoch     worker.Epoch
 	options   NewRackOptions
 	createdAt time.Time
-	// upkeptAt is when every attempt was looked at last.
+	// maintainedAt is when maintain last ran.
 	maintainedAt time.Time
-	// soleSince and soleAsOf bound the time in which it is known that nobody
-	// else renews leases here; zero until that is known.
+	// soleOwnerSince and soleOwnerAsOf bound the period in which no other owner
+	// can have renewed leases in this rack. They are zero until
+	// ConfirmSoleOwner is called.
 	soleOwnerSince, soleOwnerAsOf time.Time
 
-	vms       map[worker.ID]*vm
+	vms map[worker.ID]*vm
+	// sortedIDs has the keys of vms in ascending order.
 	sortedIDs []worker.ID
-	// held has every attempt and grant that is not forgotten.
+	// assignments has every attempt and grant until its end is acknowledged.
 	assignments map[worker.Key]*assignment
-	byTask      map[leverdyke.TaskID]worker.Key
-	// homes has the highest epoch of each home that has spoken here.
+	// byTask has the most recently added attempt of each task.
+	byTask map[leverdyke.TaskID]worker.Key
+	// shardEpochs has the highest epoch seen of each job shard. Messages with a
+	// lower one come from a previous owner of the shard and are rejected.
 	shardEpochs map[state.ShardID]uint64
-	// synced has the homes that wait for a complete report.
+	// syncedShards has the job shards that have sent a sync. They get another
+	// full update each time the rack becomes complete.
 	syncedShards map[state.ShardID]bool
 
-	// settled has the attempts of each home that were refused, with the reason,
-	// or have ended, until the home's floor is above them: a late copy of their
-	// ask must not start them.
+	// closedAttempts has, for each job shard, the attempts that must not be
+	// started (again).
 	closedAttempts map[state.ShardID]*closedAttempts
 
 	pendingStarts []pendingStart
 	urgentStarts  []*urgentStart
-	// pushedGrants wait for batches to leave, as urgents do.
+	// preemptingGrants wait until preempted batch tasks have left their worker,
+	// as urgentStarts wait for their victims.
 	preemptingGrants []*preemptingGrant
 	reservations     map[reservationID]*reservation
 	gangPriority     *gangPriority
 	health           *health.Detector
 	learnedUsage     *sizes.Learned
-	// kept is the VM that is kept for a starved task; nil for none.
+	// reservedVM is the VM reserved for a starved task; nil if there is none.
 	reservedVM       *vmReservation
 	lastGrant        uint64
 	isSummaryChanged bool
@@ -86,30 +99,35 @@
 
 // vm is one worker of the rack.
 type vm struct {
-	id         worker.ID
-	addr       netip.AddrPort
-	zone       string
-	capacity   leverdyke.Resources
-	bootID     string
+	id       worker.ID
+	addr     netip.AddrPort
+	zone     string
+	capacity leverdyke.Resources
+	bootID   string
+	// workerTime is the worker's own clock in its last report.
 	workerTime int64
-	// heardAt is when the report with boot and asOf came; leases that were
-	// renewed by it end at the latest heardAt plus TTL.
+	// reportedAt is when the report with bootID and workerTime arrived. Leases
+	// renewed on the strength of that report expire at reportedAt plus TTL at
+	// the latest.
 	reportedAt time.Time
 	addedAt    time.Time
-	// isKnown means that the worker has listed its tasks in this epoch, or that
-	// every lease there has lapsed since.
+	// isReconciled means that this owner knows everything that runs on the
+	// worker: the worker has listed its tasks in this epoch, or every lease
+	// that it can have held before has expired.
 	isReconciled bool
-	// isLeaving is the worker's own word; isListedLeaving the list's; isDrained
-	// the operator's.
+	// isLeaving is reported by the worker itself, isListedLeaving and isRemoved
+	// come from the platform's VM list, and isDrained is set by the operator.
 	isLeaving, isListedLeaving, isDrained, isRemoved bool
-	// overusedAt is when it was last reported to be used beyond what it has.
+	// overuseLoggedAt is when an event last reported that the tasks use more
+	// than the VM has.
 	overuseLoggedAt time.Time
-	// isSilent means that it did not answer the last time; it gets nothing new.
+	// isUnresponsive means that the worker did not answer the last request.
+	// Nothing new is placed on it.
 	isUnresponsive bool
 	assignments    map[worker.Key]*assignment
 }
 
-// phase is where an attempt is in the owner's eyes.
+// phase is the state of an assignment as the owner knows it.
 type phase string
 
 const (
@@ -118,26 +136,32 @@
 	phaseEnded    phase = "ended"
 )
 
-// held is an attempt or grant on a worker.
+// assignment is an attempt, or a grant of service slots to a node, on a worker.
+// A grant has a Holder in its task.
 type assignment struct {
 	task  worker.Task
 	vm    *vm
 	phase phase
-	// isLost means that it ended with its worker or its lease.
+	// isLost means that it ended because its worker restarted, no longer lists
+	// it, or let its lease expire.
 	isLost          bool
 	isWorkerAtFault bool
-	// since is when the phase began, told when an order was last given.
+	// since is when the phase began or, if later, when preemption was ordered.
+	// lastSentAt is when an order, update or grant check for it was last sent.
 	since, lastSentAt time.Time
-	// isOrdered means that a start is on its way and has not been answered: no
-	// second one may follow it, since a refusal of the first would not hold.
+	// isStartPending means that a start order is unacknowledged. No second one
+	// may be sent meanwhile: if the first were refused, the job shard would
+	// conclude that the attempt does not run, and the second could still start it.
 	isStartPending bool
-	// deed is what was ordered and has not shown in a report; empty for none.
+	// pendingAction is what the worker was ordered to do and has not yet shown
+	// in a report; empty if there is nothing.
 	pendingAction worker.Deed
-	// asked is the home's ask that waits for the start; nil for none.
+	// request is the job shard's request that is answered once the attempt has
+	// started; nil if there is none.
 	request *node.Ask
 }
 
-// Output is what the rack's owner wants done.
+// Output is what the caller has to send, carry out or log for the rack's owner.
 type Output struct {
 	Starts      []StartOrder
 	Acts        []ActOrder
@@ -148,9 +172,9 @@
 	Events      []Event
 }
 
-// StartOrder gives attempts to a worker. It is bound to what the owner knew of
-// the worker: carried out later, it can start nothing that the owner has taken
-// for lost since.
+// StartOrder starts attempts on a worker. Boot and AsOf bind it to the last
+// report that the owner had from the worker, so that a delayed order cannot
+// start an attempt that the owner has since recorded as lost.
 type StartOrder struct {
 	Worker worker.ID
 	Boot   string
@@ -158,32 +182,33 @@
 	Tasks  []worker.Task
 }
 
-// ActOrder does a deed on a worker.
+// ActOrder orders a worker to throttle, unthrottle, checkpoint or stop
+// assignments.
 type ActOrder struct {
 	Worker worker.ID
 	Action worker.Deed
 	Keys   []worker.Key
 }
 
-// ForgetOrder lets a worker forget ended attempts.
+// ForgetOrder allows a worker to drop ended assignments from its reports.
 type ForgetOrder struct {
 	Worker worker.ID
 	Keys   []worker.Key
 }
 
-// JobShardMessage goes to whichever node owns the home.
+// JobShardMessage is sent to the node that currently owns the job shard.
 type JobShardMessage struct {
 	JobShard state.ShardID
 	Message  node.Message
 }
 
-// NodeMessage goes to a node.
+// NodeMessage is sent to one node.
 type NodeMessage struct {
 	Node    state.NodeID
 	Message node.Message
 }
 
-// Decision is a placement decision for the log.
+// Decision is a placement decision, to be logged.
 type Decision struct {
 	Key      worker.Key
 	Worker   worker.ID
@@ -191,7 +216,7 @@
 	Reason   string
 }
 
-// Event is something that an operator may have to know.
+// Event is something that an operator may need to know.
 type Event struct {
 	Kind   EventKind
 	Worker worker.ID
@@ -199,7 +224,7 @@
 	Detail string
 }
 
-// EventKind names an event of a rack.
+// EventKind identifies a kind of Event.
 type EventKind string
 
 // The events of a rack.
@@ -212,12 +237,16 @@
 	EventWorkerProbed     EventKind = "worker-probed"
 	EventWorkerReadmitted EventKind = "worker-back"
 	EventPreempted        EventKind = "preempted"
-	EventLateTask         EventKind = "late-task"
-	EventComplete         EventKind = "rack-complete"
+	// EventLateTask reports a running task that was recorded as lost before.
+	EventLateTask EventKind = "late-task"
+	// EventComplete reports that the owner knows of everything that may run in
+	// the rack.
+	EventComplete EventKind = "rack-complete"
 )
 
-// NewRack takes ownership of a rack. Until SetSole is called, the leases of
-// workers that cannot be reached are not taken to lapse.
+// NewRack returns the owner of a rack that has just been taken over. Until
+// ConfirmSoleOwner is called, no lease of an unreachable worker counts as
+// expired, since a previous owner may still renew it.
 func NewRack(now time.Time, id state.ShardID, epoch worker.Epoch, options NewRackOptions) *Rack {
 	if options.TTL == 0 {
 		options.TTL = defaultTTL
@@ -233,11 +262,12 @@
 	}
 }
 
-// TTL returns the length of the leases that this owner gives.
+// TTL returns the duration of the leases that this owner grants.
 func (r *Rack) TTL() time.Duration { return r.options.TTL }
 
-// ConfirmSoleOwner says that, as late as asOf, every earlier owner had ended or had said
-// that it renews no more, and there was no later owner.
+// ConfirmSoleOwner records that at asOf no other owner renewed leases: every
+// previous owner had ended or had announced that it renews no more, and there
+// was no later owner.
 func (r *Rack) ConfirmSoleOwner(asOf time.Time) {
 	if r.soleOwnerSince.IsZero() {
 		r.soleOwnerSince = asOf
@@ -245,10 +275,11 @@
 	r.soleOwnerAsOf = later(r.soleOwnerAsOf, asOf)
 }
 
-// IsSoleOwner reports whether SetSole was called.
+// IsSoleOwner reports whether ConfirmSoleOwner was called.
 func (r *Rack) IsSoleOwner() bool { return !r.soleOwnerSince.IsZero() }
 
-// SetWorkers brings the rack's workers up to the platform's list.
+// SetWorkers applies the platform's current list of VMs. A worker that is no
+// longer listed stays in the rack until nothing can run on it any more.
 func (r *Rack) SetWorkers(now time.Time, list []vmlist.VM) {
 	listed := map[worker.ID]bool{}
 	for i := range list {
@@ -273,7 +304,8 @@
 	r.isSummaryChanged = true
 }
 
-// Addrs returns the workers to keep links to.
+// Addrs returns the addresses of the workers to which the caller keeps
+// connections.
 func (r *Rack) Addrs() map[worker.ID]netip.AddrPort {
 	addrs := make(map[worker.ID]netip.AddrPort, len(r.vms))
 	for id, v := range r.vms {
@@ -282,7 +314,8 @@
 	return addrs
 }
 
-// SetDrained takes the operator's word that workers get nothing new.
+// SetDrained applies the operator's drain settings: nothing new is placed on a
+// drained worker.
 func (r *Rack) SetDrained(isDrained func(worker.ID) bool) {
 	for id, v := range r.vms {
 		v.isDrained = isDrained(id)
@@ -290,8 +323,8 @@
 	r.isSummaryChanged = true
 }
 
-// OnUnresponsive notes that a worker did not answer; its tasks live on until their
-// leases have lapsed.
+// OnUnresponsive records that a worker did not answer. Its tasks still count as
+// running until their leases have expired.
 func (r *Rack) OnUnresponsive(id worker.ID) {
 	v := r.vms[id]
 	if v == nil || v.isUnresponsive {
@@ -302,20 +335,22 @@
 	r.event(EventWorkerSilent, id, worker.Key{}, "")
 }
 
-// TakeOutput returns what was ordered since the last call.
+// TakeOutput returns the output that has accumulated since the last call.
 func (r *Rack) TakeOutput() Output {
 	output := r.output
 	r.output = Output{}
 	return output
 }
 
-// lapse is how long after the last renewal every lease has surely ended.
+// leaseExpiry returns the time after the last renewal by which every lease has
+// expired, with clock drift and the margin allowed for.
 func (r *Rack) leaseExpiry() time.Duration {
 	return r.options.TTL + r.options.TTL/clockDriftDivisor + r.options.Margin
 }
 
-// free is what is left of a worker, with holds and urgent work taken off; it is
-// negative where reported use is above what was declared.
+// free returns the capacity of a worker minus its live assignments and the
+// reservations on it. It is negative in a dimension where reported usage
+// exceeds capacity, or while a reservation waits for preempted tasks to leave.
 func (r *Rack) free(v *vm) leverdyke.Resources {
 	free := v.capacity
 	for _, a := range v.assignments {
@@ -329,13 +364,14 @@
 	return free
 }
 
-// isUsable reports whether new work may be put on the worker.
+// isUsable reports whether new work may be placed on the worker.
 func (r *Rack) isUsable(now time.Time, v *vm) bool {
 	isFresh := v.isReconciled && v.bootID != "" && now.Sub(v.reportedAt) < r.options.TTL/2
 	return isFresh && !v.isUnresponsive && !v.isLeaving && !v.isListedLeaving && !v.isDrained && !v.isRemoved && !r.options.IsDeputy
 }
 
-// TakeSummaryChanged reports whether the summary may have changed since the last call.
+// TakeSummaryChanged reports whether the rack's summary may have changed since
+// the last call.
 func (r *Rack) TakeSummaryChanged() bool {
 	isSummaryChanged := r.isSummaryChanged
 	r.isSummaryChanged = false
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -28,7 +28,7 @@
 	epoch    = worker.Epoch(256)
 )
 
-// bench is a rack's owner with its workers, without a network.
+// harness runs the owner of a rack with its workers, without a network.
 type harness struct {
 	t       *testing.T
 	clock   *clock.Fake
@@ -37,16 +37,16 @@
 	workers map[worker.ID]*native.Worker
 	names   []worker.ID
 	reports map[worker.ID]*worker.Report
-	// answers and news are what the home has heard.
+	// answers and updates are what the job shard has received.
 	answers map[worker.Key]node.AnswerResult
 	updates map[worker.Key]node.NewsItem
 	toNode  []node.Message
 	events  []rack.Event
-	// forgets is what each worker is told to forget with its next sync.
+	// forgets is what each worker is allowed to forget with its next sync.
 	forgets     map[worker.ID][]worker.Key
 	decisions   []rack.Decision
 	startOrders int
-	// isMute keeps starts from reaching the workers.
+	// isDroppingStarts drops start orders before they reach the workers.
 	isDroppingStarts bool
 	attempt          uint64
 }
@@ -71,7 +71,7 @@
 	return h
 }
 
-// sync lets every worker that is up report, and renews its leases.
+// sync collects a report from every worker that is up, and renews its leases.
 func (h *harness) sync() {
 	h.t.Helper()
 	for _, id := range h.names {
@@ -94,7 +94,8 @@
 	h.executeOrders()
 }
 
-// perform carries out what the rack has ordered.
+// executeOrders carries out what the rack has ordered, and records its
+// messages.
 func (h *harness) executeOrders() {
 	h.t.Helper()
 	out := h.rack.TakeOutput()
@@ -141,7 +142,8 @@
 	}
 }
 
-// run lets time pass, a second at a time.
+// advanceSeconds advances the clock by a second at a time, with a sync and a
+// tick each.
 func (h *harness) advanceSeconds(seconds int) {
 	h.t.Helper()
 	for range seconds {
@@ -163,6 +165,8 @@
 	}
 }
 
+// requestStarts requests attempts for the job shard and carries out the
+// decisions.
 func (h *harness) requestStarts(items ...node.AskItem) {
 	h.t.Helper()
 	h.rack.OnStartRequest(&node.Ask{Home: jobShard, HomeEpoch: 1, RackEpoch: epoch, Items: items})
@@ -175,6 +179,9 @@
 	vmCapacity = leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 4000, Slots: 4}
 )
 
+// A second start order could start an attempt after the worker refused the
+// first one and the job shard was told so. It may be sent only when the first
+// is known to have failed.
 func TestUnacknowledgedStartIsNotOrderedTwice(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	h.isDroppingStarts = true
@@ -191,6 +198,8 @@
 	}
 }
 
+// A request that was sent to the rack's previous owner must not start an
+// attempt under the new one.
 func TestStartRequestForAnotherRackEpochIsRefused(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	task := h.newTask("j", small, leverdyke.ClassNormal)
@@ -202,6 +211,8 @@
 	}
 }
 
+// After a job shard has changed its owner, a delayed request of the previous
+// owner must not start an attempt.
 func TestStartRequestOfPreviousJobShardOwnerIsRefused(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	h.rack.OnShardSync(&node.HomeSync{Home: jobShard, HomeEpoch: 2, Rack: "rack/r1/k"})
@@ -212,6 +223,8 @@
 	}
 }
 
+// A job shard requests another attempt elsewhere after a refusal, so a repeated
+// request must not start the refused one.
 func TestRepeatedRequestDoesNotStartRefusedAttempt(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	big := h.newTask("big", leverdyke.Resources{MilliCPU: 5000, Slots: 1}, leverdyke.ClassNormal)
@@ -226,12 +239,15 @@
 	}
 }
 
+// A task that uses more than it declared must be charged for its use, or the VM
+// is overcommitted.
 func TestReportedUsageRaisesTheCharge(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	h.workers["w0"].SetFaults(native.WorkerFaults{UsageFactor: 3})
 	h.requestStarts(node.AskItem{Task: h.newTask("j", small, leverdyke.ClassNormal)})
 	h.advanceSeconds(4)
-	// The report of its use comes with the next change.
+	// The worker reports usage with its next change, which this start brings
+	// about.
 	h.requestStarts(node.AskItem{Task: h.newTask("other", leverdyke.Resources{MilliCPU: 1, MemoryMiB: 1, Slots: 1}, leverdyke.ClassNormal)})
 	h.reports["w0"].Rev = 0
 	h.sync()
@@ -241,6 +257,8 @@
 	}
 }
 
+// An urgent task preempts a batch task when the worker is full, but never a
+// task that must not run twice.
 func TestUrgentTaskPreemptsBatchesButNotRunOnceTasks(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	for i := range 4 {
@@ -265,6 +283,8 @@
 	}
 }
 
+// If processors are all that is lacking, a batch task must be throttled rather
+// than stopped, and get its processors back when the urgent task has ended.
 func TestPreemptionThrottlesBeforeStoppingAndUnthrottlesLater(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	batch := h.newTask("batch", leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 100, Slots: 1}, leverdyke.ClassBatch)
@@ -281,13 +301,15 @@
 	}
 	h.advanceSeconds(8)
 	if got := h.rack.Summary(h.clock.Now()).Free.MilliCPU; got != 0 {
-		t.Errorf("got: %d free, want: 0: the batch has its processors back", got)
+		t.Errorf("got: %d free, want: 0: the batch task is no longer throttled", got)
 	}
 	if got := h.oracle.Report(); got.OverCommits != 0 {
 		t.Errorf("got: over-commits %v, want: none", got.Violations)
 	}
 }
 
+// A worker on which every task fails must not go on receiving tasks, and must
+// be used again after it was repaired.
 func TestWorkerThatFailsEverythingIsEjectedAndProbed(t *testing.T) {
 	h := newHarness(t, 3, vmCapacity)
 	h.workers["w0"].SetFaults(native.WorkerFaults{IsFailingAll: true})
@@ -306,11 +328,12 @@
 	}
 	h.workers["w0"].SetFaults(native.WorkerFaults{})
 	if got := placeTasks(60); got < startsBefore+3 {
-		t.Errorf("got: %d tasks after it was mended, want: more than %d", got, startsBefore+2)
+		t.Errorf("got: %d tasks after it was repaired, want: more than %d", got, startsBefore+2)
 	}
 }
 
-// A worker that was probed with a service got nothing else for as long as the service ran.
+// A service does not end, so a worker that was probed with one used to get
+// nothing else for as long as the service ran.
 func TestWorkerProbedWithServiceIsReadmitted(t *testing.T) {
 	h := newHarness(t, 2, vmCapacity)
 	h.workers["w0"].SetFaults(native.WorkerFaults{IsFailingAll: true})
@@ -330,13 +353,13 @@
 	h.advanceSeconds(12)
 	placeTasks("more", 8, time.Hour)
 	if got := h.workers["w0"].Starts() - startsBefore; got < 3 {
-		t.Errorf("tasks on the worker since it was mended: got: %d, want: more than its probe", got)
+		t.Errorf("tasks on the worker since it was repaired: got: %d, want: more than its probe", got)
 	}
 }
 
-// A worker that was out of reach while the home acknowledged the loss of its
-// attempt must forget the attempt all the same: to a later owner, its end would
-// be news.
+// A worker that was unreachable while the job shard acknowledged the loss of
+// its attempt must still forget that attempt. Otherwise each later owner of the
+// rack would report its end again.
 func TestLostAttemptIsForgottenWhenItsWorkerReconnects(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	task := h.newTask("j", small, leverdyke.ClassNormal)
@@ -348,7 +371,7 @@
 		t.Fatalf("got: %+v, want: lost", got)
 	}
 	h.rack.OnUpdateAck(&node.NewsAck{Home: jobShard, Keys: []worker.Key{task.Key}})
-	// The word to forget goes with the link of an owner that is replaced.
+	// The order to forget is lost, as when the owner is replaced.
 	h.rack.TakeOutput()
 	h.workers["w0"].SetFaults(native.WorkerFaults{})
 	h.advanceSeconds(3)
@@ -361,6 +384,8 @@
 	}
 }
 
+// A reservation of more places than there are takes all that are free, keeps
+// other tasks out, and expires.
 func TestReservationTakesAvailablePlacesAndExpires(t *testing.T) {
 	h := newHarness(t, 2, vmCapacity)
 	request := &node.Hold{Home: jobShard, HomeEpoch: 1, Rack: "rack/r1/k", RackEpoch: epoch, ID: 9, Each: small, Count: 20, Expiry: 5 * time.Second}
@@ -372,21 +397,23 @@
 	task := h.newTask("small", small, leverdyke.ClassNormal)
 	h.requestStarts(node.AskItem{Task: task})
 	if got := h.answers[task.Key]; got.Refused == "" {
-		t.Errorf("got: %+v, want: refused while all is held", got)
+		t.Errorf("got: %+v, want: refused while all places are reserved", got)
 	}
 	gang := h.newTask("gang", small, leverdyke.ClassNormal)
 	h.requestStarts(node.AskItem{Task: gang, HoldID: 9})
 	if got := h.answers[gang.Key]; got.Worker == "" {
-		t.Errorf("got: %+v, want: started on a held place", got)
+		t.Errorf("got: %+v, want: started on a reserved place", got)
 	}
 	h.advanceSeconds(6)
 	late := h.newTask("gang", small, leverdyke.ClassNormal)
 	h.requestStarts(node.AskItem{Task: late, HoldID: 9})
 	if got := h.answers[late.Key]; got.Refused == "" {
-		t.Errorf("got: %+v, want: refused after the hold's expiry", got)
+		t.Errorf("got: %+v, want: refused after the reservation has expired", got)
 	}
 }
 
+// Grants come only from workers that run the service. The slots of a holder
+// that has ended must become free again.
 func TestGrantsAreIssuedOnReplicaWorkersAndRevoked(t *testing.T) {
 	h := newHarness(t, 2, vmCapacity)
 	replica := h.newTask("service", small, leverdyke.ClassNormal)
@@ -407,12 +434,12 @@
 	h.executeOrders()
 	h.advanceSeconds(2)
 	if got := h.rack.Summary(h.clock.Now()).Free.Slots; got != 7 {
-		t.Errorf("got: %d slots free, want: 7 after the holder is gone", got)
+		t.Errorf("got: %d slots free, want: 7 after the holder has ended", got)
 	}
 }
 
-// A grant whose holder never got it, or whose return was lost, comes back by the
-// holder's answer to a check.
+// If the message with a grant or with its return is lost, the slots would stay
+// in use. The holder's answer to a check frees them.
 func TestHoldersAreCheckedForUnreturnedGrants(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	replica := h.newTask("service", small, leverdyke.ClassNormal)
@@ -435,14 +462,16 @@
 	}
 }
 
+// Requests under a grant are new work, so a worker that gets nothing new must
+// refuse them. The grant ends when its last request has finished.
 func TestGrantsOfLeavingWorkerAreRevoked(t *testing.T) {
 	for name, announceLeaving := range map[string]func(h *harness){
-		"by its own word": func(h *harness) { h.workers["w0"].Leave() },
+		"by its own report": func(h *harness) { h.workers["w0"].Leave() },
 		"by the list": func(h *harness) {
 			h.rack.SetWorkers(h.clock.Now(), []vmlist.VM{{Name: "w0", Status: vmlist.StatusLeaving}})
 		},
-		"by the operator":     func(h *harness) { h.rack.SetDrained(func(worker.ID) bool { return true }) },
-		"for comparison, not": nil,
+		"by the operator": func(h *harness) { h.rack.SetDrained(func(worker.ID) bool { return true }) },
+		"not leaving":     nil,
 	} {
 		h := newHarness(t, 1, vmCapacity)
 		replica := h.newTask("service", small, leverdyke.ClassNormal)
@@ -471,8 +500,8 @@
 	}
 }
 
-// TestNeverOverCapacity asks for tasks of random sizes and classes, ends some,
-// and compares with the workers' own books.
+// TestPlacementNeverExceedsCapacity requests tasks of random sizes and classes,
+// some of which end, and compares with what the workers themselves count.
 func TestPlacementNeverExceedsCapacity(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.Rng = rand.New(rand.NewSource(2))
--- a/internal/rack/reports.go
+++ b/internal/rack/reports.go
@@ -12,8 +12,9 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// OnReport takes a worker's report. asked is when the Sync was sent that the
-// report answers.
+// OnReport applies a worker's report: it ends what the worker no longer runs,
+// adopts what a previous owner started, and reconciles the worker if the report
+// lists all its tasks.
 func (r *Rack) OnReport(now time.Time, id worker.ID, rep *worker.Report) {
 	v := r.vms[id]
 	if v == nil {
@@ -21,7 +22,7 @@
 	}
 	isRestarted := v.bootID != "" && v.bootID != rep.Boot
 	if isRestarted {
-		// The restart ended all that ran there.
+		// The restart ended everything that ran on the worker.
 		r.markAllLost(now, v)
 	}
 	if v.capacity != rep.Capacity || v.isLeaving != rep.IsLeaving || !v.isReconciled {
@@ -47,7 +48,7 @@
 	}
 }
 
-// observe takes what a worker says of one attempt.
+// observe applies what a worker reports about one attempt or grant.
 func (r *Rack) observe(now time.Time, v *vm, t *worker.Task) {
 	a := v.assignments[t.Key]
 	if a == nil {
@@ -74,18 +75,20 @@
 	r.markRunning(now, a)
 }
 
-// adopt takes over an attempt that an earlier owner started.
+// adopt records an attempt or grant that a previous owner of the rack started.
 func (r *Rack) adopt(now time.Time, v *vm, t *worker.Task) {
 	if t.State == worker.StateRunning && v.isReconciled {
-		// Nothing that this owner does not know may run on a worker that has
-		// told all: its lease was taken to have lapsed. It must end.
+		// The worker has been reconciled, so whatever it ran is known. An
+		// unknown attempt was recorded as lost because its lease counted as
+		// expired. It must be stopped.
 		r.event(EventLateTask, v.id, t.Key, "")
 		r.output.Acts = append(r.output.Acts, ActOrder{v.id, worker.DeedStop, []worker.Key{t.Key}})
 		return
 	}
 	if t.Home == "" && t.Holder == "" {
-		// The end of an attempt that was forgotten here while the worker was out
-		// of reach. Left in its list, it would be news to every later owner.
+		// This is the end of an attempt that was forgotten here while the
+		// worker was unreachable. If the worker kept listing it, every later
+		// owner would report it to the job shard again.
 		r.output.Forgets = append(r.output.Forgets, ForgetOrder{v.id, []worker.Key{t.Key}})
 		return
 	}
@@ -114,7 +117,8 @@
 	}
 }
 
-// started notes that an attempt runs, and tells whoever asked for it.
+// markRunning records that an assignment runs, and answers whoever requested
+// it.
 func (r *Rack) markRunning(now time.Time, a *assignment) {
 	if a.phase != phaseStarting {
 		return
@@ -128,7 +132,8 @@
 	r.answerStarted(a)
 }
 
-// end notes that an attempt is over; its room is free from now on.
+// markEnded records the end of an assignment. Its capacity is free from then
+// on.
 func (r *Rack) markEnded(now time.Time, a *assignment, s worker.TaskState) {
 	isStarting := a.phase == phaseStarting
 	a.task.State = s
@@ -148,8 +153,9 @@
 	r.stopGrantsWithoutReplica(now, a.vm)
 }
 
-// judge learns from the end of an attempt whether its worker or its job is at
-// fault. A lost one counts as stopped: its state says so.
+// recordHealth passes the end of an attempt to the health detector, which
+// decides whether the worker or the job is at fault. A lost attempt has the
+// state stopped, which says nothing about its worker.
 func (r *Rack) recordHealth(now time.Time, a *assignment) {
 	f := r.health.Ended(now, a.vm.id, a.task.Key, a.task.State, len(r.vms))
 	a.isWorkerAtFault = f.IsWorkerAtFault
@@ -161,7 +167,8 @@
 	}
 }
 
-// lose ends an attempt that went with its worker or its lease.
+// markLost ends an assignment whose worker restarted, no longer lists it or let
+// its lease expire.
 func (r *Rack) markLost(now time.Time, a *assignment) {
 	if a.phase == phaseEnded {
 		return
@@ -176,8 +183,9 @@
 	}
 }
 
-// dropMissing loses what the worker's whole list does not have. An attempt
-// whose start is still under way may yet come.
+// markMissingLost marks as lost the running assignments that a worker's full
+// report does not list. An assignment that is still starting may be missing
+// only because the order has not arrived yet.
 func (r *Rack) markMissingLost(now time.Time, v *vm, rep *worker.Report) {
 	listed := make(map[worker.Key]bool, len(rep.Tasks))
 	for i := range rep.Tasks {
@@ -190,9 +198,10 @@
 	}
 }
 
-// lapseWorkers gives up the workers that have been silent for longer than any
-// lease there can last. The time that counts is the last at which nobody else
-// can have renewed them: a later owner may keep alive what this one cannot see.
+// expireWorkers marks as lost everything on workers that have been silent for
+// longer than a lease can last. The silence counts only up to soleOwnerAsOf,
+// the last time at which no other owner can have renewed the leases: a later
+// owner may keep tasks alive on a worker that this owner cannot reach.
 func (r *Rack) expireWorkers(now time.Time) {
 	if r.soleOwnerSince.IsZero() {
 		return
@@ -218,6 +227,8 @@
 	r.dropRemoved(now)
 }
 
+// dropRemoved deletes the workers that are no longer on the platform's list,
+// once nothing can run on them.
 func (r *Rack) dropRemoved(now time.Time) {
 	remaining := r.sortedIDs[:0]
 	for _, id := range r.sortedIDs {
@@ -248,8 +259,9 @@
 	return b
 }
 
-// Tick does what is due: lapses, orders that were not answered, news that were
-// not acknowledged.
+// Tick does what is due at the current time: it expires reservations and
+// waiting starts, decides on queued requests, and runs maintain each
+// maintenancePeriod.
 func (r *Rack) Tick(now time.Time) {
 	r.expireReservations(now)
 	r.expireUrgentStarts(now)
@@ -260,7 +272,9 @@
 	r.Flush(now)
 }
 
-// upkeep looks at every attempt, which takes too long to be done at each tick.
+// maintain handles expired leases, unacknowledged orders and updates, grants
+// and overuse. It visits every assignment, which takes too long to do at each
+// tick.
 func (r *Rack) maintain(now time.Time) {
 	r.expireWorkers(now)
 	for _, id := range r.health.ReadmitProbed(now) {
@@ -277,8 +291,8 @@
 	r.unthrottle(now)
 }
 
-// retryOrders gives again what a worker has not confirmed. Orders are keyed by
-// attempt, so that a second copy does nothing.
+// retryOrders sends the orders again that a worker has not confirmed. Orders
+// are identified by attempt, so a repeated one has no effect.
 func (r *Rack) retryOrders(now time.Time, v *vm) {
 	actions := map[worker.Deed][]worker.Key{}
 	for _, a := range sortedAssignments(v.assignments) {
@@ -303,7 +317,7 @@
 	}
 }
 
-// OnStartResults takes a worker's answer to a start.
+// OnStartResults applies a worker's answer to a start order.
 func (r *Rack) OnStartResults(now time.Time, id worker.ID, results []worker.StartResult) {
 	v := r.vms[id]
 	if v == nil {
@@ -324,7 +338,9 @@
 	r.isSummaryChanged = true
 }
 
-// OnStartFailed notes that it is not known whether a worker got a start.
+// OnStartFailed records that a start order failed without an answer, so that it
+// is not known whether the worker received it. The order may then be sent
+// again.
 func (r *Rack) OnStartFailed(id worker.ID, tasks []worker.Task) {
 	v := r.vms[id]
 	if v == nil {
@@ -337,6 +353,8 @@
 	}
 }
 
+// refuseStart removes an assignment that its worker refused to start, and
+// refuses the request for it.
 func (r *Rack) refuseStart(a *assignment, reason string) {
 	r.removeAssignment(a)
 	if a.task.Holder != "" {
@@ -350,8 +368,8 @@
 	r.output.Events = append(r.output.Events, Event{kind, w, k, detail})
 }
 
-// IsComplete reports whether no worker may run an attempt that this owner does
-// not know of.
+// IsComplete reports whether this owner knows of every attempt that may run in
+// the rack.
 func (r *Rack) IsComplete() bool {
 	for _, v := range r.vms {
 		if !v.isReconciled {
@@ -361,6 +379,8 @@
 	return true
 }
 
+// reportIfComplete reports the completion of the rack as an event and to every
+// job shard that has synced.
 func (r *Rack) reportIfComplete(now time.Time) {
 	if !r.IsComplete() {
 		return
@@ -371,7 +391,7 @@
 	}
 }
 
-// siblings counts the live attempts of a job on a worker.
+// siblings returns the number of live assignments of a job on a worker.
 func siblings(v *vm, job string) int {
 	n := 0
 	for _, a := range v.assignments {
@@ -382,5 +402,5 @@
 	return n
 }
 
-// zero is nothing at all.
+// zero is the empty resource vector.
 var zero leverdyke.Resources
--- a/internal/rack/requests.go
+++ b/internal/rack/requests.go
@@ -15,13 +15,14 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// pendingAsk is one attempt that is asked for, until the next Flush.
+// pendingStart is one requested attempt that waits for the next Flush.
 type pendingStart struct {
 	request *node.Ask
 	item    *node.AskItem
 }
 
-// The reasons for refusing an attempt. None of them lets it be started later.
+// The reasons for refusing an attempt. They are final: a refused attempt is
+// never started later, even if a copy of the request arrives.
 const (
 	refusedWrongEpoch    = "the ask is for another epoch of the rack"
 	refusedOldShardOwner = "another node is the home now"
@@ -32,9 +33,15 @@
 	refusedNoReservation = "the held place has lapsed"
 )
 
-// settled are a home's attempts that must not start any more.
+// closedAttempts are the attempts of a job shard that must not be started. They
+// were refused or have ended, and a delayed or repeated request for them may
+// still arrive.
 type closedAttempts struct {
-	floor   uint64
+	// floor is the lowest attempt that the job shard still waits for here; all
+	// attempts below it are closed.
+	floor uint64
+	// reasons has the closed attempts from floor up, with the reason for the
+	// refusal; it is empty for an attempt that has ended.
 	reasons map[uint64]string
 }
 
@@ -47,7 +54,8 @@
 	return s
 }
 
-// raiseFloor forgets what no late ask can bring back.
+// raiseFloor sets the floor and drops the entries below it, which the floor
+// alone keeps closed.
 func (s *closedAttempts) raiseFloor(floor uint64) {
 	if floor <= s.floor {
 		return
@@ -60,7 +68,8 @@
 	}
 }
 
-// acceptHome reports whether the epoch is the home's highest seen here.
+// acceptShardEpoch records the epoch of a job shard and reports whether it is
+// at least the highest one seen here.
 func (r *Rack) acceptShardEpoch(jobShard state.ShardID, epoch uint64) bool {
 	if epoch < r.shardEpochs[jobShard] {
 		return false
@@ -69,7 +78,8 @@
 	return true
 }
 
-// OnStartRequest takes an ask; it is settled with the others at the next Flush.
+// OnStartRequest queues a job shard's request to start attempts. The next Flush
+// decides on it together with the other queued ones.
 func (r *Rack) OnStartRequest(request *node.Ask) {
 	reason := ""
 	switch {
@@ -92,8 +102,10 @@
 	}
 }
 
-// Flush settles the asks that came since the last one: class, then the team's
-// share of its quota, then age.
+// Flush first starts the urgent attempts and grants whose capacity has become
+// free. Then it decides on all attempts requested since the last call: the most
+// urgent class first, then the team that uses the smallest share of its quota,
+// then the task that has waited longest.
 func (r *Rack) Flush(now time.Time) {
 	r.retryUrgentStarts(now)
 	r.retryPreemptingGrants(now)
@@ -113,8 +125,8 @@
 	}
 }
 
-// settle starts one attempt or refuses it. An attempt that is here already is
-// answered as it stands, so that an ask may be sent again.
+// decide starts one attempt or refuses it. If the attempt is already here, the
+// answer is its current state, so that a request may safely be repeated.
 func (r *Rack) decide(now time.Time, p pendingStart) {
 	key := p.item.Task.Key
 	s := r.closedAttemptsOf(p.request.Home)
@@ -155,7 +167,8 @@
 	r.place(now, p, best, runnerUp, "best of the rack")
 }
 
-// choose returns the worker to take and the runner-up, or nil.
+// chooseWorker returns the best worker for an attempt and the runner-up; either
+// is nil if there is none.
 func (r *Rack) chooseWorker(now time.Time, item *node.AskItem) (best, runnerUp *vm) {
 	candidates := make([]placement.Candidate, len(r.sortedIDs))
 	for i, id := range r.sortedIDs {
@@ -179,10 +192,12 @@
 	return best, runnerUp
 }
 
+// place starts an attempt on the worker v and records the decision.
 func (r *Rack) place(now time.Time, p pendingStart, v, runnerUp *vm, reason string) {
 	a := &assignment{task: p.item.Task, vm: v, phase: phaseStarting, since: now, lastSentAt: now, request: p.request}
 	a.task.State = worker.StateRunning
-	// Until it reports itself, it counts for what others of its job have used.
+	// Until the attempt reports its own usage, charge it for what other tasks
+	// of its job use.
 	a.task.Usage = r.expected(&a.task)
 	r.addAssignment(a)
 	r.releaseReservedVM(a.task.Key.Task.Job)
@@ -198,7 +213,8 @@
 	r.isSummaryChanged = true
 }
 
-// orderStart adds a start to the orders, joined with others for the same worker.
+// orderStart adds a start to the output, merged into the order for the same
+// worker if there is one.
 func (r *Rack) orderStart(now time.Time, a *assignment) {
 	a.lastSentAt = now
 	a.isStartPending = true
@@ -211,6 +227,7 @@
 	r.output.Starts = append(r.output.Starts, StartOrder{a.vm.id, a.vm.bootID, a.vm.workerTime, []worker.Task{a.task}})
 }
 
+// answerStarted answers the request that waits for the start, if there is one.
 func (r *Rack) answerStarted(a *assignment) {
 	if a.request == nil {
 		return
@@ -223,6 +240,7 @@
 	r.refuseAttempt(request, node.AnswerResult{Key: key, Refused: reason})
 }
 
+// refuseAttempt answers that an attempt is refused, and closes the attempt.
 func (r *Rack) refuseAttempt(request *node.Ask, result node.AnswerResult) {
 	if request == nil {
 		return
@@ -231,8 +249,8 @@
 	r.answer(request, result)
 }
 
-// refuseForRoom refuses an ask for which there is no room, and tells the home
-// if more was needed than the task declares.
+// refuseForCapacity refuses a request for lack of capacity. If the expected
+// usage exceeds the declared size, the answer includes it.
 func (r *Rack) refuseForCapacity(p pendingStart) {
 	result := node.AnswerResult{Key: p.item.Task.Key, Refused: refusedNoCapacity}
 	if need := r.expected(&p.item.Task); need != p.item.Task.Each {
@@ -241,7 +259,8 @@
 	r.refuseAttempt(p.request, result)
 }
 
-// answer adds a result to the answers, joined with others for the same home.
+// answer adds a result to the output, merged into the answer to the same job
+// shard if there is one.
 func (r *Rack) answer(request *node.Ask, result node.AnswerResult) {
 	for i := range r.output.ToJobShards {
 		m := &r.output.ToJobShards[i]
@@ -254,8 +273,9 @@
 	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{request.Home, node.Message{Answer: a}})
 }
 
-// OnAction does a home's deed to its attempts. Attempts that are not here are
-// left out: the home learns of them by news.
+// OnAction orders the workers to carry out a job shard's action on its
+// attempts. Attempts that are not here are ignored: updates inform the job
+// shard about them.
 func (r *Rack) OnAction(now time.Time, d *node.Deed) {
 	if !r.acceptShardEpoch(d.Home, d.HomeEpoch) {
 		return
@@ -291,5 +311,5 @@
 	return cmp.Or(cmp.Compare(a.Task.Job, b.Task.Job), cmp.Compare(a.Task.Index, b.Task.Index), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// isLower reports whether a is less urgent than b.
+// isLessUrgent reports whether class a is less urgent than class b.
 func isLessUrgent(a, b leverdyke.Class) bool { return a.Rank() > b.Rank() }
--- a/internal/rack/reservations.go
+++ b/internal/rack/reservations.go
@@ -13,36 +13,47 @@
 )
 
 const (
-	// earmarkAge is how long an all-at-once job must have waited before a rack
-	// keeps room for it, and earmarkTime how long without a further try.
+	// gangPriorityMinWait is how long an all-at-once job must have waited
+	// before its reservation request can give it priority in a rack.
 	gangPriorityMinWait = 10 * time.Second
-	priorityTimeout     = 5 * time.Second
-	maxReservationTime  = 30 * time.Second
+	// priorityTimeout is how long a gang's priority, or the reservation of a VM
+	// for a starved task, lasts after the last request that asked for it.
+	priorityTimeout = 5 * time.Second
+	// maxReservationTime limits the expiry that a request may set.
+	maxReservationTime = 30 * time.Second
 )
 
+// reservationID identifies a reservation: by the job shard and its number for
+// an all-at-once job, or by the key of the urgent attempt or the name of the
+// grant that waits for preempted tasks to leave.
 type reservationID struct {
 	owner state.ShardID
 	id    uint64
 }
 
-// hold is room that is kept for an all-at-once job until it expires.
+// reservation is capacity that is kept free until it is used or expires.
 type reservation struct {
-	each      leverdyke.Resources
+	each leverdyke.Resources
+	// places has the number of tasks of size each per worker.
 	places    map[worker.ID]int
 	expiresAt time.Time
 }
 
-// earmark keeps small work out of a rack in which an all-at-once job that has
-// waited long could not get all its places.
+// gangPriority keeps less important tasks out of a rack in which an all-at-once
+// job that has waited long could not reserve all its places. Otherwise small
+// tasks would take each place as it becomes free, and the job would never find
+// enough at one time.
 type gangPriority struct {
 	reservation reservationID
 	class       leverdyke.Class
-	// since is when the job began to wait; the older job keeps the earmark.
+	// since is when the job began to wait; the job that has waited longest
+	// keeps the priority.
 	since     time.Time
 	expiresAt time.Time
 }
 
-// OnReserve holds as many of the places as there are.
+// OnReserve reserves as many of the requested places as there is capacity for,
+// and answers with their number.
 func (r *Rack) OnReserve(now time.Time, m *node.Hold) {
 	id := reservationID{m.Home, m.ID}
 	reply := &node.HoldReply{Home: m.Home, Rack: r.ID, ID: m.ID}
@@ -55,6 +66,8 @@
 	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{m.Home, node.Message{HoldReply: reply}})
 }
 
+// reserve returns the number of places reserved under the ID. A repeated
+// request extends the expiry of what is reserved.
 func (r *Rack) reserve(now time.Time, id reservationID, m *node.Hold) int {
 	if res := r.reservations[id]; res != nil {
 		res.expiresAt = now.Add(min(m.Expiry, maxReservationTime))
@@ -86,14 +99,18 @@
 	return n
 }
 
-// bestFor returns the worker that the need fills best, or nil.
+// bestWorkerFor returns the worker that a task of this size would fill most
+// tightly, or nil if none has capacity.
 func (r *Rack) bestWorkerFor(now time.Time, need leverdyke.Resources) *vm {
-	// A run time, since only services pass a VM that is kept for another task.
+	// RunTime must not be 0: it would mark the task as a service, and services
+	// may use a VM that is reserved for a starved task.
 	item := &node.AskItem{Task: worker.Task{Each: need, Class: leverdyke.ClassBatch, RunTime: 1}, Packing: 1}
 	best, _ := r.chooseWorker(now, item)
 	return best
 }
 
+// updateGangPriority gives priority to a job that has waited long and got fewer
+// places than requested, unless a job that has waited longer has it.
 func (r *Rack) updateGangPriority(now time.Time, id reservationID, m *node.Hold, count int) {
 	if count >= m.Count || m.Age < gangPriorityMinWait {
 		return
@@ -106,8 +123,9 @@
 	r.gangPriority = &gangPriority{reservation: id, class: m.Class, since: since, expiresAt: now.Add(priorityTimeout)}
 }
 
-// isEarmarkedAgainst reports whether an ask has to leave the room to the
-// all-at-once job that waits. More urgent work and services do not wait.
+// isBlockedByGang reports whether a task has to leave the free capacity to the
+// all-at-once job that has priority. More urgent tasks and services need not
+// wait.
 func (r *Rack) isBlockedByGang(now time.Time, item *node.AskItem) bool {
 	current := r.gangPriority
 	if current == nil || !now.Before(current.expiresAt) || item.Task.RunTime == 0 {
@@ -116,7 +134,7 @@
 	return item.Task.Class.Rank() >= current.class.Rank()
 }
 
-// settleHeld starts an attempt on a place that its job holds.
+// startReserved starts an attempt on a place that its job has reserved.
 func (r *Rack) startReserved(now time.Time, p pendingStart) {
 	id := reservationID{p.request.Home, p.item.HoldID}
 	res := r.reservations[id]
@@ -142,7 +160,7 @@
 	r.answerRefused(p.request, p.item.Task.Key, refusedNoReservation)
 }
 
-// OnRelease gives held places back.
+// OnRelease cancels a reservation.
 func (r *Rack) OnRelease(m *node.Release) {
 	id := reservationID{m.Home, m.ID}
 	if r.reservations[id] != nil {
@@ -151,6 +169,8 @@
 	}
 }
 
+// expireReservations drops the reservations, the gang priority and the VM
+// reservation that have expired.
 func (r *Rack) expireReservations(now time.Time) {
 	for id, res := range r.reservations {
 		if !now.Before(res.expiresAt) {
--- a/internal/rack/summary.go
+++ b/internal/rack/summary.go
@@ -13,7 +13,7 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// Summary returns the rack's summary.
+// Summary returns the capacity summary that other nodes use to choose a rack.
 func (r *Rack) Summary(now time.Time) node.Room {
 	summary := node.Room{Rack: r.ID, Epoch: r.Epoch}
 	services := map[string]*node.ServiceRoom{}
@@ -45,6 +45,8 @@
 	return summary
 }
 
+// addServiceCapacity adds the worker's replicas, and the requests that it has
+// capacity for, to the totals per service.
 func addServiceCapacity(v *vm, free leverdyke.Resources, services map[string]*node.ServiceRoom) {
 	for _, a := range v.assignments {
 		if a.phase != phaseRunning || a.task.Service == "" || a.task.Holder != "" {
@@ -62,7 +64,8 @@
 	}
 }
 
-// yield is what preemption for urgent work could leave on a worker at most.
+// freeAfterPreemption returns the most that could become free on a worker if an
+// urgent task preempted everything that it may.
 func (r *Rack) freeAfterPreemption(v *vm) leverdyke.Resources {
 	free := r.free(v)
 	for _, a := range v.assignments {
@@ -73,8 +76,8 @@
 	return free.Max(leverdyke.Resources{})
 }
 
-// Counts returns how many workers there are, how many are usable, and how many
-// attempts run.
+// Counts returns the number of workers, of usable workers, and of live
+// attempts.
 func (r *Rack) Counts(now time.Time) (workers, usable, running int) {
 	for _, v := range r.vms {
 		workers++
@@ -90,7 +93,8 @@
 	return workers, usable, running
 }
 
-// Used returns what the attempts and grants take, and what there is in all.
+// Used returns the total charge of the live assignments and the total capacity
+// of the workers.
 func (r *Rack) Used() (used, capacity leverdyke.Resources) {
 	for _, v := range r.vms {
 		capacity = capacity.Add(v.capacity)
@@ -103,7 +107,7 @@
 	return used, capacity
 }
 
-// WorkerStatus is what an operator sees of a worker.
+// WorkerStatus is the state of a worker as shown to operators.
 type WorkerStatus struct {
 	ID       worker.ID           `json:"id"`
 	Rack     state.ShardID       `json:"rack"`
@@ -114,7 +118,7 @@
 	Capacity leverdyke.Resources `json:"capacity"`
 }
 
-// Status lists the rack's workers.
+// Status returns the state of the rack's workers, sorted by ID.
 func (r *Rack) Status(now time.Time) []WorkerStatus {
 	list := make([]WorkerStatus, 0, len(r.sortedIDs))
 	for _, id := range r.sortedIDs {
--- a/internal/rack/updates.go
+++ b/internal/rack/updates.go
@@ -11,10 +11,13 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
+// updateRetryPeriod is the delay after which an unacknowledged update about an
+// ended attempt is sent again.
 const updateRetryPeriod = 2 * time.Second
 
-// OnShardSync makes the sender's epoch the home's own here and answers with all
-// of the home's attempts, now and again when the rack is complete.
+// OnShardSync makes the sender the job shard's owner in this rack, unless a
+// later epoch was seen, and sends it an update with all the shard's attempts,
+// now and again when the rack is complete.
 func (r *Rack) OnShardSync(m *node.HomeSync) {
 	if !r.acceptShardEpoch(m.Home, m.HomeEpoch) {
 		return
@@ -24,8 +27,8 @@
 	r.sendFullUpdate(m.Home)
 }
 
-// dropOldAsks forgets what an earlier owner of the home asked for and has not
-// been started.
+// dropSupersededStarts drops the requests of a job shard's previous owners that
+// have not been acted on.
 func (r *Rack) dropSupersededStarts(jobShard state.ShardID, epoch uint64) {
 	remaining := r.pendingStarts[:0]
 	for _, p := range r.pendingStarts {
@@ -37,6 +40,7 @@
 	r.dropSupersededUrgents(jobShard, epoch)
 }
 
+// sendFullUpdate sends a job shard the state of all its attempts in the rack.
 func (r *Rack) sendFullUpdate(jobShard state.ShardID) {
 	n := &node.News{Home: jobShard, Rack: r.ID, RackEpoch: r.Epoch, IsWhole: true, IsComplete: r.IsComplete()}
 	for _, a := range sortedAssignments(r.assignments) {
@@ -55,7 +59,8 @@
 	return node.NewsItem{Key: a.task.Key, State: s, Worker: a.vm.id, IsLost: a.isLost, IsBlamed: a.isWorkerAtFault}
 }
 
-// tellNews tells the home of one attempt, joined with others for it.
+// sendUpdate sends a job shard the state of one attempt, merged into the update
+// for the same job shard if there is one.
 func (r *Rack) sendUpdate(a *assignment) {
 	jobShard := state.ShardID(a.task.Home)
 	for i := range r.output.ToJobShards {
@@ -69,6 +74,8 @@
 	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{jobShard, node.Message{News: n}})
 }
 
+// resendUpdates sends the ends of attempts again that the job shard has not
+// acknowledged.
 func (r *Rack) resendUpdates(now time.Time) {
 	for _, a := range sortedAssignments(r.assignments) {
 		if a.phase != phaseEnded || a.task.Holder != "" || now.Sub(a.lastSentAt) < updateRetryPeriod {
@@ -79,7 +86,8 @@
 	}
 }
 
-// OnUpdateAck forgets attempts whose end the home has recorded.
+// OnUpdateAck removes the attempts whose end the job shard has recorded, and
+// allows their workers to forget them.
 func (r *Rack) OnUpdateAck(m *node.NewsAck) {
 	forgets := map[worker.ID][]worker.Key{}
 	for _, k := range m.Keys {
--- a/internal/rack/urgent.go
+++ b/internal/rack/urgent.go
@@ -15,15 +15,18 @@
 )
 
 const (
-	// urgentPatience is how long urgent work waits here for its victims; the
-	// home then tries another rack, within the 3.4 s that it has in all.
+	// urgentTimeout is how long an urgent task waits here for preempted tasks
+	// to leave. After that the job shard tries another rack; it has 3.4 s for
+	// all its tries.
 	urgentTimeout = 1500 * time.Millisecond
-	// checkpointPatience is after how long a checkpoint becomes a stop.
+	// checkpointTimeout is the delay after which an ordered checkpoint is
+	// replaced by a stop.
 	checkpointTimeout = 700 * time.Millisecond
 )
 
-// urgent is an attempt that waits for victims to leave its worker. Its room is
-// kept by a hold, so that nobody else takes what becomes free.
+// urgentStart is a requested attempt that waits until preempted tasks have left
+// its worker. A reservation keeps other tasks from using the capacity that
+// becomes free.
 type urgentStart struct {
 	start       pendingStart
 	vm          *vm
@@ -31,7 +34,8 @@
 	since       time.Time
 }
 
-// settleUrgent makes room for urgent work by pushing others aside, or refuses.
+// preemptOrRefuse handles an attempt for which no worker has free capacity: an
+// urgent one preempts other tasks if that helps, any other one is refused.
 func (r *Rack) preemptOrRefuse(now time.Time, p pendingStart) {
 	if p.item.Task.Class != leverdyke.ClassUrgent {
 		r.refuseForCapacity(p)
@@ -49,7 +53,8 @@
 	r.preempt(now, v, preemptions, "for "+key.String())
 }
 
-// cheapest returns the worker where the fewest and gentlest deeds make room.
+// cheapestPreemption returns the worker on which the cheapest preemption frees
+// enough capacity, and the preemption; nil if there is none.
 func (r *Rack) cheapestPreemption(now time.Time, item *node.AskItem) (*vm, []placement.Push) {
 	var best *vm
 	var bestPreemptions []placement.Push
@@ -71,6 +76,8 @@
 	return best, bestPreemptions
 }
 
+// preemptionCost ranks preemptions: fewer tasks are better, and throttling is
+// much better than checkpointing or stopping, which end the attempt.
 func preemptionCost(preemptions []placement.Push) int {
 	cost := 0
 	for _, p := range preemptions {
@@ -82,6 +89,8 @@
 	return cost
 }
 
+// victims returns the running tasks of a worker that may be preempted and have
+// no pending action.
 func (r *Rack) victims(now time.Time, v *vm) []placement.Victim {
 	list := []placement.Victim{}
 	for _, a := range sortedAssignments(v.assignments) {
@@ -96,7 +105,7 @@
 	return list
 }
 
-// retryUrgents starts the urgent work whose room has become free.
+// retryUrgentStarts starts the urgent attempts whose capacity has become free.
 func (r *Rack) retryUrgentStarts(now time.Time) {
 	remaining := r.urgentStarts[:0]
 	for _, u := range r.urgentStarts {
@@ -110,6 +119,8 @@
 	r.urgentStarts = remaining
 }
 
+// expireUrgentStarts refuses the urgent attempts that have waited for
+// urgentTimeout.
 func (r *Rack) expireUrgentStarts(now time.Time) {
 	r.dropUrgentStarts(func(u *urgentStart) bool {
 		if now.Sub(u.since) < urgentTimeout {
@@ -150,8 +161,8 @@
 	return slices.ContainsFunc(r.urgentStarts, func(u *urgentStart) bool { return u.start.item.Task.Key == k })
 }
 
-// escalate returns the deed to order again: a checkpoint that does not come
-// about becomes a stop.
+// escalate returns the action to order again: a checkpoint that has not
+// happened within checkpointTimeout becomes a stop.
 func (r *Rack) escalate(now time.Time, a *assignment) worker.Deed {
 	if a.pendingAction == worker.DeedCheckpoint && now.Sub(a.since) > checkpointTimeout {
 		a.pendingAction = worker.DeedStop
@@ -159,8 +170,9 @@
 	return a.pendingAction
 }
 
-// unthrottle gives throttled tasks their processors back where there is room
-// and nobody urgent waits. The charge grows before the worker is told.
+// unthrottle ends the throttling of tasks where their full charge fits and no
+// urgent task or grant waits for capacity. The charge rises before the worker
+// gets the order, so that nothing else is placed on that capacity.
 func (r *Rack) unthrottle(now time.Time) {
 	if len(r.urgentStarts)+len(r.preemptingGrants) > 0 {
 		return
@@ -169,7 +181,7 @@
 		if a.phase != phaseRunning || !a.task.IsThrottled || a.pendingAction != "" {
 			continue
 		}
-		// A throttled task reports less than it will use.
+		// A throttled task reports less than it will use without the throttle.
 		a.task.Usage = a.task.Usage.Max(r.expected(&a.task))
 		a.task.IsThrottled = false
 		if !zero.FitsIn(r.free(a.vm)) {
--- a/internal/rack/usage.go
+++ b/internal/rack/usage.go
@@ -11,17 +11,21 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// overusedPeriod is how often a VM that stays overused is reported.
+// overusedPeriod is the interval between events about the same overused VM.
 const overusedPeriod = time.Minute
 
-// learn takes the use that an attempt has reported.
+// recordUsage adds the usage that an attempt has reported to the statistics of
+// its job.
 func (r *Rack) recordUsage(a *assignment) {
 	if a.task.Holder == "" {
 		r.learnedUsage.Report(a.task.Key.Task.Job, a.task.Each, a.task.Usage)
 	}
 }
 
-// expected is what a task will most likely take here.
+// expected returns the resources that a task is expected to use: what other
+// tasks of its job have reported, if that is more than it declares, up to the
+// capacity of the largest VM, so that reported usage never makes a task too
+// large for every VM.
 func (r *Rack) expected(t *worker.Task) leverdyke.Resources {
 	largest := leverdyke.Resources{}
 	for _, v := range r.vms {
@@ -30,9 +34,11 @@
 	return r.learnedUsage.Expected(t.Key.Task.Job, t.Each, largest)
 }
 
-// relieve pushes tasks off the VMs whose tasks use more than there is, because
-// they use more than was declared: the cheapest ones, gentlest deeds first,
-// services last, and none that is urgent or may not be repeated.
+// relieveOverused preempts tasks on the VMs whose tasks use more than the VM
+// has, which happens when they use more than they declared. It orders the
+// mildest actions that are enough. Services are preempted only if preempting
+// other tasks is not enough; urgent tasks and tasks that must not run twice,
+// never.
 func (r *Rack) relieveOverused(now time.Time) {
 	for _, id := range r.sortedIDs {
 		v := r.vms[id]
@@ -53,8 +59,8 @@
 	}
 }
 
-// noteOverused tells the operator now and then of a VM that nothing can be
-// pushed off.
+// reportOverused reports, at most once per overusedPeriod, an overused VM on
+// which no preemption helps.
 func (r *Rack) reportOverused(now time.Time, v *vm) {
 	if now.Sub(v.overuseLoggedAt) < overusedPeriod {
 		return
@@ -63,7 +69,8 @@
 	r.event(EventWorkerOverused, v.id, worker.Key{}, "beyond it: "+zero.Sub(r.free(v)).Max(zero).String())
 }
 
-// hasDeeds reports whether orders are under way that may make room.
+// hasPendingAction reports whether an order is pending that may free capacity
+// on the worker.
 func hasPendingAction(v *vm) bool {
 	for _, a := range v.assignments {
 		if a.phase != phaseEnded && a.pendingAction != "" {
@@ -73,6 +80,7 @@
 	return false
 }
 
+// withoutServices returns the victims that are not replicas of a service.
 func withoutServices(v *vm, victims []placement.Victim) []placement.Victim {
 	list := []placement.Victim{}
 	for _, c := range victims {
@@ -83,7 +91,7 @@
 	return list
 }
 
-// push orders deeds that make room on a worker.
+// preempt orders the actions that free capacity on a worker.
 func (r *Rack) preempt(now time.Time, v *vm, preemptions []placement.Push, reason string) {
 	for _, p := range preemptions {
 		a := r.assignments[p.Key]
--- a/internal/rack/usage_test.go
+++ b/internal/rack/usage_test.go
@@ -28,20 +28,21 @@
 	declaredSize = leverdyke.Resources{MilliCPU: 250, MemoryMiB: 2048, Slots: 1}
 )
 
-// sizeOutcome is what a run with wrong sizes came to.
+// simulationResult is the outcome of a simulation with wrong declared sizes.
 type simulationResult struct {
-	// over counts the seconds of VMs whose tasks used more memory than there
-	// is, worst the most that one VM's tasks used of it.
+	// overusedVMSeconds counts, per VM and second, how often tasks used more
+	// memory than the VM has. peakMemoryFraction is the highest use on one VM,
+	// as a fraction of its memory.
 	overusedVMSeconds  int
 	peakMemoryFraction float64
-	// lost counts attempts that were checkpointed, done the seconds until all
-	// tasks had ended; 0 if they had not.
+	// checkpointed counts the attempts that ended by a checkpoint. finishedAt
+	// is the second at which all tasks had ended; 0 if they had not.
 	checkpointed, finishedAt int
 }
 
-// playSizes runs a queue of jobs whose tasks use sizeFactor times, or a third
-// of, what they declare. It stands in for the homes: what is refused or
-// checkpointed is asked for again.
+// simulateWrongSizes runs a queue of jobs whose tasks use factor times the
+// memory that they declare. It takes the place of the job shards: it requests
+// refused and checkpointed tasks again.
 func simulateWrongSizes(t *testing.T, factor float64, isUsageReported bool) simulationResult {
 	t.Helper()
 	h := newHarness(t, vmCount, largeVM)
@@ -90,6 +91,8 @@
 			result.checkpointed++
 			waiting = append(waiting, task)
 		}
+		// recordMemoryUsage counts the VMs whose tasks use more memory than
+		// there is.
 		result.recordMemoryUsage(h, factor)
 		if ended == jobCount*tasksPerJob {
 			result.finishedAt = second
@@ -113,8 +116,9 @@
 	}
 }
 
-// TestCompareWrongSizes prints what declared sizes cost that are wrong by a
-// factor, with reports of use and without.
+// TestCompareWrongDeclaredSizes prints what wrong declared sizes cost, with and
+// without reports of usage. With reports, tasks that use more than they declare
+// must cause at most a quarter of the overuse.
 func TestCompareWrongDeclaredSizes(t *testing.T) {
 	t.Log("\n| real over declared | use is reported | VM-seconds over the memory | worst (%) | attempts checkpointed | all done after (s) |\n|---|---|---|---|---|---|")
 	for _, factor := range []float64{1, usageFactor, 1.0 / usageFactor} {
@@ -130,7 +134,8 @@
 	}
 }
 
-// place asks for tasks of a job, one at a time, and lets their use be reported.
+// placeTasks requests tasks of a job one at a time, and then runs until their
+// usage is reported.
 func (h *harness) placeTasks(job string, count int, each leverdyke.Resources, change func(*worker.Task)) {
 	h.t.Helper()
 	for range count {
@@ -143,6 +148,9 @@
 	h.advanceSeconds(6)
 }
 
+// A VM whose tasks use more than it has must be relieved by the mildest action
+// that helps. Urgent tasks and those that must not run twice stay; the operator
+// then gets one event.
 func TestOverusedVMPreemptsTasks(t *testing.T) {
 	once := func(task *worker.Task) { task.IsOnce = true }
 	urgent := func(task *worker.Task) { task.Class = leverdyke.ClassUrgent }
@@ -151,14 +159,15 @@
 	for name, c := range map[string]struct {
 		each   leverdyke.Resources
 		change func(*worker.Task)
-		// running tasks of 4 are left, and as many ends have been told.
+		// running is how many of the 4 tasks are left; the ends of the others
+		// must be reported.
 		running int
 	}{
-		"too few processors throttle":       {processors, nil, 4},
-		"too little memory checkpoints":     {memory, nil, 2},
-		"what may not be repeated is left":  {memory, once, 4},
-		"what is urgent is left":            {memory, urgent, 4},
-		"processors of once-only work stay": {processors, once, 4},
+		"too few processors: throttled":                       {processors, nil, 4},
+		"too little memory: checkpointed":                     {memory, nil, 2},
+		"tasks that must not run twice stay":                  {memory, once, 4},
+		"urgent tasks stay":                                   {memory, urgent, 4},
+		"tasks that must not run twice keep their processors": {processors, once, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1, vmCapacity)
@@ -188,25 +197,27 @@
 				}
 			}
 			if want := c.change != nil; (overuseEvents == 1) != want {
-				t.Errorf("got: %d reports to the operator, want one: %v", overuseEvents, want)
+				t.Errorf("got: %d overuse events, want one: %v", overuseEvents, want)
 			}
 			if preemptions > 4 {
-				t.Errorf("got: %d tasks pushed, want: at most one push a task", preemptions)
+				t.Errorf("got: %d preemptions, want: at most one per task", preemptions)
 			}
 			if want := c.each == processors && c.change == nil; (throttled > 0) != want {
 				t.Errorf("got: %d throttled, want some: %v", throttled, want)
 			}
 			for key, n := range h.updates {
 				if n.State != worker.StateCheckpointed || n.IsBlamed {
-					t.Errorf("%s: got: %+v, want: checkpointed and nobody blamed", key, n)
+					t.Errorf("%s: got: %+v, want: checkpointed and the worker not at fault", key, n)
 				}
 			}
 		})
 	}
 }
 
-// A task of a job whose others use more than they declare is placed by what
-// they use, but is never kept from running where it fits an empty VM.
+// A task must be placed by what other tasks of its job use, if that is more
+// than it declares, or its VM is overused at once. It must still start on an
+// empty VM that holds its declared size, even if the others use more than the
+// VM has.
 func TestTaskIsPlacedByUsageOfOthersInItsJob(t *testing.T) {
 	h := newHarness(t, 2, vmCapacity)
 	for _, w := range h.workers {
@@ -220,7 +231,7 @@
 		}
 	}
 	if len(h.updates) > 0 {
-		t.Errorf("got: %v, want: no task that had to be moved", h.updates)
+		t.Errorf("got: %v, want: no task preempted", h.updates)
 	}
 	huge := newHarness(t, 1, vmCapacity)
 	huge.workers["w0"].SetFaults(native.WorkerFaults{UsageFactor: 9})
@@ -231,7 +242,7 @@
 	}
 }
 
-// No decision hangs on how long a task says that it runs.
+// Declared run times are often wrong, so no decision may depend on them.
 func TestWrongRunTimesChangeNoDecision(t *testing.T) {
 	decide := func(factor time.Duration) string {
 		h := newHarness(t, 3, vmCapacity)
--- a/internal/rack/vmreservation.go
+++ b/internal/rack/vmreservation.go
@@ -10,20 +10,23 @@
 	"github.com/leverdyke/leverdyke/internal/node"
 )
 
-// keep keeps what becomes free on one VM for a task that has waited long
-// because smaller ones took every room first (decision 0012).
+// vmReservation keeps the capacity that becomes free on one VM for a starved
+// task: one that has waited long because smaller tasks always took the free
+// capacity first (decision 0012).
 type vmReservation struct {
 	vm *vm
-	// job is the starved task's; its own asks pass.
+	// job is the starved task's job; requests of the same job may use the VM.
 	job   string
 	class leverdyke.Class
-	// since is when the task began to wait; the older one keeps the VM.
+	// since is when the task began to wait; the task that has waited longest
+	// keeps the reservation.
 	since     time.Time
 	expiresAt time.Time
 }
 
-// keepFor keeps a VM for a starved task that found no room, if no older one has
-// the rack's.
+// reserveVMFor reserves a VM for a starved task that found no capacity, or
+// extends its job's reservation. A rack has one such reservation; a task that
+// has waited longer keeps it.
 func (r *Rack) reserveVMFor(now time.Time, item *node.AskItem) {
 	if !item.IsStarved {
 		return
@@ -44,8 +47,8 @@
 	}
 }
 
-// nearest returns the VM that lacks the least of a need that it could hold when
-// empty, or nil.
+// closestVM returns the VM that already has the largest fraction of a need
+// free, among those that could hold it when empty; nil if there is none.
 func (r *Rack) closestVM(now time.Time, need leverdyke.Resources) *vm {
 	var best *vm
 	most := -1.0
@@ -61,7 +64,8 @@
 	return best
 }
 
-// partOf is how much of a need there is, by its scarcest dimension.
+// availableFraction returns the fraction of a need that is free, in its
+// scarcest dimension.
 func availableFraction(need, free leverdyke.Resources) float64 {
 	fraction := 1.0
 	for _, d := range [...][2]int64{
@@ -77,13 +81,13 @@
 	return fraction
 }
 
-// isKept reports whether the VM is kept for a starved task.
+// isReserved reports whether the VM is reserved for a starved task.
 func (r *Rack) isReserved(now time.Time, v *vm) bool {
 	return r.reservedVM != nil && r.reservedVM.vm == v && now.Before(r.reservedVM.expiresAt)
 }
 
-// isKeptFrom reports whether an ask has to leave the VM to a starved task. More
-// urgent work and services do not wait.
+// isReservedAgainst reports whether a task must not use the VM because it is
+// reserved for a starved task. More urgent tasks and services may still use it.
 func (r *Rack) isReservedAgainst(now time.Time, v *vm, item *node.AskItem) bool {
 	if !r.isReserved(now, v) || item.Task.Key.Task.Job == r.reservedVM.job || item.Task.RunTime == 0 {
 		return false
@@ -91,7 +95,7 @@
 	return item.Task.Class.Rank() >= r.reservedVM.class.Rank()
 }
 
-// endKeep gives the VM back when the starved task has its place.
+// releaseReservedVM ends the VM reservation of the job, if it has one.
 func (r *Rack) releaseReservedVM(job string) {
 	if r.reservedVM != nil && r.reservedVM.job == job {
 		r.reservedVM = nil
