--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -55,9 +55,9 @@
 }
 
 func (c *Core) processRack(id state.ShardID, o *ownedRack) (decided int, hasOutput bool) {
-	out := o.rack.Take()
+	out := o.rack.TakeOutput()
 	for _, d := range out.Decisions {
-		events.Log(events.TaskPlaced, "task", d.Key.String(), "worker", d.Worker, "why", d.Why, "runnerUp", d.RunnerUp, "rack", id)
+		events.Log(events.TaskPlaced, "task", d.Key.String(), "worker", d.Worker, "why", d.Reason, "runnerUp", d.RunnerUp, "rack", id)
 	}
 	for _, e := range out.Events {
 		c.logRackEvent(id, &e)
@@ -70,7 +70,7 @@
 	}
 	for _, a := range out.Acts {
 		if l := o.links[a.Worker]; l != nil {
-			l.Act(a.Deed, a.Keys)
+			l.Act(a.Action, a.Keys)
 		}
 	}
 	for _, f := range out.Forgets {
@@ -78,21 +78,21 @@
 			l.Forget(f.Keys)
 		}
 	}
-	for i := range out.ToHome {
-		c.sendToJobShard(&out.ToHome[i])
+	for i := range out.ToJobShards {
+		c.sendToJobShard(&out.ToJobShards[i])
 	}
-	for i := range out.ToNode {
-		c.sendToNode(out.ToNode[i].Node, &out.ToNode[i].Message)
+	for i := range out.ToNodes {
+		c.sendToNode(out.ToNodes[i].Node, &out.ToNodes[i].Message)
 	}
-	return len(out.Decisions), len(out.ToHome)+len(out.ToNode)+len(out.Starts) > 0
+	return len(out.Decisions), len(out.ToJobShards)+len(out.ToNodes)+len(out.Starts) > 0
 }
 
-func (c *Core) sendToJobShard(m *rack.HomeMessage) {
-	if c.jobShards[m.Home] != nil {
+func (c *Core) sendToJobShard(m *rack.JobShardMessage) {
+	if c.jobShards[m.JobShard] != nil {
 		c.deliverToJobShard(c.now(), &m.Message)
 		return
 	}
-	if owner, ok := c.OwnerOf(m.Home); ok {
+	if owner, ok := c.OwnerOf(m.JobShard); ok {
 		c.env.Send(owner, &m.Message)
 	}
 }
@@ -155,10 +155,10 @@
 func (c *Core) updateSummaries() {
 	for _, id := range sorted(c.racks) {
 		o := c.racks[id]
-		if !o.rack.TakeChanged() {
+		if !o.rack.TakeSummaryChanged() {
 			continue
 		}
-		rackSummary := o.rack.Room(c.now())
+		rackSummary := o.rack.Summary(c.now())
 		if summary.IsEqual(&rackSummary, &o.summary) {
 			continue
 		}
@@ -183,16 +183,16 @@
 }
 
 var rackEvents = map[rack.EventKind]events.Event{
-	rack.EventWorkerLost:     events.WorkerLost,
-	rack.EventWorkerSetAside: events.WorkerSetAside,
-	rack.EventWorkerProbed:   events.WorkerProbed,
-	rack.EventWorkerBack:     events.WorkerBack,
-	rack.EventWorkerSilent:   events.WorkerSilent,
-	rack.EventWorkerLeaving:  events.WorkerLeaving,
-	rack.EventWorkerOverused: events.WorkerOverused,
-	rack.EventPreempted:      events.TaskPreempted,
-	rack.EventLateTask:       events.TaskLate,
-	rack.EventComplete:       events.RackComplete,
+	rack.EventWorkerLost:       events.WorkerLost,
+	rack.EventWorkerEjected:    events.WorkerSetAside,
+	rack.EventWorkerProbed:     events.WorkerProbed,
+	rack.EventWorkerReadmitted: events.WorkerBack,
+	rack.EventWorkerSilent:     events.WorkerSilent,
+	rack.EventWorkerLeaving:    events.WorkerLeaving,
+	rack.EventWorkerOverused:   events.WorkerOverused,
+	rack.EventPreempted:        events.TaskPreempted,
+	rack.EventLateTask:         events.TaskLate,
+	rack.EventComplete:         events.RackComplete,
 }
 
 func (c *Core) logRackEvent(id state.ShardID, e *rack.Event) {
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -308,7 +308,7 @@
 			continue
 		}
 		if _, ok := c.deputies[id]; !ok {
-			o.rack.SetSole(asOf)
+			o.rack.ConfirmSoleOwner(asOf)
 		}
 	}
 }
--- a/internal/core/workers.go
+++ b/internal/core/workers.go
@@ -29,7 +29,7 @@
 // OnSilent handles that a worker did not answer a poll.
 func (c *Core) OnSilent(id state.ShardID, epoch worker.Epoch, w worker.ID) {
 	if r := c.rackInEpoch(id, epoch); r != nil {
-		r.OnSilent(w)
+		r.OnUnresponsive(w)
 	}
 }
 
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -1,9 +1,12 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rack is the owner of one rack: the one writer that decides what runs
-// on the rack's workers, so that "never more than the VM holds" is a check in
-// one place. It is pure: events in, orders out; it has no clock and no I/O.
+// Package rack is the owner of one rack: the only process that decides what
+// runs on the rack's workers. With a single writer, one check here is enough to
+// ensure that no VM is given more than its capacity.
+//
+// The package does no I/O and reads no clock: callers pass events and the
+// current time in, and collect orders and messages with TakeOutput.
 package rack
 
 import (
@@ -20,68 +23,78 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// NewRackOptions sets the bounds. Zero values mean the defaults.
+// NewRackOptions configures a Rack. Zero values mean the defaults.
 type NewRackOptions struct {
-	// TTL is how long a lease lasts; 0 means 20 s.
+	// TTL is the lease duration; 0 means 20 s.
 	TTL time.Duration
-	// Margin is added to the lease before it counts as lapsed; 0 means 1 s.
+	// Margin is added to the lease duration before a lease counts as expired; 0
+	// means 1 s.
 	Margin time.Duration
-	// IsDeputy means that the rack is only kept alive: nothing new is placed.
+	// IsDeputy means that this owner took over while the log is unavailable. It
+	// renews the leases of what runs in the rack and places nothing new.
 	IsDeputy bool
 }
 
 const (
 	defaultTTL    = 20 * time.Second
 	defaultMargin = time.Second
-	// driftDivisor allows clocks to differ by one part in fifty.
-	driftDivisor = 50
-	// upkeepPeriod is how often every attempt is looked at.
-	upkeepPeriod = 300 * time.Millisecond
-	// retryPeriod is after how long an unanswered order is given again.
-	retryPeriod = time.Second
+	// clockDriftDivisor bounds clock drift: the clocks of a worker and of its
+	// owner may run apart by one fiftieth of the elapsed time.
+	clockDriftDivisor = 50
+	// maintenancePeriod is the interval between two passes over all
+	// assignments.
+	maintenancePeriod = 300 * time.Millisecond
+	// orderRetryPeriod is the delay after which an unacknowledged order is sent
+	// again.
+	orderRetryPeriod = time.Second
 )
 
-// Rack is the owner's view of a rack. It belongs to one goroutine.
+// Rack is the owner's state of one rack. It is not safe for concurrent use.
 type Rack struct {
-	// ID and Epoch never change; a new epoch is a new Rack.
-	ID      state.ShardID
-	Epoch   worker.Epoch
-	options NewRackOptions
-	began   time.Time
-	// upkeptAt is when every attempt was looked at last.
-	upkeptAt time.Time
-	// soleSince and soleAsOf bound the time in which it is known that nobody
-	// else renews leases here; zero until that is known.
-	soleSince, soleAsOf time.Time
-
-	vms   map[worker.ID]*vm
-	order []worker.ID
-	// held has every attempt and grant that is not forgotten.
-	held   map[worker.Key]*held
+	// ID and Epoch never change; a new epoch gets a new Rack.
+	ID        state.ShardID
+	Epoch     worker.Epoch
+	options   NewRackOptions
+	createdAt time.Time
+	// maintainedAt is when maintain last ran.
+	maintainedAt time.Time
+	// soleOwnerSince and soleOwnerAsOf bound the period in which no other owner
+	// can have renewed leases in this rack. They are zero until
+	// ConfirmSoleOwner is called.
+	soleOwnerSince, soleOwnerAsOf time.Time
+
+	vms map[worker.ID]*vm
+	// sortedIDs has the keys of vms in ascending order.
+	sortedIDs []worker.ID
+	// assignments has every attempt and grant until its end is acknowledged.
+	assignments map[worker.Key]*assignment
+	// byTask has the most recently added attempt of each task.
 	byTask map[leverdyke.TaskID]worker.Key
-	// homes has the highest epoch of each home that has spoken here.
-	homes map[state.ShardID]uint64
-	// synced has the homes that wait for a complete report.
-	synced map[state.ShardID]bool
-
-	// settled has the attempts of each home that were refused, with the reason,
-	// or have ended, until the home's floor is above them: a late copy of their
-	// ask must not start them.
-	settled map[state.ShardID]*settled
-
-	asks    []pendingAsk
-	urgents []*urgent
-	// pushedGrants wait for batches to leave, as urgents do.
-	pushedGrants []*pushedGrant
-	holds        map[holdID]*hold
-	earmark      *earmark
-	health       *health.Detector
-	learned      *sizes.Estimator
-	// kept is the VM that is kept for a starved task; nil for none.
-	kept      *keep
-	nextGrant uint64
-	isChanged bool
-	out       Output
+	// shardEpochs has the highest epoch seen of each job shard. Messages with a
+	// lower one come from a previous owner of the shard and are rejected.
+	shardEpochs map[state.ShardID]uint64
+	// syncedShards has the job shards that have sent a sync. They get another
+	// full update each time the rack becomes complete.
+	syncedShards map[state.ShardID]bool
+
+	// closedAttempts has, for each job shard, the attempts that must not be
+	// started (again).
+	closedAttempts map[state.ShardID]*closedAttempts
+
+	pendingStarts []pendingStart
+	urgentStarts  []*urgentStart
+	// preemptingGrants wait until preempted batch tasks have left their worker,
+	// as urgentStarts wait for their victims.
+	preemptingGrants []*preemptingGrant
+	reservations     map[reservationID]*reservation
+	gangPriority     *gangPriority
+	health           *health.Detector
+	learnedUsage     *sizes.Estimator
+	// reservedVM is the VM reserved for a starved task; nil if there is none.
+	reservedVM       *vmReservation
+	lastGrant        uint64
+	isSummaryChanged bool
+	output           Output
 }
 
 // vm is one worker of the rack.
@@ -90,26 +103,31 @@
 	addr     netip.AddrPort
 	zone     string
 	capacity leverdyke.Resources
-	boot     string
-	asOf     int64
-	// heardAt is when the report with boot and asOf came; leases that were
-	// renewed by it end at the latest heardAt plus TTL.
-	heardAt time.Time
-	addedAt time.Time
-	// isKnown means that the worker has listed its tasks in this epoch, or that
-	// every lease there has lapsed since.
-	isKnown bool
-	// isLeaving is the worker's own word; isListedLeaving the list's; isDrained
-	// the operator's.
-	isLeaving, isListedLeaving, isDrained, isGone bool
-	// overusedAt is when it was last reported to be used beyond what it has.
-	overusedAt time.Time
-	// isSilent means that it did not answer the last time; it gets nothing new.
-	isSilent bool
-	held     map[worker.Key]*held
+	bootID   string
+	// workerTime is the worker's own clock in its last report.
+	workerTime int64
+	// reportedAt is when the report with bootID and workerTime arrived. Leases
+	// renewed on the strength of that report expire at reportedAt plus TTL at
+	// the latest.
+	reportedAt time.Time
+	addedAt    time.Time
+	// isReconciled means that this owner knows everything that runs on the
+	// worker: the worker has listed its tasks in this epoch, or every lease
+	// that it can have held before has expired.
+	isReconciled bool
+	// isLeaving is reported by the worker itself, isListedLeaving and isRemoved
+	// come from the platform's VM list, and isDrained is set by the operator.
+	isLeaving, isListedLeaving, isDrained, isRemoved bool
+	// overuseLoggedAt is when an event last reported that the tasks use more
+	// than the VM has.
+	overuseLoggedAt time.Time
+	// isUnresponsive means that the worker did not answer the last request.
+	// Nothing new is placed on it.
+	isUnresponsive bool
+	assignments    map[worker.Key]*assignment
 }
 
-// phase is where an attempt is in the owner's eyes.
+// phase is the state of an assignment as the owner knows it.
 type phase string
 
 const (
@@ -118,39 +136,45 @@
 	phaseEnded    phase = "ended"
 )
 
-// held is an attempt or grant on a worker.
-type held struct {
+// assignment is an attempt, or a grant of service slots to a node, on a worker.
+// A grant has a Holder in its task.
+type assignment struct {
 	task  worker.Task
 	vm    *vm
 	phase phase
-	// isLost means that it ended with its worker or its lease.
-	isLost   bool
-	isBlamed bool
-	// since is when the phase began, told when an order was last given.
-	since, told time.Time
-	// isOrdered means that a start is on its way and has not been answered: no
-	// second one may follow it, since a refusal of the first would not hold.
-	isOrdered bool
-	// deed is what was ordered and has not shown in a report; empty for none.
-	deed worker.Deed
-	// asked is the home's ask that waits for the start; nil for none.
-	asked *node.Ask
+	// isLost means that it ended because its worker restarted, no longer lists
+	// it, or let its lease expire.
+	isLost          bool
+	isWorkerAtFault bool
+	// since is when the phase began or, if later, when preemption was ordered.
+	// lastSentAt is when an order, update or grant check for it was last sent.
+	since, lastSentAt time.Time
+	// isStartPending means that a start order is unacknowledged. No second one
+	// may be sent meanwhile: if the first were refused, the job shard would
+	// conclude that the attempt does not run, and the second could still start it.
+	isStartPending bool
+	// pendingAction is what the worker was ordered to do and has not yet shown
+	// in a report; empty if there is nothing.
+	pendingAction worker.Deed
+	// request is the job shard's request that is answered once the attempt has
+	// started; nil if there is none.
+	request *node.Ask
 }
 
-// Output is what the rack's owner wants done.
+// Output is what the caller has to send, carry out or log for the rack's owner.
 type Output struct {
-	Starts    []StartOrder
-	Acts      []ActOrder
-	Forgets   []ForgetOrder
-	ToHome    []HomeMessage
-	ToNode    []NodeMessage
-	Decisions []Decision
-	Events    []Event
+	Starts      []StartOrder
+	Acts        []ActOrder
+	Forgets     []ForgetOrder
+	ToJobShards []JobShardMessage
+	ToNodes     []NodeMessage
+	Decisions   []Decision
+	Events      []Event
 }
 
-// StartOrder gives attempts to a worker. It is bound to what the owner knew of
-// the worker: carried out later, it can start nothing that the owner has taken
-// for lost since.
+// StartOrder starts attempts on a worker. Boot and AsOf bind it to the last
+// report that the owner had from the worker, so that a delayed order cannot
+// start an attempt that the owner has since recorded as lost.
 type StartOrder struct {
 	Worker worker.ID
 	Boot   string
@@ -158,40 +182,41 @@
 	Tasks  []worker.Task
 }
 
-// ActOrder does a deed on a worker.
+// ActOrder orders a worker to throttle, unthrottle, checkpoint or stop
+// assignments.
 type ActOrder struct {
 	Worker worker.ID
-	Deed   worker.Deed
+	Action worker.Deed
 	Keys   []worker.Key
 }
 
-// ForgetOrder lets a worker forget ended attempts.
+// ForgetOrder allows a worker to drop ended assignments from its reports.
 type ForgetOrder struct {
 	Worker worker.ID
 	Keys   []worker.Key
 }
 
-// HomeMessage goes to whichever node owns the home.
-type HomeMessage struct {
-	Home    state.ShardID
-	Message node.Message
+// JobShardMessage is sent to the node that currently owns the job shard.
+type JobShardMessage struct {
+	JobShard state.ShardID
+	Message  node.Message
 }
 
-// NodeMessage goes to a node.
+// NodeMessage is sent to one node.
 type NodeMessage struct {
 	Node    state.NodeID
 	Message node.Message
 }
 
-// Decision is a placement decision for the log.
+// Decision is a placement decision, to be logged.
 type Decision struct {
 	Key      worker.Key
 	Worker   worker.ID
 	RunnerUp worker.ID
-	Why      string
+	Reason   string
 }
 
-// Event is something that an operator may have to know.
+// Event is something that an operator may need to know.
 type Event struct {
 	Kind   EventKind
 	Worker worker.ID
@@ -199,25 +224,29 @@
 	Detail string
 }
 
-// EventKind names an event of a rack.
+// EventKind identifies a kind of Event.
 type EventKind string
 
 // The events of a rack.
 const (
-	EventWorkerSilent   EventKind = "worker-silent"
-	EventWorkerLeaving  EventKind = "worker-leaving"
-	EventWorkerOverused EventKind = "worker-overused"
-	EventWorkerLost     EventKind = "worker-lost"
-	EventWorkerSetAside EventKind = "worker-set-aside"
-	EventWorkerProbed   EventKind = "worker-probed"
-	EventWorkerBack     EventKind = "worker-back"
-	EventPreempted      EventKind = "preempted"
-	EventLateTask       EventKind = "late-task"
-	EventComplete       EventKind = "rack-complete"
+	EventWorkerSilent     EventKind = "worker-silent"
+	EventWorkerLeaving    EventKind = "worker-leaving"
+	EventWorkerOverused   EventKind = "worker-overused"
+	EventWorkerLost       EventKind = "worker-lost"
+	EventWorkerEjected    EventKind = "worker-set-aside"
+	EventWorkerProbed     EventKind = "worker-probed"
+	EventWorkerReadmitted EventKind = "worker-back"
+	EventPreempted        EventKind = "preempted"
+	// EventLateTask reports a running task that was recorded as lost before.
+	EventLateTask EventKind = "late-task"
+	// EventComplete reports that the owner knows of everything that may run in
+	// the rack.
+	EventComplete EventKind = "rack-complete"
 )
 
-// NewRack takes ownership of a rack. Until SetSole is called, the leases of
-// workers that cannot be reached are not taken to lapse.
+// NewRack returns the owner of a rack that has just been taken over. Until
+// ConfirmSoleOwner is called, no lease of an unreachable worker counts as
+// expired, since a previous owner may still renew it.
 func NewRack(now time.Time, id state.ShardID, epoch worker.Epoch, options NewRackOptions) *Rack {
 	if options.TTL == 0 {
 		options.TTL = defaultTTL
@@ -226,54 +255,57 @@
 		options.Margin = defaultMargin
 	}
 	return &Rack{
-		ID: id, Epoch: epoch, options: options, began: now,
-		vms: map[worker.ID]*vm{}, held: map[worker.Key]*held{}, byTask: map[leverdyke.TaskID]worker.Key{},
-		homes: map[state.ShardID]uint64{}, synced: map[state.ShardID]bool{},
-		settled: map[state.ShardID]*settled{}, holds: map[holdID]*hold{}, health: health.NewDetector(), learned: sizes.NewEstimator(),
+		ID: id, Epoch: epoch, options: options, createdAt: now,
+		vms: map[worker.ID]*vm{}, assignments: map[worker.Key]*assignment{}, byTask: map[leverdyke.TaskID]worker.Key{},
+		shardEpochs: map[state.ShardID]uint64{}, syncedShards: map[state.ShardID]bool{},
+		closedAttempts: map[state.ShardID]*closedAttempts{}, reservations: map[reservationID]*reservation{}, health: health.NewDetector(), learnedUsage: sizes.NewEstimator(),
 	}
 }
 
-// TTL returns the length of the leases that this owner gives.
+// TTL returns the duration of the leases that this owner grants.
 func (r *Rack) TTL() time.Duration { return r.options.TTL }
 
-// SetSole says that, as late as asOf, every earlier owner had ended or had said
-// that it renews no more, and there was no later owner.
-func (r *Rack) SetSole(asOf time.Time) {
-	if r.soleSince.IsZero() {
-		r.soleSince = asOf
+// ConfirmSoleOwner records that at asOf no other owner renewed leases: every
+// previous owner had ended or had announced that it renews no more, and there
+// was no later owner.
+func (r *Rack) ConfirmSoleOwner(asOf time.Time) {
+	if r.soleOwnerSince.IsZero() {
+		r.soleOwnerSince = asOf
 	}
-	r.soleAsOf = later(r.soleAsOf, asOf)
+	r.soleOwnerAsOf = later(r.soleOwnerAsOf, asOf)
 }
 
-// IsSole reports whether SetSole was called.
-func (r *Rack) IsSole() bool { return !r.soleSince.IsZero() }
+// IsSoleOwner reports whether ConfirmSoleOwner was called.
+func (r *Rack) IsSoleOwner() bool { return !r.soleOwnerSince.IsZero() }
 
-// SetWorkers brings the rack's workers up to the platform's list.
+// SetWorkers applies the platform's current list of VMs. A worker that is no
+// longer listed stays in the rack until nothing can run on it any more.
 func (r *Rack) SetWorkers(now time.Time, list []vmlist.VM) {
 	listed := map[worker.ID]bool{}
 	for i := range list {
-		e := &list[i]
-		id := worker.ID(e.Name)
-		listed[id] = e.Status != vmlist.StatusGone
+		entry := &list[i]
+		id := worker.ID(entry.Name)
+		listed[id] = entry.Status != vmlist.StatusGone
 		v := r.vms[id]
 		if v == nil {
-			if e.Status == vmlist.StatusGone {
+			if entry.Status == vmlist.StatusGone {
 				continue
 			}
-			v = &vm{id: id, addr: e.Addr, zone: e.Zone, addedAt: now, held: map[worker.Key]*held{}}
+			v = &vm{id: id, addr: entry.Addr, zone: entry.Zone, addedAt: now, assignments: map[worker.Key]*assignment{}}
 			r.vms[id] = v
-			r.order = append(r.order, id)
-			slices.Sort(r.order)
+			r.sortedIDs = append(r.sortedIDs, id)
+			slices.Sort(r.sortedIDs)
 		}
-		v.isListedLeaving = e.Status == vmlist.StatusLeaving
+		v.isListedLeaving = entry.Status == vmlist.StatusLeaving
 	}
 	for id, v := range r.vms {
-		v.isGone = !listed[id]
+		v.isRemoved = !listed[id]
 	}
-	r.isChanged = true
+	r.isSummaryChanged = true
 }
 
-// Addrs returns the workers to keep links to.
+// Addrs returns the addresses of the workers to which the caller keeps
+// connections.
 func (r *Rack) Addrs() map[worker.ID]netip.AddrPort {
 	addrs := make(map[worker.ID]netip.AddrPort, len(r.vms))
 	for id, v := range r.vms {
@@ -282,62 +314,66 @@
 	return addrs
 }
 
-// SetDrained takes the operator's word that workers get nothing new.
+// SetDrained applies the operator's drain settings: nothing new is placed on a
+// drained worker.
 func (r *Rack) SetDrained(isDrained func(worker.ID) bool) {
 	for id, v := range r.vms {
 		v.isDrained = isDrained(id)
 	}
-	r.isChanged = true
+	r.isSummaryChanged = true
 }
 
-// OnSilent notes that a worker did not answer; its tasks live on until their
-// leases have lapsed.
-func (r *Rack) OnSilent(id worker.ID) {
+// OnUnresponsive records that a worker did not answer. Its tasks still count as
+// running until their leases have expired.
+func (r *Rack) OnUnresponsive(id worker.ID) {
 	v := r.vms[id]
-	if v == nil || v.isSilent {
+	if v == nil || v.isUnresponsive {
 		return
 	}
-	v.isSilent = true
-	r.isChanged = true
+	v.isUnresponsive = true
+	r.isSummaryChanged = true
 	r.event(EventWorkerSilent, id, worker.Key{}, "")
 }
 
-// Take returns what was ordered since the last call.
-func (r *Rack) Take() Output {
-	out := r.out
-	r.out = Output{}
-	return out
+// TakeOutput returns the output that has accumulated since the last call.
+func (r *Rack) TakeOutput() Output {
+	output := r.output
+	r.output = Output{}
+	return output
 }
 
-// lapse is how long after the last renewal every lease has surely ended.
-func (r *Rack) lapse() time.Duration {
-	return r.options.TTL + r.options.TTL/driftDivisor + r.options.Margin
+// leaseExpiry returns the time after the last renewal by which every lease has
+// expired, with clock drift and the margin allowed for.
+func (r *Rack) leaseExpiry() time.Duration {
+	return r.options.TTL + r.options.TTL/clockDriftDivisor + r.options.Margin
 }
 
-// free is what is left of a worker, with holds and urgent work taken off; it is
-// negative where reported use is above what was declared.
+// free returns the capacity of a worker minus its live assignments and the
+// reservations on it. It is negative in a dimension where reported usage
+// exceeds capacity, or while a reservation waits for preempted tasks to leave.
 func (r *Rack) free(v *vm) leverdyke.Resources {
 	free := v.capacity
-	for _, h := range v.held {
-		if h.phase != phaseEnded {
-			free = free.Sub(h.task.Charge())
+	for _, a := range v.assignments {
+		if a.phase != phaseEnded {
+			free = free.Sub(a.task.Charge())
 		}
 	}
-	for _, h := range r.holds {
-		free = free.Sub(h.each.Times(int64(h.places[v.id])))
+	for _, res := range r.reservations {
+		free = free.Sub(res.each.Times(int64(res.places[v.id])))
 	}
 	return free
 }
 
-// isUsable reports whether new work may be put on the worker.
+// isUsable reports whether new work may be placed on the worker.
 func (r *Rack) isUsable(now time.Time, v *vm) bool {
-	isFresh := v.isKnown && v.boot != "" && now.Sub(v.heardAt) < r.options.TTL/2
-	return isFresh && !v.isSilent && !v.isLeaving && !v.isListedLeaving && !v.isDrained && !v.isGone && !r.options.IsDeputy
+	isFresh := v.isReconciled && v.bootID != "" && now.Sub(v.reportedAt) < r.options.TTL/2
+	return isFresh && !v.isUnresponsive && !v.isLeaving && !v.isListedLeaving && !v.isDrained && !v.isRemoved && !r.options.IsDeputy
 }
 
-// TakeChanged reports whether the summary may have changed since the last call.
-func (r *Rack) TakeChanged() bool {
-	isChanged := r.isChanged
-	r.isChanged = false
-	return isChanged
+// TakeSummaryChanged reports whether the rack's summary may have changed since
+// the last call.
+func (r *Rack) TakeSummaryChanged() bool {
+	isSummaryChanged := r.isSummaryChanged
+	r.isSummaryChanged = false
+	return isSummaryChanged
 }
