--- a/internal/cell/carry.go
+++ b/internal/cell/carry.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/codec"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/link"
 )
@@ -20,19 +20,19 @@
 type carriers struct{ n *Node }
 
 // Usable returns the followers that are heard.
-func (c *carriers) Usable() []carrier.Node {
+func (c *carriers) Usable() []delegate.Node {
 	now := c.n.options.Clock.Now()
-	out := []carrier.Node{}
+	out := []delegate.Node{}
 	for _, p := range c.n.peers.usable() {
 		if p.hello.Workers > 0 && now.Sub(p.heardAt) <= carrierSilence {
-			out = append(out, carrier.Node{Name: p.hello.Name, Zone: p.hello.Zone, Link: p.number, Workers: p.hello.Workers})
+			out = append(out, delegate.Node{Name: p.hello.Name, Zone: p.hello.Zone, Link: p.number, Workers: p.hello.Workers})
 		}
 	}
 	return out
 }
 
 // Send sends orders to a follower.
-func (c *carriers) Send(node string, b *carrier.Batch) bool {
+func (c *carriers) Send(node string, b *delegate.Batch) bool {
 	conn := c.n.peers.find(node)
 	return conn != nil && conn.Notify(kindCarry, b)
 }
@@ -42,7 +42,7 @@
 	if n.carrier == nil {
 		return
 	}
-	b := &carrier.Batch{}
+	b := &delegate.Batch{}
 	if err := codec.Unmarshal(body, b); err != nil {
 		n.options.Log(events.BadFrame, "kind", kindCarry, "err", err)
 		return
@@ -51,19 +51,19 @@
 }
 
 // session returns the session of a link.
-func (n *Node) session(from *link.Conn) *carrier.Session {
+func (n *Node) session(from *link.Conn) *delegate.Session {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.carrySession == nil || n.carryLink != from {
 		n.carryLink = from
-		n.carrySession = n.carrier.NewSession(func(o []carrier.Outcome) { from.Notify(kindCarried, o) })
+		n.carrySession = n.carrier.NewSession(func(o []delegate.Outcome) { from.Notify(kindCarried, o) })
 	}
 	return n.carrySession
 }
 
 // takeCarried takes what became of orders that this owner left to others.
 func (n *Node) takeCarried(body []byte) {
-	outcomes := []carrier.Outcome{}
+	outcomes := []delegate.Outcome{}
 	if err := codec.Unmarshal(body, &outcomes); err != nil {
 		n.options.Log(events.BadFrame, "kind", kindCarried, "err", err)
 		return
--- a/internal/cell/messages.go
+++ b/internal/cell/messages.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
-	"github.com/leverdyke/leverdyke/internal/detour"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/link"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/owner"
@@ -38,11 +38,11 @@
 	kindPending link.Kind = "pending"
 	// kindAdvise asks which workers may run a step: adviseCall, adviseReply.
 	kindAdvise link.Kind = "advise"
-	// kindStore sends a request to the store: detour.Request, storeReply.
+	// kindStore sends a request to the store: fallback.Request, storeReply.
 	kindStore link.Kind = "store"
-	// kindCarry is the owner's notification of orders to workers: carrier.Batch.
+	// kindCarry is the owner's notification of orders to workers: delegate.Batch.
 	kindCarry link.Kind = "carry"
-	// kindCarried is the notification of what became of them: []carrier.Outcome.
+	// kindCarried is the notification of what became of them: []delegate.Outcome.
 	kindCarried link.Kind = "carried"
 )
 
@@ -168,7 +168,7 @@
 
 // storeReply is a service's answer, or why there is none.
 type storeReply struct {
-	Response *detour.Response
+	Response *fallback.Response
 	IsUnsent bool
 	Failure  string
 }
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/clock"
-	"github.com/leverdyke/leverdyke/internal/detour"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/events"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/link"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/owner"
@@ -56,13 +56,13 @@
 	// Life tells this process from earlier ones of the node.
 	Life    string
 	Clock   clock.Service
-	Direct  detour.Doer
+	Direct  fallback.Doer
 	Adviser Adviser
 	Config  Config
 	// NewStore returns the store as it is reached through d.
-	NewStore func(d detour.Doer) store.Log
+	NewStore func(d fallback.Doer) store.Log
 	// NewOwner returns what an owner needs, reaching the store through d.
-	NewOwner func(d detour.Doer) (owner.Workers, owner.List)
+	NewOwner func(d fallback.Doer) (owner.Workers, owner.List)
 	Log      func(e events.Event, keysAndValues ...any)
 	Metrics  owner.Metrics
 	// StopTime is the longest that a worker takes to stop a task.
@@ -87,7 +87,7 @@
 type Node struct {
 	options   Options
 	log       store.Log
-	detour    *detour.Detour
+	detour    *fallback.Detour
 	peers     *peers
 	listener  net.Listener
 	ctx       context.Context
@@ -136,10 +136,10 @@
 	wg      sync.WaitGroup
 	// carrySession is that of carryLink, over which the owner left orders to this node.
 	carryLink    *link.Conn
-	carrySession *carrier.Session
+	carrySession *delegate.Session
 
 	// carrier talks to workers for the owner; nil where Options.Workers is.
-	carrier *carrier.Carrier
+	carrier *delegate.Carrier
 
 	// last is the record of the owner that was read last; it belongs to the seeker.
 	last *owner.Record
@@ -166,9 +166,9 @@
 		changed: make(chan struct{}), failedReads: map[configSource]*failedReads{},
 	}
 	if options.Workers != nil {
-		n.carrier = carrier.New(options.Workers, options.Clock)
+		n.carrier = delegate.New(options.Workers, options.Clock)
 	}
-	n.detour = detour.New(options.Direct, n.peers, options.Clock)
+	n.detour = fallback.New(options.Direct, n.peers, options.Clock)
 	n.wg.Add(5)
 	go n.runListener()
 	go n.runSeeker()
--- a/internal/cell/node_test.go
+++ b/internal/cell/node_test.go
@@ -21,8 +21,8 @@
 	"github.com/leverdyke/leverdyke/internal/await"
 	"github.com/leverdyke/leverdyke/internal/cell"
 	"github.com/leverdyke/leverdyke/internal/clock"
-	"github.com/leverdyke/leverdyke/internal/detour"
 	"github.com/leverdyke/leverdyke/internal/events"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/link"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/owner"
@@ -35,8 +35,8 @@
 // idle is what a node needs of the platform where nothing is started.
 type idle struct{}
 
-func (idle) Do(context.Context, *detour.Request) (*detour.Response, error) {
-	return nil, &detour.UnsentError{Err: errors.New("not used here")}
+func (idle) Do(context.Context, *fallback.Request) (*fallback.Response, error) {
+	return nil, &fallback.UnsentError{Err: errors.New("not used here")}
 }
 
 func (idle) Ask(context.Context, work.StepID, []order.WorkerID) ([]order.Ticket, time.Duration, error) {
@@ -163,8 +163,8 @@
 	c := newConfig()
 	options := cell.Options{
 		Name: name, Zone: "z", LinkAddr: addr, Life: life, Clock: clk, Direct: idle{}, Adviser: idle{}, Config: c,
-		NewStore: func(detour.Doer) store.Log { return log },
-		NewOwner: func(detour.Doer) (owner.Workers, owner.List) { return idle{}, idle{} },
+		NewStore: func(fallback.Doer) store.Log { return log },
+		NewOwner: func(fallback.Doer) (owner.Workers, owner.List) { return idle{}, idle{} },
 		Log:      func(events.Event, ...any) {}, Metrics: idle{}, Strength: 1, Patience: patience,
 	}
 	for _, f := range change {
--- a/internal/cell/peers.go
+++ b/internal/cell/peers.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke/internal/clock"
-	"github.com/leverdyke/leverdyke/internal/detour"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/link"
 )
 
@@ -196,10 +196,10 @@
 var errNoPeer = errors.New("cell: the peer is not linked")
 
 // Via sends a request to the store through a peer.
-func (p *peers) Via(ctx context.Context, name string, r *detour.Request) (*detour.Response, error) {
+func (p *peers) Via(ctx context.Context, name string, r *fallback.Request) (*fallback.Response, error) {
 	conn := p.find(name)
 	if conn == nil {
-		return nil, &detour.UnsentError{Err: errNoPeer}
+		return nil, &fallback.UnsentError{Err: errNoPeer}
 	}
 	reply := &storeReply{}
 	if err := conn.Call(ctx, kindStore, r, reply); err != nil {
@@ -208,7 +208,7 @@
 	if reply.Failure != "" {
 		err := errors.New(reply.Failure)
 		if reply.IsUnsent {
-			return nil, &detour.UnsentError{Err: err}
+			return nil, &fallback.UnsentError{Err: err}
 		}
 		return nil, err
 	}
--- a/internal/cell/serve.go
+++ b/internal/cell/serve.go
@@ -11,8 +11,8 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/codec"
-	"github.com/leverdyke/leverdyke/internal/detour"
 	"github.com/leverdyke/leverdyke/internal/events"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/link"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/owner"
@@ -170,13 +170,13 @@
 }
 
 func (n *Node) takeStore(ctx context.Context, body []byte) (any, error) {
-	r := &detour.Request{}
+	r := &fallback.Request{}
 	if err := codec.Unmarshal(body, r); err != nil {
 		return nil, err
 	}
 	response, err := n.options.Direct.Do(ctx, r)
 	if err != nil {
-		unsent := &detour.UnsentError{}
+		unsent := &fallback.UnsentError{}
 		return storeReply{IsUnsent: errors.As(err, &unsent), Failure: err.Error()}, nil
 	}
 	return storeReply{Response: response}, nil
--- a/internal/carrier/bench_test.go
+++ b/internal/delegate/bench_test.go
@@ -1,15 +1,15 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package carrier_test
+package delegate_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/codec"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
@@ -19,7 +19,7 @@
 // router. docs/LARGE.md has the figures.
 func BenchmarkCarriedHold(b *testing.B) {
 	workers := workersOf(1100, "a", "b", "c", "d", "e")
-	r := carrier.NewRouter(200, 1)
+	r := delegate.NewRouter(200, 1)
 	r.SetWorkers(workers)
 	r.SetNodes(nodesOf("strong", 15, 200, "a", "b", "c", "d", "e"), begin)
 	listing := &order.Listing{At: 7}
@@ -41,9 +41,9 @@
 			if _, err := codec.MarshalCompact(sent); err != nil {
 				b.Fatal(err)
 			}
-			outcomes := []carrier.Outcome{}
+			outcomes := []delegate.Outcome{}
 			for i := range sent.Orders {
-				outcomes = append(outcomes, carrier.Outcome{ID: sent.Orders[i].ID, Hold: order.HoldListed, Listing: listing})
+				outcomes = append(outcomes, delegate.Outcome{ID: sent.Orders[i].ID, Hold: order.HoldListed, Listing: listing})
 			}
 			b.StopTimer()
 			data, err := codec.MarshalCompact(outcomes)
@@ -51,7 +51,7 @@
 			if err != nil {
 				b.Fatal(fmt.Errorf("encode: %w", err))
 			}
-			back := []carrier.Outcome{}
+			back := []delegate.Outcome{}
 			if err := codec.Unmarshal(data, &back); err != nil {
 				b.Fatal(err)
 			}
--- a/internal/carrier/carrier_test.go
+++ b/internal/delegate/delegate_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package carrier_test
+package delegate_test
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke/internal/await"
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/clock"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
@@ -44,20 +44,20 @@
 
 // side is a carrier with one link to an owner.
 type side struct {
-	*carrier.Session
-	carrier *carrier.Carrier
+	*delegate.Session
+	carrier *delegate.Carrier
 	workers *recorder
 	clock   *clock.Fake
 
 	mu       sync.Mutex
-	outcomes map[uint64]carrier.Outcome
+	outcomes map[uint64]delegate.Outcome
 	messages int
 }
 
 func newSide() *side {
-	s := &side{workers: &recorder{}, clock: clock.NewFake(), outcomes: map[uint64]carrier.Outcome{}}
-	s.carrier = carrier.New(s.workers, s.clock)
-	s.Session = s.carrier.NewSession(func(outcomes []carrier.Outcome) {
+	s := &side{workers: &recorder{}, clock: clock.NewFake(), outcomes: map[uint64]delegate.Outcome{}}
+	s.carrier = delegate.New(s.workers, s.clock)
+	s.Session = s.carrier.NewSession(func(outcomes []delegate.Outcome) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.messages++
@@ -69,7 +69,7 @@
 }
 
 // await lets time pass until there are so many outcomes.
-func (s *side) await(t *testing.T, n int) map[uint64]carrier.Outcome {
+func (s *side) await(t *testing.T, n int) map[uint64]delegate.Outcome {
 	t.Helper()
 	await.True(t, "outcomes come", func() bool {
 		s.clock.Advance(ms)
@@ -82,13 +82,13 @@
 	return s.outcomes
 }
 
-func startOf(id uint64, job work.JobID) carrier.Order {
-	return carrier.Order{ID: id, Start: &order.Start{Worker: "w", Task: work.TaskID{Job: job}, Run: 1}}
+func startOf(id uint64, job work.JobID) delegate.Order {
+	return delegate.Order{ID: id, Start: &order.Start{Worker: "w", Task: work.TaskID{Job: job}, Run: 1}}
 }
 
 func TestACarrierCarriesOut(t *testing.T) {
 	s := newSide()
-	s.Take(t.Context(), &carrier.Batch{Fence: 3, Orders: []carrier.Order{
+	s.Take(t.Context(), &delegate.Batch{Fence: 3, Orders: []delegate.Order{
 		startOf(1, "j"),
 		{ID: 2, Stop: &order.Stop{Worker: "w"}},
 		{ID: 3, Hold: &order.Hold{Worker: "w", Patience: time.Second}},
@@ -106,8 +106,8 @@
 // An owner that was replaced is not served by a node that knows the next one.
 func TestAnEarlierOwnerIsNotServed(t *testing.T) {
 	s := newSide()
-	s.Take(t.Context(), &carrier.Batch{Fence: 9})
-	s.Take(t.Context(), &carrier.Batch{Fence: 8, Orders: []carrier.Order{startOf(1, "j"), {ID: 2, Hold: &order.Hold{}}}})
+	s.Take(t.Context(), &delegate.Batch{Fence: 9})
+	s.Take(t.Context(), &delegate.Batch{Fence: 8, Orders: []delegate.Order{startOf(1, "j"), {ID: 2, Hold: &order.Hold{}}}})
 	got := s.await(t, 2)
 	if got[1].Start != order.StartFenced || got[2].Hold != order.HoldSilent || len(s.workers.starts) != 0 {
 		t.Errorf("got: %+v, %d started, want: fenced", got, len(s.workers.starts))
@@ -117,9 +117,9 @@
 // What a node was told before it was frozen has been given up by the owner, and its job
 // may be cancelled: it is not started when the node wakes.
 func TestANodeThatWakesStartsNothingOld(t *testing.T) {
-	for name, wake := range map[string]func(s *side, b *carrier.Batch){
-		"told first": func(s *side, b *carrier.Batch) { s.Take(context.Background(), b) },
-		"a tick first": func(s *side, b *carrier.Batch) {
+	for name, wake := range map[string]func(s *side, b *delegate.Batch){
+		"told first": func(s *side, b *delegate.Batch) { s.Take(context.Background(), b) },
+		"a tick first": func(s *side, b *delegate.Batch) {
 			s.carrier.Tick()
 			s.Take(context.Background(), b)
 		},
@@ -127,14 +127,14 @@
 		s := newSide()
 		s.carrier.Tick()
 		s.clock.Advance(4 * time.Second)
-		wake(s, &carrier.Batch{Fence: 1, Orders: []carrier.Order{startOf(1, "old"), {ID: 2, Stop: &order.Stop{Worker: "w"}}}})
+		wake(s, &delegate.Batch{Fence: 1, Orders: []delegate.Order{startOf(1, "old"), {ID: 2, Stop: &order.Stop{Worker: "w"}}}})
 		if got := s.await(t, 1); !got[2].IsStopKnown || len(s.workers.starts) != 0 {
 			t.Errorf("%s: got: %+v, %d started, want: only the stop", name, got, len(s.workers.starts))
 		}
 		s.carrier.Tick()
 		s.clock.Advance(400 * ms)
 		s.carrier.Tick()
-		s.Take(t.Context(), &carrier.Batch{Fence: 1, Orders: []carrier.Order{startOf(3, "new")}})
+		s.Take(t.Context(), &delegate.Batch{Fence: 1, Orders: []delegate.Order{startOf(3, "new")}})
 		if got := s.await(t, 2); got[3].Start != order.StartDone {
 			t.Errorf("%s: later: got: %+v, want: started", name, got)
 		}
@@ -147,8 +147,8 @@
 func TestANodeThatWakesConfirmsNothingOld(t *testing.T) {
 	s := newSide()
 	s.carrier.Tick()
-	hold := func(id uint64) *carrier.Batch {
-		return &carrier.Batch{Fence: 1, Orders: []carrier.Order{{ID: id, Hold: &order.Hold{Worker: "w", Confirmed: 37, Deadline: 9}}}}
+	hold := func(id uint64) *delegate.Batch {
+		return &delegate.Batch{Fence: 1, Orders: []delegate.Order{{ID: id, Hold: &order.Hold{Worker: "w", Confirmed: 37, Deadline: 9}}}}
 	}
 	s.Take(t.Context(), hold(1))
 	s.await(t, 1)
@@ -166,7 +166,7 @@
 	s := newSide()
 	o := startOf(1, "j")
 	o.PayloadKey = 77
-	s.Take(t.Context(), &carrier.Batch{Fence: 1, Orders: []carrier.Order{o}})
+	s.Take(t.Context(), &delegate.Batch{Fence: 1, Orders: []delegate.Order{o}})
 	if got := s.await(t, 1); got[1].Start != order.StartUnhealthy || len(s.workers.starts) != 0 {
 		t.Errorf("got: %+v, %d started, want: not ordered", got, len(s.workers.starts))
 	}
--- a/internal/carrier/messages.go
+++ b/internal/delegate/messages.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package carrier lets other nodes talk to workers for the owner of the shard, which
+// Package delegate lets other nodes talk to workers for the owner of the shard, which
 // alone decides. A carrier keeps nothing: it carries out each order as the owner would,
 // with the owner's fence, and tells what became of it. An order whose outcome does not
 // come back counts as one without an answer, which the owner's engine settles with the
@@ -9,7 +9,7 @@
 //
 // It answers the load of more workers than one node can talk to: a listing that a carrier asks
 // for takes a fifth of the owner's time (BenchmarkHold of platform, BenchmarkCarriedHold).
-package carrier
+package delegate
 
 import (
 	"github.com/leverdyke/leverdyke/internal/order"
--- a/internal/carrier/router_test.go
+++ b/internal/delegate/router_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package carrier_test
+package delegate_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
@@ -28,17 +28,17 @@
 }
 
 // nodesOf returns n nodes that can carry for so many workers each.
-func nodesOf(prefix string, n, workers int, zones ...string) []carrier.Node {
-	out := []carrier.Node{}
+func nodesOf(prefix string, n, workers int, zones ...string) []delegate.Node {
+	out := []delegate.Node{}
 	for i := range n {
-		out = append(out, carrier.Node{Name: fmt.Sprintf("%s%03d", prefix, i), Zone: zones[i%len(zones)], Workers: workers, Link: uint64(i + 1)})
+		out = append(out, delegate.Node{Name: fmt.Sprintf("%s%03d", prefix, i), Zone: zones[i%len(zones)], Workers: workers, Link: uint64(i + 1)})
 	}
 	return out
 }
 
 // spread asks each worker for a listing and returns how many each node carries; "" is
 // the owner.
-func spread(r *carrier.Router, workers []order.Worker, now time.Time) map[string]int {
+func spread(r *delegate.Router, workers []order.Worker, now time.Time) map[string]int {
 	out := map[string]int{}
 	for i := range workers {
 		if !r.Add(order.Hold{Worker: workers[i].ID}, workers[i].ID, time.Second, now) {
@@ -57,7 +57,7 @@
 	for name, tc := range map[string]struct {
 		own     int
 		workers []order.Worker
-		nodes   []carrier.Node
+		nodes   []delegate.Node
 		want    int
 	}{
 		"few":      {50, few, nodes, 50},
@@ -65,7 +65,7 @@
 		"no nodes": {50, many, nil, 51},
 		"no bound": {0, many, nodes, 51},
 	} {
-		r := carrier.NewRouter(tc.own, 1)
+		r := delegate.NewRouter(tc.own, 1)
 		r.SetWorkers(tc.workers)
 		r.SetNodes(tc.nodes, begin)
 		if got := spread(r, tc.workers, begin)[""]; got != tc.want {
@@ -79,7 +79,7 @@
 func TestStrongNodesCarryForTheirZone(t *testing.T) {
 	zones := []string{"a", "b", "c", "d", "e"}
 	workers := workersOf(1100, zones...)
-	r := carrier.NewRouter(200, 1)
+	r := delegate.NewRouter(200, 1)
 	r.SetWorkers(workers)
 	r.SetNodes(append(nodesOf("strong", 15, 200, zones...), nodesOf("weak", 130, 48, zones...)...), begin)
 	for i := range workers {
@@ -108,7 +108,7 @@
 
 func TestWeakNodesCarryWhereStrongOnesAreTooFew(t *testing.T) {
 	workers := workersOf(400, "a")
-	r := carrier.NewRouter(100, 1)
+	r := delegate.NewRouter(100, 1)
 	r.SetWorkers(workers)
 	r.SetNodes(append(nodesOf("strong", 1, 100, "a"), nodesOf("weak", 10, 15, "a")...), begin)
 	if got := len(spread(r, workers, begin)); got != 11 {
@@ -119,7 +119,7 @@
 // When one carrier goes, only its workers get another one.
 func TestACarrierThatGoesMovesNoOthersWorkers(t *testing.T) {
 	workers, nodes := workersOf(300, "a"), nodesOf("n", 6, 100, "a")
-	r := carrier.NewRouter(50, 1)
+	r := delegate.NewRouter(50, 1)
 	r.SetWorkers(workers)
 	r.SetNodes(nodes, begin)
 	before := spread(r, workers, begin)
@@ -141,9 +141,9 @@
 }
 
 // carried returns a router of one worker that a node carries for.
-func carried(t *testing.T, nodes ...carrier.Node) *carrier.Router {
+func carried(t *testing.T, nodes ...delegate.Node) *delegate.Router {
 	t.Helper()
-	r := carrier.NewRouter(1, 7)
+	r := delegate.NewRouter(1, 7)
 	r.SetWorkers(workersOf(2, "a"))
 	r.SetNodes(nodes, begin)
 	r.Expire(begin)
@@ -158,7 +158,7 @@
 	if b == nil || b.Fence != 7 || len(b.Orders) != 1 {
 		t.Fatalf("got: %+v, want: one order with the fence 7", b)
 	}
-	out := []carrier.Outcome{{ID: b.Orders[0].ID, Start: order.StartDone}, {ID: b.Orders[0].ID + 1, Start: order.StartDone}}
+	out := []delegate.Outcome{{ID: b.Orders[0].ID, Start: order.StartDone}, {ID: b.Orders[0].ID + 1, Start: order.StartDone}}
 	got := r.Answered(out, begin.Add(3*ms))
 	if len(got) != 1 || got[0].Action != start || got[0].Took != 3*ms {
 		t.Errorf("got: %+v, want: the order to start, after 3 ms", got)
@@ -169,8 +169,8 @@
 }
 
 // expire lets time pass in steps in which an owner that runs looks at what is overdue.
-func expire(r *carrier.Router, from, until time.Duration) []carrier.Failed {
-	out := []carrier.Failed{}
+func expire(r *delegate.Router, from, until time.Duration) []delegate.Failed {
+	out := []delegate.Failed{}
 	for d := from; d <= until; d += 100 * ms {
 		out = append(out, r.Expire(begin.Add(d))...)
 	}
@@ -217,7 +217,7 @@
 	r := carried(t, nodes...)
 	for range 6 {
 		r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin)
-		r.Answered([]carrier.Outcome{{ID: r.Batches()["n000"].Orders[0].ID, Hold: order.HoldSilent}}, begin)
+		r.Answered([]delegate.Outcome{{ID: r.Batches()["n000"].Orders[0].ID, Hold: order.HoldSilent}}, begin)
 	}
 	r.SetNodes(nodes, begin.Add(100*ms))
 	if got := r.Carriers(); got != 0 {
@@ -229,7 +229,7 @@
 // of use one after the other would leave all to the last ones.
 func TestCarriersThatAreLateTogetherStayInUse(t *testing.T) {
 	workers, nodes := workersOf(60, "a"), nodesOf("n", 6, 20, "a")
-	r := carrier.NewRouter(10, 1)
+	r := delegate.NewRouter(10, 1)
 	r.SetWorkers(workers)
 	r.SetNodes(nodes, begin)
 	r.Expire(begin)
@@ -249,7 +249,7 @@
 func TestAPayloadIsSentOnceALink(t *testing.T) {
 	nodes := nodesOf("n", 1, 10, "a")
 	r := carried(t, nodes...)
-	send := func() *carrier.Batch {
+	send := func() *delegate.Batch {
 		for i := range 3 {
 			r.Add(order.Start{Worker: "w0000", Task: work.TaskID{Job: "j", Index: i}, Payload: "p"}, "w0000", time.Second, begin)
 		}
@@ -276,9 +276,9 @@
 // Carriers that are too few get as many workers as they can carry, strong ones more.
 func TestTooFewCarriersAreNotOverloaded(t *testing.T) {
 	workers := workersOf(1000, "a")
-	r := carrier.NewRouter(100, 1)
+	r := delegate.NewRouter(100, 1)
 	r.SetWorkers(workers)
-	r.SetNodes([]carrier.Node{{Name: "strong", Zone: "a", Workers: 100}, {Name: "weak", Zone: "a", Workers: 25}}, begin)
+	r.SetNodes([]delegate.Node{{Name: "strong", Zone: "a", Workers: 100}, {Name: "weak", Zone: "a", Workers: 25}}, begin)
 	if !r.LacksCarriers() {
 		t.Error("lacks carriers: got: false, want: true")
 	}
@@ -291,7 +291,7 @@
 // A worker that starts again under its name is at the same address: the node that has
 // connections to it goes on with it.
 func TestAWorkerThatStartsAgainKeepsItsCarrier(t *testing.T) {
-	r := carrier.NewRouter(1, 7)
+	r := delegate.NewRouter(1, 7)
 	born := begin
 	start := func(i int) order.WorkerID { return order.NewWorkerID(fmt.Sprintf("w%d", i), born) }
 	list := func() []order.Worker {
--- a/internal/detour/detour.go
+++ b/internal/fallback/fallback.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package detour reaches a service through peers when it turns this node away
+// Package fallback reaches a service through peers when it turns this node away
 // and serves others, or leaves a request without an answer. A request may so be
 // carried out more than once: callers send only what the service or a condition
 // in the request makes harmless to repeat.
-package detour
+package fallback
 
 import (
 	"context"
--- a/internal/detour/detour_test.go
+++ b/internal/fallback/fallback_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package detour_test
+package fallback_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"github.com/leverdyke/leverdyke/internal/await"
 	"github.com/leverdyke/leverdyke/internal/clock"
-	"github.com/leverdyke/leverdyke/internal/detour"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
@@ -25,12 +25,12 @@
 	calls  int
 }
 
-func (w *way) Do(context.Context, *detour.Request) (*detour.Response, error) {
+func (w *way) Do(context.Context, *fallback.Request) (*fallback.Response, error) {
 	w.calls++
 	if w.err != nil {
 		return nil, w.err
 	}
-	return &detour.Response{Status: w.status}, nil
+	return &fallback.Response{Status: w.status}, nil
 }
 
 // onePeer is one peer that is linked, or none.
@@ -47,7 +47,7 @@
 	return nil
 }
 
-func (p *onePeer) Via(ctx context.Context, _ string, r *detour.Request) (*detour.Response, error) {
+func (p *onePeer) Via(ctx context.Context, _ string, r *fallback.Request) (*fallback.Response, error) {
 	return p.way.Do(ctx, r)
 }
 
@@ -56,7 +56,7 @@
 var errReset = errors.New("reset")
 
 func TestDo(t *testing.T) {
-	unsent := &detour.UnsentError{Err: errReset}
+	unsent := &fallback.UnsentError{Err: errReset}
 	for name, tc := range map[string]struct {
 		direct, peer way
 		status       int
@@ -76,14 +76,14 @@
 		"never sent by either":         {way{err: unsent}, way{err: unsent}, 0, false},
 	} {
 		peers := &onePeer{way: tc.peer, isLinked: true}
-		r, err := detour.New(&tc.direct, peers, clock.NewFake()).Do(t.Context(), &detour.Request{Method: http.MethodPost})
+		r, err := fallback.New(&tc.direct, peers, clock.NewFake()).Do(t.Context(), &fallback.Request{Method: http.MethodPost})
 		if tc.status != 0 {
 			if err != nil || r.Status != tc.status {
 				t.Errorf("%s: got: %v, %v, want: %d", name, r, err, tc.status)
 			}
 			continue
 		}
-		e := &detour.UnsentError{}
+		e := &fallback.UnsentError{}
 		if isOpen := err != nil && !errors.As(err, &e); err == nil || isOpen != tc.isOpen {
 			t.Errorf("%s: got: %v, want: an error, open: %v", name, err, tc.isOpen)
 		}
@@ -93,9 +93,9 @@
 func TestTheDirectWayIsLeftAloneForAWhile(t *testing.T) {
 	c := clock.NewFake()
 	direct := &way{status: 503}
-	d := detour.New(direct, &onePeer{way: way{status: 200}, isLinked: true}, c)
+	d := fallback.New(direct, &onePeer{way: way{status: 200}, isLinked: true}, c)
 	for range 5 {
-		if _, err := d.Do(t.Context(), &detour.Request{}); err != nil {
+		if _, err := d.Do(t.Context(), &fallback.Request{}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -103,7 +103,7 @@
 		t.Errorf("direct calls: got: %d, want: 1", direct.calls)
 	}
 	c.Advance(time.Second)
-	if _, err := d.Do(t.Context(), &detour.Request{}); err != nil {
+	if _, err := d.Do(t.Context(), &fallback.Request{}); err != nil {
 		t.Fatal(err)
 	}
 	if direct.calls != 2 {
@@ -116,8 +116,8 @@
 	c := clock.NewFake()
 	direct := &way{status: 503}
 	peers := &onePeer{way: way{status: 503}, isLinked: true, isMajority: true}
-	d := detour.New(direct, peers, c)
-	ask := func() { _, _ = d.Do(t.Context(), &detour.Request{}) }
+	d := fallback.New(direct, peers, c)
+	ask := func() { _, _ = d.Do(t.Context(), &fallback.Request{}) }
 	if d.HasOutage() {
 		t.Error("before any request: got: an outage, want: none")
 	}
@@ -140,8 +140,8 @@
 
 func TestANodeThatReachesFewPeersHasNoOutage(t *testing.T) {
 	peers := &onePeer{way: way{status: 503}, isLinked: true}
-	d := detour.New(&way{status: 503}, peers, clock.NewFake())
-	if _, err := d.Do(t.Context(), &detour.Request{}); err != nil {
+	d := fallback.New(&way{status: 503}, peers, clock.NewFake())
+	if _, err := d.Do(t.Context(), &fallback.Request{}); err != nil {
 		t.Fatal(err)
 	}
 	if d.HasOutage() {
@@ -162,14 +162,14 @@
 	return &silentWay{answersFrom: answersFrom, asked: make(chan struct{}, 64)}
 }
 
-func (w *silentWay) Do(ctx context.Context, _ *detour.Request) (*detour.Response, error) {
+func (w *silentWay) Do(ctx context.Context, _ *fallback.Request) (*fallback.Response, error) {
 	w.mu.Lock()
 	w.calls++
 	isServed := w.answersFrom > 0 && w.calls >= w.answersFrom
 	w.mu.Unlock()
 	w.asked <- struct{}{}
 	if isServed {
-		return &detour.Response{Status: 200}, nil
+		return &fallback.Response{Status: 200}, nil
 	}
 	<-ctx.Done()
 	return nil, ctx.Err()
@@ -186,11 +186,11 @@
 const longWait = time.Hour
 
 // doSoon sends a request and returns a channel with its error.
-func doSoon(t *testing.T, d *detour.Detour) chan error {
+func doSoon(t *testing.T, d *fallback.Detour) chan error {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() {
-		_, err := d.Do(context.WithoutCancel(t.Context()), &detour.Request{Method: http.MethodPost, Wait: longWait})
+		_, err := d.Do(context.WithoutCancel(t.Context()), &fallback.Request{Method: http.MethodPost, Wait: longWait})
 		done <- err
 	}()
 	return done
@@ -210,7 +210,7 @@
 func TestASilentWayIsOvertakenAndLeftAlone(t *testing.T) {
 	c := &countingClock{Fake: clock.NewFake()}
 	direct, peers := newSilentWay(0), &onePeer{way: way{status: 200}, isLinked: true}
-	d := detour.New(direct, peers, c)
+	d := fallback.New(direct, peers, c)
 	// Each search sets a timer at its begin and one when the first is over.
 	for _, timers := range []int64{1, 3} {
 		done := doSoon(t, d)
@@ -220,7 +220,7 @@
 		}
 	}
 	for range 5 {
-		if _, err := d.Do(t.Context(), &detour.Request{}); err != nil {
+		if _, err := d.Do(t.Context(), &fallback.Request{}); err != nil {
 			t.Error(err)
 		}
 	}
@@ -234,7 +234,7 @@
 func TestALostAnswerIsAskedForAgain(t *testing.T) {
 	c := &countingClock{Fake: clock.NewFake()}
 	direct := newSilentWay(3)
-	d := detour.New(direct, &onePeer{}, c)
+	d := fallback.New(direct, &onePeer{}, c)
 	done := doSoon(t, d)
 	passHedge(t, c, direct, 1)
 	passHedge(t, c, direct, 2)
@@ -253,12 +253,12 @@
 	step, moved, complete chan struct{}
 }
 
-func (w *movingWay) Do(ctx context.Context, _ *detour.Request) (*detour.Response, error) {
+func (w *movingWay) Do(ctx context.Context, _ *fallback.Request) (*fallback.Response, error) {
 	w.calls.Add(1)
 	for {
 		select {
 		case <-w.complete:
-			return &detour.Response{Status: 200}, nil
+			return &fallback.Response{Status: 200}, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-w.step:
@@ -285,7 +285,7 @@
 	c := &countingClock{Fake: clock.NewFake()}
 	direct := &movingWay{step: make(chan struct{}), moved: make(chan struct{}), complete: make(chan struct{})}
 	peers := &onePeer{way: way{status: 200}, isLinked: true}
-	done := doSoon(t, detour.New(direct, peers, c))
+	done := doSoon(t, fallback.New(direct, peers, c))
 	for i := range 20 {
 		await.True(t, "it is waited", func() bool { return c.timers.Load() == int64(i+1) })
 		select {
@@ -332,11 +332,11 @@
 		{"one that was slow a while ago", []time.Duration{364 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms}, 40 * ms},
 	} {
 		clk := &waitClock{Fake: clock.NewFake(), waits: make(chan time.Duration, 8)}
-		d := detour.New(&way{status: 200}, &onePeer{}, clk)
+		d := fallback.New(&way{status: 200}, &onePeer{}, clk)
 		for _, took := range c.answers {
 			d.Observe(took)
 		}
-		if _, err := d.Do(t.Context(), &detour.Request{Method: http.MethodGet}); err != nil {
+		if _, err := d.Do(t.Context(), &fallback.Request{Method: http.MethodGet}); err != nil {
 			t.Fatal(err)
 		}
 		if got := <-clk.waits; got < c.earliest || c.earliest < 900*ms && got > 90*ms {
--- a/internal/owner/delegates.go
+++ b/internal/owner/delegates.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 )
@@ -15,9 +15,9 @@
 // for concurrent use and do not block.
 type Delegates interface {
 	// Usable returns the nodes that respond, ordered by name.
-	Usable() []carrier.Node
+	Usable() []delegate.Node
 	// Send sends orders to a node. It returns false when there is no link to that node.
-	Send(node string, b *carrier.Batch) bool
+	Send(node string, b *delegate.Batch) bool
 }
 
 // nodeCheckPeriod is the time between two checks of which delegates and permission channels are
@@ -74,13 +74,13 @@
 func (o *Owner) delegateAction(a order.Action) bool {
 	switch a := a.(type) {
 	case order.Start:
-		return o.router.Add(a, a.Worker, carrier.StartTimeout, o.now)
+		return o.router.Add(a, a.Worker, delegate.StartTimeout, o.now)
 	case order.Stop:
-		return o.router.Add(a, a.Worker, carrier.StopTimeout, o.now)
+		return o.router.Add(a, a.Worker, delegate.StopTimeout, o.now)
 	case order.Hold:
 		return o.router.Add(a, a.Worker, a.Wait+a.Patience, o.now)
 	case order.Pace:
-		return o.router.Add(a, a.Worker, carrier.StopTimeout, o.now)
+		return o.router.Add(a, a.Worker, delegate.StopTimeout, o.now)
 	}
 	return false
 }
@@ -96,7 +96,7 @@
 
 // handleFailed settles orders whose outcome will not arrive. This node polls the workers concerned
 // at once, because a silent delegate does not mean that its workers are silent.
-func (o *Owner) handleFailed(failed []carrier.Failed, why string) {
+func (o *Owner) handleFailed(failed []delegate.Failed, why string) {
 	if len(failed) == 0 {
 		return
 	}
@@ -117,9 +117,9 @@
 }
 
 // HandleOutcomes takes the outcomes of orders that were handed to delegates.
-func (o *Owner) HandleOutcomes(outcomes []carrier.Outcome) { o.enqueue(outcomesEvent(outcomes)) }
+func (o *Owner) HandleOutcomes(outcomes []delegate.Outcome) { o.enqueue(outcomesEvent(outcomes)) }
 
-type outcomesEvent []carrier.Outcome
+type outcomesEvent []delegate.Outcome
 
 func (ev outcomesEvent) apply(o *Owner) {
 	for _, r := range o.router.Answered(ev, o.now) {
--- a/internal/owner/delegates_test.go
+++ b/internal/owner/delegates_test.go
@@ -10,8 +10,8 @@
 	"testing"
 
 	"github.com/leverdyke/leverdyke/internal/await"
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/clock"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/owner"
 	"github.com/leverdyke/leverdyke/internal/store/fakestore"
@@ -23,7 +23,7 @@
 	mu    sync.Mutex
 	owner *owner.Owner
 	// session receives the orders; delegated counts them.
-	session   *carrier.Session
+	session   *delegate.Session
 	delegated int
 	// isSilent means that orders are lost, isUnlinked that none can be sent.
 	isSilent, isUnlinked bool
@@ -31,7 +31,7 @@
 
 func newFakeDelegates(w *fakeWorkers) *fakeDelegates {
 	f := &fakeDelegates{}
-	f.session = carrier.New(w, clock.Real{}).NewSession(func(o []carrier.Outcome) {
+	f.session = delegate.New(w, clock.Real{}).NewSession(func(o []delegate.Outcome) {
 		f.mu.Lock()
 		to := f.owner
 		f.mu.Unlock()
@@ -40,11 +40,11 @@
 	return f
 }
 
-func (*fakeDelegates) Usable() []carrier.Node {
-	return []carrier.Node{{Name: "c", Zone: "z", Link: 1, Workers: 10}}
+func (*fakeDelegates) Usable() []delegate.Node {
+	return []delegate.Node{{Name: "c", Zone: "z", Link: 1, Workers: 10}}
 }
 
-func (f *fakeDelegates) Send(_ string, b *carrier.Batch) bool {
+func (f *fakeDelegates) Send(_ string, b *delegate.Batch) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.isUnlinked {
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/codec"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/owner"
@@ -56,7 +56,7 @@
 	finished []order.End
 	lastEnd  uint64
 	// pendingPoll is a long poll that waits for the end of a task.
-	pendingPoll *carrier.Order
+	pendingPoll *delegate.Order
 }
 
 func newSimulatedWorkers(n int) *simulatedWorkers {
@@ -74,16 +74,16 @@
 	return out, nil
 }
 
-func (l *simulatedWorkers) Usable() []carrier.Node {
-	out := make([]carrier.Node, 15)
+func (l *simulatedWorkers) Usable() []delegate.Node {
+	out := make([]delegate.Node, 15)
 	for i := range out {
-		out[i] = carrier.Node{Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprintf("z%d", i%5), Link: 1, Workers: l.n}
+		out[i] = delegate.Node{Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprintf("z%d", i%5), Link: 1, Workers: l.n}
 	}
 	return out
 }
 
 // Send receives orders in the form in which they arrive over a link.
-func (l *simulatedWorkers) Send(_ string, batch *carrier.Batch) bool {
+func (l *simulatedWorkers) Send(_ string, batch *delegate.Batch) bool {
 	data, err := codec.MarshalCompact(batch)
 	if err != nil {
 		panic(err)
@@ -93,14 +93,14 @@
 }
 
 func (l *simulatedWorkers) runBatch(data []byte) {
-	batch := &carrier.Batch{}
+	batch := &delegate.Batch{}
 	if err := codec.Unmarshal(data, batch); err != nil {
 		panic(err)
 	}
 	time.Sleep(3 * time.Millisecond)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	out := []carrier.Outcome{}
+	out := []delegate.Outcome{}
 	for i := range batch.Orders {
 		if o := l.handle(&batch.Orders[i]); o != nil {
 			out = append(out, *o)
@@ -109,7 +109,7 @@
 	l.reply(out)
 }
 
-func (l *simulatedWorkers) reply(out []carrier.Outcome) {
+func (l *simulatedWorkers) reply(out []delegate.Outcome) {
 	if len(out) == 0 {
 		return
 	}
@@ -122,7 +122,7 @@
 
 // runReply is the owner's end of a link.
 func (l *simulatedWorkers) runReply(data []byte) {
-	out := []carrier.Outcome{}
+	out := []delegate.Outcome{}
 	if err := codec.Unmarshal(data, &out); err != nil {
 		panic(err)
 	}
@@ -140,13 +140,13 @@
 	return w
 }
 
-func (l *simulatedWorkers) handle(o *carrier.Order) *carrier.Outcome {
+func (l *simulatedWorkers) handle(o *delegate.Order) *delegate.Outcome {
 	switch {
 	case o.Start != nil:
 		w := l.worker(o.Start.Worker)
 		w.running[o.Start.Task] = &order.Running{Task: o.Start.Task, Run: o.Start.Run}
 		time.AfterFunc(l.durations[o.Start.Task.Job], func() { l.end(w, o.Start.Task) })
-		return &carrier.Outcome{ID: o.ID, Start: order.StartDone, At: l.at()}
+		return &delegate.Outcome{ID: o.ID, Start: order.StartDone, At: l.at()}
 	case o.Hold != nil:
 		w := l.worker(o.Hold.Worker)
 		for len(w.finished) > 0 && w.finished[0].Number <= o.Hold.Confirmed {
@@ -159,26 +159,26 @@
 		time.AfterFunc(o.Hold.Wait, func() { l.expirePoll(w, o) })
 		return nil
 	case o.Stop != nil:
-		return &carrier.Outcome{ID: o.ID, IsStopKnown: true, At: l.at()}
+		return &delegate.Outcome{ID: o.ID, IsStopKnown: true, At: l.at()}
 	}
 	return nil
 }
 
-func (l *simulatedWorkers) listing(w *simulatedWorker, o *carrier.Order) *carrier.Outcome {
+func (l *simulatedWorkers) listing(w *simulatedWorker, o *delegate.Order) *delegate.Outcome {
 	listing := &order.Listing{At: l.at(), Finished: append([]order.End{}, w.finished...)}
 	for _, r := range w.running {
 		r.Percent = min(r.Percent+7, 99)
 		listing.Running = append(listing.Running, *r)
 	}
-	return &carrier.Outcome{ID: o.ID, Hold: order.HoldListed, Listing: listing}
+	return &delegate.Outcome{ID: o.ID, Hold: order.HoldListed, Listing: listing}
 }
 
-func (l *simulatedWorkers) expirePoll(w *simulatedWorker, o *carrier.Order) {
+func (l *simulatedWorkers) expirePoll(w *simulatedWorker, o *delegate.Order) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.pendingPoll == o {
 		w.pendingPoll = nil
-		l.reply([]carrier.Outcome{*l.listing(w, o)})
+		l.reply([]delegate.Outcome{*l.listing(w, o)})
 	}
 }
 
@@ -191,7 +191,7 @@
 	l.done.Add(1)
 	if o := w.pendingPoll; o != nil {
 		w.pendingPoll = nil
-		l.reply([]carrier.Outcome{*l.listing(w, o)})
+		l.reply([]delegate.Outcome{*l.listing(w, o)})
 	}
 }
 
--- a/internal/owner/options.go
+++ b/internal/owner/options.go
@@ -9,8 +9,8 @@
 	"context"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/clock"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/store"
@@ -19,7 +19,7 @@
 
 // Workers sends orders to workers, as delegates do. Implementations are safe for concurrent use.
 type Workers interface {
-	carrier.Workers
+	delegate.Workers
 	// Close closes the connections that are kept open for later orders. It is called when the
 	// ownership ends, because a worker accepts connections from a few nodes only.
 	Close()
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -7,7 +7,7 @@
 	"context"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/progress"
@@ -50,7 +50,7 @@
 }
 
 func (o *Owner) runStart(s order.Start) {
-	ctx, cancel := o.withTimeout(carrier.StartTimeout)
+	ctx, cancel := o.withTimeout(delegate.StartTimeout)
 	defer cancel()
 	startedAt := o.options.Clock.Now()
 	outcome, at := o.options.Workers.Start(ctx, o.Epoch(), &s)
@@ -67,7 +67,7 @@
 }
 
 func (o *Owner) runStop(s order.Stop) {
-	ctx, cancel := o.withTimeout(carrier.StopTimeout)
+	ctx, cancel := o.withTimeout(delegate.StopTimeout)
 	defer cancel()
 	startedAt := o.options.Clock.Now()
 	at, ok := o.options.Workers.Stop(ctx, o.Epoch(), &s)
@@ -90,7 +90,7 @@
 }
 
 func (o *Owner) runPace(p order.Pace) {
-	ctx, cancel := o.withTimeout(carrier.StopTimeout)
+	ctx, cancel := o.withTimeout(delegate.StopTimeout)
 	defer cancel()
 	if err := o.options.Workers.Pace(ctx, o.Epoch(), &p); err != nil {
 		o.options.Log(events.PaceFailed, "task", p.Task, "run", p.Run, "worker", p.Worker, "percent", p.Percent, "err", err)
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
-	"github.com/leverdyke/leverdyke/internal/carrier"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/dispatch"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
@@ -27,7 +27,7 @@
 	options Options
 	engine  *dispatch.Engine
 	// router is used by the loop only.
-	router *carrier.Router
+	router *delegate.Router
 	inbox  *ring.Ring[event]
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -109,7 +109,7 @@
 		engine: dispatch.NewEngine(dispatch.Options{
 			Log: options.Log, NodeZone: options.NodeZone, StopTime: options.StopTime, Heartbeat: options.Heartbeat,
 		}),
-		router: carrier.NewRouter(options.DirectWorkers, options.Claim.Record.Epoch),
+		router: delegate.NewRouter(options.DirectWorkers, options.Claim.Record.Epoch),
 		inbox:  ring.NewRing[event](inboxSize), ctx: ctx, cancel: cancel,
 		writes: make(chan *write, 1), loaded: make(chan struct{}),
 		pendingSubmits: map[work.JobID][]chan error{}, pendingCancels: map[work.JobID][]chan error{},
