--- a/internal/cell/carry.go
+++ b/internal/cell/carry.go
@@ -25,7 +25,7 @@
 	out := []delegate.Node{}
 	for _, p := range c.n.peers.usable() {
 		if p.hello.Workers > 0 && now.Sub(p.heardAt) <= carrierSilence {
-			out = append(out, delegate.Node{Name: p.hello.Name, Zone: p.hello.Zone, Link: p.number, Workers: p.hello.Workers})
+			out = append(out, delegate.Node{Name: p.hello.Name, Zone: p.hello.Zone, LinkID: p.number, Capacity: p.hello.Workers})
 		}
 	}
 	return out
@@ -47,7 +47,7 @@
 		n.options.Log(events.BadFrame, "kind", kindCarry, "err", err)
 		return
 	}
-	n.session(from).Take(n.ctx, b)
+	n.session(from).Execute(n.ctx, b)
 }
 
 // session returns the session of a link.
--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -139,7 +139,7 @@
 	carrySession *delegate.Session
 
 	// carrier talks to workers for the owner; nil where Options.Workers is.
-	carrier *delegate.Carrier
+	carrier *delegate.Delegate
 
 	// last is the record of the owner that was read last; it belongs to the seeker.
 	last *owner.Record
--- a/internal/cell/node_test.go
+++ b/internal/cell/node_test.go
@@ -53,7 +53,7 @@
 
 func (idle) Pace(context.Context, uint64, *order.Pace) error { return nil }
 
-func (idle) Hold(context.Context, uint64, *order.Hold) (*order.Listing, order.HoldOutcome) {
+func (idle) Poll(context.Context, uint64, *order.Hold) (*order.Listing, order.HoldOutcome) {
 	return nil, order.HoldSilent
 }
 
--- a/internal/delegate/bench_test.go
+++ b/internal/delegate/bench_test.go
@@ -14,10 +14,10 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// BenchmarkCarriedHold is what a listing of eight tasks costs an owner that leaves it to a
+// BenchmarkDelegatedPoll is what a listing of eight tasks costs an owner that leaves it to a
 // carrier, in batches of four: the order's encoding, the outcome's decoding, and the
 // router. docs/LARGE.md has the figures.
-func BenchmarkCarriedHold(b *testing.B) {
+func BenchmarkDelegatedPoll(b *testing.B) {
 	workers := workersOf(1100, "a", "b", "c", "d", "e")
 	r := delegate.NewRouter(200, 1)
 	r.SetWorkers(workers)
@@ -43,7 +43,7 @@
 			}
 			outcomes := []delegate.Outcome{}
 			for i := range sent.Orders {
-				outcomes = append(outcomes, delegate.Outcome{ID: sent.Orders[i].ID, Hold: order.HoldListed, Listing: listing})
+				outcomes = append(outcomes, delegate.Outcome{ID: sent.Orders[i].ID, Poll: order.HoldListed, Listing: listing})
 			}
 			b.StopTimer()
 			data, err := codec.MarshalCompact(outcomes)
@@ -55,7 +55,7 @@
 			if err := codec.Unmarshal(data, &back); err != nil {
 				b.Fatal(err)
 			}
-			r.Answered(back, begin)
+			r.Resolve(back, begin)
 		}
 	}
 }
--- a/internal/delegate/messages.go
+++ b/internal/delegate/messages.go
@@ -24,7 +24,7 @@
 	Start      *order.Start
 	PayloadKey payloadKey
 	Stop       *order.Stop
-	Hold       *order.Hold
+	Poll       *order.Hold
 	Pace       *order.Pace
 }
 
@@ -46,7 +46,7 @@
 	At order.WorkerTime
 	// IsStopKnown means that a stop was answered.
 	IsStopKnown bool
-	// Hold is set for a listing, Listing when that came.
-	Hold    order.HoldOutcome
+	// Poll is set for a listing, Listing when that came.
+	Poll    order.HoldOutcome
 	Listing *order.Listing
 }
--- a/internal/delegate/router.go
+++ b/internal/delegate/router.go
@@ -12,200 +12,200 @@
 )
 
 const (
-	// answerMargin is how much later than a worker's answer may take the outcome may
+	// delegationOverhead is how much later than a worker's answer may take the outcome may
 	// come: the ways to the carrier and back, and its other work. A carrier that runs
 	// tells the outcome in time, if only that no answer came.
-	answerMargin = 150 * time.Millisecond
-	// suspectTime is how long a carrier is not used after an outcome stayed away, twice as
+	delegationOverhead = 150 * time.Millisecond
+	// baseEjectionTime is how long a carrier is not used after an outcome stayed away, twice as
 	// long each time in a row, longestSuspicion at most: one that was cut off for some
 	// seconds is tried a few times only.
-	suspectTime      = time.Second
-	longestSuspicion = 8 * time.Second
-	// trustAfter is the time without a further failure after which a carrier counts as
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 8 * time.Second
+	// ejectionResetTime is the time without a further failure after which a carrier counts as
 	// if it had never failed.
-	trustAfter = 10 * time.Second
-	// maxSilent is how many listings in a row may stay away until the carrier, and not its
+	ejectionResetTime = 10 * time.Second
+	// maxUnansweredPolls is how many listings in a row may stay away until the carrier, and not its
 	// workers, is taken to be cut off: a sixth of all workers is silent at the most, of which
 	// six in a row are one in 50,000.
-	maxSilent = 6
-	// togetherGrace is how long outcomes may be overdue that most carriers owe: longer than
+	maxUnansweredPolls = 6
+	// majorityLateGrace is how long outcomes may be overdue that most carriers owe: longer than
 	// a burst on a link of 2 Mbit/s takes, well under a lease.
-	togetherGrace = time.Second
-	// stall is the time between two looks at what is overdue from which outcomes may have
+	majorityLateGrace = time.Second
+	// expireStallThreshold is the time between two looks at what is overdue from which outcomes may have
 	// come that were not taken in: then nothing is overdue yet.
-	stall = 300 * time.Millisecond
+	expireStallThreshold = 300 * time.Millisecond
 )
 
 // Router decides for an owner by which node each worker is talked to, and keeps the
 // orders that are on their way. It is pure: one goroutine uses it.
 type Router struct {
-	// own is how many workers the owner talks to itself.
-	own  int
-	plan *plan
+	// directWorkers is how many workers the owner talks to itself.
+	directWorkers int
+	plan          *plan
 	// usable are the nodes that could carry, without suspects.
-	usable []Node
-	zones  map[string]string
-	counts map[string]int
-	// chosen has the carriers of workers, by the plan; "" is the owner itself.
-	chosen   map[string]string
-	pending  map[uint64]pending
-	lastID   uint64
-	suspects map[string]*suspicion
-	// silent counts, by node, listings in a row that did not come.
-	silent map[string]int
-	// known has the payloads that nodes have, by the link to them.
-	known   map[string]*recent[struct{}]
-	fence   uint64
-	batches map[string]*Batch
-	// expiredAt is when Expire was called last, lateSince since when most carriers are
+	usable         []Node
+	zoneByWorker   map[string]string
+	workersPerZone map[string]int
+	// delegateByWorker has the carriers of workers, by the plan; "" is the owner itself.
+	delegateByWorker map[string]string
+	pending          map[uint64]pendingOrder
+	lastID           uint64
+	ejections        map[string]*ejection
+	// unansweredPolls counts, by node, listings in a row that did not come.
+	unansweredPolls map[string]int
+	// sentPayloads has the payloads that nodes have, by the link to them.
+	sentPayloads map[string]*fifoCache[struct{}]
+	fence        uint64
+	batches      map[string]*Batch
+	// lastExpireAt is when Expire was called last, lateSince since when most carriers are
 	// late; zero when they are not.
-	expiredAt time.Time
-	lateSince time.Time
+	lastExpireAt      time.Time
+	majorityLateSince time.Time
 }
 
-// pending is an order on its way.
-type pending struct {
+// pendingOrder is an order on its way.
+type pendingOrder struct {
 	action order.Action
 	node   string
 	sentAt time.Time
-	// until is when the outcome is overdue.
-	until time.Time
+	// dueAt is when the outcome is overdue.
+	dueAt time.Time
 }
 
-// suspicion is what is held against a carrier.
-type suspicion struct {
+// ejection is what is held against a carrier.
+type ejection struct {
 	until    time.Time
 	failures int
 }
 
-// epochShift makes room for the orders of one epoch in their IDs: at 10,000 orders a
+// orderIDBits makes room for the orders of one epoch in their IDs: at 10,000 orders a
 // second it lasts for years.
-const epochShift = 40
+const orderIDBits = 40
 
 // NewRouter returns a router of the owner with that fence, which talks to up to own
 // workers itself; 0 means to all.
-func NewRouter(own int, fence uint64) *Router {
+func NewRouter(directWorkers int, fence uint64) *Router {
 	return &Router{
-		own: own, fence: fence, lastID: fence << epochShift, silent: map[string]int{}, known: map[string]*recent[struct{}]{}, plan: &plan{}, zones: map[string]string{}, counts: map[string]int{},
-		chosen: map[string]string{}, pending: map[uint64]pending{}, suspects: map[string]*suspicion{}, batches: map[string]*Batch{},
+		directWorkers: directWorkers, fence: fence, lastID: fence << orderIDBits, unansweredPolls: map[string]int{}, sentPayloads: map[string]*fifoCache[struct{}]{}, plan: &plan{}, zoneByWorker: map[string]string{}, workersPerZone: map[string]int{},
+		delegateByWorker: map[string]string{}, pending: map[uint64]pendingOrder{}, ejections: map[string]*ejection{}, batches: map[string]*Batch{},
 	}
 }
 
 // SetWorkers takes the platform's list of workers.
 func (r *Router) SetWorkers(list []order.Worker) {
-	clear(r.zones)
-	counts := map[string]int{}
+	clear(r.zoneByWorker)
+	workersPerZone := map[string]int{}
 	for i := range list {
 		if w := &list[i]; !w.IsRemoved {
-			r.zones[w.ID.Name()] = w.Zone
-			counts[w.Zone]++
+			r.zoneByWorker[w.ID.Name()] = w.Zone
+			workersPerZone[w.Zone]++
 		}
 	}
-	if !maps.Equal(counts, r.counts) {
-		r.counts = counts
+	if !maps.Equal(workersPerZone, r.workersPerZone) {
+		r.workersPerZone = workersPerZone
 		r.replan()
 	}
 }
 
 // SetNodes takes the nodes that can carry now. It returns the orders that were with
 // nodes that cannot any more: no outcome will come.
-func (r *Router) SetNodes(nodes []Node, now time.Time) []Failed {
-	usable := slices.DeleteFunc(slices.Clone(nodes), func(n Node) bool { return r.isSuspect(n.Name, now) })
+func (r *Router) SetNodes(nodes []Node, now time.Time) []FailedOrder {
+	usable := slices.DeleteFunc(slices.Clone(nodes), func(n Node) bool { return r.isEjected(n.Name, now) })
 	if slices.Equal(usable, r.usable) {
 		return nil
 	}
-	gone := []string{}
+	removed := []string{}
 	for _, n := range r.usable {
-		if !slices.ContainsFunc(usable, func(u Node) bool { return u.Name == n.Name && u.Link == n.Link }) {
-			gone = append(gone, n.Name)
+		if !slices.ContainsFunc(usable, func(u Node) bool { return u.Name == n.Name && u.LinkID == n.LinkID }) {
+			removed = append(removed, n.Name)
 		}
 	}
 	r.usable = usable
 	r.replan()
-	return r.fail(gone)
+	return r.failOrders(removed)
 }
 
-func (r *Router) isSuspect(name string, now time.Time) bool {
-	s := r.suspects[name]
-	if s != nil && now.Sub(s.until) > trustAfter {
-		delete(r.suspects, name)
+func (r *Router) isEjected(name string, now time.Time) bool {
+	s := r.ejections[name]
+	if s != nil && now.Sub(s.until) > ejectionResetTime {
+		delete(r.ejections, name)
 	}
 	return s != nil && now.Before(s.until)
 }
 
 // replan chooses the carriers anew.
 func (r *Router) replan() {
-	clear(r.chosen)
+	clear(r.delegateByWorker)
 	r.plan = &plan{}
-	if r.own > 0 && len(r.zones) > r.own {
-		r.plan = newPlan(r.usable, r.counts)
+	if r.directWorkers > 0 && len(r.zoneByWorker) > r.directWorkers {
+		r.plan = newPlan(r.usable, r.workersPerZone)
 	}
 }
 
-// carrierOf returns the carrier of a worker, "" where the owner talks to it itself.
-func (r *Router) carrierOf(id order.WorkerID) string {
+// delegateOf returns the carrier of a worker, "" where the owner talks to it itself.
+func (r *Router) delegateOf(id order.WorkerID) string {
 	if len(r.plan.nodes) == 0 {
 		return ""
 	}
 	// A worker that starts again keeps its carrier, which has connections to it.
 	worker := id.Name()
-	name, ok := r.chosen[worker]
+	name, ok := r.delegateByWorker[worker]
 	if !ok {
-		name = r.plan.carrierOf(worker, r.zones[worker])
-		r.chosen[worker] = name
+		name = r.plan.delegateOf(worker, r.zoneByWorker[worker])
+		r.delegateByWorker[worker] = name
 	}
 	return name
 }
 
-// LacksCarriers reports whether there are more workers than this node and the carriers
+// LacksDelegates reports whether there are more workers than this node and the carriers
 // can talk to.
-func (r *Router) LacksCarriers() bool {
-	return r.own > 0 && len(r.zones) > r.own && r.plan.share < 1
+func (r *Router) LacksDelegates() bool {
+	return r.directWorkers > 0 && len(r.zoneByWorker) > r.directWorkers && r.plan.coveredShare < 1
 }
 
-// Carriers returns how many nodes carry now.
-func (r *Router) Carriers() int { return len(r.plan.nodes) }
+// DelegateCount returns how many nodes carry now.
+func (r *Router) DelegateCount() int { return len(r.plan.nodes) }
 
 // Add puts an action into the batch of a carrier, whose outcome may take as long as
 // bound. It reports false when the owner is to carry it out itself.
-func (r *Router) Add(a order.Action, worker order.WorkerID, bound time.Duration, now time.Time) bool {
-	node := r.carrierOf(worker)
+func (r *Router) Add(a order.Action, worker order.WorkerID, timeout time.Duration, now time.Time) bool {
+	node := r.delegateOf(worker)
 	if node == "" {
 		return false
 	}
 	r.lastID++
-	r.pending[r.lastID] = pending{a, node, now, now.Add(bound + answerMargin)}
+	r.pending[r.lastID] = pendingOrder{a, node, now, now.Add(timeout + delegationOverhead)}
 	b := r.batches[node]
 	if b == nil {
 		b = &Batch{Fence: r.fence}
 		r.batches[node] = b
 	}
-	o := orderOf(r.lastID, a)
+	o := newOrder(r.lastID, a)
 	if o.Start != nil && o.Start.Payload != "" {
-		o.PayloadKey = r.payload(node, b, o.Start.Payload)
+		o.PayloadKey = r.attachPayload(node, b, o.Start.Payload)
 		o.Start.Payload = ""
 	}
 	b.Orders = append(b.Orders, o)
 	return true
 }
 
-// payload returns the key of a payload, which it puts into the batch when the carrier
+// attachPayload returns the key of a attachPayload, which it puts into the batch when the carrier
 // has not had it.
-func (r *Router) payload(node string, b *Batch, payload string) payloadKey {
-	known := r.known[node]
-	if known == nil {
-		known = newRecent[struct{}](knownPayloads)
-		r.known[node] = known
+func (r *Router) attachPayload(node string, b *Batch, payload string) payloadKey {
+	sent := r.sentPayloads[node]
+	if sent == nil {
+		sent = newFIFOCache[struct{}](trackedPayloads)
+		r.sentPayloads[node] = sent
 	}
-	key := keyOf(payload)
-	if _, ok := known.get(key); !ok {
-		known.put(key, struct{}{})
+	key := payloadKeyOf(payload)
+	if _, ok := sent.get(key); !ok {
+		sent.put(key, struct{}{})
 		b.Payloads = append(b.Payloads, payload)
 	}
 	return key
 }
 
-func orderOf(id uint64, a order.Action) Order {
+func newOrder(id uint64, a order.Action) Order {
 	o := Order{ID: id}
 	switch a := a.(type) {
 	case order.Start:
@@ -213,7 +213,7 @@
 	case order.Stop:
 		o.Stop = &a
 	case order.Hold:
-		o.Hold = &a
+		o.Poll = &a
 	case order.Pace:
 		o.Pace = &a
 	}
@@ -237,8 +237,8 @@
 	Took    time.Duration
 }
 
-// Answered takes outcomes. Those that were given up are left out.
-func (r *Router) Answered(outcomes []Outcome, now time.Time) []Result {
+// Resolve takes outcomes. Those that were given up are left out.
+func (r *Router) Resolve(outcomes []Outcome, now time.Time) []Result {
 	out := make([]Result, 0, len(outcomes))
 	for i := range outcomes {
 		p, ok := r.pending[outcomes[i].ID]
@@ -247,115 +247,115 @@
 		}
 		delete(r.pending, outcomes[i].ID)
 		out = append(out, Result{p.action, outcomes[i], now.Sub(p.sentAt)})
-		r.noteHold(p.node, outcomes[i].Hold, now)
+		r.notePollOutcome(p.node, outcomes[i].Poll, now)
 	}
 	return out
 }
 
-// noteHold finds out whether a carrier reaches no worker.
-func (r *Router) noteHold(node string, outcome order.HoldOutcome, now time.Time) {
+// notePollOutcome finds out whether a carrier reaches no worker.
+func (r *Router) notePollOutcome(node string, outcome order.HoldOutcome, now time.Time) {
 	switch outcome {
 	case "":
 		return
 	case order.HoldSilent:
-		r.silent[node]++
+		r.unansweredPolls[node]++
 	case order.HoldListed, order.HoldLifeOver:
-		r.silent[node] = 0
+		r.unansweredPolls[node] = 0
 	}
-	if r.silent[node] >= maxSilent {
-		r.silent[node] = 0
-		r.suspect(node, now)
+	if r.unansweredPolls[node] >= maxUnansweredPolls {
+		r.unansweredPolls[node] = 0
+		r.eject(node, now)
 	}
 }
 
-// Failed is an order of which no outcome comes. It may have been carried out, or may be
+// FailedOrder is an order of which no outcome comes. It may have been carried out, or may be
 // later.
-type Failed struct {
+type FailedOrder struct {
 	Action order.Action
 	Node   string
 }
 
-// Unsent takes back a batch for a node that is not linked any more.
-func (r *Router) Unsent(node string, now time.Time) []Failed {
-	r.suspect(node, now)
-	return r.drop(node)
+// HandleUnsent takes back a batch for a node that is not linked any more.
+func (r *Router) HandleUnsent(node string, now time.Time) []FailedOrder {
+	r.eject(node, now)
+	return r.removeNode(node)
 }
 
 // Expire returns the orders of carriers of which an outcome is overdue. These are not
 // used for a while.
-func (r *Router) Expire(now time.Time) []Failed {
-	isStalled := now.Sub(r.expiredAt) > stall
-	r.expiredAt = now
+func (r *Router) Expire(now time.Time) []FailedOrder {
+	isStalled := now.Sub(r.lastExpireAt) > expireStallThreshold
+	r.lastExpireAt = now
 	if isStalled {
 		return nil
 	}
 	late := map[string]bool{}
 	for _, p := range r.pending {
-		if now.After(p.until) {
+		if now.After(p.dueAt) {
 			late[p.node] = true
 		}
 	}
 	if len(late) == 0 {
-		r.lateSince = time.Time{}
+		r.majorityLateSince = time.Time{}
 		return nil
 	}
-	if len(late) > 1 && 2*len(late) > len(r.plan.nodes) && now.Before(r.graceUntil(now)) {
+	if len(late) > 1 && 2*len(late) > len(r.plan.nodes) && now.Before(r.majorityGraceEnd(now)) {
 		return nil
 	}
-	r.lateSince = time.Time{}
-	out := []Failed{}
+	r.majorityLateSince = time.Time{}
+	out := []FailedOrder{}
 	for node := range late {
-		r.suspect(node, now)
-		out = append(out, r.drop(node)...)
+		r.eject(node, now)
+		out = append(out, r.removeNode(node)...)
 	}
 	return out
 }
 
-// graceUntil returns until when nothing is overdue, as most carriers are late at once:
+// majorityGraceEnd returns until when nothing is overdue, as most carriers are late at once:
 // then it is this node's link or processor that is, and to take them out of use one
 // after the other would leave all to the last ones.
-func (r *Router) graceUntil(now time.Time) time.Time {
-	if r.lateSince.IsZero() {
-		r.lateSince = now
+func (r *Router) majorityGraceEnd(now time.Time) time.Time {
+	if r.majorityLateSince.IsZero() {
+		r.majorityLateSince = now
 	}
-	return r.lateSince.Add(togetherGrace)
+	return r.majorityLateSince.Add(majorityLateGrace)
 }
 
-func (r *Router) suspect(node string, now time.Time) {
-	s := r.suspects[node]
+func (r *Router) eject(node string, now time.Time) {
+	s := r.ejections[node]
 	if s == nil {
-		s = &suspicion{}
-		r.suspects[node] = s
+		s = &ejection{}
+		r.ejections[node] = s
 	}
-	s.until = now.Add(min(suspectTime<<min(s.failures, 4), longestSuspicion))
+	s.until = now.Add(min(baseEjectionTime<<min(s.failures, 4), maxEjectionTime))
 	s.failures++
 }
 
-// drop takes a node out of use and returns its orders.
-func (r *Router) drop(node string) []Failed {
+// removeNode takes a node out of use and returns its orders.
+func (r *Router) removeNode(node string) []FailedOrder {
 	usable := slices.DeleteFunc(slices.Clone(r.usable), func(n Node) bool { return n.Name == node })
 	if len(usable) != len(r.usable) {
 		r.usable = usable
 		r.replan()
 	}
-	return r.fail([]string{node})
+	return r.failOrders([]string{node})
 }
 
-// fail returns the orders that were with nodes.
-func (r *Router) fail(nodes []string) []Failed {
+// failOrders returns the orders that were with nodes.
+func (r *Router) failOrders(nodes []string) []FailedOrder {
 	if len(nodes) == 0 {
 		return nil
 	}
-	out := []Failed{}
+	out := []FailedOrder{}
 	for id, p := range r.pending {
 		if slices.Contains(nodes, p.node) {
-			out = append(out, Failed{p.action, p.node})
+			out = append(out, FailedOrder{p.action, p.node})
 			delete(r.pending, id)
 		}
 	}
 	for _, node := range nodes {
 		delete(r.batches, node)
-		delete(r.known, node)
+		delete(r.sentPayloads, node)
 	}
 	return out
 }
--- a/internal/delegate/router_test.go
+++ b/internal/delegate/router_test.go
@@ -31,14 +31,14 @@
 func nodesOf(prefix string, n, workers int, zones ...string) []delegate.Node {
 	out := []delegate.Node{}
 	for i := range n {
-		out = append(out, delegate.Node{Name: fmt.Sprintf("%s%03d", prefix, i), Zone: zones[i%len(zones)], Workers: workers, Link: uint64(i + 1)})
+		out = append(out, delegate.Node{Name: fmt.Sprintf("%s%03d", prefix, i), Zone: zones[i%len(zones)], Capacity: workers, LinkID: uint64(i + 1)})
 	}
 	return out
 }
 
-// spread asks each worker for a listing and returns how many each node carries; "" is
+// pollsPerNode asks each worker for a listing and returns how many each node carries; "" is
 // the owner.
-func spread(r *delegate.Router, workers []order.Worker, now time.Time) map[string]int {
+func pollsPerNode(r *delegate.Router, workers []order.Worker, now time.Time) map[string]int {
 	out := map[string]int{}
 	for i := range workers {
 		if !r.Add(order.Hold{Worker: workers[i].ID}, workers[i].ID, time.Second, now) {
@@ -51,24 +51,24 @@
 	return out
 }
 
-func TestAnOwnerTalksToAsManyWorkersAsItCan(t *testing.T) {
+func TestOwnerDelegatesOnlyAboveItsDirectWorkers(t *testing.T) {
 	few, many := workersOf(50, "a"), workersOf(51, "a")
 	nodes := nodesOf("n", 3, 50, "a")
 	for name, tc := range map[string]struct {
-		own     int
-		workers []order.Worker
-		nodes   []delegate.Node
-		want    int
+		directWorkers int
+		workers       []order.Worker
+		nodes         []delegate.Node
+		want          int
 	}{
 		"few":      {50, few, nodes, 50},
 		"many":     {50, many, nodes, 0},
 		"no nodes": {50, many, nil, 51},
 		"no bound": {0, many, nodes, 51},
 	} {
-		r := delegate.NewRouter(tc.own, 1)
+		r := delegate.NewRouter(tc.directWorkers, 1)
 		r.SetWorkers(tc.workers)
 		r.SetNodes(tc.nodes, begin)
-		if got := spread(r, tc.workers, begin)[""]; got != tc.want {
+		if got := pollsPerNode(r, tc.workers, begin)[""]; got != tc.want {
 			t.Errorf("%s: workers that the owner talks to: got: %d, want: %d", name, got, tc.want)
 		}
 	}
@@ -76,7 +76,7 @@
 
 // Fifteen strong nodes and many weak ones in five zones: the strong ones carry, each for
 // workers of its zone.
-func TestStrongNodesCarryForTheirZone(t *testing.T) {
+func TestLargeNodesServeWorkersOfTheirZone(t *testing.T) {
 	zones := []string{"a", "b", "c", "d", "e"}
 	workers := workersOf(1100, zones...)
 	r := delegate.NewRouter(200, 1)
@@ -99,35 +99,35 @@
 			t.Fatalf("orders of carrier %d: got: %+v, want: about 73", i, b)
 		}
 		for _, o := range b.Orders {
-			if zoneOf[o.Hold.Worker] != n.Zone {
-				t.Errorf("%s: got: %s of zone %s, want: zone %s", n.Name, o.Hold.Worker, zoneOf[o.Hold.Worker], n.Zone)
+			if zoneOf[o.Poll.Worker] != n.Zone {
+				t.Errorf("%s: got: %s of zone %s, want: zone %s", n.Name, o.Poll.Worker, zoneOf[o.Poll.Worker], n.Zone)
 			}
 		}
 	}
 }
 
-func TestWeakNodesCarryWhereStrongOnesAreTooFew(t *testing.T) {
+func TestSmallNodesServeWhenLargeOnesLackCapacity(t *testing.T) {
 	workers := workersOf(400, "a")
 	r := delegate.NewRouter(100, 1)
 	r.SetWorkers(workers)
 	r.SetNodes(append(nodesOf("strong", 1, 100, "a"), nodesOf("weak", 10, 15, "a")...), begin)
-	if got := len(spread(r, workers, begin)); got != 11 {
+	if got := len(pollsPerNode(r, workers, begin)); got != 11 {
 		t.Errorf("carriers: got: %d, want: 11", got)
 	}
 }
 
 // When one carrier goes, only its workers get another one.
-func TestACarrierThatGoesMovesNoOthersWorkers(t *testing.T) {
+func TestRemovingADelegateReassignsOnlyItsWorkers(t *testing.T) {
 	workers, nodes := workersOf(300, "a"), nodesOf("n", 6, 100, "a")
 	r := delegate.NewRouter(50, 1)
 	r.SetWorkers(workers)
 	r.SetNodes(nodes, begin)
-	before := spread(r, workers, begin)
+	before := pollsPerNode(r, workers, begin)
 	failed := r.SetNodes(nodes[1:], begin)
 	if len(failed) != before["n000"] {
 		t.Errorf("orders that come back: got: %d, want: %d", len(failed), before["n000"])
 	}
-	after := spread(r, workers, begin)
+	after := pollsPerNode(r, workers, begin)
 	total := 0
 	for _, n := range nodes[1:] {
 		if after[n.Name] < before[n.Name] {
@@ -140,8 +140,8 @@
 	}
 }
 
-// carried returns a router of one worker that a node carries for.
-func carried(t *testing.T, nodes ...delegate.Node) *delegate.Router {
+// newDelegatingRouter returns a router of one worker that a node carries for.
+func newDelegatingRouter(t *testing.T, nodes ...delegate.Node) *delegate.Router {
 	t.Helper()
 	r := delegate.NewRouter(1, 7)
 	r.SetWorkers(workersOf(2, "a"))
@@ -150,8 +150,8 @@
 	return r
 }
 
-func TestAnOutcomeIsTakenOnce(t *testing.T) {
-	r := carried(t, nodesOf("n", 1, 10, "a")...)
+func TestOutcomeIsResolvedOnce(t *testing.T) {
+	r := newDelegatingRouter(t, nodesOf("n", 1, 10, "a")...)
 	start := order.Start{Worker: "w0000", Task: work.TaskID{Job: "j"}, Run: 1, Payload: "p"}
 	r.Add(start, start.Worker, time.Second, begin)
 	b := r.Batches()["n000"]
@@ -159,50 +159,50 @@
 		t.Fatalf("got: %+v, want: one order with the fence 7", b)
 	}
 	out := []delegate.Outcome{{ID: b.Orders[0].ID, Start: order.StartDone}, {ID: b.Orders[0].ID + 1, Start: order.StartDone}}
-	got := r.Answered(out, begin.Add(3*ms))
+	got := r.Resolve(out, begin.Add(3*ms))
 	if len(got) != 1 || got[0].Action != start || got[0].Took != 3*ms {
 		t.Errorf("got: %+v, want: the order to start, after 3 ms", got)
 	}
-	if got := r.Answered(out, begin); len(got) != 0 {
+	if got := r.Resolve(out, begin); len(got) != 0 {
 		t.Errorf("the same again: got: %+v, want: none", got)
 	}
 }
 
-// expire lets time pass in steps in which an owner that runs looks at what is overdue.
-func expire(r *delegate.Router, from, until time.Duration) []delegate.Failed {
-	out := []delegate.Failed{}
+// expirePeriodically lets time pass in steps in which an owner that runs looks at what is overdue.
+func expirePeriodically(r *delegate.Router, from, until time.Duration) []delegate.FailedOrder {
+	out := []delegate.FailedOrder{}
 	for d := from; d <= until; d += 100 * ms {
 		out = append(out, r.Expire(begin.Add(d))...)
 	}
 	return out
 }
 
-func TestACarrierThatDoesNotAnswerIsNotUsedForAWhile(t *testing.T) {
+func TestUnresponsiveDelegateIsEjected(t *testing.T) {
 	nodes := nodesOf("n", 1, 10, "a")
-	r := carried(t, nodes...)
+	r := newDelegatingRouter(t, nodes...)
 	r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin)
-	if got := expire(r, 0, 600*ms); len(got) != 0 {
+	if got := expirePeriodically(r, 0, 600*ms); len(got) != 0 {
 		t.Errorf("while an outcome may come: got: %v, want: none", got)
 	}
-	if got := expire(r, 700*ms, 700*ms); len(got) != 1 {
+	if got := expirePeriodically(r, 700*ms, 700*ms); len(got) != 1 {
 		t.Errorf("overdue: got: %v, want: the listing", got)
 	}
 	if r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin.Add(700*ms)) {
 		t.Error("after that: got: carried, want: the owner itself")
 	}
 	r.SetNodes(nodes, begin.Add(800*ms))
-	if got := r.Carriers(); got != 0 {
+	if got := r.DelegateCount(); got != 0 {
 		t.Errorf("carriers 0.1 s later: got: %d, want: 0", got)
 	}
 	r.SetNodes(nodes, begin.Add(1800*ms))
-	if got := r.Carriers(); got != 1 {
+	if got := r.DelegateCount(); got != 1 {
 		t.Errorf("carriers 1.1 s later: got: %d, want: 1", got)
 	}
 }
 
 // An owner that was kept from running has outcomes that it has not taken in.
-func TestNothingIsOverdueForAnOwnerThatWasKeptFromRunning(t *testing.T) {
-	r := carried(t, nodesOf("n", 1, 10, "a")...)
+func TestStalledOwnerExpiresNothingAtOnce(t *testing.T) {
+	r := newDelegatingRouter(t, nodesOf("n", 1, 10, "a")...)
 	r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin)
 	if got := r.Expire(begin.Add(5 * time.Second)); len(got) != 0 {
 		t.Errorf("first look after 5 s: got: %v, want: none", got)
@@ -212,43 +212,43 @@
 	}
 }
 
-func TestACarrierThatReachesNoWorkerIsNotUsed(t *testing.T) {
+func TestDelegateThatReachesNoWorkerIsEjected(t *testing.T) {
 	nodes := nodesOf("n", 1, 10, "a")
-	r := carried(t, nodes...)
+	r := newDelegatingRouter(t, nodes...)
 	for range 6 {
 		r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin)
-		r.Answered([]delegate.Outcome{{ID: r.Batches()["n000"].Orders[0].ID, Hold: order.HoldSilent}}, begin)
+		r.Resolve([]delegate.Outcome{{ID: r.Batches()["n000"].Orders[0].ID, Poll: order.HoldSilent}}, begin)
 	}
 	r.SetNodes(nodes, begin.Add(100*ms))
-	if got := r.Carriers(); got != 0 {
+	if got := r.DelegateCount(); got != 0 {
 		t.Errorf("carriers: got: %d, want: 0", got)
 	}
 }
 
 // Most carriers late at once tell of the owner's own link or processor: to take them out
 // of use one after the other would leave all to the last ones.
-func TestCarriersThatAreLateTogetherStayInUse(t *testing.T) {
+func TestDelegatesThatAreLateTogetherAreNotEjectedAtOnce(t *testing.T) {
 	workers, nodes := workersOf(60, "a"), nodesOf("n", 6, 20, "a")
 	r := delegate.NewRouter(10, 1)
 	r.SetWorkers(workers)
 	r.SetNodes(nodes, begin)
 	r.Expire(begin)
-	spread(r, workers, begin)
-	if got := expire(r, 0, 1200*ms); len(got) != 0 {
+	pollsPerNode(r, workers, begin)
+	if got := expirePeriodically(r, 0, 1200*ms); len(got) != 0 {
 		t.Errorf("orders given up: got: %d, want: none yet", len(got))
 	}
-	if got := r.Carriers(); got != 6 {
+	if got := r.DelegateCount(); got != 6 {
 		t.Errorf("carriers: got: %d, want: 6", got)
 	}
-	if got := expire(r, 1300*ms, 5*time.Second); len(got) != 60 {
+	if got := expirePeriodically(r, 1300*ms, 5*time.Second); len(got) != 60 {
 		t.Errorf("orders given up in the end: got: %d, want: 60", len(got))
 	}
 }
 
 // A payload crosses a link once; a node that is linked anew knows none.
-func TestAPayloadIsSentOnceALink(t *testing.T) {
+func TestPayloadIsSentOncePerLink(t *testing.T) {
 	nodes := nodesOf("n", 1, 10, "a")
-	r := carried(t, nodes...)
+	r := newDelegatingRouter(t, nodes...)
 	send := func() *delegate.Batch {
 		for i := range 3 {
 			r.Add(order.Start{Worker: "w0000", Task: work.TaskID{Job: "j", Index: i}, Payload: "p"}, "w0000", time.Second, begin)
@@ -266,7 +266,7 @@
 			}
 		}
 	}
-	nodes[0].Link = 99
+	nodes[0].LinkID = 99
 	r.SetNodes(nodes, begin)
 	if b := send(); len(b.Payloads) != 1 {
 		t.Errorf("payloads over a new link: got: %q, want: 1", b.Payloads)
@@ -274,15 +274,15 @@
 }
 
 // Carriers that are too few get as many workers as they can carry, strong ones more.
-func TestTooFewCarriersAreNotOverloaded(t *testing.T) {
+func TestInsufficientDelegatesAreNotOverloaded(t *testing.T) {
 	workers := workersOf(1000, "a")
 	r := delegate.NewRouter(100, 1)
 	r.SetWorkers(workers)
-	r.SetNodes([]delegate.Node{{Name: "strong", Zone: "a", Workers: 100}, {Name: "weak", Zone: "a", Workers: 25}}, begin)
-	if !r.LacksCarriers() {
+	r.SetNodes([]delegate.Node{{Name: "strong", Zone: "a", Capacity: 100}, {Name: "weak", Zone: "a", Capacity: 25}}, begin)
+	if !r.LacksDelegates() {
 		t.Error("lacks carriers: got: false, want: true")
 	}
-	got := spread(r, workers, begin)
+	got := pollsPerNode(r, workers, begin)
 	if got["strong"] < 160 || got["strong"] > 240 || got["weak"] < 30 || got["weak"] > 70 {
 		t.Errorf("got: %v, want: about 200, 50 and the others by the owner", got)
 	}
@@ -290,33 +290,33 @@
 
 // A worker that starts again under its name is at the same address: the node that has
 // connections to it goes on with it.
-func TestAWorkerThatStartsAgainKeepsItsCarrier(t *testing.T) {
+func TestRestartedWorkerKeepsItsDelegate(t *testing.T) {
 	r := delegate.NewRouter(1, 7)
-	born := begin
-	start := func(i int) order.WorkerID { return order.NewWorkerID(fmt.Sprintf("w%d", i), born) }
+	startedAt := begin
+	workerID := func(i int) order.WorkerID { return order.NewWorkerID(fmt.Sprintf("w%d", i), startedAt) }
 	list := func() []order.Worker {
 		out := []order.Worker{}
 		for i := range 20 {
-			out = append(out, order.Worker{ID: start(i), Zone: "a"})
+			out = append(out, order.Worker{ID: workerID(i), Zone: "a"})
 		}
 		return out
 	}
 	r.SetWorkers(list())
 	r.SetNodes(nodesOf("n", 4, 20, "a"), begin)
-	carriers := func() map[string]string {
+	delegatesByWorker := func() map[string]string {
 		out := map[string]string{}
 		for i := range 20 {
-			r.Add(order.Stop{Worker: start(i)}, start(i), time.Second, begin)
+			r.Add(order.Stop{Worker: workerID(i)}, workerID(i), time.Second, begin)
 			for node := range r.Batches() {
-				out[start(i).Name()] = node
+				out[workerID(i).Name()] = node
 			}
 		}
 		return out
 	}
-	before := carriers()
-	born = born.Add(time.Minute)
+	before := delegatesByWorker()
+	startedAt = startedAt.Add(time.Minute)
 	r.SetWorkers(list())
-	if after := carriers(); !maps.Equal(before, after) {
+	if after := delegatesByWorker(); !maps.Equal(before, after) {
 		t.Errorf("carriers after all have started again: got: %v, want: %v", after, before)
 	}
 }
--- a/internal/owner/delegates.go
+++ b/internal/owner/delegates.go
@@ -44,20 +44,20 @@
 // checkDelegates updates which nodes act as delegates and settles the orders that they failed to
 // answer.
 func (o *Owner) checkDelegates() {
-	before := o.router.Carriers()
+	before := o.router.DelegateCount()
 	o.handleFailed(o.router.SetNodes(o.options.Delegates.Usable(), o.now), "the node cannot carry any more")
 	o.handleFailed(o.router.Expire(o.now), "the node did not answer in time")
 	if !o.awaitsDelegates() {
 		o.sendDeferredPolls()
 	}
-	if after := o.router.Carriers(); after != before {
+	if after := o.router.DelegateCount(); after != before {
 		o.options.Log(events.CarriersChanged, "epoch", o.Epoch(), "carriers", after, "before", before, "workers", o.listedWorkers.Load(), "own", o.options.DirectWorkers)
 	}
 }
 
 // awaitsDelegates reports whether polls are deferred until enough delegates have linked.
 func (o *Owner) awaitsDelegates() bool {
-	return o.options.Delegates != nil && o.router.LacksCarriers() && o.now.Sub(o.loopStartedAt) < linkTimeout
+	return o.options.Delegates != nil && o.router.LacksDelegates() && o.now.Sub(o.loopStartedAt) < linkTimeout
 }
 
 // sendDeferredPolls sends the polls that were deferred.
@@ -89,14 +89,14 @@
 func (o *Owner) sendDelegated() {
 	for node, b := range o.router.Batches() {
 		if !o.options.Delegates.Send(node, b) {
-			o.handleFailed(o.router.Unsent(node, o.now), "the node is not linked")
+			o.handleFailed(o.router.HandleUnsent(node, o.now), "the node is not linked")
 		}
 	}
 }
 
 // handleFailed settles orders whose outcome will not arrive. This node polls the workers concerned
 // at once, because a silent delegate does not mean that its workers are silent.
-func (o *Owner) handleFailed(failed []delegate.Failed, why string) {
+func (o *Owner) handleFailed(failed []delegate.FailedOrder, why string) {
 	if len(failed) == 0 {
 		return
 	}
@@ -122,7 +122,7 @@
 type outcomesEvent []delegate.Outcome
 
 func (ev outcomesEvent) apply(o *Owner) {
-	for _, r := range o.router.Answered(ev, o.now) {
+	for _, r := range o.router.Resolve(ev, o.now) {
 		switch a := r.Action.(type) {
 		case order.Start:
 			o.reportStart(&a, r.Outcome.Start, r.Took)
@@ -131,7 +131,7 @@
 			o.options.Metrics.OrderAnswered("stop", stopOutcome(r.Outcome.IsStopKnown), r.Took)
 			stopEvent{a, r.Outcome.At, r.Outcome.IsStopKnown}.apply(o)
 		case order.Hold:
-			pollEvent{a, r.Outcome.Listing, r.Outcome.Hold}.apply(o)
+			pollEvent{a, r.Outcome.Listing, r.Outcome.Poll}.apply(o)
 		}
 	}
 }
--- a/internal/owner/delegates_test.go
+++ b/internal/owner/delegates_test.go
@@ -41,7 +41,7 @@
 }
 
 func (*fakeDelegates) Usable() []delegate.Node {
-	return []delegate.Node{{Name: "c", Zone: "z", Link: 1, Workers: 10}}
+	return []delegate.Node{{Name: "c", Zone: "z", LinkID: 1, Capacity: 10}}
 }
 
 func (f *fakeDelegates) Send(_ string, b *delegate.Batch) bool {
@@ -52,7 +52,7 @@
 	}
 	f.delegated += len(b.Orders)
 	if !f.isSilent {
-		f.session.Take(context.Background(), b)
+		f.session.Execute(context.Background(), b)
 	}
 	return true
 }
--- a/internal/owner/fakes_test.go
+++ b/internal/owner/fakes_test.go
@@ -73,7 +73,7 @@
 
 func (w *fakeWorkers) Pace(context.Context, uint64, *order.Pace) error { return nil }
 
-func (w *fakeWorkers) Hold(ctx context.Context, _ uint64, h *order.Hold) (*order.Listing, order.HoldOutcome) {
+func (w *fakeWorkers) Poll(ctx context.Context, _ uint64, h *order.Hold) (*order.Listing, order.HoldOutcome) {
 	for {
 		w.mu.Lock()
 		l := &order.Listing{At: w.at()}
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -77,7 +77,7 @@
 func (l *simulatedWorkers) Usable() []delegate.Node {
 	out := make([]delegate.Node, 15)
 	for i := range out {
-		out[i] = delegate.Node{Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprintf("z%d", i%5), Link: 1, Workers: l.n}
+		out[i] = delegate.Node{Name: fmt.Sprintf("n%02d", i), Zone: fmt.Sprintf("z%d", i%5), LinkID: 1, Capacity: l.n}
 	}
 	return out
 }
@@ -147,16 +147,16 @@
 		w.running[o.Start.Task] = &order.Running{Task: o.Start.Task, Run: o.Start.Run}
 		time.AfterFunc(l.durations[o.Start.Task.Job], func() { l.end(w, o.Start.Task) })
 		return &delegate.Outcome{ID: o.ID, Start: order.StartDone, At: l.at()}
-	case o.Hold != nil:
-		w := l.worker(o.Hold.Worker)
-		for len(w.finished) > 0 && w.finished[0].Number <= o.Hold.Confirmed {
+	case o.Poll != nil:
+		w := l.worker(o.Poll.Worker)
+		for len(w.finished) > 0 && w.finished[0].Number <= o.Poll.Confirmed {
 			w.finished = w.finished[1:]
 		}
-		if o.Hold.Wait == 0 || len(w.finished) > 0 {
+		if o.Poll.Wait == 0 || len(w.finished) > 0 {
 			return l.listing(w, o)
 		}
 		w.pendingPoll = o
-		time.AfterFunc(o.Hold.Wait, func() { l.expirePoll(w, o) })
+		time.AfterFunc(o.Poll.Wait, func() { l.expirePoll(w, o) })
 		return nil
 	case o.Stop != nil:
 		return &delegate.Outcome{ID: o.ID, IsStopKnown: true, At: l.at()}
@@ -170,7 +170,7 @@
 		r.Percent = min(r.Percent+7, 99)
 		listing.Running = append(listing.Running, *r)
 	}
-	return &delegate.Outcome{ID: o.ID, Hold: order.HoldListed, Listing: listing}
+	return &delegate.Outcome{ID: o.ID, Poll: order.HoldListed, Listing: listing}
 }
 
 func (l *simulatedWorkers) expirePoll(w *simulatedWorker, o *delegate.Order) {
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -85,7 +85,7 @@
 func (o *Owner) runPoll(poll order.Hold) {
 	ctx, cancel := o.withTimeout(poll.Wait + poll.Patience)
 	defer cancel()
-	listing, outcome := o.options.Workers.Hold(ctx, o.Epoch(), &poll)
+	listing, outcome := o.options.Workers.Poll(ctx, o.Epoch(), &poll)
 	o.enqueue(pollEvent{poll, listing, outcome})
 }
 
