--- a/internal/delegate/bench_test.go
+++ b/internal/delegate/bench_test.go
@@ -14,9 +14,9 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// BenchmarkDelegatedPoll is what a listing of eight tasks costs an owner that leaves it to a
-// carrier, in batches of four: the order's encoding, the outcome's decoding, and the
-// router. docs/LARGE.md has the figures.
+// BenchmarkDelegatedPoll measures what a listing of eight tasks costs an owner that delegates the
+// poll, in batches of four: encoding the order, decoding the outcome, and the router. docs/LARGE.md
+// has the figures.
 func BenchmarkDelegatedPoll(b *testing.B) {
 	workers := workersOf(1100, "a", "b", "c", "d", "e")
 	r := delegate.NewRouter(200, 1)
--- a/internal/delegate/delegate.go
+++ b/internal/delegate/delegate.go
@@ -12,55 +12,56 @@
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// Workers gives orders to workers. fence is the epoch of the owner: a worker does nothing
-// for a lower one than it has seen. Implementations are safe for concurrent use.
+// Workers sends orders to workers. fence is the epoch of the owner: a worker rejects an order with
+// a lower one than it has seen. Implementations are safe for concurrent use.
 type Workers interface {
 	Start(ctx context.Context, fence uint64, s *order.Start) (order.StartOutcome, order.WorkerTime)
-	// Stop returns the worker's clock, and false when no answer came.
+	// Stop returns the worker's clock, and false when no answer arrived.
 	Stop(ctx context.Context, fence uint64, s *order.Stop) (order.WorkerTime, bool)
 	Poll(ctx context.Context, fence uint64, h *order.Hold) (*order.Listing, order.HoldOutcome)
 	Pace(ctx context.Context, fence uint64, p *order.Pace) error
 }
 
 const (
-	// StartTimeout bounds an order to start, from before it waits for a connection. It must
-	// not leave a node long after the engine doubts it (0.2 s).
+	// StartTimeout bounds an order to start, including the wait for a connection. The order must
+	// not leave a node long after the engine considers it unacknowledged (0.2 s).
 	StartTimeout = 400 * time.Millisecond
-	// StopTimeout bounds an order to stop or to pace. A stop is sent again.
+	// StopTimeout bounds an order to stop or to pace. A stop without an answer is sent again.
 	StopTimeout = 500 * time.Millisecond
-	// outcomeBatchDelay is how long an outcome waits for others to go with it: each message
-	// costs the owner a wake-up, and starts and ends come many at a time.
+	// outcomeBatchDelay is how long an outcome waits to be sent with others. Each message costs the
+	// owner a wake-up, and starts and ends occur many at a time.
 	outcomeBatchDelay = 2 * time.Millisecond
-	// tickStallThreshold is the time between two ticks from which this node was kept from
-	// running: a start that it was told before is not ordered any more. The owner has
-	// given it up by then, and may have cancelled its job. A listing confirms nothing: the worker
-	// may have started again, and would forget ends by the numbers of its earlier start. Without
-	// that eight tasks ran twice in TestSiteWorkersStartAgainWhileCarriersEnd.
+	// tickStallThreshold is the time between two ticks from which this node counts as stalled, that
+	// is, kept from running. Orders that arrived during the stall may be stale. A stale start is
+	// not executed: the owner has abandoned it, and may have cancelled its job. A stale poll
+	// confirms no ends: the worker may have restarted, and the numbers of its previous incarnation
+	// would make it discard ends that it has not reported. Without that rule eight tasks ran twice
+	// in TestSiteWorkersStartAgainWhileCarriersEnd.
 	tickStallThreshold = 600 * time.Millisecond
-	// staleOrderWindow is how long after such a time what comes may have waited.
+	// staleOrderWindow is how long after a stall the orders that arrive may be stale.
 	staleOrderWindow = 300 * time.Millisecond
 )
 
-// Delegate talks to workers for the owner of the shard. It is safe for concurrent use.
+// Delegate talks to workers on behalf of the owner of the shard. It is safe for concurrent use.
 type Delegate struct {
 	workers Workers
 	clock   clock.Service
 
 	mu sync.Mutex
-	// fence is the highest that was seen: an earlier owner is not served.
+	// highestFence is the highest fencing token seen. Orders of previous owners are rejected.
 	highestFence uint64
 	lastTickAt   time.Time
-	// staleUntil is until when orders may be old.
+	// staleUntil is the time until which arriving orders may be stale.
 	staleUntil time.Time
 }
 
-// New returns a Carrier that has seen no owner.
+// New returns a Delegate that has seen no owner.
 func New(workers Workers, c clock.Service) *Delegate {
 	return &Delegate{workers: workers, clock: c, lastTickAt: c.Now()}
 }
 
-// Tick is called several times within staleAfter: that it was not tells that this node
-// was kept from running.
+// Tick must be called several times within each tickStallThreshold. A longer gap shows that this
+// node was kept from running.
 func (c *Delegate) Tick() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,15 +69,16 @@
 	c.lastTickAt = c.clock.Now()
 }
 
-// detectStall finds out whether this node was kept from running. The caller holds mu.
+// detectStall checks whether this node was kept from running since the last tick. The caller holds
+// mu.
 func (c *Delegate) detectStall(now time.Time) {
 	if now.Sub(c.lastTickAt) > tickStallThreshold {
 		c.staleUntil = now.Add(staleOrderWindow)
 	}
 }
 
-// admit takes the fence of a batch. It reports whether a later owner was seen, and
-// whether what is in the batch may be old.
+// admit records the fencing token of a batch. isFenced reports that a later owner was seen, and
+// isStale that orders in the batch may be stale.
 func (c *Delegate) admit(fence uint64) (isFenced, isStale bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,26 +91,27 @@
 	return false, now.Before(c.staleUntil)
 }
 
-// Session is a link to an owner, over which the outcomes go back. It is safe for
-// concurrent use.
+// Session is the link to an owner over which orders arrive and outcomes are returned. It is safe
+// for concurrent use.
 type Session struct {
 	delegate *Delegate
 	reply    func([]Outcome)
 
 	mu sync.Mutex
-	// payloads are those that the owner has sent over this link.
+	// payloads are those that the owner sent over this link.
 	payloads *fifoCache[string]
-	// ready are the outcomes that wait; isWaiting means that they are about to be sent.
+	// ready are the outcomes not yet sent. isFlushScheduled means that a goroutine is about to send
+	// them.
 	ready            []Outcome
 	isFlushScheduled bool
 }
 
-// NewSession returns a session whose outcomes reply gets, some at a time.
+// NewSession returns a session that passes outcomes to reply in batches.
 func (c *Delegate) NewSession(reply func([]Outcome)) *Session {
 	return &Session{delegate: c, reply: reply, payloads: newFIFOCache[string](cachedPayloads)}
 }
 
-// Execute carries out a batch. It returns at once; ctx bounds all of it.
+// Execute starts to execute a batch and returns at once. ctx bounds the execution.
 func (s *Session) Execute(ctx context.Context, b *Batch) {
 	isFenced, isStale := s.delegate.admit(b.Fence)
 	s.storePayloads(b)
@@ -118,10 +121,11 @@
 		case isFenced:
 			s.add(fencedOutcome(o))
 		case !s.fillPayload(o):
-			// It must not start with another payload. It was not ordered.
+			// The payload was evicted or never arrived. The task must not run with another payload,
+			// so the start is not sent to the worker and the outcome says so.
 			s.add(Outcome{ID: o.ID, Start: order.StartUnhealthy})
 		case o.Start != nil && isStale:
-			// No outcome: the owner has stopped waiting for it.
+			// No outcome is returned: the owner no longer waits for it.
 		case o.Poll != nil && isStale:
 			o.Poll.Confirmed = 0
 			go s.runOrder(ctx, b.Fence, o)
@@ -139,7 +143,8 @@
 	}
 }
 
-// fillPayload puts the payload into an order, and reports false when it is not there.
+// fillPayload inserts the payload into an order to start. It returns false when the payload is not
+// cached.
 func (s *Session) fillPayload(o *Order) bool {
 	if o.Start == nil || o.PayloadKey == 0 {
 		return true
@@ -151,7 +156,7 @@
 	return ok
 }
 
-// fencedOutcome is the outcome of an order of an owner that was replaced.
+// fencedOutcome is the outcome of an order of a previous owner.
 func fencedOutcome(o *Order) Outcome {
 	out := Outcome{ID: o.ID}
 	switch {
@@ -173,7 +178,7 @@
 	}
 }
 
-// runFlush sends what has gathered.
+// runFlush sends the outcomes that were collected within outcomeBatchDelay.
 func (s *Session) runFlush() {
 	<-s.delegate.clock.After(outcomeBatchDelay)
 	s.mu.Lock()
@@ -183,7 +188,7 @@
 	s.reply(ready)
 }
 
-// runOrder carries out one order.
+// runOrder executes one order.
 func (s *Session) runOrder(ctx context.Context, fence uint64, o *Order) {
 	ctx, cancel := context.WithTimeout(ctx, timeoutOf(o))
 	defer cancel()
@@ -197,13 +202,14 @@
 	case o.Poll != nil:
 		out.Listing, out.Poll = w.Poll(ctx, fence, o.Poll)
 	case o.Pace != nil:
-		// A pace is set again when the worker's figures ask for it.
+		// An error is ignored: the engine sets the pace again when the worker's resource usage
+		// requires it.
 		_ = w.Pace(ctx, fence, o.Pace)
 	}
 	s.add(out)
 }
 
-// timeoutOf is how long an order may take.
+// timeoutOf returns the time-out of an order.
 func timeoutOf(o *Order) time.Duration {
 	switch {
 	case o.Start != nil:
--- a/internal/delegate/delegate_test.go
+++ b/internal/delegate/delegate_test.go
@@ -16,7 +16,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// recordingWorkers are workers that do all they are told and remember it.
+// recordingWorkers are workers that accept each order and record it.
 type recordingWorkers struct {
 	mu     sync.Mutex
 	starts []order.Start
@@ -44,7 +44,7 @@
 
 func (*recordingWorkers) Pace(context.Context, uint64, *order.Pace) error { return nil }
 
-// testDelegate is a carrier with one link to an owner.
+// testDelegate is a delegate with one session, whose outcomes it collects.
 type testDelegate struct {
 	*delegate.Session
 	delegate *delegate.Delegate
@@ -70,10 +70,10 @@
 	return s
 }
 
-// awaitOutcomes lets time pass until there are so many outcomes.
+// awaitOutcomes advances the clock until there are n outcomes, and returns them.
 func (s *testDelegate) awaitOutcomes(t *testing.T, n int) map[uint64]delegate.Outcome {
 	t.Helper()
-	await.True(t, "outcomes come", func() bool {
+	await.True(t, "outcomes arrive", func() bool {
 		s.clock.Advance(ms)
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -98,14 +98,14 @@
 	}})
 	got := s.awaitOutcomes(t, 4)
 	if got[1].Start != order.StartDone || got[1].At != 5 || !got[2].IsStopKnown || got[3].Poll != order.HoldListed || got[3].Listing.At != 7 {
-		t.Errorf("got: %+v, want: each done", got)
+		t.Errorf("got: %+v, want: each executed", got)
 	}
 	if s.workers.fences[0] != 3 {
 		t.Errorf("fence: got: %d, want: 3", s.workers.fences[0])
 	}
 }
 
-// An owner that was replaced is not served by a node that knows the next one.
+// A node that has seen a later owner must reject the orders of the previous one.
 func TestPreviousOwnerIsFenced(t *testing.T) {
 	s := newTestDelegate()
 	s.Execute(t.Context(), &delegate.Batch{Fence: 9})
@@ -116,12 +116,12 @@
 	}
 }
 
-// What a node was told before it was frozen has been given up by the owner, and its job
-// may be cancelled: it is not started when the node wakes.
+// By the time a stalled node runs again, the owner has abandoned the starts that it sent before,
+// and may have cancelled their jobs. Executing them would start cancelled tasks.
 func TestStalledNodeExecutesNoStaleStart(t *testing.T) {
 	for name, wake := range map[string]func(s *testDelegate, b *delegate.Batch){
-		"told first": func(s *testDelegate, b *delegate.Batch) { s.Execute(context.Background(), b) },
-		"a tick first": func(s *testDelegate, b *delegate.Batch) {
+		"batch first": func(s *testDelegate, b *delegate.Batch) { s.Execute(context.Background(), b) },
+		"tick first": func(s *testDelegate, b *delegate.Batch) {
 			s.delegate.Tick()
 			s.Execute(context.Background(), b)
 		},
@@ -143,9 +143,8 @@
 	}
 }
 
-// A start without its payload must not be ordered: the task would run with another.
-// The worker may have started again while the carrier was frozen: the numbers of its earlier
-// start would make it forget ends that it has not told.
+// The worker may have restarted while the delegate was stalled. The confirmed number of its
+// previous incarnation would make it discard ends that it has not reported.
 func TestStalledNodeConfirmsNoStaleEnds(t *testing.T) {
 	s := newTestDelegate()
 	s.delegate.Tick()
@@ -159,23 +158,23 @@
 	s.awaitOutcomes(t, 2)
 	for i, want := range []uint64{37, 0} {
 		if got := s.workers.polls[i]; got.Confirmed != want || got.Deadline != 9 {
-			t.Errorf("listing %d: got: %+v, want: it confirms %d", i, got, want)
+			t.Errorf("listing %d: got: %+v, want: confirmed %d", i, got, want)
 		}
 	}
 }
 
+// A start whose payload is missing must not be executed: the task would run with another payload.
 func TestStartWithMissingPayloadIsNotSentToTheWorker(t *testing.T) {
 	s := newTestDelegate()
 	o := startOrder(1, "j")
 	o.PayloadKey = 77
 	s.Execute(t.Context(), &delegate.Batch{Fence: 1, Orders: []delegate.Order{o}})
 	if got := s.awaitOutcomes(t, 1); got[1].Start != order.StartUnhealthy || len(s.workers.starts) != 0 {
-		t.Errorf("got: %+v, %d started, want: not ordered", got, len(s.workers.starts))
+		t.Errorf("got: %+v, %d started, want: not sent to the worker", got, len(s.workers.starts))
 	}
 }
 
-// What a router sends, a carrier hands to the worker whole, also a payload that came
-// with an earlier batch.
+// The router sends a payload only once; the delegate must insert it into the later starts too.
 func TestEachTaskIsStartedWithItsPayload(t *testing.T) {
 	s := newTestDelegate()
 	r := newDelegatingRouter(t, nodesOf("n", 1, 10, "a")...)
--- a/internal/delegate/messages.go
+++ b/internal/delegate/messages.go
@@ -1,26 +1,28 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package delegate lets other nodes talk to workers for the owner of the shard, which
-// alone decides. A carrier keeps nothing: it carries out each order as the owner would,
-// with the owner's fence, and tells what became of it. An order whose outcome does not
-// come back counts as one without an answer, which the owner's engine settles with the
-// worker in any case.
+// Package delegate lets other nodes, the delegates, talk to workers on behalf of the owner of the
+// shard. Only the owner makes decisions. A delegate keeps no state of jobs: it executes each order
+// as the owner would, with the owner's fencing token, and returns the outcome. An order whose
+// outcome does not arrive counts as unacknowledged, and the owner's engine resolves it with the
+// worker as it resolves any order without an answer.
 //
-// It answers the load of more workers than one node can talk to: a listing that a carrier asks
-// for takes a fifth of the owner's time (BenchmarkHold of platform, BenchmarkCarriedHold).
+// Delegates are needed where there are more workers than one node can talk to: a listing that a
+// delegate requests costs the owner a fifth of the time of a listing that it requests itself
+// (BenchmarkHold of package platform against BenchmarkDelegatedPoll).
 package delegate
 
 import (
 	"github.com/leverdyke/leverdyke/internal/order"
 )
 
-// Order is what a carrier does for the owner; one of the actions is set.
+// Order is an order to a worker that a delegate executes for the owner. Exactly one of Start, Stop,
+// Poll and Pace is set.
 type Order struct {
-	// ID joins the outcome to the order. No two orders have the same, of whichever owner.
+	// ID matches the outcome to the order. It is unique over all orders of all owners.
 	ID uint64
-	// Start has no payload when PayloadKey is not 0: then the carrier has had it before,
-	// or it is in Batch.Payloads.
+	// Start comes without its payload when PayloadKey is not 0. The payload is then in
+	// Batch.Payloads, or the delegate received it with an earlier batch.
 	Start      *order.Start
 	PayloadKey payloadKey
 	Stop       *order.Stop
@@ -28,25 +30,26 @@
 	Pace       *order.Pace
 }
 
-// Batch is what one carrier is to do.
+// Batch holds the orders that are sent to one delegate in one message.
 type Batch struct {
-	// Fence is the owner's epoch.
+	// Fence is the owner's epoch, which serves as the fencing token.
 	Fence uint64
-	// Payloads are those that the carrier has not had.
+	// Payloads are those of the orders that were not yet sent to the delegate over this link.
 	Payloads []string
 	Orders   []Order
 }
 
-// Outcome is what became of an order.
+// Outcome is the result of an order.
 type Outcome struct {
 	ID uint64
 	// Start is set for an order to start.
 	Start order.StartOutcome
-	// At is the worker's clock in its answer to a start or a stop, 0 when it told none.
+	// At is the worker's clock in its answer to a start or a stop. It is 0 when the worker sent
+	// none.
 	At order.WorkerTime
-	// IsStopKnown means that a stop was answered.
+	// IsStopKnown reports that the worker answered a stop.
 	IsStopKnown bool
-	// Poll is set for a listing, Listing when that came.
+	// Poll is set for a poll. Listing is set in addition when the worker's listing arrived.
 	Poll    order.HoldOutcome
 	Listing *order.Listing
 }
--- a/internal/delegate/payloads.go
+++ b/internal/delegate/payloads.go
@@ -7,26 +7,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A payload goes to a carrier once, with the first task of its job: it is most of an
-// order to start, and a job may have hundreds of tasks.
+// A payload is sent to a delegate once, with the first task of its job that the delegate starts.
+// The payload is most of the size of an order to start, and a job may have hundreds of tasks.
 const (
-	// trackedPayloads is how many payloads an owner takes a carrier to have, keptPayloads
-	// how many that has: more, so that it never lacks one that the owner counts on. A
-	// payload has 4,000 bytes at most.
+	// trackedPayloads is the number of payloads per link that the owner remembers as sent.
+	// cachedPayloads is the number that a delegate caches: it is larger, so that the delegate never
+	// lacks a payload that the owner remembers as sent. A payload has at most 4,000 bytes.
 	trackedPayloads = 1024
 	cachedPayloads  = 2 * trackedPayloads
 )
 
-// payloadKey names a payload.
+// payloadKey identifies a payload by its hash.
 type payloadKey uint64
 
 func payloadKeyOf(payload string) payloadKey { return payloadKey(xxhash.Sum64String(payload)) }
 
-// fifoCache is a map that forgets its oldest entry when it has more than it may.
+// fifoCache is a map with a bounded number of entries. When it is full, each new entry evicts the
+// oldest one.
 type fifoCache[V any] struct {
 	capacity int
 	values   map[payloadKey]V
-	// keys has the keys, the oldest at next when it is full.
+	// keys are in the order of insertion. Once the cache is full, keys is a ring buffer whose
+	// oldest key is at index oldest.
 	keys   []payloadKey
 	oldest int
 }
@@ -40,7 +42,7 @@
 	return v, ok
 }
 
-// put adds an entry that is not there.
+// put adds an entry unless the key is present.
 func (r *fifoCache[V]) put(k payloadKey, v V) {
 	if _, ok := r.values[k]; ok {
 		return
--- a/internal/delegate/plan.go
+++ b/internal/delegate/plan.go
@@ -11,40 +11,43 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Node is a node that can talk to workers for the owner.
+// Node is a node that can act as a delegate.
 type Node struct {
 	Name string
 	Zone string
-	// LinkID tells the links to one node apart: a new one is to a node that knows nothing.
+	// LinkID distinguishes successive links to the same node. A node with a new link has no
+	// payloads cached.
 	LinkID uint64
-	// Capacity is how many it can talk to beside its other work.
+	// Capacity is the number of workers that the node can talk to in addition to its other work.
 	Capacity int
 }
 
-// overcommitFactor is how many times as many workers as a node has room for beside its other work
-// it carries before weaker nodes do: a few strong nodes that are busy answer sooner than many
-// slow ones, which get their orders one by one.
+// overcommitFactor is the factor by which the number of workers of the larger nodes may exceed
+// their capacity before smaller nodes are used too. A few large nodes that are busy answer sooner
+// than many small ones, which would receive their orders one by one instead of in batches.
 const overcommitFactor = 2
 
-// similarCapacityRatio is the part of the most that a node can carry from which it counts as
-// one of the strong nodes.
+// similarCapacityRatio is the fraction of the capacity of a group's largest node from which a node
+// belongs to the same group. newPlan takes a group as a whole.
 const similarCapacityRatio = 0.8
 
-// plan is which nodes carry for the owner. The zero value has none.
+// plan says which nodes are delegates. The zero value has none.
 type plan struct {
 	nodes  []Node
 	byZone map[string][]Node
-	// coversZone has the zones whose nodes can carry for all workers of it.
+	// coversZone holds the zones whose own delegates can talk to all workers of the zone, at up to
+	// overcommitFactor times their capacity.
 	coversZone map[string]bool
-	// coveredShare is the part of the workers that the nodes can carry for; the owner talks to the
-	// others.
+	// coveredShare is the share of the workers that the delegates can talk to, at up to
+	// overcommitFactor times their capacity; 1 or more means all. The owner talks to the remaining
+	// workers itself.
 	coveredShare float64
 }
 
-// newPlan chooses carriers for workers, of which zones has the number in each zone:
-// the strong nodes, and weaker ones as far as those are too few. All nodes that are
-// alike are taken, not only as many as it needs: what one of them fails to carry is the
-// less.
+// newPlan selects the delegates for the workers, whose number in each zone is workersPerZone. It
+// takes nodes by descending capacity until there is enough. A group of nodes of similar capacity is
+// taken as a whole and not only as far as needed, so that fewer workers depend on each of them when
+// one fails.
 func newPlan(nodes []Node, workersPerZone map[string]int) *plan {
 	workers := 0
 	for _, n := range workersPerZone {
@@ -79,9 +82,10 @@
 	return p
 }
 
-// delegateOf returns the node that carries for a worker, by rendezvous hashing: when a
-// node comes or goes only the workers of that node get another one. A node of the
-// worker's zone is taken where those have room: bytes between zones have a price.
+// delegateOf returns the delegate of a worker, or "" when the owner talks to the worker itself. It
+// uses rendezvous hashing: when a node joins or leaves, only the workers of that node change their
+// delegate. If the delegates of the worker's zone can talk to all its workers, one of them is
+// chosen, because traffic between zones is charged.
 func (p *plan) delegateOf(worker, zone string) string {
 	if p.coveredShare < 1 && hashFraction(worker) >= p.coveredShare {
 		return ""
@@ -92,7 +96,7 @@
 	}
 	best, bestScore := "", 0.0
 	for i := range nodes {
-		// A node that can carry twice as many gets twice as many.
+		// Weighted rendezvous hashing: a node with twice the capacity gets twice as many workers.
 		score := -float64(nodes[i].Capacity) / math.Log(hashFraction(nodes[i].Name+"|"+worker))
 		if best == "" || score > bestScore {
 			best, bestScore = nodes[i].Name, score
@@ -101,7 +105,7 @@
 	return best
 }
 
-// hashFraction maps a text to a number above 0 and below 1, evenly.
+// hashFraction maps a text to a number between 0 and 1, both excluded, with a uniform distribution.
 func hashFraction(text string) float64 {
 	return (float64(xxhash.Sum64String(text)>>11) + 0.5) / (1 << 53)
 }
--- a/internal/delegate/router.go
+++ b/internal/delegate/router.go
@@ -12,78 +12,81 @@
 )
 
 const (
-	// delegationOverhead is how much later than a worker's answer may take the outcome may
-	// come: the ways to the carrier and back, and its other work. A carrier that runs
-	// tells the outcome in time, if only that no answer came.
+	// delegationOverhead is how much later than the time-out of an order its outcome may arrive. It
+	// covers the transfer to the delegate and back and the delegate's other work. A delegate that
+	// runs returns an outcome within this time even if the worker did not answer.
 	delegationOverhead = 150 * time.Millisecond
-	// baseEjectionTime is how long a carrier is not used after an outcome stayed away, twice as
-	// long each time in a row, longestSuspicion at most: one that was cut off for some
-	// seconds is tried a few times only.
+	// baseEjectionTime is how long a delegate is ejected after an outcome was overdue. The time
+	// doubles with each failure in a row, up to maxEjectionTime, so that a delegate that is
+	// unreachable for some seconds is used again only a few times meanwhile.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 8 * time.Second
-	// ejectionResetTime is the time without a further failure after which a carrier counts as
-	// if it had never failed.
+	// ejectionResetTime is the time without another failure, counted from the end of an ejection,
+	// after which the earlier failures of a delegate no longer count.
 	ejectionResetTime = 10 * time.Second
-	// maxUnansweredPolls is how many listings in a row may stay away until the carrier, and not its
-	// workers, is taken to be cut off: a sixth of all workers is silent at the most, of which
-	// six in a row are one in 50,000.
+	// maxUnansweredPolls is the number of polls in a row without a listing after which the delegate
+	// is considered cut off, instead of its workers. At most a sixth of all workers is silent at a
+	// time, so six silent workers in a row have a probability of one in 50,000.
 	maxUnansweredPolls = 6
-	// majorityLateGrace is how long outcomes may be overdue that most carriers owe: longer than
-	// a burst on a link of 2 Mbit/s takes, well under a lease.
+	// majorityLateGrace is how long outcomes may stay overdue while most delegates are late. It is
+	// longer than a burst on a link of 2 Mbit/s takes, and well below the duration of a lease.
 	majorityLateGrace = time.Second
-	// expireStallThreshold is the time between two looks at what is overdue from which outcomes may have
-	// come that were not taken in: then nothing is overdue yet.
+	// expireStallThreshold is the time between two calls of Expire from which this node counts as
+	// stalled. Outcomes may then have arrived that were not processed yet, so none is considered
+	// overdue.
 	expireStallThreshold = 300 * time.Millisecond
 )
 
-// Router decides for an owner by which node each worker is talked to, and keeps the
-// orders that are on their way. It is pure: one goroutine uses it.
+// Router decides for an owner which node talks to each worker, and tracks the orders that were
+// handed to delegates. It does no I/O and reads no clock; the caller passes the current time. It is
+// not safe for concurrent use.
 type Router struct {
-	// directWorkers is how many workers the owner talks to itself.
+	// directWorkers is the number of workers up to which the owner talks to all of them itself.
 	directWorkers int
 	plan          *plan
-	// usable are the nodes that could carry, without suspects.
-	usable         []Node
+	// usable are the nodes that can act as delegates, without the ejected ones.
+	usable []Node
+	// zoneByWorker and workersPerZone describe the workers on the platform's list.
 	zoneByWorker   map[string]string
 	workersPerZone map[string]int
-	// delegateByWorker has the carriers of workers, by the plan; "" is the owner itself.
+	// delegateByWorker caches the plan's choice for each worker; "" is the owner itself.
 	delegateByWorker map[string]string
 	pending          map[uint64]pendingOrder
 	lastID           uint64
 	ejections        map[string]*ejection
-	// unansweredPolls counts, by node, listings in a row that did not come.
+	// unansweredPolls counts, by node, the polls in a row that brought no listing.
 	unansweredPolls map[string]int
-	// sentPayloads has the payloads that nodes have, by the link to them.
+	// sentPayloads holds, by node, the payloads that were sent over the current link to it.
 	sentPayloads map[string]*fifoCache[struct{}]
 	fence        uint64
 	batches      map[string]*Batch
-	// lastExpireAt is when Expire was called last, lateSince since when most carriers are
-	// late; zero when they are not.
+	// lastExpireAt is when Expire was called last. majorityLateSince is since when most delegates
+	// have been late, or zero when they are not.
 	lastExpireAt      time.Time
 	majorityLateSince time.Time
 }
 
-// pendingOrder is an order on its way.
+// pendingOrder is an order that was handed to a delegate and whose outcome has not arrived.
 type pendingOrder struct {
 	action order.Action
 	node   string
 	sentAt time.Time
-	// dueAt is when the outcome is overdue.
+	// dueAt is the time after which the outcome is overdue.
 	dueAt time.Time
 }
 
-// ejection is what is held against a carrier.
+// ejection records the failures of a delegate. The delegate is not used before until.
 type ejection struct {
 	until    time.Time
 	failures int
 }
 
-// orderIDBits makes room for the orders of one epoch in their IDs: at 10,000 orders a
-// second it lasts for years.
+// orderIDBits is the number of low bits of an order ID that number the orders of one epoch; the
+// epoch is in the bits above. At 10,000 orders a second the numbers of an epoch last for years.
 const orderIDBits = 40
 
-// NewRouter returns a router of the owner with that fence, which talks to up to own
-// workers itself; 0 means to all.
+// NewRouter returns a router for the owner whose epoch is fence. The owner talks to all workers
+// itself while they are at most directWorkers; 0 means however many they are.
 func NewRouter(directWorkers int, fence uint64) *Router {
 	return &Router{
 		directWorkers: directWorkers, fence: fence, lastID: fence << orderIDBits, unansweredPolls: map[string]int{}, sentPayloads: map[string]*fifoCache[struct{}]{}, plan: &plan{}, zoneByWorker: map[string]string{}, workersPerZone: map[string]int{},
@@ -91,7 +94,7 @@
 	}
 }
 
-// SetWorkers takes the platform's list of workers.
+// SetWorkers updates the router with the platform's list of workers.
 func (r *Router) SetWorkers(list []order.Worker) {
 	clear(r.zoneByWorker)
 	workersPerZone := map[string]int{}
@@ -107,8 +110,8 @@
 	}
 }
 
-// SetNodes takes the nodes that can carry now. It returns the orders that were with
-// nodes that cannot any more: no outcome will come.
+// SetNodes updates the nodes that can act as delegates. It returns the pending orders of nodes that
+// no longer can, or whose link is new: their outcomes will not arrive.
 func (r *Router) SetNodes(nodes []Node, now time.Time) []FailedOrder {
 	usable := slices.DeleteFunc(slices.Clone(nodes), func(n Node) bool { return r.isEjected(n.Name, now) })
 	if slices.Equal(usable, r.usable) {
@@ -133,7 +136,7 @@
 	return s != nil && now.Before(s.until)
 }
 
-// replan chooses the carriers anew.
+// replan selects the delegates again.
 func (r *Router) replan() {
 	clear(r.delegateByWorker)
 	r.plan = &plan{}
@@ -142,12 +145,13 @@
 	}
 }
 
-// delegateOf returns the carrier of a worker, "" where the owner talks to it itself.
+// delegateOf returns the delegate of a worker, or "" when the owner talks to the worker itself.
 func (r *Router) delegateOf(id order.WorkerID) string {
 	if len(r.plan.nodes) == 0 {
 		return ""
 	}
-	// A worker that starts again keeps its carrier, which has connections to it.
+	// The name, unlike the ID, is the same for each incarnation of a worker: a restarted worker
+	// keeps its delegate, which has open connections to it.
 	worker := id.Name()
 	name, ok := r.delegateByWorker[worker]
 	if !ok {
@@ -157,17 +161,17 @@
 	return name
 }
 
-// LacksDelegates reports whether there are more workers than this node and the carriers
-// can talk to.
+// LacksDelegates reports whether there are more workers than the owner and the delegates have the
+// capacity for.
 func (r *Router) LacksDelegates() bool {
 	return r.directWorkers > 0 && len(r.zoneByWorker) > r.directWorkers && r.plan.coveredShare < 1
 }
 
-// DelegateCount returns how many nodes carry now.
+// DelegateCount returns the number of nodes that act as delegates.
 func (r *Router) DelegateCount() int { return len(r.plan.nodes) }
 
-// Add puts an action into the batch of a carrier, whose outcome may take as long as
-// bound. It reports false when the owner is to carry it out itself.
+// Add puts an action into the batch of the worker's delegate. timeout is how long the delegate may
+// take to execute it. Add returns false when the owner has to execute the action itself.
 func (r *Router) Add(a order.Action, worker order.WorkerID, timeout time.Duration, now time.Time) bool {
 	node := r.delegateOf(worker)
 	if node == "" {
@@ -189,8 +193,8 @@
 	return true
 }
 
-// attachPayload returns the key of a attachPayload, which it puts into the batch when the carrier
-// has not had it.
+// attachPayload returns the key of a payload, and adds the payload to the batch unless it was sent
+// to the delegate before.
 func (r *Router) attachPayload(node string, b *Batch, payload string) payloadKey {
 	sent := r.sentPayloads[node]
 	if sent == nil {
@@ -220,7 +224,7 @@
 	return o
 }
 
-// Batches returns what is to be sent to each carrier since the last call.
+// Batches returns the orders added since the last call, by delegate.
 func (r *Router) Batches() map[string]*Batch {
 	if len(r.batches) == 0 {
 		return nil
@@ -230,14 +234,16 @@
 	return out
 }
 
-// Result is an outcome with the action that it is of.
+// Result is an outcome together with its action. Took is the time from Add to the outcome's
+// arrival.
 type Result struct {
 	Action  order.Action
 	Outcome Outcome
 	Took    time.Duration
 }
 
-// Resolve takes outcomes. Those that were given up are left out.
+// Resolve matches outcomes to pending orders and removes these. Outcomes of orders that are not
+// pending, because they were resolved or abandoned, are left out.
 func (r *Router) Resolve(outcomes []Outcome, now time.Time) []Result {
 	out := make([]Result, 0, len(outcomes))
 	for i := range outcomes {
@@ -252,7 +258,7 @@
 	return out
 }
 
-// notePollOutcome finds out whether a carrier reaches no worker.
+// notePollOutcome ejects a delegate that appears to reach no worker.
 func (r *Router) notePollOutcome(node string, outcome order.HoldOutcome, now time.Time) {
 	switch outcome {
 	case "":
@@ -268,21 +274,21 @@
 	}
 }
 
-// FailedOrder is an order of which no outcome comes. It may have been carried out, or may be
-// later.
+// FailedOrder is an order whose outcome will not arrive. The delegate may have executed it, or may
+// still do so.
 type FailedOrder struct {
 	Action order.Action
 	Node   string
 }
 
-// HandleUnsent takes back a batch for a node that is not linked any more.
+// HandleUnsent ejects a node that has no link any more, so that its batch was not sent, and returns
+// its pending orders.
 func (r *Router) HandleUnsent(node string, now time.Time) []FailedOrder {
 	r.eject(node, now)
 	return r.removeNode(node)
 }
 
-// Expire returns the orders of carriers of which an outcome is overdue. These are not
-// used for a while.
+// Expire ejects the delegates that have an overdue outcome and returns all their pending orders.
 func (r *Router) Expire(now time.Time) []FailedOrder {
 	isStalled := now.Sub(r.lastExpireAt) > expireStallThreshold
 	r.lastExpireAt = now
@@ -311,9 +317,9 @@
 	return out
 }
 
-// majorityGraceEnd returns until when nothing is overdue, as most carriers are late at once:
-// then it is this node's link or processor that is, and to take them out of use one
-// after the other would leave all to the last ones.
+// majorityGraceEnd returns the time until which nothing is overdue while most delegates are late at
+// once. The cause is then this node's link or processor, and ejecting one delegate after the other
+// would leave all workers to the last ones.
 func (r *Router) majorityGraceEnd(now time.Time) time.Time {
 	if r.majorityLateSince.IsZero() {
 		r.majorityLateSince = now
@@ -331,7 +337,7 @@
 	s.failures++
 }
 
-// removeNode takes a node out of use and returns its orders.
+// removeNode takes a node out of use and returns its pending orders.
 func (r *Router) removeNode(node string) []FailedOrder {
 	usable := slices.DeleteFunc(slices.Clone(r.usable), func(n Node) bool { return n.Name == node })
 	if len(usable) != len(r.usable) {
@@ -341,7 +347,7 @@
 	return r.failOrders([]string{node})
 }
 
-// failOrders returns the orders that were with nodes.
+// failOrders removes and returns the pending orders of the nodes.
 func (r *Router) failOrders(nodes []string) []FailedOrder {
 	if len(nodes) == 0 {
 		return nil
--- a/internal/delegate/router_test.go
+++ b/internal/delegate/router_test.go
@@ -18,7 +18,7 @@
 
 var begin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// workersOf returns n workers, one zone after the other.
+// workersOf returns n workers, assigned to the zones in turn.
 func workersOf(n int, zones ...string) []order.Worker {
 	out := []order.Worker{}
 	for i := range n {
@@ -27,7 +27,8 @@
 	return out
 }
 
-// nodesOf returns n nodes that can carry for so many workers each.
+// nodesOf returns n nodes with the capacity for that many workers each, assigned to the zones in
+// turn.
 func nodesOf(prefix string, n, workers int, zones ...string) []delegate.Node {
 	out := []delegate.Node{}
 	for i := range n {
@@ -36,8 +37,7 @@
 	return out
 }
 
-// pollsPerNode asks each worker for a listing and returns how many each node carries; "" is
-// the owner.
+// pollsPerNode polls each worker and returns how many polls each node executes; "" is the owner.
 func pollsPerNode(r *delegate.Router, workers []order.Worker, now time.Time) map[string]int {
 	out := map[string]int{}
 	for i := range workers {
@@ -69,13 +69,13 @@
 		r.SetWorkers(tc.workers)
 		r.SetNodes(tc.nodes, begin)
 		if got := pollsPerNode(r, tc.workers, begin)[""]; got != tc.want {
-			t.Errorf("%s: workers that the owner talks to: got: %d, want: %d", name, got, tc.want)
+			t.Errorf("%s: direct workers: got: %d, want: %d", name, got, tc.want)
 		}
 	}
 }
 
-// Fifteen strong nodes and many weak ones in five zones: the strong ones carry, each for
-// workers of its zone.
+// Of fifteen large and many small nodes in five zones, only the large ones must become delegates,
+// each for workers of its own zone.
 func TestLargeNodesServeWorkersOfTheirZone(t *testing.T) {
 	zones := []string{"a", "b", "c", "d", "e"}
 	workers := workersOf(1100, zones...)
@@ -87,7 +87,7 @@
 	}
 	batches := r.Batches()
 	if len(batches) != 15 {
-		t.Errorf("carriers: got: %d, want: 15", len(batches))
+		t.Errorf("delegates: got: %d, want: 15", len(batches))
 	}
 	zoneOf := map[order.WorkerID]string{}
 	for i := range workers {
@@ -96,7 +96,7 @@
 	for i, n := range nodesOf("strong", 15, 200, zones...) {
 		b := batches[n.Name]
 		if b == nil || len(b.Orders) < 45 || len(b.Orders) > 105 {
-			t.Fatalf("orders of carrier %d: got: %+v, want: about 73", i, b)
+			t.Fatalf("orders of delegate %d: got: %+v, want: about 73", i, b)
 		}
 		for _, o := range b.Orders {
 			if zoneOf[o.Poll.Worker] != n.Zone {
@@ -112,11 +112,11 @@
 	r.SetWorkers(workers)
 	r.SetNodes(append(nodesOf("strong", 1, 100, "a"), nodesOf("weak", 10, 15, "a")...), begin)
 	if got := len(pollsPerNode(r, workers, begin)); got != 11 {
-		t.Errorf("carriers: got: %d, want: 11", got)
+		t.Errorf("delegates: got: %d, want: 11", got)
 	}
 }
 
-// When one carrier goes, only its workers get another one.
+// When one delegate is lost, the workers of the others must keep theirs.
 func TestRemovingADelegateReassignsOnlyItsWorkers(t *testing.T) {
 	workers, nodes := workersOf(300, "a"), nodesOf("n", 6, 100, "a")
 	r := delegate.NewRouter(50, 1)
@@ -125,22 +125,23 @@
 	before := pollsPerNode(r, workers, begin)
 	failed := r.SetNodes(nodes[1:], begin)
 	if len(failed) != before["n000"] {
-		t.Errorf("orders that come back: got: %d, want: %d", len(failed), before["n000"])
+		t.Errorf("failed orders: got: %d, want: %d", len(failed), before["n000"])
 	}
 	after := pollsPerNode(r, workers, begin)
 	total := 0
 	for _, n := range nodes[1:] {
 		if after[n.Name] < before[n.Name] {
-			t.Errorf("%s: got: %d workers, want: at least the %d of before", n.Name, after[n.Name], before[n.Name])
+			t.Errorf("%s: got: %d workers, want: at least %d as before", n.Name, after[n.Name], before[n.Name])
 		}
 		total += after[n.Name]
 	}
 	if total != 300 {
-		t.Errorf("workers carried for: got: %d, want: 300", total)
+		t.Errorf("workers with a delegate: got: %d, want: 300", total)
 	}
 }
 
-// newDelegatingRouter returns a router of one worker that a node carries for.
+// newDelegatingRouter returns a router with two workers, one more than its owner talks to itself,
+// so that the nodes act as delegates for both.
 func newDelegatingRouter(t *testing.T, nodes ...delegate.Node) *delegate.Router {
 	t.Helper()
 	r := delegate.NewRouter(1, 7)
@@ -164,11 +165,12 @@
 		t.Errorf("got: %+v, want: the order to start, after 3 ms", got)
 	}
 	if got := r.Resolve(out, begin); len(got) != 0 {
-		t.Errorf("the same again: got: %+v, want: none", got)
+		t.Errorf("the same outcomes again: got: %+v, want: none", got)
 	}
 }
 
-// expirePeriodically lets time pass in steps in which an owner that runs looks at what is overdue.
+// expirePeriodically calls Expire every 100 ms, as an owner that is not stalled does, and returns
+// all failed orders.
 func expirePeriodically(r *delegate.Router, from, until time.Duration) []delegate.FailedOrder {
 	out := []delegate.FailedOrder{}
 	for d := from; d <= until; d += 100 * ms {
@@ -182,33 +184,34 @@
 	r := newDelegatingRouter(t, nodes...)
 	r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin)
 	if got := expirePeriodically(r, 0, 600*ms); len(got) != 0 {
-		t.Errorf("while an outcome may come: got: %v, want: none", got)
+		t.Errorf("before the outcome is due: got: %v, want: none", got)
 	}
 	if got := expirePeriodically(r, 700*ms, 700*ms); len(got) != 1 {
 		t.Errorf("overdue: got: %v, want: the listing", got)
 	}
 	if r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin.Add(700*ms)) {
-		t.Error("after that: got: carried, want: the owner itself")
+		t.Error("after the ejection: got: delegated, want: executed by the owner")
 	}
 	r.SetNodes(nodes, begin.Add(800*ms))
 	if got := r.DelegateCount(); got != 0 {
-		t.Errorf("carriers 0.1 s later: got: %d, want: 0", got)
+		t.Errorf("delegates 0.1 s later: got: %d, want: 0", got)
 	}
 	r.SetNodes(nodes, begin.Add(1800*ms))
 	if got := r.DelegateCount(); got != 1 {
-		t.Errorf("carriers 1.1 s later: got: %d, want: 1", got)
+		t.Errorf("delegates 1.1 s later: got: %d, want: 1", got)
 	}
 }
 
-// An owner that was kept from running has outcomes that it has not taken in.
+// After a stall of its own, an owner has outcomes that arrived but were not processed. It must not
+// eject the delegates that sent them.
 func TestStalledOwnerExpiresNothingAtOnce(t *testing.T) {
 	r := newDelegatingRouter(t, nodesOf("n", 1, 10, "a")...)
 	r.Add(order.Hold{Worker: "w0000"}, "w0000", 500*ms, begin)
 	if got := r.Expire(begin.Add(5 * time.Second)); len(got) != 0 {
-		t.Errorf("first look after 5 s: got: %v, want: none", got)
+		t.Errorf("first call of Expire after 5 s: got: %v, want: none", got)
 	}
 	if got := r.Expire(begin.Add(5100 * ms)); len(got) != 1 {
-		t.Errorf("next look: got: %v, want: the listing", got)
+		t.Errorf("next call: got: %v, want: the listing", got)
 	}
 }
 
@@ -221,12 +224,12 @@
 	}
 	r.SetNodes(nodes, begin.Add(100*ms))
 	if got := r.DelegateCount(); got != 0 {
-		t.Errorf("carriers: got: %d, want: 0", got)
+		t.Errorf("delegates: got: %d, want: 0", got)
 	}
 }
 
-// Most carriers late at once tell of the owner's own link or processor: to take them out
-// of use one after the other would leave all to the last ones.
+// When most delegates are late at once, the cause is the owner's own link or processor. Ejecting
+// one after the other would leave all workers to the last ones.
 func TestDelegatesThatAreLateTogetherAreNotEjectedAtOnce(t *testing.T) {
 	workers, nodes := workersOf(60, "a"), nodesOf("n", 6, 20, "a")
 	r := delegate.NewRouter(10, 1)
@@ -235,17 +238,17 @@
 	r.Expire(begin)
 	pollsPerNode(r, workers, begin)
 	if got := expirePeriodically(r, 0, 1200*ms); len(got) != 0 {
-		t.Errorf("orders given up: got: %d, want: none yet", len(got))
+		t.Errorf("failed orders: got: %d, want: none yet", len(got))
 	}
 	if got := r.DelegateCount(); got != 6 {
-		t.Errorf("carriers: got: %d, want: 6", got)
+		t.Errorf("delegates: got: %d, want: 6", got)
 	}
 	if got := expirePeriodically(r, 1300*ms, 5*time.Second); len(got) != 60 {
-		t.Errorf("orders given up in the end: got: %d, want: 60", len(got))
+		t.Errorf("failed orders after the grace: got: %d, want: 60", len(got))
 	}
 }
 
-// A payload crosses a link once; a node that is linked anew knows none.
+// A payload must cross a link only once, and again over a new link, whose node has none cached.
 func TestPayloadIsSentOncePerLink(t *testing.T) {
 	nodes := nodesOf("n", 1, 10, "a")
 	r := newDelegatingRouter(t, nodes...)
@@ -273,23 +276,24 @@
 	}
 }
 
-// Carriers that are too few get as many workers as they can carry, strong ones more.
+// Delegates that cannot talk to all workers must get at most twice as many as their capacity, and
+// the owner the rest.
 func TestInsufficientDelegatesAreNotOverloaded(t *testing.T) {
 	workers := workersOf(1000, "a")
 	r := delegate.NewRouter(100, 1)
 	r.SetWorkers(workers)
 	r.SetNodes([]delegate.Node{{Name: "strong", Zone: "a", Capacity: 100}, {Name: "weak", Zone: "a", Capacity: 25}}, begin)
 	if !r.LacksDelegates() {
-		t.Error("lacks carriers: got: false, want: true")
+		t.Error("lacks delegates: got: false, want: true")
 	}
 	got := pollsPerNode(r, workers, begin)
 	if got["strong"] < 160 || got["strong"] > 240 || got["weak"] < 30 || got["weak"] > 70 {
-		t.Errorf("got: %v, want: about 200, 50 and the others by the owner", got)
+		t.Errorf("got: %v, want: about 200, 50 and the rest by the owner", got)
 	}
 }
 
-// A worker that starts again under its name is at the same address: the node that has
-// connections to it goes on with it.
+// A worker that restarts under its name keeps its address, so the node that has connections to it
+// must stay its delegate.
 func TestRestartedWorkerKeepsItsDelegate(t *testing.T) {
 	r := delegate.NewRouter(1, 7)
 	startedAt := begin
@@ -317,6 +321,6 @@
 	startedAt = startedAt.Add(time.Minute)
 	r.SetWorkers(list())
 	if after := delegatesByWorker(); !maps.Equal(before, after) {
-		t.Errorf("carriers after all have started again: got: %v, want: %v", after, before)
+		t.Errorf("delegates after all workers have restarted: got: %v, want: %v", after, before)
 	}
 }
