--- a/internal/cell/node.go
+++ b/internal/cell/node.go
@@ -87,7 +87,7 @@
 type Node struct {
 	options   Options
 	log       store.Log
-	detour    *fallback.Detour
+	detour    *fallback.Client
 	peers     *peers
 	listener  net.Listener
 	ctx       context.Context
--- a/internal/cell/seek.go
+++ b/internal/cell/seek.go
@@ -75,7 +75,7 @@
 	r, at, err := owner.ReadRecord(n.ctx, n.log)
 	n.answerTime = n.options.Clock.Now().Sub(began)
 	if err == nil {
-		n.detour.Observe(n.answerTime)
+		n.detour.ObserveLatency(n.answerTime)
 	}
 	return r, at, err
 }
--- a/internal/fallback/fallback.go
+++ b/internal/fallback/fallback.go
@@ -72,105 +72,105 @@
 }
 
 const (
-	// shortestTimeout bounds a request over all ways until bytes of it move, or
+	// minIdleTimeout bounds a request over all ways until bytes of it move, or
 	// timeoutRatio usual answer times if these are longer, up to longestTimeout.
-	shortestTimeout = 700 * time.Millisecond
-	timeoutRatio    = 4
-	longestTimeout  = 1500 * time.Millisecond
-	// directPause is how long the direct way is left alone after it failed.
-	directPause = 800 * time.Millisecond
-	// sampleSize is how many peers are tried at once.
-	sampleSize = 6
-	// hedgeRatio is how many usual answer times a way may take until the next one
+	minIdleTimeout    = 700 * time.Millisecond
+	idleTimeoutFactor = 4
+	maxIdleTimeout    = 1500 * time.Millisecond
+	// directBackoff is how long the direct way is left alone after it failed.
+	directBackoff = 800 * time.Millisecond
+	// peerSampleSize is how many peers are tried at once.
+	peerSampleSize = 6
+	// hedgeDelayFactor is how many usual answer times a way may take until the next one
 	// is tried beside it, between shortestHedge, which a node that waits for its
 	// share of a processor takes, and longestHedge. A slow service is slower still when
 	// it is asked by all ways at once.
-	hedgeRatio    = 4
-	shortestHedge = 40 * time.Millisecond
-	longestHedge  = 900 * time.Millisecond
-	// againPause is the time between two tries of ways that were tried already: a
+	hedgeDelayFactor = 4
+	minHedgeDelay    = 40 * time.Millisecond
+	maxHedgeDelay    = 900 * time.Millisecond
+	// retryInterval is the time between two tries of ways that were tried already: a
 	// service that comes back answers new requests only.
-	againPause = 200 * time.Millisecond
-	// overtakes is how often in a row a peer must be sooner than the direct way until
+	retryInterval = 200 * time.Millisecond
+	// maxDirectOvertakes is how often in a row a peer must be sooner than the direct way until
 	// that counts as failed: a single one tells little on a busy node.
-	overtakes = 2
-	// slowestLink is the rate at which a request is expected to leave at least, in
+	maxDirectOvertakes = 2
+	// minUploadBytesPerSecond is the rate at which a request is expected to leave at least, in
 	// bytes a second.
-	slowestLink = 1 << 20
-	// answerWeight is the weight of a new answer in the usual answer time, slowerWeight
+	minUploadBytesPerSecond = 1 << 20
+	// latencyWeight is the weight of a new answer in the usual answer time, slowerWeight
 	// that of one that took longer: a service that turns slow is noticed at once.
-	answerWeight = 0.2
-	slowerWeight = 0.7
+	latencyWeight       = 0.2
+	risingLatencyWeight = 0.7
 	// outageWindow is how long a failure of all ways counts, backWindow how long
 	// the outage counts after its end: the owner's next beat takes half a second.
-	outageWindow = 3 * time.Second
-	backWindow   = time.Second
+	outageWindow   = 3 * time.Second
+	recoveryWindow = time.Second
 )
 
-// Detour is a Doer that goes through peers while the direct way fails. It is
+// Client is a Doer that goes through peers while the direct way fails. It is
 // safe for concurrent use.
-type Detour struct {
+type Client struct {
 	direct Doer
 	peers  Peers
 	clock  clock.Service
 
 	mu sync.Mutex
-	// directAt is when the direct way may be tried again; zero while it serves.
-	directAt time.Time
-	// overtaken counts how often in a row a peer was sooner than the direct way.
-	overtaken int
-	// lastPeer is the peer by which a request was served last.
-	lastPeer string
-	// answerTime is how long the service usually takes.
-	answerTime time.Duration
-	// failedAt is when all ways failed last, servedAt when one worked last, and
-	// backAt when one worked again after all had failed.
-	failedAt, servedAt, backAt time.Time
+	// directRetryAt is when the direct way may be tried again; zero while it serves.
+	directRetryAt time.Time
+	// directOvertakes counts how often in a row a peer was sooner than the direct way.
+	directOvertakes int
+	// lastServingPeer is the peer by which a request was served last.
+	lastServingPeer string
+	// usualLatency is how long the service usually takes.
+	usualLatency time.Duration
+	// allFailedAt is when all ways failed last, lastServedAt when one worked last, and
+	// recoveredAt when one worked again after all had failed.
+	allFailedAt, lastServedAt, recoveredAt time.Time
 }
 
 // New returns a Detour.
-func New(direct Doer, peers Peers, c clock.Service) *Detour {
-	return &Detour{direct: direct, peers: peers, clock: c}
+func New(direct Doer, peers Peers, c clock.Service) *Client {
+	return &Client{direct: direct, peers: peers, clock: c}
 }
 
 // HasOutage reports whether this node and most others reach each other and none
 // of those that were tried reaches the service, or did so until just now.
-func (d *Detour) HasOutage() bool {
+func (d *Client) HasOutage() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
-	isOut := d.failedAt.After(d.servedAt) && now.Sub(d.failedAt) < outageWindow
-	return (isOut || now.Sub(d.backAt) < backWindow) && d.peers.IsMajority()
+	isFailing := d.allFailedAt.After(d.lastServedAt) && now.Sub(d.allFailedAt) < outageWindow
+	return (isFailing || now.Sub(d.recoveredAt) < recoveryWindow) && d.peers.IsMajority()
 }
 
 // Do sends the request directly, and through peers when that fails or takes
 // longer than usual while nothing moves: the same bytes through a peer would only
 // fill the link of this node. The first answer of a service that took it counts.
-func (d *Detour) Do(ctx context.Context, r *Request) (*Response, error) {
-	ctx, cancel := progress.With(ctx, d.timeout()+r.Wait)
+func (d *Client) Do(ctx context.Context, r *Request) (*Response, error) {
+	ctx, cancel := progress.With(ctx, d.idleTimeout()+r.Wait)
 	defer cancel()
-	return newSearch(ctx, d, r).run()
+	return newHedgedRequest(ctx, d, r).run()
 }
 
-// hedge returns how long a way may take for a request until the next one is tried
+// hedgeDelay returns how long a way may take for a request until the next one is tried
 // beside it.
-func (d *Detour) hedge(r *Request) time.Duration {
+func (d *Client) hedgeDelay(r *Request) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	sending := time.Duration(len(r.Body)) * time.Second / slowestLink
-	return min(max(hedgeRatio*d.answerTime, shortestHedge)+sending, longestHedge) + r.Wait
+	uploadTime := time.Duration(len(r.Body)) * time.Second / minUploadBytesPerSecond
+	return min(max(hedgeDelayFactor*d.usualLatency, minHedgeDelay)+uploadTime, maxHedgeDelay) + r.Wait
 }
 
 // stages returns the ways in the order in which they are tried.
-func (d *Detour) stages() [][]string {
-	names := d.peers.Sample(sampleSize)
+func (d *Client) stages() [][]string {
+	names := d.peers.Sample(peerSampleSize)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := [][]string{}
-	if !d.clock.Now().Before(d.directAt) {
-		out = append(out, []string{direct})
+	if !d.clock.Now().Before(d.directRetryAt) {
+		out = append(out, []string{directPath})
 	}
-	if i := slices.Index(names, d.lastPeer); i > 0 {
+	if i := slices.Index(names, d.lastServingPeer); i > 0 {
 		names[0], names[i] = names[i], names[0]
 	}
 	if len(names) > 0 {
@@ -183,68 +183,68 @@
 }
 
 // noteServed notes an answer by a way.
-func (d *Detour) noteServed(t *try, wait time.Duration) {
+func (d *Client) noteServed(t *attempt, wait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
-	if d.failedAt.After(d.servedAt) {
-		d.backAt = now
+	if d.allFailedAt.After(d.lastServedAt) {
+		d.recoveredAt = now
 	}
-	d.servedAt = now
-	if t.way == direct {
-		d.directAt = time.Time{}
-		d.overtaken = 0
+	d.lastServedAt = now
+	if t.path == directPath {
+		d.directRetryAt = time.Time{}
+		d.directOvertakes = 0
 	} else {
-		d.lastPeer = t.way
+		d.lastServingPeer = t.path
 	}
 	if wait == 0 {
-		d.learn(now.Sub(t.began))
+		d.updateUsualLatency(now.Sub(t.startedAt))
 	}
 }
 
-// Observe takes how long the service took to answer a request that went around the
+// ObserveLatency takes how long the service took to answer a request that went around the
 // Detour.
-func (d *Detour) Observe(took time.Duration) {
+func (d *Client) ObserveLatency(latency time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.learn(took)
+	d.updateUsualLatency(latency)
 }
 
-// learn takes an answer time. The caller holds mu.
-func (d *Detour) learn(took time.Duration) {
-	weight := answerWeight
-	if took > d.answerTime {
-		weight = slowerWeight
+// updateUsualLatency takes an answer time. The caller holds mu.
+func (d *Client) updateUsualLatency(latency time.Duration) {
+	weight := latencyWeight
+	if latency > d.usualLatency {
+		weight = risingLatencyWeight
 	}
-	d.answerTime += time.Duration(weight * float64(took-d.answerTime))
+	d.usualLatency += time.Duration(weight * float64(latency-d.usualLatency))
 }
 
-// timeout returns how long nothing may move.
-func (d *Detour) timeout() time.Duration {
+// idleTimeout returns how long nothing may move.
+func (d *Client) idleTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return min(max(timeoutRatio*d.answerTime, shortestTimeout), longestTimeout)
+	return min(max(idleTimeoutFactor*d.usualLatency, minIdleTimeout), maxIdleTimeout)
 }
 
 // noteOvertaken notes that a peer was sooner than the direct way.
-func (d *Detour) noteOvertaken() {
+func (d *Client) noteOvertaken() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.overtaken++; d.overtaken >= overtakes {
-		d.directAt = d.clock.Now().Add(directPause)
+	if d.directOvertakes++; d.directOvertakes >= maxDirectOvertakes {
+		d.directRetryAt = d.clock.Now().Add(directBackoff)
 	}
 }
 
 // noteDirectFailed leaves the direct way alone for a while.
-func (d *Detour) noteDirectFailed() {
+func (d *Client) noteDirectFailed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.directAt = d.clock.Now().Add(directPause)
+	d.directRetryAt = d.clock.Now().Add(directBackoff)
 }
 
 // noteAllFailed notes that no way worked.
-func (d *Detour) noteAllFailed() {
+func (d *Client) noteAllFailed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.failedAt = d.clock.Now()
+	d.allFailedAt = d.clock.Now()
 }
--- a/internal/fallback/fallback_test.go
+++ b/internal/fallback/fallback_test.go
@@ -18,14 +18,14 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-// way answers each request alike and counts them.
-type way struct {
+// fixedResponder answers each request alike and counts them.
+type fixedResponder struct {
 	status int
 	err    error
 	calls  int
 }
 
-func (w *way) Do(context.Context, *fallback.Request) (*fallback.Response, error) {
+func (w *fixedResponder) Do(context.Context, *fallback.Request) (*fallback.Response, error) {
 	w.calls++
 	if w.err != nil {
 		return nil, w.err
@@ -33,49 +33,49 @@
 	return &fallback.Response{Status: w.status}, nil
 }
 
-// onePeer is one peer that is linked, or none.
-type onePeer struct {
-	way        way
+// singlePeer is one peer that is linked, or none.
+type singlePeer struct {
+	responder  fixedResponder
 	isLinked   bool
 	isMajority bool
 }
 
-func (p *onePeer) Sample(int) []string {
+func (p *singlePeer) Sample(int) []string {
 	if p.isLinked {
 		return []string{"peer"}
 	}
 	return nil
 }
 
-func (p *onePeer) Via(ctx context.Context, _ string, r *fallback.Request) (*fallback.Response, error) {
-	return p.way.Do(ctx, r)
+func (p *singlePeer) Via(ctx context.Context, _ string, r *fallback.Request) (*fallback.Response, error) {
+	return p.responder.Do(ctx, r)
 }
 
-func (p *onePeer) IsMajority() bool { return p.isMajority }
+func (p *singlePeer) IsMajority() bool { return p.isMajority }
 
 var errReset = errors.New("reset")
 
-func TestDo(t *testing.T) {
+func TestDoReturnsTheBestResultOfAllPaths(t *testing.T) {
 	unsent := &fallback.UnsentError{Err: errReset}
 	for name, tc := range map[string]struct {
-		direct, peer way
+		direct, peer fixedResponder
 		status       int
-		isOpen       bool
+		isUncertain  bool
 	}{
-		"direct":                       {way{status: 200}, way{status: 200}, 200, false},
-		"a conflict is an answer":      {way{status: 409}, way{status: 200}, 409, false},
-		"busy, the peer is served":     {way{status: 503}, way{status: 200}, 200, false},
-		"too many, the peer is served": {way{status: 429}, way{status: 200}, 200, false},
-		"reset, the peer is served":    {way{err: errReset}, way{status: 200}, 200, false},
-		"busy for both":                {way{status: 503}, way{status: 503}, 503, false},
-		"reset here, busy there":       {way{err: errReset}, way{status: 503}, 0, true},
-		"full for both":                {way{status: 507}, way{status: 507}, 507, false},
-		"reset here, full there":       {way{err: errReset}, way{status: 507}, 0, true},
-		"busy here, reset there":       {way{status: 503}, way{err: errReset}, 0, true},
-		"never sent here, busy there":  {way{err: unsent}, way{status: 503}, 503, false},
-		"never sent by either":         {way{err: unsent}, way{err: unsent}, 0, false},
+		"direct":                       {fixedResponder{status: 200}, fixedResponder{status: 200}, 200, false},
+		"a conflict is an answer":      {fixedResponder{status: 409}, fixedResponder{status: 200}, 409, false},
+		"busy, the peer is served":     {fixedResponder{status: 503}, fixedResponder{status: 200}, 200, false},
+		"too many, the peer is served": {fixedResponder{status: 429}, fixedResponder{status: 200}, 200, false},
+		"reset, the peer is served":    {fixedResponder{err: errReset}, fixedResponder{status: 200}, 200, false},
+		"busy for both":                {fixedResponder{status: 503}, fixedResponder{status: 503}, 503, false},
+		"reset here, busy there":       {fixedResponder{err: errReset}, fixedResponder{status: 503}, 0, true},
+		"full for both":                {fixedResponder{status: 507}, fixedResponder{status: 507}, 507, false},
+		"reset here, full there":       {fixedResponder{err: errReset}, fixedResponder{status: 507}, 0, true},
+		"busy here, reset there":       {fixedResponder{status: 503}, fixedResponder{err: errReset}, 0, true},
+		"never sent here, busy there":  {fixedResponder{err: unsent}, fixedResponder{status: 503}, 503, false},
+		"never sent by either":         {fixedResponder{err: unsent}, fixedResponder{err: unsent}, 0, false},
 	} {
-		peers := &onePeer{way: tc.peer, isLinked: true}
+		peers := &singlePeer{responder: tc.peer, isLinked: true}
 		r, err := fallback.New(&tc.direct, peers, clock.NewFake()).Do(t.Context(), &fallback.Request{Method: http.MethodPost})
 		if tc.status != 0 {
 			if err != nil || r.Status != tc.status {
@@ -84,16 +84,16 @@
 			continue
 		}
 		e := &fallback.UnsentError{}
-		if isOpen := err != nil && !errors.As(err, &e); err == nil || isOpen != tc.isOpen {
-			t.Errorf("%s: got: %v, want: an error, open: %v", name, err, tc.isOpen)
+		if isUncertain := err != nil && !errors.As(err, &e); err == nil || isUncertain != tc.isUncertain {
+			t.Errorf("%s: got: %v, want: an error, open: %v", name, err, tc.isUncertain)
 		}
 	}
 }
 
-func TestTheDirectWayIsLeftAloneForAWhile(t *testing.T) {
+func TestFailedDirectPathIsNotUsedDuringBackoff(t *testing.T) {
 	c := clock.NewFake()
-	direct := &way{status: 503}
-	d := fallback.New(direct, &onePeer{way: way{status: 200}, isLinked: true}, c)
+	direct := &fixedResponder{status: 503}
+	d := fallback.New(direct, &singlePeer{responder: fixedResponder{status: 200}, isLinked: true}, c)
 	for range 5 {
 		if _, err := d.Do(t.Context(), &fallback.Request{}); err != nil {
 			t.Fatal(err)
@@ -112,35 +112,35 @@
 }
 
 // The owner refused requests between the end of an outage and its next beat.
-func TestAnOutageCountsAMomentLonger(t *testing.T) {
+func TestOutageLastsThroughRecoveryWindow(t *testing.T) {
 	c := clock.NewFake()
-	direct := &way{status: 503}
-	peers := &onePeer{way: way{status: 503}, isLinked: true, isMajority: true}
+	direct := &fixedResponder{status: 503}
+	peers := &singlePeer{responder: fixedResponder{status: 503}, isLinked: true, isMajority: true}
 	d := fallback.New(direct, peers, c)
-	ask := func() { _, _ = d.Do(t.Context(), &fallback.Request{}) }
+	sendRequest := func() { _, _ = d.Do(t.Context(), &fallback.Request{}) }
 	if d.HasOutage() {
 		t.Error("before any request: got: an outage, want: none")
 	}
-	ask()
+	sendRequest()
 	if !d.HasOutage() {
 		t.Error("all ways fail: got: no outage, want: one")
 	}
 	c.Advance(time.Second)
-	direct.status, peers.way.status = 200, 200
-	ask()
+	direct.status, peers.responder.status = 200, 200
+	sendRequest()
 	if !d.HasOutage() {
 		t.Error("just served again: got: no outage, want: one")
 	}
 	c.Advance(2 * time.Second)
-	ask()
+	sendRequest()
 	if d.HasOutage() {
 		t.Error("served for long: got: an outage, want: none")
 	}
 }
 
-func TestANodeThatReachesFewPeersHasNoOutage(t *testing.T) {
-	peers := &onePeer{way: way{status: 503}, isLinked: true}
-	d := fallback.New(&way{status: 503}, peers, clock.NewFake())
+func TestMinorityNodeReportsNoOutage(t *testing.T) {
+	peers := &singlePeer{responder: fixedResponder{status: 503}, isLinked: true}
+	d := fallback.New(&fixedResponder{status: 503}, peers, clock.NewFake())
 	if _, err := d.Do(t.Context(), &fallback.Request{}); err != nil {
 		t.Fatal(err)
 	}
@@ -149,25 +149,25 @@
 	}
 }
 
-// silentWay never answers before its context is over, but for the calls from
+// silentResponder never answers before its context is over, but for the calls from
 // the number answersFrom on.
-type silentWay struct {
+type silentResponder struct {
 	mu          sync.Mutex
 	answersFrom int
 	calls       int
-	asked       chan struct{}
+	received    chan struct{}
 }
 
-func newSilentWay(answersFrom int) *silentWay {
-	return &silentWay{answersFrom: answersFrom, asked: make(chan struct{}, 64)}
+func newSilentResponder(answersFrom int) *silentResponder {
+	return &silentResponder{answersFrom: answersFrom, received: make(chan struct{}, 64)}
 }
 
-func (w *silentWay) Do(ctx context.Context, _ *fallback.Request) (*fallback.Response, error) {
+func (w *silentResponder) Do(ctx context.Context, _ *fallback.Request) (*fallback.Response, error) {
 	w.mu.Lock()
 	w.calls++
 	isServed := w.answersFrom > 0 && w.calls >= w.answersFrom
 	w.mu.Unlock()
-	w.asked <- struct{}{}
+	w.received <- struct{}{}
 	if isServed {
 		return &fallback.Response{Status: 200}, nil
 	}
@@ -175,7 +175,7 @@
 	return nil, ctx.Err()
 }
 
-func (w *silentWay) count() int {
+func (w *silentResponder) callCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.calls
@@ -185,8 +185,8 @@
 // the way that does not answer.
 const longWait = time.Hour
 
-// doSoon sends a request and returns a channel with its error.
-func doSoon(t *testing.T, d *fallback.Detour) chan error {
+// doInBackground sends a request and returns a channel with its error.
+func doInBackground(t *testing.T, d *fallback.Client) chan error {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() {
@@ -196,25 +196,25 @@
 	return done
 }
 
-// passHedge waits until the direct way was asked and so many timers were set, and then
+// passHedgeDelay waits until the direct way was asked and so many timers were set, and then
 // lets the time pass after which the next way is tried, once.
-func passHedge(t *testing.T, c *countingClock, direct *silentWay, timers int64) {
+func passHedgeDelay(t *testing.T, c *countingClock, direct *silentResponder, timers int64) {
 	t.Helper()
-	<-direct.asked
+	<-direct.received
 	await.True(t, "the search waits", func() bool { return c.timers.Load() == timers })
 	c.Advance(2 * longWait)
 }
 
 // An owner that the store had turned away in silence waited 0.7 s for it again
 // and again; its callers were refused meanwhile.
-func TestASilentWayIsOvertakenAndLeftAlone(t *testing.T) {
+func TestOvertakenDirectPathBacksOff(t *testing.T) {
 	c := &countingClock{Fake: clock.NewFake()}
-	direct, peers := newSilentWay(0), &onePeer{way: way{status: 200}, isLinked: true}
+	direct, peers := newSilentResponder(0), &singlePeer{responder: fixedResponder{status: 200}, isLinked: true}
 	d := fallback.New(direct, peers, c)
 	// Each search sets a timer at its begin and one when the first is over.
 	for _, timers := range []int64{1, 3} {
-		done := doSoon(t, d)
-		passHedge(t, c, direct, timers)
+		done := doInBackground(t, d)
+		passHedgeDelay(t, c, direct, timers)
 		if err := <-done; err != nil {
 			t.Errorf("got: %v, want: served by the peer", err)
 		}
@@ -224,36 +224,36 @@
 			t.Error(err)
 		}
 	}
-	if got := direct.count(); got != 2 {
+	if got := direct.callCount(); got != 2 {
 		t.Errorf("direct calls: got: %d, want: 2, as it was overtaken twice", got)
 	}
 }
 
 // A service whose answer was lost says nothing more on that way; it answers the
 // same request when it comes again.
-func TestALostAnswerIsAskedForAgain(t *testing.T) {
+func TestLostResponseIsRequestedAgain(t *testing.T) {
 	c := &countingClock{Fake: clock.NewFake()}
-	direct := newSilentWay(3)
-	d := fallback.New(direct, &onePeer{}, c)
-	done := doSoon(t, d)
-	passHedge(t, c, direct, 1)
-	passHedge(t, c, direct, 2)
+	direct := newSilentResponder(3)
+	d := fallback.New(direct, &singlePeer{}, c)
+	done := doInBackground(t, d)
+	passHedgeDelay(t, c, direct, 1)
+	passHedgeDelay(t, c, direct, 2)
 	if err := <-done; err != nil {
 		t.Errorf("got: %v, want: served", err)
 	}
-	if got := direct.count(); got != 3 {
+	if got := direct.callCount(); got != 3 {
 		t.Errorf("direct calls: got: %d, want: 3", got)
 	}
 }
 
-// movingWay has a byte of its answer come whenever it is told, until it is told
+// steppedResponder has a byte of its answer come whenever it is told, until it is told
 // that the answer is complete.
-type movingWay struct {
+type steppedResponder struct {
 	calls                 atomic.Int64
 	step, moved, complete chan struct{}
 }
 
-func (w *movingWay) Do(ctx context.Context, _ *fallback.Request) (*fallback.Response, error) {
+func (w *steppedResponder) Do(ctx context.Context, _ *fallback.Request) (*fallback.Response, error) {
 	w.calls.Add(1)
 	for {
 		select {
@@ -281,11 +281,11 @@
 
 // A page of 1 MB that came over a link of 10 Mbit/s was asked for again and again
 // through peers, over the same link.
-func TestAnAnswerThatComesIsNotAskedForAgain(t *testing.T) {
+func TestResponseInTransferIsNotRequestedAgain(t *testing.T) {
 	c := &countingClock{Fake: clock.NewFake()}
-	direct := &movingWay{step: make(chan struct{}), moved: make(chan struct{}), complete: make(chan struct{})}
-	peers := &onePeer{way: way{status: 200}, isLinked: true}
-	done := doSoon(t, fallback.New(direct, peers, c))
+	direct := &steppedResponder{step: make(chan struct{}), moved: make(chan struct{}), complete: make(chan struct{})}
+	peers := &singlePeer{responder: fixedResponder{status: 200}, isLinked: true}
+	done := doInBackground(t, fallback.New(direct, peers, c))
 	for i := range 20 {
 		await.True(t, "it is waited", func() bool { return c.timers.Load() == int64(i+1) })
 		select {
@@ -300,47 +300,47 @@
 	if err := <-done; err != nil {
 		t.Errorf("got: %v, want: an answer", err)
 	}
-	if got := direct.calls.Load(); got != 1 || peers.way.calls != 0 {
-		t.Errorf("calls: got: %d and %d by the peer, want: 1 and none", got, peers.way.calls)
+	if got := direct.calls.Load(); got != 1 || peers.responder.calls != 0 {
+		t.Errorf("calls: got: %d and %d by the peer, want: 1 and none", got, peers.responder.calls)
 	}
 }
 
-// waitClock notes for how long its timers were set.
-type waitClock struct {
+// recordingClock notes for how long its timers were set.
+type recordingClock struct {
 	*clock.Fake
-	waits chan time.Duration
+	timers chan time.Duration
 }
 
-func (c *waitClock) After(d time.Duration) <-chan time.Time {
-	c.waits <- d
+func (c *recordingClock) After(d time.Duration) <-chan time.Time {
+	c.timers <- d
 	return c.Fake.After(d)
 }
 
 // A service that had turned slow was asked by seven ways at once after 0.4 s, each time
 // anew, and became slower by that: a new owner had no list of workers for 2.8 s, of
 // which reading it took 1.8 s.
-func TestASlowServiceIsNotAskedByAllWaysAtOnce(t *testing.T) {
+func TestHedgeDelayGrowsWithLatency(t *testing.T) {
 	const ms = time.Millisecond
-	for _, c := range []struct {
-		what     string
-		answers  []time.Duration
-		earliest time.Duration
+	for _, tc := range []struct {
+		name      string
+		latencies []time.Duration
+		minDelay  time.Duration
 	}{
 		{"nothing is known", nil, 40 * ms},
 		{"a usual service", []time.Duration{5 * ms, 5 * ms, 5 * ms}, 40 * ms},
 		{"one that has just turned slow", []time.Duration{5 * ms, 5 * ms, 364 * ms}, 900 * ms},
 		{"one that was slow a while ago", []time.Duration{364 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms, 5 * ms}, 40 * ms},
 	} {
-		clk := &waitClock{Fake: clock.NewFake(), waits: make(chan time.Duration, 8)}
-		d := fallback.New(&way{status: 200}, &onePeer{}, clk)
-		for _, took := range c.answers {
-			d.Observe(took)
+		clk := &recordingClock{Fake: clock.NewFake(), timers: make(chan time.Duration, 8)}
+		d := fallback.New(&fixedResponder{status: 200}, &singlePeer{}, clk)
+		for _, latency := range tc.latencies {
+			d.ObserveLatency(latency)
 		}
 		if _, err := d.Do(t.Context(), &fallback.Request{Method: http.MethodGet}); err != nil {
 			t.Fatal(err)
 		}
-		if got := <-clk.waits; got < c.earliest || c.earliest < 900*ms && got > 90*ms {
-			t.Errorf("%s: the next way is tried after: got: %v, want: %v", c.what, got, c.earliest)
+		if got := <-clk.timers; got < tc.minDelay || tc.minDelay < 900*ms && got > 90*ms {
+			t.Errorf("%s: the next way is tried after: got: %v, want: %v", tc.name, got, tc.minDelay)
 		}
 	}
 }
