--- a/internal/cell/config.go
+++ b/internal/cell/config.go
@@ -171,7 +171,7 @@
 // fetch returns a peer's configuration, nil when it has none, and how many bytes
 // it took to come.
 func (n *Node) fetch(from *link.Conn) ([]byte, int, error) {
-	ctx, cancel := progress.With(n.ctx, fetchTimeout)
+	ctx, cancel := progress.WithTimeout(n.ctx, fetchTimeout)
 	defer cancel()
 	m := configMessage{}
 	if err := from.Call(ctx, kindConfig, empty{}, &m); err != nil {
--- a/internal/fallback/fallback.go
+++ b/internal/fallback/fallback.go
@@ -147,7 +147,7 @@
 // longer than usual while nothing moves: the same bytes through a peer would only
 // fill the link of this node. The first answer of a service that took it counts.
 func (d *Client) Do(ctx context.Context, r *Request) (*Response, error) {
-	ctx, cancel := progress.With(ctx, d.idleTimeout()+r.Wait)
+	ctx, cancel := progress.WithTimeout(ctx, d.idleTimeout()+r.Wait)
 	defer cancel()
 	return newHedgedRequest(ctx, d, r).run()
 }
--- a/internal/fallback/fallback_test.go
+++ b/internal/fallback/fallback_test.go
@@ -262,7 +262,7 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-w.step:
-			progress.Note(ctx, 1)
+			progress.Report(ctx, 1)
 			w.moved <- struct{}{}
 		}
 	}
--- a/internal/link/conn_test.go
+++ b/internal/link/conn_test.go
@@ -143,10 +143,10 @@
 }
 
 func (r *reader) HandleCall(ctx context.Context, _ *link.Conn, _ link.Kind, _ []byte) (any, error) {
-	progress.Note(ctx, 1)
+	progress.Report(ctx, 1)
 	close(r.moved)
 	<-r.gone
-	progress.Note(ctx, 1)
+	progress.Report(ctx, 1)
 	left, _ := progress.TimeLeft(ctx)
 	r.left <- left
 	return nil, ctx.Err()
@@ -165,11 +165,11 @@
 	t.Cleanup(left.Close)
 	t.Cleanup(right.Close)
 	c := clock.NewFake()
-	ctx, cancel := progress.WithClock(t.Context(), c, first, progress.Stall)
+	ctx, cancel := progress.WithClock(t.Context(), c, first, progress.IdleTimeout)
 	defer cancel()
 	go func() {
 		<-r.moved
-		c.Advance(first + progress.Stall)
+		c.Advance(first + progress.IdleTimeout)
 	}()
 	got := ""
 	if err := left.Call(ctx, "read", "x", &got); err == nil {
@@ -205,7 +205,7 @@
 func TestALongReplyGoesOnWhileBytesCome(t *testing.T) {
 	const first = time.Second
 	c := clock.NewFake()
-	ctx, cancel := progress.WithClock(t.Context(), c, first, progress.Stall)
+	ctx, cancel := progress.WithClock(t.Context(), c, first, progress.IdleTimeout)
 	defer cancel()
 	near, far := net.Pipe()
 	moved := int64(0)
@@ -217,7 +217,7 @@
 		}
 		await.True(t, "bytes come", func() bool { return progress.Bytes(ctx) > moved })
 		moved = progress.Bytes(ctx)
-		c.Advance(progress.Stall - 1)
+		c.Advance(progress.IdleTimeout - 1)
 	}
 	left, right := link.NewConn(near, &handler{}), link.NewConn(slow, &handler{})
 	t.Cleanup(left.Close)
--- a/internal/link/long.go
+++ b/internal/link/long.go
@@ -40,7 +40,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range c.waiting {
-		progress.Note(w.ctx, bytes)
+		progress.Report(w.ctx, bytes)
 	}
 }
 
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -42,7 +42,7 @@
 // withStoreTimeout bounds one call of the store by its progress: a large read or append may take as
 // long as bytes keep moving.
 func (o *Owner) withStoreTimeout() (context.Context, context.CancelFunc) {
-	return progress.With(o.ctx, storeTimeout)
+	return progress.WithTimeout(o.ctx, storeTimeout)
 }
 
 func (o *Owner) withTimeout(d time.Duration) (context.Context, context.CancelFunc) {
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -16,7 +16,7 @@
 //	// The transport below ask, after each read:
 //	n, err := conn.Read(buf)
 //	if n > 0 {
-//		progress.Note(ctx, n)
+//		progress.Report(ctx, n)
 //	}
 //
 // Who passes the request on to another node tells it TimeLeft.
@@ -32,12 +32,12 @@
 	"github.com/leverdyke/leverdyke/internal/clock"
 )
 
-// Stall is how long an exchange that has begun may stay without a byte. A link
+// IdleTimeout is how long an exchange that has begun may stay without a byte. A link
 // that is full still passes some of each connection's packets within tenths of a
 // second, a lost packet is sent again after 0.2 s, then 0.4 s. A silent
 // connection must be noticed, and its bytes read anew, within the 2 s in which a
 // configuration must be in force.
-const Stall = 900 * time.Millisecond
+const IdleTimeout = 900 * time.Millisecond
 
 // Clock tells the time and calls back.
 type Clock interface {
@@ -48,28 +48,28 @@
 }
 
 // boundedContext is a context that ends when nothing has moved for too long.
-type boundedContext struct {
+type timeoutContext struct {
 	context.Context
-	cancel context.CancelCauseFunc
-	clock  Clock
-	began  time.Time
+	cancel    context.CancelCauseFunc
+	clock     Clock
+	startedAt time.Time
 	// parent is the next such context outwards; what moves here moves there.
-	parent *boundedContext
+	outer *timeoutContext
 	// first counts from began, stall from the last byte.
-	first, stall time.Duration
+	firstByteTimeout, idleTimeout time.Duration
 	// moved counts bytes; movedAt is when the last moved, in nanoseconds after
 	// began, 0 before the first.
-	moved, movedAt atomic.Int64
+	transferred, lastTransfer atomic.Int64
 
 	mu sync.Mutex
 	// stop prevents the next check; nil when the context was over from the start.
-	stop func() bool
+	stopCheck func() bool
 }
 
 type contextKey struct{}
 
 // Value returns the context itself under its own key.
-func (b *boundedContext) Value(key any) any {
+func (b *timeoutContext) Value(key any) any {
 	if key == (contextKey{}) {
 		return b
 	}
@@ -78,7 +78,7 @@
 
 // Err returns why the context is over: context.DeadlineExceeded when nothing
 // moved in time.
-func (b *boundedContext) Err() error {
+func (b *timeoutContext) Err() error {
 	err := b.Context.Err()
 	if err != nil && errors.Is(context.Cause(b.Context), context.DeadlineExceeded) {
 		return context.DeadlineExceeded
@@ -86,79 +86,79 @@
 	return err
 }
 
-// With returns a context that is over first after now, or Stall after the last
+// WithTimeout returns a context that is over first after now, or Stall after the last
 // call of Note with it or a context made of it, whichever is later. What else
 // ends the parent ends it too.
-func With(parent context.Context, first time.Duration) (context.Context, context.CancelFunc) {
-	return WithClock(parent, clock.Real{}, first, Stall)
+func WithTimeout(parent context.Context, firstByteTimeout time.Duration) (context.Context, context.CancelFunc) {
+	return WithClock(parent, clock.Real{}, firstByteTimeout, IdleTimeout)
 }
 
 // WithClock is With by another clock, and by another bound than Stall.
-func WithClock(parent context.Context, c Clock, first, stall time.Duration) (context.Context, context.CancelFunc) {
+func WithClock(parent context.Context, c Clock, firstByteTimeout, idleTimeout time.Duration) (context.Context, context.CancelFunc) {
 	inner, cancel := context.WithCancelCause(parent)
-	b := &boundedContext{Context: inner, cancel: cancel, clock: c, began: c.Now(), first: first, stall: stall, parent: innermost(parent)}
-	b.arm(first)
-	return b, b.end
+	b := &timeoutContext{Context: inner, cancel: cancel, clock: c, startedAt: c.Now(), firstByteTimeout: firstByteTimeout, idleTimeout: idleTimeout, outer: innermost(parent)}
+	b.scheduleCheck(firstByteTimeout)
+	return b, b.release
 }
 
 // innermost returns the innermost context bounded by progress that ctx is made of,
 // or nil.
-func innermost(ctx context.Context) *boundedContext {
-	b, _ := ctx.Value(contextKey{}).(*boundedContext)
+func innermost(ctx context.Context) *timeoutContext {
+	b, _ := ctx.Value(contextKey{}).(*timeoutContext)
 	return b
 }
 
-func (b *boundedContext) arm(d time.Duration) {
+func (b *timeoutContext) scheduleCheck(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.Context.Err() == nil {
-		b.stop = b.clock.AfterFunc(d, b.check)
+		b.stopCheck = b.clock.AfterFunc(d, b.cancelIfIdle)
 	}
 }
 
 // check ends the context if nothing has moved, or looks again when that is due.
-func (b *boundedContext) check() {
-	if left := b.left(); left > 0 {
-		b.arm(left)
+func (b *timeoutContext) cancelIfIdle() {
+	if remaining := b.timeLeft(); remaining > 0 {
+		b.scheduleCheck(remaining)
 		return
 	}
 	b.cancel(context.DeadlineExceeded)
 }
 
 // left returns how long the context lasts if nothing moves any more.
-func (b *boundedContext) left() time.Duration {
-	passed := b.clock.Now().Sub(b.began)
-	left := b.first - passed
-	if at := b.movedAt.Load(); at > 0 {
-		left = max(left, time.Duration(at)+b.stall-passed)
+func (b *timeoutContext) timeLeft() time.Duration {
+	elapsed := b.clock.Now().Sub(b.startedAt)
+	remaining := b.firstByteTimeout - elapsed
+	if last := b.lastTransfer.Load(); last > 0 {
+		remaining = max(remaining, time.Duration(last)+b.idleTimeout-elapsed)
 	}
-	return left
+	return remaining
 }
 
-func (b *boundedContext) end() {
+func (b *timeoutContext) release() {
 	b.cancel(nil)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.stop != nil {
-		b.stop()
+	if b.stopCheck != nil {
+		b.stopCheck()
 	}
 }
 
 // Note notes that so many bytes of an exchange came or went; 0 notes that its answer
 // has begun, and gives more time too. It does nothing with a context that is not
 // bounded by progress.
-func Note(ctx context.Context, bytes int) {
-	for b := innermost(ctx); b != nil; b = b.parent {
+func Report(ctx context.Context, bytes int) {
+	for b := innermost(ctx); b != nil; b = b.outer {
 		// Never 0, which means that nothing has moved.
-		b.movedAt.Store(max(int64(b.clock.Now().Sub(b.began)), 1))
-		b.moved.Add(int64(bytes))
+		b.lastTransfer.Store(max(int64(b.clock.Now().Sub(b.startedAt)), 1))
+		b.transferred.Add(int64(bytes))
 	}
 }
 
 // Bytes returns how many bytes have moved under the innermost bound of ctx.
 func Bytes(ctx context.Context) int64 {
 	if b := innermost(ctx); b != nil {
-		return b.moved.Load()
+		return b.transferred.Load()
 	}
 	return 0
 }
@@ -166,17 +166,17 @@
 // TimeLeft returns how long ctx lasts if nothing moves any more, for a request that
 // is passed on to another node. It reports false when it has no end.
 func TimeLeft(ctx context.Context) (time.Duration, bool) {
-	left, isBounded := time.Duration(0), false
-	note := func(d time.Duration) {
-		if !isBounded || d < left {
-			left, isBounded = d, true
+	remaining, isBounded := time.Duration(0), false
+	keepLeast := func(d time.Duration) {
+		if !isBounded || d < remaining {
+			remaining, isBounded = d, true
 		}
 	}
-	if end, ok := ctx.Deadline(); ok {
-		note(time.Until(end))
+	if deadline, ok := ctx.Deadline(); ok {
+		keepLeast(time.Until(deadline))
 	}
-	for b := innermost(ctx); b != nil; b = b.parent {
-		note(b.left())
+	for b := innermost(ctx); b != nil; b = b.outer {
+		keepLeast(b.timeLeft())
 	}
-	return left, isBounded
+	return remaining, isBounded
 }
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -13,10 +13,10 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-const first = 2 * time.Second
+const firstByteTimeout = 2 * time.Second
 
-// wantEndAfter lets d pass, and checks that the context ends then and not before.
-func wantEndAfter(ctx context.Context, t *testing.T, c *clock.Fake, d time.Duration) {
+// expectTimeoutAfter lets d pass, and checks that the context ends then and not before.
+func expectTimeoutAfter(ctx context.Context, t *testing.T, c *clock.Fake, d time.Duration) {
 	t.Helper()
 	c.Advance(d - 1)
 	if err := ctx.Err(); err != nil {
@@ -28,24 +28,24 @@
 	}
 }
 
-func TestNothingMovesForTheFirstTime(t *testing.T) {
+func TestContextEndsWithoutAFirstByte(t *testing.T) {
 	c := clock.NewFake()
-	ctx, cancel := progress.WithClock(t.Context(), c, first, progress.Stall)
+	ctx, cancel := progress.WithClock(t.Context(), c, firstByteTimeout, progress.IdleTimeout)
 	defer cancel()
-	wantEndAfter(ctx, t, c, first)
+	expectTimeoutAfter(ctx, t, c, firstByteTimeout)
 }
 
-func TestWhatMovesGoesOn(t *testing.T) {
+func TestContextLastsWhileBytesMove(t *testing.T) {
 	c := clock.NewFake()
-	outer, cancelOuter := progress.WithClock(t.Context(), c, first, progress.Stall)
+	outer, cancelOuter := progress.WithClock(t.Context(), c, firstByteTimeout, progress.IdleTimeout)
 	defer cancelOuter()
 	middle, cancelMiddle := context.WithCancel(outer)
 	defer cancelMiddle()
-	inner, cancelInner := progress.WithClock(middle, c, first, progress.Stall)
+	inner, cancelInner := progress.WithClock(middle, c, firstByteTimeout, progress.IdleTimeout)
 	defer cancelInner()
 	for range 100 {
-		progress.Note(inner, 10)
-		c.Advance(progress.Stall - 1)
+		progress.Report(inner, 10)
+		c.Advance(progress.IdleTimeout - 1)
 	}
 	if inner.Err() != nil || outer.Err() != nil {
 		t.Errorf("got: %v and %v, want: neither over", inner.Err(), outer.Err())
@@ -62,55 +62,55 @@
 	}
 }
 
-func TestACancellationEndsWhatMoves(t *testing.T) {
+func TestCancellationEndsAMovingExchange(t *testing.T) {
 	c := clock.NewFake()
 	parent, cancelParent := context.WithCancel(t.Context())
-	ctx, cancel := progress.WithClock(parent, c, first, progress.Stall)
+	ctx, cancel := progress.WithClock(parent, c, firstByteTimeout, progress.IdleTimeout)
 	defer cancel()
-	progress.Note(ctx, 1)
+	progress.Report(ctx, 1)
 	cancelParent()
 	if err := ctx.Err(); !errors.Is(err, context.Canceled) {
 		t.Errorf("got: %v, want: %v", err, context.Canceled)
 	}
 }
 
-func TestTimeLeftIsTheLeast(t *testing.T) {
+func TestTimeLeftIsTheLeastOfAllTimeouts(t *testing.T) {
 	c := clock.NewFake()
 	if _, ok := progress.TimeLeft(t.Context()); ok {
 		t.Error("unbounded: got: an end, want: none")
 	}
-	outer, cancelOuter := progress.WithClock(t.Context(), c, first, progress.Stall)
+	outer, cancelOuter := progress.WithClock(t.Context(), c, firstByteTimeout, progress.IdleTimeout)
 	defer cancelOuter()
-	inner, cancelInner := progress.WithClock(outer, c, time.Hour, progress.Stall)
+	inner, cancelInner := progress.WithClock(outer, c, time.Hour, progress.IdleTimeout)
 	defer cancelInner()
 	c.Advance(time.Second)
 	if got, ok := progress.TimeLeft(inner); !ok || got != time.Second {
 		t.Errorf("got: %v, %v, want: %v", got, ok, time.Second)
 	}
 	c.Advance(time.Second - 1)
-	progress.Note(inner, 1)
-	if got, _ := progress.TimeLeft(inner); got != progress.Stall {
-		t.Errorf("after a byte: got: %v, want: %v", got, progress.Stall)
+	progress.Report(inner, 1)
+	if got, _ := progress.TimeLeft(inner); got != progress.IdleTimeout {
+		t.Errorf("after a byte: got: %v, want: %v", got, progress.IdleTimeout)
 	}
 }
 
 // A node ended by itself when a link closed as a call came.
-func TestAParentMayBeOver(t *testing.T) {
+func TestParentThatHasEndedIsAccepted(t *testing.T) {
 	parent, cancelParent := context.WithCancel(t.Context())
 	cancelParent()
-	ctx, cancel := progress.WithClock(parent, clock.NewFake(), first, progress.Stall)
+	ctx, cancel := progress.WithClock(parent, clock.NewFake(), firstByteTimeout, progress.IdleTimeout)
 	if err := ctx.Err(); !errors.Is(err, context.Canceled) {
 		t.Errorf("got: %v, want: %v", err, context.Canceled)
 	}
 	cancel()
 }
 
-func TestAStallMayBeLonger(t *testing.T) {
-	const stall = 4 * progress.Stall
+func TestIdleTimeoutOfTheCallerIsKept(t *testing.T) {
+	const idleTimeout = 4 * progress.IdleTimeout
 	c := clock.NewFake()
-	ctx, cancel := progress.WithClock(t.Context(), c, first, stall)
+	ctx, cancel := progress.WithClock(t.Context(), c, firstByteTimeout, idleTimeout)
 	defer cancel()
-	c.Advance(first / 2)
-	progress.Note(ctx, 1)
-	wantEndAfter(ctx, t, c, stall)
+	c.Advance(firstByteTimeout / 2)
+	progress.Report(ctx, 1)
+	expectTimeoutAfter(ctx, t, c, idleTimeout)
 }
