--- a/internal/fallback/fallback.go
+++ b/internal/fallback/fallback.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fallback reaches a service through peers when it turns this node away
-// and serves others, or leaves a request without an answer. A request may so be
-// carried out more than once: callers send only what the service or a condition
-// in the request makes harmless to repeat.
+// Package fallback sends requests to a service and falls back to sending them through peers when
+// the service rejects this node but serves others, or does not answer this node. A request may
+// therefore be executed more than once. Callers send only requests that are safe to repeat, either
+// because the service makes them idempotent or because the request carries a precondition.
 package fallback
 
 import (
@@ -19,13 +19,13 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-// Request is an HTTP request as it goes to the service.
+// Request is an HTTP request to the service.
 type Request struct {
 	Method string
-	// Path has the query.
+	// Path includes the query.
 	Path string
 	Body []byte
-	// Wait is how long the service may wait before it answers.
+	// Wait is how long the service may delay its answer (long poll).
 	Wait time.Duration
 }
 
@@ -35,8 +35,8 @@
 	Body   []byte
 }
 
-// isServed reports whether the service took the request; otherwise it did nothing.
-// A refusal says nothing of the same request on another way.
+// isServed reports whether the service accepted the request. Otherwise it rejected the request
+// without executing it, which does not mean that it rejects the same request on another path.
 func (r *Response) isServed() bool {
 	switch r.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusInsufficientStorage:
@@ -45,96 +45,99 @@
 	return true
 }
 
-// UnsentError means that the request never left: nothing was done.
+// UnsentError means that the request was not sent, so that it was certainly not executed.
 type UnsentError struct{ Err error }
 
-// Error returns the text of the error.
-func (e *UnsentError) Error() string { return fmt.Sprintf("detour: not sent: %v", e.Err) }
+// Error returns the error text.
+func (e *UnsentError) Error() string { return fmt.Sprintf("fallback: request not sent: %v", e.Err) }
 
 // Unwrap returns the cause.
 func (e *UnsentError) Unwrap() error { return e.Err }
 
-// Doer sends a request to the service. An error other than *UnsentError leaves
-// open whether it was carried out.
+// Doer sends a request to the service. After an error other than *UnsentError it is uncertain
+// whether the request was executed.
 type Doer interface {
 	Do(ctx context.Context, r *Request) (*Response, error)
 }
 
-// Peers are the nodes that can send a request for this one.
+// Peers are the nodes that can send a request on behalf of this one.
 type Peers interface {
-	// Sample returns up to n peers that are linked, others each time.
+	// Sample returns the names of up to n linked peers, chosen anew at each call.
 	Sample(n int) []string
-	// Via sends a request through a peer, as Doer.Do does.
+	// Via sends a request through a peer, with the results of Doer.Do.
 	Via(ctx context.Context, peer string, r *Request) (*Response, error)
-	// IsMajority reports whether this node and its linked peers are most of those
-	// that were linked lately.
+	// IsMajority reports whether this node and its linked peers are a majority of the nodes that
+	// were linked recently.
 	IsMajority() bool
 }
 
 const (
-	// minIdleTimeout bounds a request over all ways until bytes of it move, or
-	// timeoutRatio usual answer times if these are longer, up to longestTimeout.
+	// A request times out on all its paths when no bytes move for idleTimeoutFactor times the usual
+	// latency, limited to minIdleTimeout and maxIdleTimeout.
 	minIdleTimeout    = 700 * time.Millisecond
 	idleTimeoutFactor = 4
 	maxIdleTimeout    = 1500 * time.Millisecond
-	// directBackoff is how long the direct way is left alone after it failed.
+	// directBackoff is how long the direct path is not used after it failed.
 	directBackoff = 800 * time.Millisecond
-	// peerSampleSize is how many peers are tried at once.
+	// peerSampleSize is how many peers are sampled for a request.
 	peerSampleSize = 6
-	// hedgeDelayFactor is how many usual answer times a way may take until the next one
-	// is tried beside it, between shortestHedge, which a node that waits for its
-	// share of a processor takes, and longestHedge. A slow service is slower still when
-	// it is asked by all ways at once.
+	// The hedge delay is how long a request may take on the paths tried so far until the next ones
+	// are tried in parallel: hedgeDelayFactor times the usual latency, limited to minHedgeDelay and
+	// maxHedgeDelay. A busy node may wait for minHedgeDelay just to get a share of a processor. A
+	// slow service becomes slower still when it gets the same request on all paths at once.
 	hedgeDelayFactor = 4
 	minHedgeDelay    = 40 * time.Millisecond
 	maxHedgeDelay    = 900 * time.Millisecond
-	// retryInterval is the time between two tries of ways that were tried already: a
-	// service that comes back answers new requests only.
+	// retryInterval is the time between two retries on the direct path after all paths were tried.
+	// Retries are needed because a service that recovers answers only new requests.
 	retryInterval = 200 * time.Millisecond
-	// maxDirectOvertakes is how often in a row a peer must be sooner than the direct way until
-	// that counts as failed: a single one tells little on a busy node.
+	// maxDirectOvertakes is how many times in a row a peer must be faster than the direct path
+	// until that counts as a failure of the direct path. A single time proves little on a busy
+	// node.
 	maxDirectOvertakes = 2
-	// minUploadBytesPerSecond is the rate at which a request is expected to leave at least, in
-	// bytes a second.
+	// minUploadBytesPerSecond is the lowest expected rate at which a request is sent.
 	minUploadBytesPerSecond = 1 << 20
-	// latencyWeight is the weight of a new answer in the usual answer time, slowerWeight
-	// that of one that took longer: a service that turns slow is noticed at once.
+	// latencyWeight is the weight of a new latency in the usual latency, and risingLatencyWeight
+	// its weight when it is the higher of the two, so that a service that becomes slow is noticed
+	// at once.
 	latencyWeight       = 0.2
 	risingLatencyWeight = 0.7
-	// outageWindow is how long a failure of all ways counts, backWindow how long
-	// the outage counts after its end: the owner's next beat takes half a second.
+	// outageWindow is how long a failure on all paths counts as an outage. recoveryWindow is how
+	// long the outage still counts after it ended, because the owner's next heartbeat takes half a
+	// second.
 	outageWindow   = 3 * time.Second
 	recoveryWindow = time.Second
 )
 
-// Client is a Doer that goes through peers while the direct way fails. It is
-// safe for concurrent use.
+// Client is a Doer that sends requests through peers while the direct path fails. It is safe for
+// concurrent use.
 type Client struct {
 	direct Doer
 	peers  Peers
 	clock  clock.Service
 
 	mu sync.Mutex
-	// directRetryAt is when the direct way may be tried again; zero while it serves.
+	// directRetryAt is when the direct path may be used again. It is zero or past while the path
+	// works.
 	directRetryAt time.Time
-	// directOvertakes counts how often in a row a peer was sooner than the direct way.
+	// directOvertakes counts how many times in a row a peer was faster than the direct path.
 	directOvertakes int
-	// lastServingPeer is the peer by which a request was served last.
+	// lastServingPeer is the peer through which a request was served last.
 	lastServingPeer string
-	// usualLatency is how long the service usually takes.
+	// usualLatency is a weighted moving average of the time that the service takes to answer.
 	usualLatency time.Duration
-	// allFailedAt is when all ways failed last, lastServedAt when one worked last, and
-	// recoveredAt when one worked again after all had failed.
+	// allFailedAt is when a request last failed on all paths, lastServedAt when one was last
+	// served, and recoveredAt when one was served again after a failure on all paths.
 	allFailedAt, lastServedAt, recoveredAt time.Time
 }
 
-// New returns a Detour.
+// New returns a Client that sends requests by direct, or through peers as a fallback.
 func New(direct Doer, peers Peers, c clock.Service) *Client {
 	return &Client{direct: direct, peers: peers, clock: c}
 }
 
-// HasOutage reports whether this node and most others reach each other and none
-// of those that were tried reaches the service, or did so until just now.
+// HasOutage reports whether the service has an outage: this node and most others reach each other,
+// but a request has failed on all paths that were tried, or did so until a moment ago.
 func (d *Client) HasOutage() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,17 +146,18 @@
 	return (isFailing || now.Sub(d.recoveredAt) < recoveryWindow) && d.peers.IsMajority()
 }
 
-// Do sends the request directly, and through peers when that fails or takes
-// longer than usual while nothing moves: the same bytes through a peer would only
-// fill the link of this node. The first answer of a service that took it counts.
+// Do sends the request directly. It also sends it through peers when the direct path fails, or
+// takes longer than usual while no bytes move. While bytes move, a copy through a peer would only
+// fill this node's link with the same bytes. The first answer from a service that accepted the
+// request is returned.
 func (d *Client) Do(ctx context.Context, r *Request) (*Response, error) {
 	ctx, cancel := progress.WithTimeout(ctx, d.idleTimeout()+r.Wait)
 	defer cancel()
 	return newHedgedRequest(ctx, d, r).run()
 }
 
-// hedgeDelay returns how long a way may take for a request until the next one is tried
-// beside it.
+// hedgeDelay returns how long a request may take on the paths tried so far until the next ones are
+// tried in parallel.
 func (d *Client) hedgeDelay(r *Request) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -161,7 +165,9 @@
 	return min(max(hedgeDelayFactor*d.usualLatency, minHedgeDelay)+uploadTime, maxHedgeDelay) + r.Wait
 }
 
-// stages returns the ways in the order in which they are tried.
+// stages returns the paths in the order in which they are tried; the paths of one stage are tried
+// in parallel. The direct path comes first unless it backs off, then the peer that served last if
+// it is in the sample, then the other peers.
 func (d *Client) stages() [][]string {
 	names := d.peers.Sample(peerSampleSize)
 	d.mu.Lock()
@@ -182,7 +188,8 @@
 	return out
 }
 
-// noteServed notes an answer by a way.
+// noteServed records that a request was served. The latency of a long poll is not recorded, as it
+// includes the service's wait.
 func (d *Client) noteServed(t *attempt, wait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -202,15 +209,14 @@
 	}
 }
 
-// ObserveLatency takes how long the service took to answer a request that went around the
-// Detour.
+// ObserveLatency records the service's latency for a request that was not sent through this Client.
 func (d *Client) ObserveLatency(latency time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.updateUsualLatency(latency)
 }
 
-// updateUsualLatency takes an answer time. The caller holds mu.
+// updateUsualLatency adds a latency to the moving average. The caller holds mu.
 func (d *Client) updateUsualLatency(latency time.Duration) {
 	weight := latencyWeight
 	if latency > d.usualLatency {
@@ -219,14 +225,14 @@
 	d.usualLatency += time.Duration(weight * float64(latency-d.usualLatency))
 }
 
-// idleTimeout returns how long nothing may move.
+// idleTimeout returns for how long a request may go without any bytes moving.
 func (d *Client) idleTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return min(max(idleTimeoutFactor*d.usualLatency, minIdleTimeout), maxIdleTimeout)
 }
 
-// noteOvertaken notes that a peer was sooner than the direct way.
+// noteOvertaken records that a peer was faster than the direct path.
 func (d *Client) noteOvertaken() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -235,14 +241,14 @@
 	}
 }
 
-// noteDirectFailed leaves the direct way alone for a while.
+// noteDirectFailed starts the backoff of the direct path.
 func (d *Client) noteDirectFailed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.directRetryAt = d.clock.Now().Add(directBackoff)
 }
 
-// noteAllFailed notes that no way worked.
+// noteAllFailed records that a request failed on all paths.
 func (d *Client) noteAllFailed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/fallback/fallback_test.go
+++ b/internal/fallback/fallback_test.go
@@ -18,7 +18,7 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-// fixedResponder answers each request alike and counts them.
+// fixedResponder gives each request the same result and counts the requests.
 type fixedResponder struct {
 	status int
 	err    error
@@ -33,7 +33,7 @@
 	return &fallback.Response{Status: w.status}, nil
 }
 
-// singlePeer is one peer that is linked, or none.
+// singlePeer has one peer, linked or not.
 type singlePeer struct {
 	responder  fixedResponder
 	isLinked   bool
@@ -85,7 +85,7 @@
 		}
 		e := &fallback.UnsentError{}
 		if isUncertain := err != nil && !errors.As(err, &e); err == nil || isUncertain != tc.isUncertain {
-			t.Errorf("%s: got: %v, want: an error, open: %v", name, err, tc.isUncertain)
+			t.Errorf("%s: got: %v, want: an error, uncertain: %v", name, err, tc.isUncertain)
 		}
 	}
 }
@@ -111,7 +111,8 @@
 	}
 }
 
-// The owner refused requests between the end of an outage and its next beat.
+// The owner rejected requests between the end of an outage and its next heartbeat. The outage must
+// count until that heartbeat.
 func TestOutageLastsThroughRecoveryWindow(t *testing.T) {
 	c := clock.NewFake()
 	direct := &fixedResponder{status: 503}
@@ -123,7 +124,7 @@
 	}
 	sendRequest()
 	if !d.HasOutage() {
-		t.Error("all ways fail: got: no outage, want: one")
+		t.Error("all paths fail: got: no outage, want: one")
 	}
 	c.Advance(time.Second)
 	direct.status, peers.responder.status = 200, 200
@@ -149,8 +150,8 @@
 	}
 }
 
-// silentResponder never answers before its context is over, but for the calls from
-// the number answersFrom on.
+// silentResponder does not answer before the context ends, except from call number answersFrom on;
+// 0 means never.
 type silentResponder struct {
 	mu          sync.Mutex
 	answersFrom int
@@ -181,11 +182,11 @@
 	return w.calls
 }
 
-// longWait is of requests that would take an hour if nothing were tried beside
-// the way that does not answer.
+// longWait makes requests that would take an hour if no other path were tried in parallel to the
+// silent one.
 const longWait = time.Hour
 
-// doInBackground sends a request and returns a channel with its error.
+// doInBackground sends a request and returns a channel that receives its error.
 func doInBackground(t *testing.T, d *fallback.Client) chan error {
 	t.Helper()
 	done := make(chan error, 1)
@@ -196,22 +197,22 @@
 	return done
 }
 
-// passHedgeDelay waits until the direct way was asked and so many timers were set, and then
-// lets the time pass after which the next way is tried, once.
+// passHedgeDelay waits until the direct path has received a request and the given number of timers
+// was set, then advances the clock past the hedge delay once.
 func passHedgeDelay(t *testing.T, c *countingClock, direct *silentResponder, timers int64) {
 	t.Helper()
 	<-direct.received
-	await.True(t, "the search waits", func() bool { return c.timers.Load() == timers })
+	await.True(t, "the request waits for its timer", func() bool { return c.timers.Load() == timers })
 	c.Advance(2 * longWait)
 }
 
-// An owner that the store had turned away in silence waited 0.7 s for it again
-// and again; its callers were refused meanwhile.
+// The store did not answer the owner, which waited 0.7 s for it at each request and rejected its
+// callers meanwhile. A direct path that a peer overtakes repeatedly must back off.
 func TestOvertakenDirectPathBacksOff(t *testing.T) {
 	c := &countingClock{Fake: clock.NewFake()}
 	direct, peers := newSilentResponder(0), &singlePeer{responder: fixedResponder{status: 200}, isLinked: true}
 	d := fallback.New(direct, peers, c)
-	// Each search sets a timer at its begin and one when the first is over.
+	// Each request sets a timer at its start and another when the first has expired.
 	for _, timers := range []int64{1, 3} {
 		done := doInBackground(t, d)
 		passHedgeDelay(t, c, direct, timers)
@@ -225,12 +226,12 @@
 		}
 	}
 	if got := direct.callCount(); got != 2 {
-		t.Errorf("direct calls: got: %d, want: 2, as it was overtaken twice", got)
+		t.Errorf("direct calls: got: %d, want: 2, as peers overtook it twice", got)
 	}
 }
 
-// A service whose answer was lost says nothing more on that way; it answers the
-// same request when it comes again.
+// When a response is lost, the service sends nothing more for that request. It must be sent again
+// on the same path.
 func TestLostResponseIsRequestedAgain(t *testing.T) {
 	c := &countingClock{Fake: clock.NewFake()}
 	direct := newSilentResponder(3)
@@ -246,8 +247,8 @@
 	}
 }
 
-// steppedResponder has a byte of its answer come whenever it is told, until it is told
-// that the answer is complete.
+// steppedResponder transfers a byte of its response for each value on step, until complete is
+// closed.
 type steppedResponder struct {
 	calls                 atomic.Int64
 	step, moved, complete chan struct{}
@@ -279,20 +280,20 @@
 	return c.Fake.After(d)
 }
 
-// A page of 1 MB that came over a link of 10 Mbit/s was asked for again and again
-// through peers, over the same link.
+// A page of 1 MB on its way over a link of 10 Mbit/s was requested again and again through peers,
+// over the same link. While bytes move, no other path may be tried.
 func TestResponseInTransferIsNotRequestedAgain(t *testing.T) {
 	c := &countingClock{Fake: clock.NewFake()}
 	direct := &steppedResponder{step: make(chan struct{}), moved: make(chan struct{}), complete: make(chan struct{})}
 	peers := &singlePeer{responder: fixedResponder{status: 200}, isLinked: true}
 	done := doInBackground(t, fallback.New(direct, peers, c))
 	for i := range 20 {
-		await.True(t, "it is waited", func() bool { return c.timers.Load() == int64(i+1) })
+		await.True(t, "the request waits for its timer", func() bool { return c.timers.Load() == int64(i+1) })
 		select {
 		case direct.step <- struct{}{}:
 			<-direct.moved
 		case err := <-done:
-			t.Fatalf("got: %v from another way, want: to wait for the direct one", err)
+			t.Fatalf("got: %v from another path, want: to wait for the direct one", err)
 		}
 		c.Advance(2 * longWait)
 	}
@@ -305,7 +306,7 @@
 	}
 }
 
-// recordingClock notes for how long its timers were set.
+// recordingClock records the durations of its timers.
 type recordingClock struct {
 	*clock.Fake
 	timers chan time.Duration
@@ -316,9 +317,9 @@
 	return c.Fake.After(d)
 }
 
-// A service that had turned slow was asked by seven ways at once after 0.4 s, each time
-// anew, and became slower by that: a new owner had no list of workers for 2.8 s, of
-// which reading it took 1.8 s.
+// A service that had become slow got each request on seven paths at once after 0.4 s, and became
+// slower still: a new owner had no list of workers for 2.8 s, although reading the list took 1.8 s.
+// The hedge delay must grow with the latency, and recover with it.
 func TestHedgeDelayGrowsWithLatency(t *testing.T) {
 	const ms = time.Millisecond
 	for _, tc := range []struct {
@@ -340,7 +341,7 @@
 			t.Fatal(err)
 		}
 		if got := <-clk.timers; got < tc.minDelay || tc.minDelay < 900*ms && got > 90*ms {
-			t.Errorf("%s: the next way is tried after: got: %v, want: %v", tc.name, got, tc.minDelay)
+			t.Errorf("%s: the next path is tried after: got: %v, want: %v", tc.name, got, tc.minDelay)
 		}
 	}
 }
--- a/internal/fallback/hedged.go
+++ b/internal/fallback/hedged.go
@@ -11,10 +11,10 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-// directPath is the name of the way that goes through no peer.
+// directPath is the name of the path that uses no peer.
 const directPath = ""
 
-// attempt is a request on one way, with what became of it.
+// attempt is a request on one path, with its result.
 type attempt struct {
 	path      string
 	startedAt time.Time
@@ -24,7 +24,7 @@
 
 func (t *attempt) isServed() bool { return t.err == nil && t.response.isServed() }
 
-// isUncertain reports whether the request may have been or may be carried out.
+// isUncertain reports whether the request may have been executed or may still be.
 func (t *attempt) isUncertain() bool {
 	if t.err == nil {
 		return false
@@ -33,25 +33,27 @@
 	return !isUnsent
 }
 
-// hedgedRequest sends one request by one way after the other until one is served. One
-// goroutine uses it.
+// hedgedRequest sends one request on one path after the other, in parallel once the hedge delay has
+// passed, until one attempt is served. It is used by a single goroutine.
 type hedgedRequest struct {
 	ctx     context.Context
 	client  *Client
 	request *Request
-	// stages are the ways that were not tried yet.
+	// stages are the paths not tried yet.
 	stages [][]string
-	// results has the tries that are over; it never blocks, as it has room for all.
+	// results receives the finished attempts. Its buffer holds all possible attempts, so that
+	// sending never blocks.
 	results chan *attempt
-	// inFlight counts the tries that are not over, directInFlight those of the direct way.
+	// inFlight counts the attempts without a result, and directInFlight those of them on the direct
+	// path.
 	inFlight, directInFlight int
 	failedAttempts           []*attempt
-	// movedBytes is how many bytes had movedBytes when ways were tried last.
+	// movedBytes is the number of bytes that had moved when hasProgressed was called last.
 	movedBytes int64
 }
 
-// maxAttempts bounds the tries of one request: each way once, and the direct way
-// again each againPause.
+// maxAttempts bounds the attempts of one request: one on each path, and a retry on the direct path
+// each retryInterval.
 const maxAttempts = 64
 
 func newHedgedRequest(ctx context.Context, d *Client, r *Request) *hedgedRequest {
@@ -85,16 +87,17 @@
 	return finalResult(s.failedAttempts)
 }
 
-// hasProgressed reports whether bytes of the request or of an answer have moved since
-// it was asked last.
+// hasProgressed reports whether bytes of the request or of an answer have moved since the previous
+// call.
 func (s *hedgedRequest) hasProgressed() bool {
 	before := s.movedBytes
 	s.movedBytes = progress.Bytes(s.ctx)
 	return s.movedBytes > before
 }
 
-// handleResult notes how a try ended and reports whether it was served. A direct way that
-// is still without an answer then has been overtaken by a peer that began later.
+// handleResult processes a finished attempt and reports whether it was served. If a peer served the
+// request while an attempt on the direct path has no result, the peer has overtaken the direct
+// path, although it began later.
 func (s *hedgedRequest) handleResult(t *attempt) bool {
 	s.inFlight--
 	if t.path == directPath {
@@ -114,8 +117,8 @@
 	return true
 }
 
-// startNextStage tries the ways of the startNextStage stage, or the direct way again when all have
-// been tried.
+// startNextStage starts attempts on the paths of the next stage, or on the direct path again when
+// all paths have been tried.
 func (s *hedgedRequest) startNextStage() {
 	if s.ctx.Err() != nil || len(s.failedAttempts)+s.inFlight+peerSampleSize >= maxAttempts {
 		return
@@ -138,7 +141,7 @@
 	go s.runAttempt(path)
 }
 
-// runAttempt does one try.
+// runAttempt sends the request on one path.
 func (s *hedgedRequest) runAttempt(path string) {
 	t := &attempt{path: path, startedAt: s.client.clock.Now()}
 	if path == directPath {
@@ -149,7 +152,9 @@
 	s.results <- t
 }
 
-// finalResult returns the answer when no way worked: open if any try is.
+// finalResult returns the result when no attempt was served. If any attempt is uncertain, its error
+// is returned, as the request may have been executed. Otherwise a rejection by the service takes
+// precedence over an error.
 func finalResult(attempts []*attempt) (*Response, error) {
 	for _, t := range attempts {
 		if t.isUncertain() {
@@ -164,5 +169,5 @@
 	if len(attempts) > 0 {
 		return nil, attempts[0].err
 	}
-	return nil, &UnsentError{fmt.Errorf("no way to the service is open")}
+	return nil, &UnsentError{fmt.Errorf("no path to the service is available")}
 }
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -1,15 +1,15 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package progress bounds exchanges by their progress, not by their total time:
-// an answer may take as long as its size needs on a weak link, as long as bytes
-// come (decision 0016).
+// Package progress bounds exchanges of data by idle timeouts instead of a total timeout: an answer
+// may take as long as its size requires on a slow link, as long as bytes keep arriving (decision
+// 0016).
 //
-// Who wants an answer bounds its context, and who reads or writes the bytes notes
-// them in that context:
+// The code that waits for an answer bounds its context, and the code that reads or writes the bytes
+// reports them to that context:
 //
-//	// The caller: 700 ms until the first byte, then Stall from byte to byte.
-//	ctx, cancel := progress.With(ctx, 700*time.Millisecond)
+//	// The caller: 700 ms until the first byte, then IdleTimeout between two bytes.
+//	ctx, cancel := progress.WithTimeout(ctx, 700*time.Millisecond)
 //	defer cancel()
 //	answer, err := ask(ctx)
 //
@@ -19,7 +19,8 @@
 //		progress.Report(ctx, n)
 //	}
 //
-// Who passes the request on to another node tells it TimeLeft.
+// Code that forwards the request to another node sends TimeLeft with it, as the time that this node
+// may take.
 package progress
 
 import (
@@ -32,43 +33,44 @@
 	"github.com/leverdyke/leverdyke/internal/clock"
 )
 
-// IdleTimeout is how long an exchange that has begun may stay without a byte. A link
-// that is full still passes some of each connection's packets within tenths of a
-// second, a lost packet is sent again after 0.2 s, then 0.4 s. A silent
-// connection must be noticed, and its bytes read anew, within the 2 s in which a
-// configuration must be in force.
+// IdleTimeout is how long an exchange that has begun may go without a byte. A saturated link still
+// passes some packets of each connection within tenths of a second, and a lost packet is
+// retransmitted after 0.2 s, then after 0.4 s. A silent connection must be noticed, and its bytes
+// read again, within the 2 s in which a changed configuration must take effect.
 const IdleTimeout = 900 * time.Millisecond
 
-// Clock tells the time and calls back.
+// Clock provides the time and timers.
 type Clock interface {
 	Now() time.Time
-	// AfterFunc calls f in a goroutine of its own after d, and returns a function
-	// that prevents it.
+	// AfterFunc calls f in a goroutine of its own after d. It returns a function that prevents the
+	// call.
 	AfterFunc(d time.Duration, f func()) (stop func() bool)
 }
 
-// boundedContext is a context that ends when nothing has moved for too long.
+// timeoutContext is a context that ends when no byte has moved for too long.
 type timeoutContext struct {
 	context.Context
 	cancel    context.CancelCauseFunc
 	clock     Clock
 	startedAt time.Time
-	// parent is the next such context outwards; what moves here moves there.
+	// outer is the closest timeoutContext among the parents, or nil. Bytes that move here count
+	// there too.
 	outer *timeoutContext
-	// first counts from began, stall from the last byte.
+	// firstByteTimeout runs from startedAt, idleTimeout from the last byte.
 	firstByteTimeout, idleTimeout time.Duration
-	// moved counts bytes; movedAt is when the last moved, in nanoseconds after
-	// began, 0 before the first.
+	// transferred is the number of bytes moved. lastTransfer is when the last one moved, in
+	// nanoseconds after startedAt; 0 means that none has.
 	transferred, lastTransfer atomic.Int64
 
 	mu sync.Mutex
-	// stop prevents the next check; nil when the context was over from the start.
+	// stopCheck prevents the next check. It is nil when the parent had ended before this context
+	// was made.
 	stopCheck func() bool
 }
 
 type contextKey struct{}
 
-// Value returns the context itself under its own key.
+// Value returns the context itself for its own key, and the parent's value for other keys.
 func (b *timeoutContext) Value(key any) any {
 	if key == (contextKey{}) {
 		return b
@@ -76,8 +78,7 @@
 	return b.Context.Value(key)
 }
 
-// Err returns why the context is over: context.DeadlineExceeded when nothing
-// moved in time.
+// Err returns why the context ended: context.DeadlineExceeded when no byte moved in time.
 func (b *timeoutContext) Err() error {
 	err := b.Context.Err()
 	if err != nil && errors.Is(context.Cause(b.Context), context.DeadlineExceeded) {
@@ -86,14 +87,14 @@
 	return err
 }
 
-// WithTimeout returns a context that is over first after now, or Stall after the last
-// call of Note with it or a context made of it, whichever is later. What else
-// ends the parent ends it too.
+// WithTimeout returns a context that ends firstByteTimeout from now, or IdleTimeout after the last
+// call of Report with it or a context derived from it, whichever is later. It also ends when its
+// parent does.
 func WithTimeout(parent context.Context, firstByteTimeout time.Duration) (context.Context, context.CancelFunc) {
 	return WithClock(parent, clock.Real{}, firstByteTimeout, IdleTimeout)
 }
 
-// WithClock is With by another clock, and by another bound than Stall.
+// WithClock is WithTimeout with another clock and another idle timeout than IdleTimeout.
 func WithClock(parent context.Context, c Clock, firstByteTimeout, idleTimeout time.Duration) (context.Context, context.CancelFunc) {
 	inner, cancel := context.WithCancelCause(parent)
 	b := &timeoutContext{Context: inner, cancel: cancel, clock: c, startedAt: c.Now(), firstByteTimeout: firstByteTimeout, idleTimeout: idleTimeout, outer: innermost(parent)}
@@ -101,13 +102,13 @@
 	return b, b.release
 }
 
-// innermost returns the innermost context bounded by progress that ctx is made of,
-// or nil.
+// innermost returns the closest timeoutContext that ctx is or is derived from, or nil.
 func innermost(ctx context.Context) *timeoutContext {
 	b, _ := ctx.Value(contextKey{}).(*timeoutContext)
 	return b
 }
 
+// scheduleCheck schedules the next check after d, unless the context has ended.
 func (b *timeoutContext) scheduleCheck(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -116,7 +117,7 @@
 	}
 }
 
-// check ends the context if nothing has moved, or looks again when that is due.
+// cancelIfIdle ends the context if no byte moved in time. Otherwise it schedules the next check.
 func (b *timeoutContext) cancelIfIdle() {
 	if remaining := b.timeLeft(); remaining > 0 {
 		b.scheduleCheck(remaining)
@@ -125,7 +126,7 @@
 	b.cancel(context.DeadlineExceeded)
 }
 
-// left returns how long the context lasts if nothing moves any more.
+// timeLeft returns how long the context lasts if no further byte moves.
 func (b *timeoutContext) timeLeft() time.Duration {
 	elapsed := b.clock.Now().Sub(b.startedAt)
 	remaining := b.firstByteTimeout - elapsed
@@ -135,6 +136,7 @@
 	return remaining
 }
 
+// release ends the context and stops its timer.
 func (b *timeoutContext) release() {
 	b.cancel(nil)
 	b.mu.Lock()
@@ -144,18 +146,18 @@
 	}
 }
 
-// Note notes that so many bytes of an exchange came or went; 0 notes that its answer
-// has begun, and gives more time too. It does nothing with a context that is not
-// bounded by progress.
+// Report records that so many bytes of an exchange were received or sent. 0 bytes record that the
+// answer has begun, which also restarts the idle timeout. Report does nothing if ctx is not bounded
+// by this package.
 func Report(ctx context.Context, bytes int) {
 	for b := innermost(ctx); b != nil; b = b.outer {
-		// Never 0, which means that nothing has moved.
+		// Never 0, which means that no byte has moved.
 		b.lastTransfer.Store(max(int64(b.clock.Now().Sub(b.startedAt)), 1))
 		b.transferred.Add(int64(bytes))
 	}
 }
 
-// Bytes returns how many bytes have moved under the innermost bound of ctx.
+// Bytes returns how many bytes have moved under the innermost context of this package in ctx.
 func Bytes(ctx context.Context) int64 {
 	if b := innermost(ctx); b != nil {
 		return b.transferred.Load()
@@ -163,8 +165,8 @@
 	return 0
 }
 
-// TimeLeft returns how long ctx lasts if nothing moves any more, for a request that
-// is passed on to another node. It reports false when it has no end.
+// TimeLeft returns how long ctx lasts if no further byte moves, for a request that is forwarded to
+// another node. It returns false when ctx has no time limit.
 func TimeLeft(ctx context.Context) (time.Duration, bool) {
 	remaining, isBounded := time.Duration(0), false
 	keepLeast := func(d time.Duration) {
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -15,7 +15,7 @@
 
 const firstByteTimeout = 2 * time.Second
 
-// expectTimeoutAfter lets d pass, and checks that the context ends then and not before.
+// expectTimeoutAfter advances the clock by d, and checks that the context ends then and not before.
 func expectTimeoutAfter(ctx context.Context, t *testing.T, c *clock.Fake, d time.Duration) {
 	t.Helper()
 	c.Advance(d - 1)
@@ -48,7 +48,7 @@
 		c.Advance(progress.IdleTimeout - 1)
 	}
 	if inner.Err() != nil || outer.Err() != nil {
-		t.Errorf("got: %v and %v, want: neither over", inner.Err(), outer.Err())
+		t.Errorf("got: %v and %v, want: neither ended", inner.Err(), outer.Err())
 	}
 	if got := progress.Bytes(outer); got != 1000 {
 		t.Errorf("bytes: got: %d, want: 1000", got)
@@ -77,7 +77,7 @@
 func TestTimeLeftIsTheLeastOfAllTimeouts(t *testing.T) {
 	c := clock.NewFake()
 	if _, ok := progress.TimeLeft(t.Context()); ok {
-		t.Error("unbounded: got: an end, want: none")
+		t.Error("unbounded: got: a time limit, want: none")
 	}
 	outer, cancelOuter := progress.WithClock(t.Context(), c, firstByteTimeout, progress.IdleTimeout)
 	defer cancelOuter()
@@ -94,7 +94,8 @@
 	}
 }
 
-// A node ended by itself when a link closed as a call came.
+// A node crashed when a link closed at the moment a call arrived: the parent had ended, so no check
+// was scheduled, and cancel called a nil function.
 func TestParentThatHasEndedIsAccepted(t *testing.T) {
 	parent, cancelParent := context.WithCancel(t.Context())
 	cancelParent()
