--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -38,9 +38,9 @@
 const (
 	pathPrefix = "/s/"
 	// replayBytes is how much of a body is kept to send it a second time.
-	replayBytes    = 64 << 10
+	maxReplayBytes = 64 << 10
 	maxHeaderBytes = 32 << 10
-	maxTries       = 3
+	maxAttempts    = 3
 	defaultTimeout = 30 * time.Second
 )
 
@@ -71,8 +71,8 @@
 	mux     *http.ServeMux
 	// forward reuses connections; single never does, so that the transport has
 	// no reason to send a request a second time on its own (decision 0004).
-	forward, single http.RoundTripper
-	inProgress      chan struct{}
+	pooledTransport, singleUseTransport http.RoundTripper
+	inProgress                          chan struct{}
 }
 
 // NewHandler returns a handler for the callers' port.
@@ -88,10 +88,10 @@
 	}
 	dialer := &net.Dialer{Timeout: 2 * time.Second}
 	h := &Handler{
-		options:    options,
-		forward:    &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second, DisableCompression: true, WriteBufferSize: 2048, ReadBufferSize: 2048},
-		single:     &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true, WriteBufferSize: 2048, ReadBufferSize: 2048},
-		inProgress: make(chan struct{}, options.MaxRequests),
+		options:            options,
+		pooledTransport:    &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second, DisableCompression: true, WriteBufferSize: 2048, ReadBufferSize: 2048},
+		singleUseTransport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true, DisableCompression: true, WriteBufferSize: 2048, ReadBufferSize: 2048},
+		inProgress:         make(chan struct{}, options.MaxRequests),
 	}
 	h.mux = http.NewServeMux()
 	h.mux.HandleFunc(pathPrefix, h.serve)
@@ -127,12 +127,12 @@
 	path    string
 	class   leverdyke.Class
 	// isOnce means that the request may not be repeated.
-	isOnce bool
+	isNonRepeatable bool
 	// body has the first bytes; rest is what follows and cannot be sent twice;
 	// nil means that body is all.
-	body  []byte
-	rest  io.Reader
-	began time.Time
+	bodyHead   []byte
+	bodyRest   io.Reader
+	receivedAt time.Time
 }
 
 func (h *Handler) serve(w http.ResponseWriter, r *http.Request) {
@@ -160,12 +160,12 @@
 		h.writeProblem(w, http.StatusNotFound, leverdyke.NotRun("there is no service named "+x.service+" in this region", 0))
 		return
 	}
-	x.isOnce = info.IsOnce && !isSafe(r.Method)
+	x.isNonRepeatable = info.IsOnce && !isSafe(r.Method)
 	if err := x.readBody(r); err != nil {
 		h.writeProblem(w, http.StatusBadRequest, leverdyke.NotRun("the body broke off: "+err.Error(), 0))
 		return
 	}
-	if x.rest != nil {
+	if x.bodyRest != nil {
 		// The worker may answer while the caller still sends: without full
 		// duplex, the server would stop reading the body with the first byte of
 		// the answer. The connection ends with the answer, since nobody knows
@@ -173,11 +173,11 @@
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		w.Header().Set("Connection", "close")
 	}
-	if x.isOnce {
-		h.serveOnce(ctx, w, r, x)
+	if x.isNonRepeatable {
+		h.serveNonRepeatable(ctx, w, r, x)
 		return
 	}
-	h.forwardTries(ctx, w, r, x)
+	h.forwardWithRetries(ctx, w, r, x)
 }
 
 func isSafe(method string) bool {
@@ -185,8 +185,8 @@
 }
 
 func (h *Handler) parse(r *http.Request) (*exchange, *leverdyke.Error) {
-	service, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), pathPrefix), "/")
-	x := &exchange{service: service, path: "/v1/serve/" + rest, class: leverdyke.ClassNormal, began: h.options.Clock.Now()}
+	service, workerPath, _ := strings.Cut(strings.TrimPrefix(r.URL.EscapedPath(), pathPrefix), "/")
+	x := &exchange{service: service, path: "/v1/serve/" + workerPath, class: leverdyke.ClassNormal, receivedAt: h.options.Clock.Now()}
 	if r.URL.RawQuery != "" {
 		x.path += "?" + r.URL.RawQuery
 	}
@@ -217,42 +217,42 @@
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
 	}
-	head, err := io.ReadAll(io.LimitReader(r.Body, replayBytes+1))
+	head, err := io.ReadAll(io.LimitReader(r.Body, maxReplayBytes+1))
 	if err != nil {
 		return err
 	}
-	x.body = head
-	if len(head) > replayBytes {
-		x.rest = r.Body
+	x.bodyHead = head
+	if len(head) > maxReplayBytes {
+		x.bodyRest = r.Body
 	}
 	return nil
 }
 
 // forwardTries sends the request, and again while that is allowed: always
 // after not-run, and after may-have-run if it may be repeated.
-func (h *Handler) forwardTries(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange) {
-	var last *leverdyke.Error
-	for try := range maxTries {
-		last = h.forwardOnce(ctx, w, r, x)
-		if last == nil {
+func (h *Handler) forwardWithRetries(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange) {
+	var lastError *leverdyke.Error
+	for attempt := range maxAttempts {
+		lastError = h.forwardAttempt(ctx, w, r, x)
+		if lastError == nil {
 			return
 		}
-		isLastTry := try == maxTries-1 || x.rest != nil || ctx.Err() != nil || last.RetryAfterSeconds > 0
-		if isLastTry || (last.Verdict != leverdyke.VerdictNotRun && x.isOnce) {
+		isLastAttempt := attempt == maxAttempts-1 || x.bodyRest != nil || ctx.Err() != nil || lastError.RetryAfterSeconds > 0
+		if isLastAttempt || (lastError.Verdict != leverdyke.VerdictNotRun && x.isNonRepeatable) {
 			break
 		}
 	}
-	h.refuse(w, last)
+	h.refuse(w, lastError)
 }
 
 // forwardOnce sends the request to one worker and its answer to the caller. A
 // nil error means that the answer has been written.
-func (h *Handler) forwardOnce(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange) *leverdyke.Error {
+func (h *Handler) forwardAttempt(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange) *leverdyke.Error {
 	slot, problem := h.options.Router.Acquire(ctx, x.service, x.class)
 	if problem != nil {
 		return problem
 	}
-	h.options.Metrics.Waited("request", x.class, h.options.Clock.Now().Sub(x.began))
+	h.options.Metrics.Waited("request", x.class, h.options.Clock.Now().Sub(x.receivedAt))
 	events.Log(events.RequestRouted, "service", x.service, "worker", slot.Worker, "why", "least loaded, near first", "runnerUp", slot.RunnerUp, "class", x.class)
 	res, problem := h.send(ctx, r, x, slot)
 	if problem != nil {
@@ -269,9 +269,9 @@
 // send makes one round trip. The body has no way to be rewound, so that the
 // transport never sends it twice.
 func (h *Handler) send(ctx context.Context, r *http.Request, x *exchange, slot *front.Slot) (*http.Response, *leverdyke.Error) {
-	var body io.Reader = bytes.NewReader(x.body)
-	if x.rest != nil {
-		body = io.MultiReader(body, x.rest)
+	var body io.Reader = bytes.NewReader(x.bodyHead)
+	if x.bodyRest != nil {
+		body = io.MultiReader(body, x.bodyRest)
 	}
 	out, err := http.NewRequestWithContext(ctx, r.Method, "http://"+slot.Addr.String()+x.path, io.NopCloser(body))
 	if err != nil {
@@ -279,18 +279,18 @@
 	}
 	out.GetBody = nil
 	switch {
-	case x.rest != nil:
+	case x.bodyRest != nil:
 		out.ContentLength = r.ContentLength
-	case len(x.body) == 0:
+	case len(x.bodyHead) == 0:
 		out.Body = nil
 	default:
-		out.ContentLength = int64(len(x.body))
+		out.ContentLength = int64(len(x.bodyHead))
 	}
 	copyHeader(out.Header, r.Header)
 	setGrant(out.Header, slot.Grant)
-	transport := h.forward
-	if x.isOnce {
-		transport = h.single
+	transport := h.pooledTransport
+	if x.isNonRepeatable {
+		transport = h.singleUseTransport
 	}
 	res, err := transport.RoundTrip(out)
 	if err != nil {
@@ -306,8 +306,8 @@
 // verdictOf says whether a request whose round trip failed may have run: not
 // if no connection came about.
 func verdictOf(err error) *leverdyke.Error {
-	op := &net.OpError{}
-	if errors.As(err, &op) && op.Op == "dial" {
+	opError := &net.OpError{}
+	if errors.As(err, &opError) && opError.Op == "dial" {
 		return &leverdyke.Error{Verdict: leverdyke.VerdictNotRun, Reason: "the worker cannot be reached", Err: err}
 	}
 	return leverdyke.MayHaveRun("the worker's answer did not come", err)
@@ -328,11 +328,11 @@
 	}
 }
 
-const streamBytes = 16 << 10
+const streamBufferBytes = 16 << 10
 
 // stream copies within bounded memory and passes on each part as it comes.
 func stream(w http.ResponseWriter, body io.Reader) error {
-	buf := make([]byte, streamBytes)
+	buf := make([]byte, streamBufferBytes)
 	flusher := http.NewResponseController(w)
 	for {
 		n, err := body.Read(buf)
--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -91,9 +91,9 @@
 	return &node.Grant{Service: service, Worker: worker.ID(url), Addr: addr, Slots: slots, Key: worker.Key{Task: leverdyke.TaskID{Job: "grant"}, Attempt: attempt}}
 }
 
-// newFront returns a node's door for callers with one service, "s", whose
+// newCallerServer returns a node's door for callers with one service, "s", whose
 // grants lead to the workers.
-func newFront(t *testing.T, isOnce bool, keys *fakeKeys, workers ...string) *httptest.Server {
+func newCallerServer(t *testing.T, isOnce bool, keys *fakeKeys, workers ...string) *httptest.Server {
 	t.Helper()
 	r := front.NewRouter(front.NewRouterOptions{Idle: time.Hour})
 	r.SetServices(map[string]front.Info{"s": {IsOnce: isOnce}})
@@ -163,14 +163,14 @@
 	return "http://" + l.Addr().String()
 }
 
-func TestAnswerReachesItsCallerWhole(t *testing.T) {
+func TestAnswerIsForwardedUnchanged(t *testing.T) {
 	w := newWorker(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Answer", "1")
 		w.WriteHeader(http.StatusTeapot)
 		_, _ = fmt.Fprintf(w, "%s %s %s", r.Method, r.URL.RequestURI(), body)
 	})
-	s := newFront(t, false, newFakeKeys(1)[0], w)
+	s := newCallerServer(t, false, newFakeKeys(1)[0], w)
 	got := call(t, s.URL+"/s/s/a%2Fb?q=1", http.MethodPost, "hello")
 	want := "POST /v1/serve/a%2Fb?q=1 hello"
 	if got.body != want || got.status != http.StatusTeapot || got.verdict != leverdyke.VerdictRan || got.header.Get("X-Answer") != "1" {
@@ -178,7 +178,7 @@
 	}
 }
 
-func TestHopByHopHeadersAreNotPassedOn(t *testing.T) {
+func TestHopByHopHeadersAreNotForwarded(t *testing.T) {
 	seen := make(chan http.Header, 1)
 	w := newWorker(t, func(w http.ResponseWriter, r *http.Request) {
 		seen <- r.Header
@@ -186,7 +186,7 @@
 		w.Header().Set("X-Private", "1")
 		w.Header().Set(leverdyke.VerdictHeader, "made up")
 	})
-	s := newFront(t, false, newFakeKeys(1)[0], w)
+	s := newCallerServer(t, false, newFakeKeys(1)[0], w)
 	got := call(t, s.URL+"/s/s/", http.MethodGet, "", "Connection", "X-Hop", "X-Hop", "1", "X-End", "1", "Te", "trailers")
 	h := <-seen
 	if h.Get("X-Hop") != "" || h.Get("Te") != "" || h.Get("X-End") != "1" {
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestAnswerCutShortLooksCutShort(t *testing.T) {
+func TestTruncatedAnswerIsVisibleToTheCaller(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
 		"with a length": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
@@ -212,7 +212,7 @@
 		},
 	} {
 		for _, isOnce := range []bool{false, true} {
-			s := newFront(t, isOnce, newFakeKeys(1)[0], newWorker(t, handler))
+			s := newCallerServer(t, isOnce, newFakeKeys(1)[0], newWorker(t, handler))
 			got := call(t, s.URL+"/s/s/", http.MethodPost, "x", caller.KeyHeader, newKey(t))
 			if got.err == nil {
 				t.Errorf("%s, once %v: got: %+v, want: an error while reading", name, isOnce, got)
@@ -221,7 +221,7 @@
 	}
 }
 
-func TestNotRunIsTriedElsewhere(t *testing.T) {
+func TestRequestThatDidNotRunIsRetriedOnAnotherWorker(t *testing.T) {
 	good := newWorker(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	refusing := newWorker(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(leverdyke.VerdictHeader, string(leverdyke.VerdictNotRun))
@@ -229,7 +229,7 @@
 	})
 	for name, bad := range map[string]string{"nobody listens": closedAddr(t), "the worker refuses": refusing} {
 		for _, isOnce := range []bool{false, true} {
-			s := newFront(t, isOnce, newFakeKeys(1)[0], bad, good)
+			s := newCallerServer(t, isOnce, newFakeKeys(1)[0], bad, good)
 			for range 2 {
 				if got := call(t, s.URL+"/s/s/", http.MethodPost, "x", caller.KeyHeader, newKey(t)); got.body != "ok" {
 					t.Errorf("%s, once %v: got: %+v, want: ok", name, isOnce, got)
@@ -239,15 +239,15 @@
 	}
 }
 
-func TestRequestThatMayNotBeRepeatedIsSentOnce(t *testing.T) {
+func TestNonRepeatableRequestIsSentOnce(t *testing.T) {
 	sent := atomic.Int32{}
-	dying := newWorker(t, func(http.ResponseWriter, *http.Request) {
+	crashing := newWorker(t, func(http.ResponseWriter, *http.Request) {
 		sent.Add(1)
 		panic(http.ErrAbortHandler)
 	})
 	for _, body := range []string{"deed", ""} {
 		sent.Store(0)
-		s := newFront(t, true, newFakeKeys(1)[0], dying, dying, dying)
+		s := newCallerServer(t, true, newFakeKeys(1)[0], crashing, crashing, crashing)
 		key := newKey(t)
 		for range 3 {
 			got := call(t, s.URL+"/s/s/", http.MethodPost, body, caller.KeyHeader, key)
@@ -263,7 +263,7 @@
 
 // A server that closes an idle connection makes the standard library send a
 // request with an idempotency key again by itself, if it can rewind the body.
-func TestTransportNeverRepeatsOnItsOwn(t *testing.T) {
+func TestTransportNeverResendsARequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -279,7 +279,7 @@
 			go serveRaw(c, &requests)
 		}
 	}()
-	s := newFront(t, true, newFakeKeys(1)[0], "http://"+l.Addr().String())
+	s := newCallerServer(t, true, newFakeKeys(1)[0], "http://"+l.Addr().String())
 	if got := call(t, s.URL+"/s/s/", http.MethodGet, ""); got.body != "ok" {
 		t.Fatalf("got: %+v, want: ok", got)
 	}
@@ -317,7 +317,7 @@
 		_, _ = fmt.Fprintf(w, "run %d", runs.Add(1))
 	})
 	keys := newFakeKeys(2)
-	here, there := newFront(t, true, keys[0], w), newFront(t, true, keys[1], w)
+	here, there := newCallerServer(t, true, keys[0], w), newCallerServer(t, true, keys[1], w)
 	key := newKey(t)
 	first := call(t, here.URL+"/s/s/", http.MethodPost, "deed", caller.KeyHeader, key)
 	for name, s := range map[string]*httptest.Server{"the same node": here, "another node": there} {
@@ -335,10 +335,10 @@
 	}
 }
 
-func TestLostNodesKeyMayHaveRun(t *testing.T) {
+func TestRetryAfterLossOfTheKeyOwnerMayHaveRun(t *testing.T) {
 	keys := newFakeKeys(2)
 	w := newWorker(t, func(http.ResponseWriter, *http.Request) {})
-	here, there := newFront(t, true, keys[0], w), newFront(t, true, keys[1], w)
+	here, there := newCallerServer(t, true, keys[0], w), newCallerServer(t, true, keys[1], w)
 	key := newKey(t)
 	call(t, here.URL+"/s/s/", http.MethodPost, "deed", caller.KeyHeader, key)
 	keys[0].table = nil
@@ -348,9 +348,9 @@
 	}
 }
 
-func TestKeysAreChecked(t *testing.T) {
+func TestIdempotencyKeyIsValidated(t *testing.T) {
 	w := newWorker(t, func(http.ResponseWriter, *http.Request) {})
-	s := newFront(t, true, newFakeKeys(1)[0], w)
+	s := newCallerServer(t, true, newFakeKeys(1)[0], w)
 	old := uuid.MustParse("01800000-0000-7000-8000-000000000000")
 	for name, c := range map[string]struct {
 		key     string
@@ -370,13 +370,13 @@
 	}
 }
 
-func TestLogOutRefusesOnceOnlyAsNotRun(t *testing.T) {
+func TestLogOutageRefusesNonRepeatableRequestsAsNotRun(t *testing.T) {
 	runs := atomic.Int32{}
 	w := newWorker(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
 	for _, fate := range []once.Fate{once.FateNotTaken, once.FateOpen} {
 		keys := newFakeKeys(1)[0]
 		keys.fate = fate
-		s := newFront(t, true, keys, w)
+		s := newCallerServer(t, true, keys, w)
 		got := call(t, s.URL+"/s/s/", http.MethodPost, "x", caller.KeyHeader, newKey(t))
 		if got.verdict != leverdyke.VerdictNotRun || got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 			t.Errorf("%s: got: %+v, want: not-run, 503 and a time to come back", fate, got)
@@ -390,9 +390,9 @@
 	}
 }
 
-func TestRefusalsCarryTheirVerdict(t *testing.T) {
+func TestRefusalsStateTheirVerdict(t *testing.T) {
 	w := newWorker(t, func(http.ResponseWriter, *http.Request) {})
-	s := newFront(t, false, newFakeKeys(1)[0], w)
+	s := newCallerServer(t, false, newFakeKeys(1)[0], w)
 	for name, c := range map[string]struct {
 		path   string
 		header []string
@@ -420,7 +420,7 @@
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		_, _ = io.Copy(w, r.Body)
 	})
-	s := newFront(t, false, newFakeKeys(1)[0], w)
+	s := newCallerServer(t, false, newFakeKeys(1)[0], w)
 	body := strings.Repeat("0123456789abcdef", 1<<16)
 	got := call(t, s.URL+"/s/s/", http.MethodPost, body)
 	if !bytes.Equal([]byte(got.body), []byte(body)) {
@@ -429,14 +429,14 @@
 }
 
 // A caller that goes away does not take its answer with it: the retry gets it.
-func TestAnswerIsKeptWhenItsCallerIsGone(t *testing.T) {
-	isIn, goOn := make(chan struct{}), make(chan struct{})
+func TestAnswerIsKeptAfterItsCallerDisconnects(t *testing.T) {
+	requestReceived, sendAnswer := make(chan struct{}), make(chan struct{})
 	w := newWorker(t, func(w http.ResponseWriter, _ *http.Request) {
-		close(isIn)
-		<-goOn
+		close(requestReceived)
+		<-sendAnswer
 		_, _ = io.WriteString(w, "registered")
 	})
-	s := newFront(t, true, newFakeKeys(1)[0], w)
+	s := newCallerServer(t, true, newFakeKeys(1)[0], w)
 	key := newKey(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.URL+"/s/s/", strings.NewReader("deed"))
@@ -444,15 +444,15 @@
 		t.Fatal(err)
 	}
 	req.Header.Set(caller.KeyHeader, key)
-	gone := make(chan struct{})
+	callerGone := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(callerGone)
 		_, _ = http.DefaultTransport.RoundTrip(req)
 	}()
-	<-isIn
+	<-requestReceived
 	cancel()
-	<-gone
-	close(goOn)
+	<-callerGone
+	close(sendAnswer)
 	got := call(t, s.URL+"/s/s/", http.MethodPost, "deed", caller.KeyHeader, key)
 	if got.body != "registered" || got.verdict != leverdyke.VerdictRan {
 		t.Errorf("got: %+v, want: the first answer", got)
--- a/internal/caller/header.go
+++ b/internal/caller/header.go
@@ -14,7 +14,7 @@
 )
 
 // hopHeaders are of one connection only (RFC 9110, section 7.6.1).
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
@@ -22,14 +22,14 @@
 // copyHeader copies all that is not of the connection, nor the verdict, which
 // is this node's to give.
 func copyHeader(to, from http.Header) {
-	named := []string{}
+	connectionHeaders := []string{}
 	for _, line := range from.Values("Connection") {
 		for _, name := range strings.Split(line, ",") {
-			named = append(named, http.CanonicalHeaderKey(strings.TrimSpace(name)))
+			connectionHeaders = append(connectionHeaders, http.CanonicalHeaderKey(strings.TrimSpace(name)))
 		}
 	}
 	for name, values := range from {
-		if slices.Contains(hopHeaders, name) || slices.Contains(named, name) || name == leverdyke.VerdictHeader || name == worker.GrantHeader {
+		if slices.Contains(hopByHopHeaders, name) || slices.Contains(connectionHeaders, name) || name == leverdyke.VerdictHeader || name == worker.GrantHeader {
 			continue
 		}
 		to[name] = append([]string{}, values...)
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -22,7 +22,7 @@
 )
 
 // maxKeyAhead is by how much a caller's clock may be ahead of this node's.
-const maxKeyAhead = time.Minute
+const maxKeyClockSkew = time.Minute
 
 // Keys settles who may run a key, and finds the first answer.
 type Keys interface {
@@ -39,11 +39,11 @@
 		return once.Key{}, leverdyke.NotRun(KeyHeader+": this service's requests may not be repeated; a UUID of version 7 is needed", 0)
 	}
 	seconds, nanos := id.Time().UnixTime()
-	made := time.Unix(seconds, nanos)
-	if made.Sub(now) > maxKeyAhead {
+	createdAt := time.Unix(seconds, nanos)
+	if createdAt.Sub(now) > maxKeyClockSkew {
 		return once.Key{}, leverdyke.NotRun(KeyHeader+": the key's time is in the future", 0)
 	}
-	if now.Sub(made) > state.OnceWindowMillis*time.Millisecond {
+	if now.Sub(createdAt) > state.OnceWindowMillis*time.Millisecond {
 		return once.Key{}, leverdyke.MayHaveRun("the key is older than what is remembered: nobody can say whether it ran", nil)
 	}
 	return once.Key(id), nil
@@ -51,7 +51,7 @@
 
 // serveOnce runs a request that may not be repeated at most once, and gives
 // its answer to every retry with the same key.
-func (h *Handler) serveOnce(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange) {
+func (h *Handler) serveNonRepeatable(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange) {
 	key, problem := parseKey(r.Header.Get(KeyHeader), h.options.Clock.Now())
 	if problem != nil {
 		status := http.StatusBadRequest
@@ -67,7 +67,7 @@
 		h.replayLocal(ctx, w, e, digest)
 		return
 	}
-	h.runOnce(ctx, w, r, x, key, e)
+	h.claimAndSend(ctx, w, r, x, key, e)
 }
 
 func digestOf(r *http.Request, x *exchange) uint64 {
@@ -75,7 +75,7 @@
 	for _, s := range []string{r.Method, "\n", x.service, x.path, "\n"} {
 		_, _ = d.WriteString(s)
 	}
-	_, _ = d.Write(x.body)
+	_, _ = d.Write(x.bodyHead)
 	return d.Sum64()
 }
 
@@ -115,7 +115,7 @@
 
 // runOnce gets the slot first, then the key, and only then sends: a request
 // that finds no slot leaves no trace, and its key can be used again.
-func (h *Handler) runOnce(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, key once.Key, e *once.Entry) {
+func (h *Handler) claimAndSend(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, key once.Key, e *once.Entry) {
 	table := h.options.Keys.Answers()
 	slot, problem := h.options.Router.Acquire(ctx, x.service, x.class)
 	if problem != nil {
@@ -123,12 +123,12 @@
 		h.refuse(w, problem)
 		return
 	}
-	fate, owner := h.options.Keys.ClaimKey(ctx, key)
+	fate, keyOwner := h.options.Keys.ClaimKey(ctx, key)
 	switch fate {
 	case once.FateWon:
 	case once.FateLost:
 		slot.Release(false)
-		h.replayFrom(ctx, w, owner, key, e)
+		h.replayRemote(ctx, w, keyOwner, key, e)
 		return
 	case once.FateOpen:
 		slot.Release(false)
@@ -142,46 +142,46 @@
 		h.refuse(w, leverdyke.NotRun("the log is out, or too many keys are remembered: requests that may not be repeated have to wait", 5))
 		return
 	}
-	h.options.Metrics.Waited("once", x.class, h.options.Clock.Now().Sub(x.began))
-	h.sendWon(ctx, w, r, x, slot, e)
+	h.options.Metrics.Waited("once", x.class, h.options.Clock.Now().Sub(x.receivedAt))
+	h.sendClaimed(ctx, w, r, x, slot, e)
 }
 
 // sendWon sends a request whose key this node has won. It goes to another
 // worker only after a refusal that proves that nothing ran.
-func (h *Handler) sendWon(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, slot *front.Slot, e *once.Entry) {
+func (h *Handler) sendClaimed(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, slot *front.Slot, e *once.Entry) {
 	// The answer is for the caller's retry too: it is fetched to its end even if
 	// the caller goes away.
-	stay, cancel := context.WithTimeout(context.WithoutCancel(ctx), h.options.MaxTimeout)
+	detachedCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), h.options.MaxTimeout)
 	defer cancel()
-	var last *leverdyke.Error
-	for try := range maxTries {
+	var lastError *leverdyke.Error
+	for attempt := range maxAttempts {
 		events.Log(events.RequestRouted, "service", x.service, "worker", slot.Worker, "why", "least loaded, near first", "runnerUp", slot.RunnerUp, "once", true)
-		res, problem := h.send(stay, r, x, slot)
+		res, problem := h.send(detachedCtx, r, x, slot)
 		if problem == nil {
 			defer slot.Release(false)
 			defer func() { _ = res.Body.Close() }()
 			h.options.Metrics.Served()
-			h.copyAndKeep(w, res, x, e)
+			h.copyAndRecord(w, res, x, e)
 			return
 		}
 		slot.Release(true)
-		last = problem
-		if problem.Verdict != leverdyke.VerdictNotRun || x.rest != nil || try == maxTries-1 {
+		lastError = problem
+		if problem.Verdict != leverdyke.VerdictNotRun || x.bodyRest != nil || attempt == maxAttempts-1 {
 			break
 		}
 		if slot, problem = h.options.Router.Acquire(ctx, x.service, x.class); problem != nil {
-			last = problem
+			lastError = problem
 			break
 		}
 	}
-	h.options.Keys.Answers().End(e, node.SavedAnswer{Verdict: last.Verdict, Digest: e.Digest})
-	h.refuse(w, last)
+	h.options.Keys.Answers().End(e, node.SavedAnswer{Verdict: lastError.Verdict, Digest: e.Digest})
+	h.refuse(w, lastError)
 }
 
 // replayFrom gets the answer from the node that was first.
-func (h *Handler) replayFrom(ctx context.Context, w http.ResponseWriter, owner state.NodeID, key once.Key, e *once.Entry) {
-	events.Log(events.OnceKeyElsewhere, "node", owner)
-	a, ok := h.options.Keys.FetchAnswer(ctx, owner, key)
+func (h *Handler) replayRemote(ctx context.Context, w http.ResponseWriter, keyOwner state.NodeID, key once.Key, e *once.Entry) {
+	events.Log(events.OnceKeyElsewhere, "node", keyOwner)
+	a, ok := h.options.Keys.FetchAnswer(ctx, keyOwner, key)
 	if !ok {
 		a = node.SavedAnswer{Verdict: leverdyke.VerdictMayHaveRun}
 	}
@@ -191,27 +191,27 @@
 
 // copyAndKeep sends the answer on and keeps it for a retry. Whatever becomes
 // of the caller's connection, the answer is read to its end.
-func (h *Handler) copyAndKeep(w http.ResponseWriter, res *http.Response, x *exchange, e *once.Entry) {
-	kept := &keeper{ResponseWriter: w}
+func (h *Handler) copyAndRecord(w http.ResponseWriter, res *http.Response, x *exchange, e *once.Entry) {
+	recorder := &answerRecorder{ResponseWriter: w}
 	saved := node.SavedAnswer{Verdict: leverdyke.VerdictMayHaveRun, Digest: e.Digest}
 	defer func() { h.options.Keys.Answers().End(e, saved) }()
 	copyHeader(w.Header(), res.Header)
 	w.Header().Set(leverdyke.VerdictHeader, string(leverdyke.VerdictRan))
 	w.WriteHeader(res.StatusCode)
-	if err := stream(kept, res.Body); err != nil {
+	if err := stream(recorder, res.Body); err != nil {
 		events.Log(events.RequestBroken, "service", x.service, "err", err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	saved.Verdict = leverdyke.VerdictRan
-	if kept.isTooLong {
+	if recorder.isTooLong {
 		return
 	}
 	saved.Status = res.StatusCode
-	saved.Body = kept.body.Bytes()
-	saved.Header = linesOf(w.Header())
+	saved.Body = recorder.body.Bytes()
+	saved.Header = headerLinesOf(w.Header())
 }
 
-func linesOf(header http.Header) []node.HeaderLine {
+func headerLinesOf(header http.Header) []node.HeaderLine {
 	lines := []node.HeaderLine{}
 	for name, values := range header {
 		if name == "Date" {
@@ -232,15 +232,15 @@
 
 // keeper keeps what is written, up to a bound. A caller that is gone does not
 // end the reading: the answer is for its retry.
-type keeper struct {
+type answerRecorder struct {
 	http.ResponseWriter
-	body      bytes.Buffer
-	isTooLong bool
-	isGone    bool
+	body                 bytes.Buffer
+	isTooLong            bool
+	isCallerDisconnected bool
 }
 
 // Write passes p on and keeps it.
-func (k *keeper) Write(p []byte) (int, error) {
+func (k *answerRecorder) Write(p []byte) (int, error) {
 	if k.body.Len()+len(p) > once.MaxAnswerBytes {
 		k.isTooLong = true
 		k.body.Reset()
@@ -248,13 +248,13 @@
 	if !k.isTooLong {
 		k.body.Write(p)
 	}
-	if !k.isGone {
+	if !k.isCallerDisconnected {
 		if _, err := k.ResponseWriter.Write(p); err != nil {
-			k.isGone = true
+			k.isCallerDisconnected = true
 		}
 	}
 	return len(p), nil
 }
 
 // Unwrap lets the response controller flush.
-func (k *keeper) Unwrap() http.ResponseWriter { return k.ResponseWriter }
+func (k *answerRecorder) Unwrap() http.ResponseWriter { return k.ResponseWriter }
