--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package caller is the adapter for callers: it takes their HTTP requests and
-// forwards each to a worker, with a verdict on every path.
+// Package caller serves the HTTP requests of callers: it forwards each to a worker, and each
+// response carries a verdict that says whether the request ran.
 package caller
 
 import (
@@ -24,58 +24,57 @@
 	"github.com/leverdyke/leverdyke/internal/metrics"
 )
 
-// The headers of callers.
+// The request headers that callers set.
 const (
-	// ClassHeader carries the class of a request; without it, it is normal.
+	// ClassHeader carries the class of a request. The default is normal.
 	ClassHeader = "Leverdyke-Class"
-	// TimeoutHeader carries how long the caller waits, such as 1500ms.
+	// TimeoutHeader carries how long the caller waits for the answer, such as 1500ms.
 	TimeoutHeader = "Leverdyke-Timeout"
-	// KeyHeader carries the idempotency key of a request that may not be
-	// repeated: a UUID of version 7.
+	// KeyHeader carries the idempotency key of a non-repeatable request: a UUID of version 7.
 	KeyHeader = "Idempotency-Key"
 )
 
 const (
 	pathPrefix = "/s/"
-	// replayBytes is how much of a body is kept to send it a second time.
+	// maxReplayBytes is how much of a request body is buffered, so that the request can be sent
+	// again.
 	maxReplayBytes = 64 << 10
 	maxHeaderBytes = 32 << 10
 	maxAttempts    = 3
 	defaultTimeout = 30 * time.Second
 )
 
-// Router gives slots.
+// Router assigns requests to workers' slots.
 type Router interface {
 	Info(service string) (front.Info, bool)
 	Acquire(ctx context.Context, service string, class leverdyke.Class) (*front.Slot, *leverdyke.Error)
 }
 
-// NewHandlerOptions says what a handler needs. Router, Keys, Metrics and
-// IsReady must be set.
+// NewHandlerOptions configures a handler. Router, Keys, Metrics and IsReady must be set.
 type NewHandlerOptions struct {
 	Router  Router
 	Keys    Keys
 	Metrics *metrics.Set
-	// IsReady reports whether the balancer should send requests here.
+	// IsReady reports whether the load balancer should send requests to this node.
 	IsReady func() bool
-	// MaxRequests bounds the requests in progress; 0 means 1024.
+	// MaxRequests bounds the number of requests in progress; 0 means 1024.
 	MaxRequests int
-	// MaxTimeout bounds a request's time; 0 means 60 s.
+	// MaxTimeout bounds the duration of a request; 0 means 60 s.
 	MaxTimeout time.Duration
 	Clock      clock.Service
 }
 
-// Handler serves callers. It is safe for concurrent use.
+// Handler serves the requests of callers. It is safe for concurrent use.
 type Handler struct {
 	options NewHandlerOptions
 	mux     *http.ServeMux
-	// forward reuses connections; single never does, so that the transport has
-	// no reason to send a request a second time on its own (decision 0004).
+	// pooledTransport reuses connections. singleUseTransport never does: when a reused connection
+	// closes, the standard library may send a request again by itself (decision 0004).
 	pooledTransport, singleUseTransport http.RoundTripper
 	inProgress                          chan struct{}
 }
 
-// NewHandler returns a handler for the callers' port.
+// NewHandler returns a handler for the port that callers use.
 func NewHandler(options NewHandlerOptions) *Handler {
 	if options.MaxRequests == 0 {
 		options.MaxRequests = 1024
@@ -100,17 +99,17 @@
 	return h
 }
 
-// NewServer returns a server with the limits for callers' requests.
+// NewServer returns an HTTP server with the time and size limits for callers' requests.
 func NewServer(h *Handler) *http.Server {
 	return &http.Server{
 		Handler: h.mux, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute, MaxHeaderBytes: maxHeaderBytes,
 	}
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) { h.mux.ServeHTTP(w, r) }
 
-// InProgress returns how many requests are in progress.
+// InProgress returns the number of requests in progress.
 func (h *Handler) InProgress() int { return len(h.inProgress) }
 
 func (h *Handler) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -121,15 +120,15 @@
 	_, _ = io.WriteString(w, "ready\n")
 }
 
-// exchange is one caller's request on its way.
+// exchange is one caller's request while it is processed.
 type exchange struct {
 	service string
 	path    string
 	class   leverdyke.Class
-	// isOnce means that the request may not be repeated.
+	// isNonRepeatable means that the request must not run more than once.
 	isNonRepeatable bool
-	// body has the first bytes; rest is what follows and cannot be sent twice;
-	// nil means that body is all.
+	// bodyHead holds the first bytes of the body. bodyRest is the remainder, which can be sent only
+	// once; it is nil when bodyHead is the whole body.
 	bodyHead   []byte
 	bodyRest   io.Reader
 	receivedAt time.Time
@@ -166,10 +165,9 @@
 		return
 	}
 	if x.bodyRest != nil {
-		// The worker may answer while the caller still sends: without full
-		// duplex, the server would stop reading the body with the first byte of
-		// the answer. The connection ends with the answer, since nobody knows
-		// how much of the body the worker has left unread.
+		// The worker may answer while the caller is still sending. Without full duplex, the server
+		// would stop reading the body at the first byte of the answer. The connection is closed
+		// after the answer, since it is unknown how much of the body the worker has left unread.
 		_ = http.NewResponseController(w).EnableFullDuplex()
 		w.Header().Set("Connection", "close")
 	}
@@ -212,7 +210,8 @@
 	return min(d, h.options.MaxTimeout), nil
 }
 
-// readBody keeps the body's first bytes, so that a short one can be sent again.
+// readBody buffers the first bytes of the body, so that a request with a short body can be sent
+// again.
 func (x *exchange) readBody(r *http.Request) error {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
@@ -228,8 +227,8 @@
 	return nil
 }
 
-// forwardTries sends the request, and again while that is allowed: always
-// after not-run, and after may-have-run if it may be repeated.
+// forwardWithRetries forwards the request, and retries while that is allowed: after the verdict
+// not-run in any case, and after may-have-run if the request is repeatable.
 func (h *Handler) forwardWithRetries(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange) {
 	var lastError *leverdyke.Error
 	for attempt := range maxAttempts {
@@ -245,8 +244,8 @@
 	h.refuse(w, lastError)
 }
 
-// forwardOnce sends the request to one worker and its answer to the caller. A
-// nil error means that the answer has been written.
+// forwardAttempt forwards the request to one worker and the answer to the caller. A nil error means
+// that the answer has been written.
 func (h *Handler) forwardAttempt(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange) *leverdyke.Error {
 	slot, problem := h.options.Router.Acquire(ctx, x.service, x.class)
 	if problem != nil {
@@ -266,8 +265,8 @@
 	return nil
 }
 
-// send makes one round trip. The body has no way to be rewound, so that the
-// transport never sends it twice.
+// send makes one round trip. The request has no GetBody, so the transport cannot rewind the body
+// and send it again by itself.
 func (h *Handler) send(ctx context.Context, r *http.Request, x *exchange, slot *front.Slot) (*http.Response, *leverdyke.Error) {
 	var body io.Reader = bytes.NewReader(x.bodyHead)
 	if x.bodyRest != nil {
@@ -303,8 +302,8 @@
 	return res, nil
 }
 
-// verdictOf says whether a request whose round trip failed may have run: not
-// if no connection came about.
+// verdictOf returns the error for a round trip that failed, with a verdict on whether the request
+// may have run. It has not run if no connection was established.
 func verdictOf(err error) *leverdyke.Error {
 	opError := &net.OpError{}
 	if errors.As(err, &opError) && opError.Op == "dial" {
@@ -313,8 +312,8 @@
 	return leverdyke.MayHaveRun("the worker's answer did not come", err)
 }
 
-// copyAnswer sends the worker's answer on. One that breaks off is broken off
-// towards the caller too, so that it never looks whole.
+// copyAnswer copies the worker's answer to the caller. If the worker's answer is truncated, the
+// caller's connection is aborted, so that the caller never takes the answer for complete.
 func (h *Handler) copyAnswer(w http.ResponseWriter, res *http.Response, x *exchange) {
 	copyHeader(w.Header(), res.Header)
 	w.Header().Set(leverdyke.VerdictHeader, string(leverdyke.VerdictRan))
@@ -330,7 +329,8 @@
 
 const streamBufferBytes = 16 << 10
 
-// stream copies within bounded memory and passes on each part as it comes.
+// stream copies body to w through a buffer of fixed size. It flushes after each read that does not
+// fill the buffer, so that each part reaches the caller as soon as it arrives.
 func stream(w http.ResponseWriter, body io.Reader) error {
 	buf := make([]byte, streamBufferBytes)
 	flusher := http.NewResponseController(w)
@@ -353,7 +353,7 @@
 	}
 }
 
-// refuse answers with the verdict of an error.
+// refuse answers with a problem body for an error, with the status that matches its verdict.
 func (h *Handler) refuse(w http.ResponseWriter, e *leverdyke.Error) {
 	status := http.StatusServiceUnavailable
 	if e.Verdict == leverdyke.VerdictMayHaveRun {
@@ -362,7 +362,7 @@
 	h.writeProblem(w, status, e)
 }
 
-// problem is the body of a refusal, after RFC 9457.
+// problem is the body of an error response, following RFC 9457.
 type problem struct {
 	Title   string            `json:"title"`
 	Status  int               `json:"status"`
--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -32,7 +32,7 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// fakeKeys is the log's table of keys, shared by several handlers.
+// fakeKeys stands in for the log's table of keys, which the handlers of several nodes share.
 type fakeKeys struct {
 	mu     *sync.Mutex
 	owners map[once.Key]*fakeKeys
@@ -72,7 +72,7 @@
 
 func (k *fakeKeys) Answers() *once.Table { return k.table }
 
-// newFakeKeys returns the keys of n nodes of one cell.
+// newFakeKeys returns the keys of n nodes of one cluster.
 func newFakeKeys(n int) []*fakeKeys {
 	mu, owners := &sync.Mutex{}, map[once.Key]*fakeKeys{}
 	list := []*fakeKeys{}
@@ -91,8 +91,8 @@
 	return &node.Grant{Service: service, Worker: worker.ID(url), Addr: addr, Slots: slots, Key: worker.Key{Task: leverdyke.TaskID{Job: "grant"}, Attempt: attempt}}
 }
 
-// newCallerServer returns a node's door for callers with one service, "s", whose
-// grants lead to the workers.
+// newCallerServer returns a server for callers with one service, "s", and a grant of four slots on
+// each of the workers.
 func newCallerServer(t *testing.T, isOnce bool, keys *fakeKeys, workers ...string) *httptest.Server {
 	t.Helper()
 	r := front.NewRouter(front.NewRouterOptions{Idle: time.Hour})
@@ -152,7 +152,7 @@
 	return result{res.StatusCode, leverdyke.Verdict(res.Header.Get(leverdyke.VerdictHeader)), res.Header, string(got), err}
 }
 
-// closedAddr returns an address at which nobody listens.
+// closedAddr returns an address at which no process listens.
 func closedAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -261,8 +261,8 @@
 	}
 }
 
-// A server that closes an idle connection makes the standard library send a
-// request with an idempotency key again by itself, if it can rewind the body.
+// When a server closes an idle connection, the standard library sends a request with an idempotency
+// key again by itself if it can rewind the body. A non-repeatable request could then run twice.
 func TestTransportNeverResendsARequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -290,8 +290,8 @@
 	}
 }
 
-// serveRaw answers a connection's first GET and then hangs up on what follows,
-// and on a POST at once.
+// serveRaw answers the first GET of a connection and closes the connection at the next request. It
+// closes at once on a POST.
 func serveRaw(c net.Conn, requests *atomic.Int32) {
 	defer func() { _ = c.Close() }()
 	r := bufio.NewReader(c)
@@ -428,7 +428,7 @@
 	}
 }
 
-// A caller that goes away does not take its answer with it: the retry gets it.
+// The answer must not be lost when its caller disconnects: a retry with the same key gets it.
 func TestAnswerIsKeptAfterItsCallerDisconnects(t *testing.T) {
 	requestReceived, sendAnswer := make(chan struct{}), make(chan struct{})
 	w := newWorker(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/caller/header.go
+++ b/internal/caller/header.go
@@ -13,14 +13,14 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// hopHeaders are of one connection only (RFC 9110, section 7.6.1).
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110, section 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Content-Length",
 }
 
-// copyHeader copies all that is not of the connection, nor the verdict, which
-// is this node's to give.
+// copyHeader copies the headers except those that apply to one connection, and except the verdict
+// and the grant, which only this node may set.
 func copyHeader(to, from http.Header) {
 	connectionHeaders := []string{}
 	for _, line := range from.Values("Connection") {
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -21,18 +21,19 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// maxKeyAhead is by how much a caller's clock may be ahead of this node's.
+// maxKeyClockSkew is how far a caller's clock may be ahead of this node's clock.
 const maxKeyClockSkew = time.Minute
 
-// Keys settles who may run a key, and finds the first answer.
+// Keys decides which node may run the request of an idempotency key, and finds the first answer to
+// it.
 type Keys interface {
 	ClaimKey(ctx context.Context, key once.Key) (once.Fate, state.NodeID)
 	FetchAnswer(ctx context.Context, from state.NodeID, key once.Key) (node.SavedAnswer, bool)
 	Answers() *once.Table
 }
 
-// parseKey reads an idempotency key. A key says when it was made, so that one
-// that is older than what is remembered is known to be so.
+// parseKey parses an idempotency key. A key of version 7 contains its creation time, so that a key
+// that is older than the keys that are remembered can be recognized.
 func parseKey(text string, now time.Time) (once.Key, *leverdyke.Error) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != 7 {
@@ -49,8 +50,8 @@
 	return once.Key(id), nil
 }
 
-// serveOnce runs a request that may not be repeated at most once, and gives
-// its answer to every retry with the same key.
+// serveNonRepeatable runs a request at most once, and returns its answer to each retry with the
+// same key.
 func (h *Handler) serveNonRepeatable(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange) {
 	key, problem := parseKey(r.Header.Get(KeyHeader), h.options.Clock.Now())
 	if problem != nil {
@@ -79,7 +80,7 @@
 	return d.Sum64()
 }
 
-// replayLocal waits for the answer of the request that was first here.
+// replayLocal waits for the answer to the first request with this key on this node, and replays it.
 func (h *Handler) replayLocal(ctx context.Context, w http.ResponseWriter, e *once.Entry, digest uint64) {
 	a, ok := e.Wait(ctx)
 	if !ok {
@@ -89,8 +90,8 @@
 	h.replay(w, a, digest)
 }
 
-// replay writes the first answer. A verdict of not-run is the first one's, and
-// as true of the retry, since nothing of the key will run.
+// replay writes the first answer. If the first verdict is not-run, it also holds for the retry,
+// because no request with this key will run.
 func (h *Handler) replay(w http.ResponseWriter, a node.SavedAnswer, digest uint64) {
 	switch {
 	case a.Verdict == leverdyke.VerdictNotRun:
@@ -113,8 +114,8 @@
 	}
 }
 
-// runOnce gets the slot first, then the key, and only then sends: a request
-// that finds no slot leaves no trace, and its key can be used again.
+// claimAndSend acquires a slot, then claims the key, and only then sends the request. A request
+// that gets no slot does not use up its key, so the caller can retry with the same key.
 func (h *Handler) claimAndSend(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, key once.Key, e *once.Entry) {
 	table := h.options.Keys.Answers()
 	slot, problem := h.options.Router.Acquire(ctx, x.service, x.class)
@@ -132,7 +133,8 @@
 		return
 	case once.FateOpen:
 		slot.Release(false)
-		// The key may yet get into the log as this process's; it is not sent.
+		// It is uncertain whether the log has recorded the key for this process. The request is not
+		// sent.
 		table.End(e, node.SavedAnswer{Verdict: leverdyke.VerdictNotRun, Digest: e.Digest})
 		h.refuse(w, leverdyke.NotRun("the log did not take the key in time: use a new key to try again", 1))
 		return
@@ -146,11 +148,11 @@
 	h.sendClaimed(ctx, w, r, x, slot, e)
 }
 
-// sendWon sends a request whose key this node has won. It goes to another
-// worker only after a refusal that proves that nothing ran.
+// sendClaimed sends a request whose key this node has claimed. It retries on another worker only
+// after an error that proves that the request did not run.
 func (h *Handler) sendClaimed(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, slot *front.Slot, e *once.Entry) {
-	// The answer is for the caller's retry too: it is fetched to its end even if
-	// the caller goes away.
+	// The answer is also needed for a retry, so it is read to its end even if the caller
+	// disconnects.
 	detachedCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), h.options.MaxTimeout)
 	defer cancel()
 	var lastError *leverdyke.Error
@@ -178,7 +180,7 @@
 	h.refuse(w, lastError)
 }
 
-// replayFrom gets the answer from the node that was first.
+// replayRemote fetches the answer from the node that claimed the key first, and replays it.
 func (h *Handler) replayRemote(ctx context.Context, w http.ResponseWriter, keyOwner state.NodeID, key once.Key, e *once.Entry) {
 	events.Log(events.OnceKeyElsewhere, "node", keyOwner)
 	a, ok := h.options.Keys.FetchAnswer(ctx, keyOwner, key)
@@ -189,8 +191,8 @@
 	h.replay(w, a, e.Digest)
 }
 
-// copyAndKeep sends the answer on and keeps it for a retry. Whatever becomes
-// of the caller's connection, the answer is read to its end.
+// copyAndRecord copies the answer to the caller and records it for retries. The answer is read to
+// its end even if the caller disconnects.
 func (h *Handler) copyAndRecord(w http.ResponseWriter, res *http.Response, x *exchange, e *once.Entry) {
 	recorder := &answerRecorder{ResponseWriter: w}
 	saved := node.SavedAnswer{Verdict: leverdyke.VerdictMayHaveRun, Digest: e.Digest}
@@ -230,8 +232,8 @@
 	return lines
 }
 
-// keeper keeps what is written, up to a bound. A caller that is gone does not
-// end the reading: the answer is for its retry.
+// answerRecorder passes on what is written and records it, up to once.MaxAnswerBytes. It ignores
+// write errors to a caller that has disconnected, so that the answer is still recorded for a retry.
 type answerRecorder struct {
 	http.ResponseWriter
 	body                 bytes.Buffer
@@ -239,7 +241,7 @@
 	isCallerDisconnected bool
 }
 
-// Write passes p on and keeps it.
+// Write passes p on and records it.
 func (k *answerRecorder) Write(p []byte) (int, error) {
 	if k.body.Len()+len(p) > once.MaxAnswerBytes {
 		k.isTooLong = true
@@ -256,5 +258,5 @@
 	return len(p), nil
 }
 
-// Unwrap lets the response controller flush.
+// Unwrap gives the response controller access to the writer, so that it can flush.
 func (k *answerRecorder) Unwrap() http.ResponseWriter { return k.ResponseWriter }
