--- a/internal/fallback/fallback.go
+++ b/internal/fallback/fallback.go
@@ -95,7 +95,8 @@
 	// until that counts as a failure of the direct path. A single time proves little on a busy
 	// node.
 	maxDirectOvertakes = 2
-	// minUploadBytesPerSecond is the lowest expected rate at which a request is sent.
+	// minUploadBytesPerSecond is the lowest rate at which a request body is expected to be sent. The
+	// time that this takes is added to the hedge delay.
 	minUploadBytesPerSecond = 1 << 20
 	// latencyWeight is the weight of a new latency in the usual latency, and risingLatencyWeight
 	// its weight when it is the higher of the two, so that a service that becomes slow is noticed
--- a/internal/fallback/fallback_test.go
+++ b/internal/fallback/fallback_test.go
@@ -206,8 +206,9 @@
 	c.Advance(2 * longWait)
 }
 
-// The store did not answer the owner, which waited 0.7 s for it at each request and rejected its
-// callers meanwhile. A direct path that a peer overtakes repeatedly must back off.
+// When the store left the owner's requests without an answer, the owner waited 0.7 s on the direct
+// path at each request, and rejected its callers meanwhile. A direct path that a peer overtakes
+// repeatedly must back off.
 func TestOvertakenDirectPathBacksOff(t *testing.T) {
 	c := &countingClock{Fake: clock.NewFake()}
 	direct, peers := newSilentResponder(0), &singlePeer{responder: fixedResponder{status: 200}, isLinked: true}
