--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -175,7 +175,7 @@
 // fetchConfig returns a peer's configuration, nil when the peer has none, and its compressed size
 // in bytes, as it was sent.
 func (n *Node) fetchConfig(from *link.Conn) ([]byte, int, error) {
-	ctx, cancel := progress.With(n.ctx, peerFetchTimeout)
+	ctx, cancel := progress.WithTimeout(n.ctx, peerFetchTimeout)
 	defer cancel()
 	m := configMessage{}
 	if err := from.Call(ctx, kindConfig, empty{}, &m); err != nil {
--- a/internal/cluster/delegate.go
+++ b/internal/cluster/delegate.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/codec"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/link"
 )
@@ -20,12 +20,12 @@
 type delegates struct{ n *Node }
 
 // Usable returns the followers that accept orders and whose heartbeats are recent.
-func (c *delegates) Usable() []carrier.Node {
+func (c *delegates) Usable() []delegate.Node {
 	now := c.n.options.Clock.Now()
-	out := []carrier.Node{}
+	out := []delegate.Node{}
 	for _, p := range c.n.peers.usable() {
 		if p.hello.Workers > 0 && now.Sub(p.heardAt) <= maxDelegateSilence {
-			out = append(out, carrier.Node{Name: p.hello.Name, Zone: p.hello.Zone, Link: p.linkID, Workers: p.hello.Workers})
+			out = append(out, delegate.Node{Name: p.hello.Name, Zone: p.hello.Zone, LinkID: p.linkID, Capacity: p.hello.Workers})
 		}
 	}
 	return out
@@ -33,7 +33,7 @@
 
 // Send sends a batch of orders to a follower. It reports false when the follower is not linked or
 // the batch was dropped.
-func (c *delegates) Send(node string, b *carrier.Batch) bool {
+func (c *delegates) Send(node string, b *delegate.Batch) bool {
 	conn := c.n.peers.linkTo(node)
 	return conn != nil && conn.Notify(kindDelegatedOrders, b)
 }
@@ -43,29 +43,29 @@
 	if n.delegate == nil {
 		return
 	}
-	b := &carrier.Batch{}
+	b := &delegate.Batch{}
 	if err := codec.Unmarshal(body, b); err != nil {
 		n.options.Log(events.BadFrame, "kind", kindDelegatedOrders, "err", err)
 		return
 	}
-	n.sessionFor(from).Take(n.ctx, b)
+	n.sessionFor(from).Execute(n.ctx, b)
 }
 
 // sessionFor returns the delegate session of a link; a link other than the last one gets a new
 // session.
-func (n *Node) sessionFor(from *link.Conn) *carrier.Session {
+func (n *Node) sessionFor(from *link.Conn) *delegate.Session {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.delegateSession == nil || n.delegateLink != from {
 		n.delegateLink = from
-		n.delegateSession = n.delegate.NewSession(func(o []carrier.Outcome) { from.Notify(kindOutcomes, o) })
+		n.delegateSession = n.delegate.NewSession(func(o []delegate.Outcome) { from.Notify(kindOutcomes, o) })
 	}
 	return n.delegateSession
 }
 
 // handleOutcomes passes the outcomes of delegated orders to the owner on this node.
 func (n *Node) handleOutcomes(body []byte) {
-	outcomes := []carrier.Outcome{}
+	outcomes := []delegate.Outcome{}
 	if err := codec.Unmarshal(body, &outcomes); err != nil {
 		n.options.Log(events.BadFrame, "kind", kindOutcomes, "err", err)
 		return
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -78,7 +78,7 @@
 	r, at, err := owner.ReadRecord(n.ctx, n.log)
 	n.storeLatency = n.options.Clock.Now().Sub(began)
 	if err == nil {
-		n.detour.Observe(n.storeLatency)
+		n.detour.ObserveLatency(n.storeLatency)
 	}
 	return r, at, err
 }
--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
-	"github.com/leverdyke/leverdyke/internal/detour"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/link"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/owner"
@@ -183,7 +183,7 @@
 // storeReply is the store's response, or the reason why there is none. IsUnsent means that the
 // request was certainly not sent, so that the store did nothing.
 type storeReply struct {
-	Response *detour.Response
+	Response *fallback.Response
 	IsUnsent bool
 	Failure  string
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/clock"
-	"github.com/leverdyke/leverdyke/internal/detour"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/events"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/link"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/owner"
@@ -62,14 +62,14 @@
 	Incarnation string
 	Clock       clock.Service
 	// Direct sends requests to the store from this node, not through a peer.
-	Direct            detour.Doer
+	Direct            fallback.Doer
 	PermissionService PermissionService
 	Config            Config
 	// NewStore returns a client of the store that sends its requests with d.
-	NewStore func(d detour.Doer) store.Log
+	NewStore func(d fallback.Doer) store.Log
 	// NewOwner returns the clients that an owner needs: for workers, and for the list of workers,
 	// which is read with d.
-	NewOwner func(d detour.Doer) (owner.Workers, owner.List)
+	NewOwner func(d fallback.Doer) (owner.Workers, owner.List)
 	Log      func(e events.Event, keysAndValues ...any)
 	Metrics  owner.Metrics
 	// StopTime is the longest that a worker takes to stop a task.
@@ -94,7 +94,7 @@
 type Node struct {
 	options   Options
 	log       store.Log
-	detour    *detour.Detour
+	detour    *fallback.Client
 	peers     *peers
 	listener  net.Listener
 	ctx       context.Context
@@ -147,10 +147,10 @@
 	// delegateSession is the session for delegateLink, the link over which the owner delegated
 	// orders to this node.
 	delegateLink    *link.Conn
-	delegateSession *carrier.Session
+	delegateSession *delegate.Session
 
 	// delegate talks to workers on behalf of the owner; nil if Options.Workers is nil.
-	delegate *carrier.Carrier
+	delegate *delegate.Delegate
 
 	// lastRecord is the owner's record as it was read last. Only the election goroutine uses it.
 	lastRecord *owner.Record
@@ -177,9 +177,9 @@
 		ownerChanged: make(chan struct{}), failedReads: map[configSource]*failedReads{},
 	}
 	if options.Workers != nil {
-		n.delegate = carrier.New(options.Workers, options.Clock)
+		n.delegate = delegate.New(options.Workers, options.Clock)
 	}
-	n.detour = detour.New(options.Direct, n.peers, options.Clock)
+	n.detour = fallback.New(options.Direct, n.peers, options.Clock)
 	n.wg.Add(5)
 	go n.runListener()
 	go n.runElection()
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -21,8 +21,8 @@
 	"github.com/leverdyke/leverdyke/internal/await"
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/cluster"
-	"github.com/leverdyke/leverdyke/internal/detour"
 	"github.com/leverdyke/leverdyke/internal/events"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/link"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/owner"
@@ -35,8 +35,8 @@
 // inactivePlatform implements what a node needs of the platform for tests in which no task starts.
 type inactivePlatform struct{}
 
-func (inactivePlatform) Do(context.Context, *detour.Request) (*detour.Response, error) {
-	return nil, &detour.UnsentError{Err: errors.New("not used here")}
+func (inactivePlatform) Do(context.Context, *fallback.Request) (*fallback.Response, error) {
+	return nil, &fallback.UnsentError{Err: errors.New("not used here")}
 }
 
 func (inactivePlatform) Ask(context.Context, work.StepID, []order.WorkerID) ([]order.Permit, time.Duration, error) {
@@ -55,7 +55,7 @@
 
 func (inactivePlatform) Pace(context.Context, uint64, *order.Pace) error { return nil }
 
-func (inactivePlatform) Hold(context.Context, uint64, *order.Poll) (*order.Listing, order.PollOutcome) {
+func (inactivePlatform) Poll(context.Context, uint64, *order.Poll) (*order.Listing, order.PollOutcome) {
 	return nil, order.PollUnanswered
 }
 
@@ -165,8 +165,8 @@
 	c := newConfig()
 	options := cluster.Options{
 		Name: name, Zone: "z", LinkAddr: addr, Incarnation: incarnation, Clock: clk, Direct: inactivePlatform{}, PermissionService: inactivePlatform{}, Config: c,
-		NewStore: func(detour.Doer) store.Log { return log },
-		NewOwner: func(detour.Doer) (owner.Workers, owner.List) { return inactivePlatform{}, inactivePlatform{} },
+		NewStore: func(fallback.Doer) store.Log { return log },
+		NewOwner: func(fallback.Doer) (owner.Workers, owner.List) { return inactivePlatform{}, inactivePlatform{} },
 		Log:      func(events.Event, ...any) {}, Metrics: inactivePlatform{}, Strength: 1, RequestTimeout: requestTimeout,
 	}
 	for _, f := range modify {
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke/internal/clock"
-	"github.com/leverdyke/leverdyke/internal/detour"
+	"github.com/leverdyke/leverdyke/internal/fallback"
 	"github.com/leverdyke/leverdyke/internal/link"
 )
 
@@ -207,10 +207,10 @@
 
 // Via sends a request to the store through a peer. An *UnsentError means that the request did not
 // reach the store; after any other error, the store may have carried it out.
-func (p *peers) Via(ctx context.Context, name string, r *detour.Request) (*detour.Response, error) {
+func (p *peers) Via(ctx context.Context, name string, r *fallback.Request) (*fallback.Response, error) {
 	conn := p.linkTo(name)
 	if conn == nil {
-		return nil, &detour.UnsentError{Err: errPeerNotLinked}
+		return nil, &fallback.UnsentError{Err: errPeerNotLinked}
 	}
 	reply := &storeReply{}
 	if err := conn.Call(ctx, kindStore, r, reply); err != nil {
@@ -219,7 +219,7 @@
 	if reply.Failure != "" {
 		err := errors.New(reply.Failure)
 		if reply.IsUnsent {
-			return nil, &detour.UnsentError{Err: err}
+			return nil, &fallback.UnsentError{Err: err}
 		}
 		return nil, err
 	}
--- a/internal/carrier/bench_test.go
+++ b/internal/delegate/bench_test.go
@@ -1,25 +1,25 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package carrier_test
+package delegate_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/codec"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// BenchmarkCarriedHold is what a listing of eight tasks costs an owner that leaves it to a
-// carrier, in batches of four: the order's encoding, the outcome's decoding, and the
-// router. docs/LARGE.md has the figures.
-func BenchmarkCarriedHold(b *testing.B) {
+// BenchmarkDelegatedPoll measures what a listing of eight tasks costs an owner that delegates the
+// poll, in batches of four: encoding the order, decoding the outcome, and the router. docs/LARGE.md
+// has the figures.
+func BenchmarkDelegatedPoll(b *testing.B) {
 	workers := workersOf(1100, "a", "b", "c", "d", "e")
-	r := carrier.NewRouter(200, 1)
+	r := delegate.NewRouter(200, 1)
 	r.SetWorkers(workers)
 	r.SetNodes(nodesOf("strong", 15, 200, "a", "b", "c", "d", "e"), begin)
 	listing := &order.Listing{At: 7}
@@ -41,9 +41,9 @@
 			if _, err := codec.MarshalCompact(sent); err != nil {
 				b.Fatal(err)
 			}
-			outcomes := []carrier.Outcome{}
+			outcomes := []delegate.Outcome{}
 			for i := range sent.Orders {
-				outcomes = append(outcomes, carrier.Outcome{ID: sent.Orders[i].ID, Hold: order.PollAnswered, Listing: listing})
+				outcomes = append(outcomes, delegate.Outcome{ID: sent.Orders[i].ID, Poll: order.PollAnswered, Listing: listing})
 			}
 			b.StopTimer()
 			data, err := codec.MarshalCompact(outcomes)
@@ -51,11 +51,11 @@
 			if err != nil {
 				b.Fatal(fmt.Errorf("encode: %w", err))
 			}
-			back := []carrier.Outcome{}
+			back := []delegate.Outcome{}
 			if err := codec.Unmarshal(data, &back); err != nil {
 				b.Fatal(err)
 			}
-			r.Answered(back, begin)
+			r.Resolve(back, begin)
 		}
 	}
 }
--- a/internal/owner/delegates.go
+++ b/internal/owner/delegates.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/carrier"
+	"github.com/leverdyke/leverdyke/internal/delegate"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 )
@@ -15,9 +15,9 @@
 // for concurrent use and do not block.
 type Delegates interface {
 	// Usable returns the nodes that respond, ordered by name.
-	Usable() []carrier.Node
+	Usable() []delegate.Node
 	// Send sends orders to a node. It returns false when there is no link to that node.
-	Send(node string, b *carrier.Batch) bool
+	Send(node string, b *delegate.Batch) bool
 }
 
 // nodeCheckPeriod is the time between two checks of which delegates and permission channels are
@@ -44,20 +44,20 @@
 // checkDelegates updates which nodes act as delegates and settles the orders that they failed to
 // answer.
 func (o *Owner) checkDelegates() {
-	before := o.router.Carriers()
+	before := o.router.DelegateCount()
 	o.handleFailed(o.router.SetNodes(o.options.Delegates.Usable(), o.now), "the node cannot carry any more")
 	o.handleFailed(o.router.Expire(o.now), "the node did not answer in time")
 	if !o.awaitsDelegates() {
 		o.sendDeferredPolls()
 	}
-	if after := o.router.Carriers(); after != before {
+	if after := o.router.DelegateCount(); after != before {
 		o.options.Log(events.CarriersChanged, "epoch", o.Epoch(), "carriers", after, "before", before, "workers", o.listedWorkers.Load(), "own", o.options.DirectWorkers)
 	}
 }
 
 // awaitsDelegates reports whether polls are deferred until enough delegates have linked.
 func (o *Owner) awaitsDelegates() bool {
-	return o.options.Delegates != nil && o.router.LacksCarriers() && o.now.Sub(o.loopStartedAt) < linkTimeout
+	return o.options.Delegates != nil && o.router.LacksDelegates() && o.now.Sub(o.loopStartedAt) < linkTimeout
 }
 
 // sendDeferredPolls sends the polls that were deferred.
@@ -74,13 +74,13 @@
 func (o *Owner) delegateAction(a order.Action) bool {
 	switch a := a.(type) {
 	case order.Start:
-		return o.router.Add(a, a.Worker, carrier.StartTimeout, o.now)
+		return o.router.Add(a, a.Worker, delegate.StartTimeout, o.now)
 	case order.Stop:
-		return o.router.Add(a, a.Worker, carrier.StopTimeout, o.now)
+		return o.router.Add(a, a.Worker, delegate.StopTimeout, o.now)
 	case order.Poll:
 		return o.router.Add(a, a.Worker, a.Wait+a.Timeout, o.now)
 	case order.Pace:
-		return o.router.Add(a, a.Worker, carrier.StopTimeout, o.now)
+		return o.router.Add(a, a.Worker, delegate.StopTimeout, o.now)
 	}
 	return false
 }
@@ -89,14 +89,14 @@
 func (o *Owner) sendDelegated() {
 	for node, b := range o.router.Batches() {
 		if !o.options.Delegates.Send(node, b) {
-			o.handleFailed(o.router.Unsent(node, o.now), "the node is not linked")
+			o.handleFailed(o.router.HandleUnsent(node, o.now), "the node is not linked")
 		}
 	}
 }
 
 // handleFailed settles orders whose outcome will not arrive. This node polls the workers concerned
 // at once, because a silent delegate does not mean that its workers are silent.
-func (o *Owner) handleFailed(failed []carrier.Failed, why string) {
+func (o *Owner) handleFailed(failed []delegate.FailedOrder, why string) {
 	if len(failed) == 0 {
 		return
 	}
@@ -117,12 +117,12 @@
 }
 
 // HandleOutcomes takes the outcomes of orders that were handed to delegates.
-func (o *Owner) HandleOutcomes(outcomes []carrier.Outcome) { o.enqueue(outcomesEvent(outcomes)) }
+func (o *Owner) HandleOutcomes(outcomes []delegate.Outcome) { o.enqueue(outcomesEvent(outcomes)) }
 
-type outcomesEvent []carrier.Outcome
+type outcomesEvent []delegate.Outcome
 
 func (ev outcomesEvent) apply(o *Owner) {
-	for _, r := range o.router.Answered(ev, o.now) {
+	for _, r := range o.router.Resolve(ev, o.now) {
 		switch a := r.Action.(type) {
 		case order.Start:
 			o.reportStart(&a, r.Outcome.Start, r.Took)
@@ -131,7 +131,7 @@
 			o.options.Metrics.OrderAnswered("stop", stopOutcome(r.Outcome.IsStopKnown), r.Took)
 			stopEvent{a, r.Outcome.At, r.Outcome.IsStopKnown}.apply(o)
 		case order.Poll:
-			pollEvent{a, r.Outcome.Listing, r.Outcome.Hold}.apply(o)
+			pollEvent{a, r.Outcome.Listing, r.Outcome.Poll}.apply(o)
 		}
 	}
 }
