--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -43,7 +43,7 @@
 	if made.Sub(now) > maxKeyAhead {
 		return once.Key{}, leverdyke.NotRun(KeyHeader+": the key's time is in the future", 0)
 	}
-	if now.Sub(made) > state.OnceWindowMillis*time.Millisecond {
+	if now.Sub(made) > state.KeyWindowMillis*time.Millisecond {
 		return once.Key{}, leverdyke.MayHaveRun("the key is older than what is remembered: nobody can say whether it ran", nil)
 	}
 	return once.Key(id), nil
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -35,7 +35,7 @@
 	id := c.onceID
 	peers := []state.NodeID{first}
 	alive := c.members.Alive(c.now(), c.options.Region, false)
-	owner, ok := c.state.Keys[key]
+	owner, ok := c.state.IdempotencyKeys[key]
 	switch {
 	case ok && !c.state.IsLive(owner):
 		peers = alive
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -97,7 +97,7 @@
 
 // NewCoreOptions says who the node is. All fields but Peers must be set.
 type NewCoreOptions struct {
-	Self            state.Owner
+	Self            state.Process
 	Link, Operators netip.AddrPort
 	Region, Zone    string
 	// Peers are links to try before the log has told of any.
@@ -274,7 +274,7 @@
 	refused := c.refused
 	c.refused = nil
 	for _, done := range refused {
-		done(state.ErrNotTaken)
+		done(state.ErrNotAppended)
 	}
 }
 
--- a/internal/core/doubt.go
+++ b/internal/core/doubt.go
@@ -97,20 +97,20 @@
 	}
 	c.doubts.askedAt = now
 	events.Log(events.PeersDoubted, "peers", of)
-	c.Append(state.Record{Doubt: &state.Doubt{Of: of}}, nil)
+	c.Append(state.Record{LivenessQuery: &state.LivenessQuery{Nodes: of}}, nil)
 }
 
 // onDoubt notes an own doubt, and answers a peer's.
-func (c *Core) onDoubt(offset int64, writer state.NodeID, d *state.Doubt) {
+func (c *Core) onDoubt(offset int64, writer state.NodeID, d *state.LivenessQuery) {
 	if writer == c.options.Self.Node {
-		for _, n := range d.Of {
+		for _, n := range d.Nodes {
 			c.doubts.open[n] = doubted{c.now(), offset}
 		}
 		return
 	}
-	if c.doubts.isAnswering || !c.IsJoined() || !slices.Contains(d.Of, c.options.Self.Node) {
+	if c.doubts.isAnswering || !c.IsJoined() || !slices.Contains(d.Nodes, c.options.Self.Node) {
 		return
 	}
 	c.doubts.isAnswering = true
-	c.Append(state.Record{Here: &state.Here{}}, func(error) { c.doubts.isAnswering = false })
+	c.Append(state.Record{LivenessReply: &state.LivenessReply{}}, func(error) { c.doubts.isAnswering = false })
 }
--- a/internal/core/fakenode_test.go
+++ b/internal/core/fakenode_test.go
@@ -78,7 +78,7 @@
 	zone := n.hello().Zone
 	n.router = front.NewRouter(front.NewRouterOptions{Zone: zone, Clock: n.world.clock})
 	n.core = core.NewCore(n, core.NewCoreOptions{
-		Self: state.Owner{Node: n.id(), Incarnation: n.incarnation}, Link: n.addr, Operators: n.addr, Region: region, Zone: zone,
+		Self: state.Process{Node: n.id(), Incarnation: n.incarnation}, Link: n.addr, Operators: n.addr, Region: region, Zone: zone,
 		Lease: worldLease, SnapshotEvery: n.snapshotEvery, Router: n.router,
 		Meter: noMeter{}, Peers: n.peers(),
 	})
@@ -169,7 +169,7 @@
 func (n *fakeNode) fill(now time.Time) {
 	for _, p := range n.pending {
 		if now.Sub(p.at) > 3*time.Second {
-			n.later = append(n.later, func() { p.done(state.ErrNotTaken) })
+			n.later = append(n.later, func() { p.done(state.ErrNotAppended) })
 			continue
 		}
 		if n.flight == nil {
@@ -233,7 +233,7 @@
 			if r.Chunk == nil || t.State != nil {
 				continue
 			}
-			s, err := found.Add(state.Owner{Node: b.Node, Incarnation: b.Incarnation}, r.Chunk)
+			s, err := found.Add(state.Process{Node: b.Node, Incarnation: b.Incarnation}, r.Chunk)
 			if err == nil && s != nil && s.Applied >= first-1 {
 				t.State = s
 			}
@@ -314,7 +314,7 @@
 // Passed settles the batches that a peer's state already has.
 func (n *fakeNode) Passed(seq uint64) {
 	for s := uint64(1); s <= seq; s++ {
-		n.Folded(s, state.Outcome{Err: state.ErrUnseen})
+		n.Folded(s, state.Outcome{Err: state.ErrOutcomeUnknown})
 	}
 }
 
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -184,7 +184,7 @@
 	w.check(t)
 	w.heal()
 	w.run(time.Minute)
-	if got := w.job("batch").Final[leverdyke.TaskDone]; got != 60 {
+	if got := w.job("batch").FinalCounts[leverdyke.TaskDone]; got != 60 {
 		t.Errorf("got: %d done, want: 60", got)
 	}
 	w.check(t)
@@ -256,7 +256,7 @@
 		w.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeDead})
 	}
 	w.run(90 * time.Second)
-	if got := w.job("once").Final; dead == 0 || got[leverdyke.TaskUnknown] != dead || got[leverdyke.TaskDone] != 4-dead {
+	if got := w.job("once").FinalCounts; dead == 0 || got[leverdyke.TaskUnknown] != dead || got[leverdyke.TaskDone] != 4-dead {
 		t.Errorf("got: %v, want: %d of unknown fate and the others done", got, dead)
 	}
 	w.check(t)
@@ -299,8 +299,8 @@
 	w.isLogOut = true
 	w.run(5 * time.Second)
 	err := w.append(state.Record{Submit: &state.Submit{Spec: batchSpec("late", 1, time.Second)}})
-	if !errors.Is(err, state.ErrNotTaken) {
-		t.Errorf("got: %v, want: %v", err, state.ErrNotTaken)
+	if !errors.Is(err, state.ErrNotAppended) {
+		t.Errorf("got: %v, want: %v", err, state.ErrNotAppended)
 	}
 	w.isLogOut = false
 	w.run(10 * time.Second)
@@ -320,7 +320,7 @@
 	}
 	w.isLogOut = false
 	w.run(20 * time.Second)
-	if got := w.job("batch").Final[leverdyke.TaskDone]; got != 40 {
+	if got := w.job("batch").FinalCounts[leverdyke.TaskDone]; got != 40 {
 		t.Errorf("got: %d done, want: 40", got)
 	}
 	if got := w.oracle.Report().Starts; got != 40 {
@@ -422,8 +422,8 @@
 	}
 	w.run(90 * time.Second)
 	j := w.job("once")
-	if got := j.Final[leverdyke.TaskDone] + j.Final[leverdyke.TaskUnknown]; got != 4 {
-		t.Errorf("got: %v, want: 4 done or of unknown fate", j.Final)
+	if got := j.FinalCounts[leverdyke.TaskDone] + j.FinalCounts[leverdyke.TaskUnknown]; got != 4 {
+		t.Errorf("got: %v, want: 4 done or of unknown fate", j.FinalCounts)
 	}
 	if got := w.oracle.Report().Starts; got != 4 {
 		t.Errorf("got: %d starts, want: 4", got)
--- a/internal/core/fold.go
+++ b/internal/core/fold.go
@@ -86,10 +86,10 @@
 	case r.Cancel != nil:
 		events.Log(events.JobCancelled, "job", r.Cancel.Job)
 		c.noteEnded(r.Cancel.Job)
-	case r.Finals != nil:
-		c.noteEnded(r.Finals.Job)
-	case r.Doubt != nil:
-		c.onDoubt(offset, writer, r.Doubt)
+	case r.TaskResults != nil:
+		c.noteEnded(r.TaskResults.Job)
+	case r.LivenessQuery != nil:
+		c.onDoubt(offset, writer, r.LivenessQuery)
 	case r.Chunk != nil:
 		c.snapshotBase = max(c.snapshotBase, r.Chunk.Base)
 	}
--- a/internal/core/lost_test.go
+++ b/internal/core/lost_test.go
@@ -50,8 +50,8 @@
 		w.run(step)
 	}
 	w.run(10 * time.Second)
-	if !errors.Is(got, state.ErrUnseen) {
-		t.Errorf("got: %v, want: %v", got, state.ErrUnseen)
+	if !errors.Is(got, state.ErrOutcomeUnknown) {
+		t.Errorf("got: %v, want: %v", got, state.ErrOutcomeUnknown)
 	}
 	if n.core.State().Jobs["job"] == nil {
 		t.Error("got: no such job, want: it is in the state that the peer sent")
--- a/internal/core/once.go
+++ b/internal/core/once.go
@@ -13,26 +13,26 @@
 // KeyResult says what the log says of an idempotency key, and who has it.
 type KeyResult struct {
 	Fate  once.Fate
-	Owner state.Owner
+	Owner state.Process
 }
 
 // ClaimKey puts a key into the log; done is called with its fate, never
 // FateOpen.
 func (c *Core) ClaimKey(key once.Key, done func(KeyResult)) {
-	if owner, ok := c.state.Keys[key]; ok {
+	if owner, ok := c.state.IdempotencyKeys[key]; ok {
 		done(KeyResult{once.FateLost, owner})
 		return
 	}
-	if !c.IsJoined() || c.isLogOut(c.now()) || len(c.state.Keys) >= state.MaxKeys {
+	if !c.IsJoined() || c.isLogOut(c.now()) || len(c.state.IdempotencyKeys) >= state.MaxIdempotencyKeys {
 		done(KeyResult{Fate: once.FateNotTaken})
 		return
 	}
-	c.Append(state.Record{Once: &state.Once{Key: key}}, func(err error) {
+	c.Append(state.Record{IdempotencyKey: &state.IdempotencyKey{Key: key}}, func(err error) {
 		switch {
 		case err == nil:
 			done(KeyResult{Fate: once.FateWon})
-		case errors.Is(err, state.ErrLost):
-			done(KeyResult{once.FateLost, c.state.Keys[key]})
+		case errors.Is(err, state.ErrNotFirst):
+			done(KeyResult{once.FateLost, c.state.IdempotencyKeys[key]})
 		default:
 			// Neither an append that was not made nor a batch that the fold
 			// drops lets this process run the request.
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -182,7 +182,7 @@
 				return
 			}
 			delete(c.claiming, claim.Shard)
-			if errors.Is(err, state.ErrUnseen) {
+			if errors.Is(err, state.ErrOutcomeUnknown) {
 				// Whose the shard is stands in the state that came instead.
 				return
 			}
@@ -292,7 +292,7 @@
 	}
 	for id, o := range c.racks {
 		s := c.state.Shards[id]
-		if s == nil || s.Owner != c.options.Self || !c.areEnded(s.Past, s.Offset) {
+		if s == nil || s.Owner != c.options.Self || !c.areEnded(s.PreviousOwners, s.Offset) {
 			continue
 		}
 		if _, ok := c.deputised[id]; !ok {
@@ -301,7 +301,7 @@
 	}
 }
 
-func (c *Core) areEnded(past []state.Owner, offset int64) bool {
+func (c *Core) areEnded(past []state.Process, offset int64) bool {
 	for _, p := range past {
 		if !c.state.IsEnded(p) && !c.members.HasFolded(p, offset) {
 			return false
--- a/internal/core/policy_test.go
+++ b/internal/core/policy_test.go
@@ -44,7 +44,7 @@
 		t.Errorf("got: at most %d tasks at once, want: 3, which the quota allows", most)
 	}
 	for i := range 3 {
-		if got := w.job(fmt.Sprint("job", i)).Final[leverdyke.TaskDone]; got != 6 {
+		if got := w.job(fmt.Sprint("job", i)).FinalCounts[leverdyke.TaskDone]; got != 6 {
 			t.Errorf("got: %d done, want: 6", got)
 		}
 	}
@@ -82,13 +82,13 @@
 		w.run(step)
 		for _, id := range []string{"gang0", "gang1"} {
 			j := w.job(id)
-			if n := w.running(id); n > 0 && n < 20 && j.Final[leverdyke.TaskDone] == 0 {
+			if n := w.running(id); n > 0 && n < 20 && j.FinalCounts[leverdyke.TaskDone] == 0 {
 				partly[id]++
 			}
 		}
 	}
 	for _, id := range []string{"gang0", "gang1"} {
-		if got := w.job(id).Final[leverdyke.TaskDone]; got != 20 {
+		if got := w.job(id).FinalCounts[leverdyke.TaskDone]; got != 20 {
 			t.Errorf("%s: got: %d done after a minute, want: 20", id, got)
 		}
 		if partly[id] > 30 {
@@ -123,7 +123,7 @@
 		}
 	}
 	w.run(70 * time.Second)
-	if got := w.job("gang").Final[leverdyke.TaskDone]; got != 8 {
+	if got := w.job("gang").FinalCounts[leverdyke.TaskDone]; got != 8 {
 		t.Errorf("got: %d done, want: 8", got)
 	}
 	w.check(t)
@@ -139,7 +139,7 @@
 	urgent.Class = leverdyke.ClassUrgent
 	w.mustSubmit(t, urgent)
 	w.run(3400*time.Millisecond + time.Second)
-	if got := w.job("urgent").Final[leverdyke.TaskDone] + w.running("urgent"); got != 4 {
+	if got := w.job("urgent").FinalCounts[leverdyke.TaskDone] + w.running("urgent"); got != 4 {
 		t.Errorf("got: %d of 4 tasks started within 3.4 s, want: 4", got)
 	}
 	w.check(t)
@@ -153,10 +153,10 @@
 	w.mustSubmit(t, batchSpec("good", 6, time.Second))
 	w.run(2 * time.Minute)
 	j := w.job("always-fails")
-	if !j.IsEnded || j.Final[leverdyke.TaskFailed] != 3 || !strings.Contains(j.Reason, "budget") {
-		t.Errorf("got: %v %q, want: 3 failed by the budget", j.Final, j.Reason)
+	if !j.IsEnded || j.FinalCounts[leverdyke.TaskFailed] != 3 || !strings.Contains(j.Reason, "budget") {
+		t.Errorf("got: %v %q, want: 3 failed by the budget", j.FinalCounts, j.Reason)
 	}
-	if got := w.job("good").Final[leverdyke.TaskDone]; got != 6 {
+	if got := w.job("good").FinalCounts[leverdyke.TaskDone]; got != 6 {
 		t.Errorf("the other job: got: %d done, want: 6", got)
 	}
 }
@@ -172,7 +172,7 @@
 	if got := n.core.Home(ownership.HomeShard(region, "filings")).Status("never").Why; !strings.Contains(got, "memory") {
 		t.Errorf("got: %q, want: the reason", got)
 	}
-	if got := w.job("good").Final[leverdyke.TaskDone]; got != 6 {
+	if got := w.job("good").FinalCounts[leverdyke.TaskDone]; got != 6 {
 		t.Errorf("the other job: got: %d done, want: 6", got)
 	}
 	spec := never
@@ -192,7 +192,7 @@
 	w.mustSubmit(t, late)
 	w.run(15 * time.Second)
 	if j := w.job("late"); !j.IsEnded || !strings.Contains(j.Reason, "deadline") {
-		t.Errorf("got: %v %q, want: failed by its deadline", j.Final, j.Reason)
+		t.Errorf("got: %v %q, want: failed by its deadline", j.FinalCounts, j.Reason)
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	w.mustSubmit(t, batchSpec("batch", 60, 2*time.Second))
 	w.run(60 * time.Second)
-	if got := w.job("batch").Final[leverdyke.TaskDone]; got != 60 || w.running("service") != 12 {
+	if got := w.job("batch").FinalCounts[leverdyke.TaskDone]; got != 60 || w.running("service") != 12 {
 		t.Errorf("got: %d done and %d of the service, want: 60 and 12", got, w.running("service"))
 	}
 	w.check(t)
--- a/internal/core/stateful_test.go
+++ b/internal/core/stateful_test.go
@@ -106,7 +106,7 @@
 		switch {
 		case err == nil:
 			s.cancelled[id] = true
-		case !errors.Is(err, state.ErrNotTaken):
+		case !errors.Is(err, state.ErrNotAppended):
 			// It may take effect later: nothing is promised of the job.
 			delete(s.accepted, id)
 		}
@@ -168,11 +168,11 @@
 			return fmt.Sprintf("%d of %d tasks run", got, spec.Tasks)
 		}
 	case spec.IsOnce:
-		if got := j.Final[leverdyke.TaskDone] + j.Final[leverdyke.TaskUnknown]; got != spec.Tasks {
-			return fmt.Sprintf("of %d once-only tasks: %v", spec.Tasks, j.Final)
+		if got := j.FinalCounts[leverdyke.TaskDone] + j.FinalCounts[leverdyke.TaskUnknown]; got != spec.Tasks {
+			return fmt.Sprintf("of %d once-only tasks: %v", spec.Tasks, j.FinalCounts)
 		}
-	case j.Final[leverdyke.TaskDone] != spec.Tasks:
-		return fmt.Sprintf("of %d tasks: %v", spec.Tasks, j.Final)
+	case j.FinalCounts[leverdyke.TaskDone] != spec.Tasks:
+		return fmt.Sprintf("of %d tasks: %v", spec.Tasks, j.FinalCounts)
 	}
 	return ""
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -307,7 +307,7 @@
 		job  string
 		want int
 	}{{"batch", 6}, {"gang", 5}, {"once", 2}} {
-		if got := w.job(c.job).Final[leverdyke.TaskDone]; got != c.want {
+		if got := w.job(c.job).FinalCounts[leverdyke.TaskDone]; got != c.want {
 			t.Errorf("%s: got: %d done, want: %d", c.job, got, c.want)
 		}
 	}
@@ -335,8 +335,8 @@
 	if got := claim(0); got != once.FateWon {
 		t.Errorf("the first: got: %v, want: %v", got, once.FateWon)
 	}
-	for i := range state.MaxKeys {
-		c.State().Keys[once.Key{0xff, byte(i >> 8), byte(i)}] = state.Owner{}
+	for i := range state.MaxIdempotencyKeys {
+		c.State().IdempotencyKeys[once.Key{0xff, byte(i >> 8), byte(i)}] = state.Process{}
 	}
 	if got := claim(1); got != once.FateNotTaken {
 		t.Errorf("one too many: got: %v, want: %v", got, once.FateNotTaken)
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -39,7 +39,7 @@
 type Node struct {
 	settings *settings.Node
 	clock    clock.Service
-	owner    state.Owner
+	owner    state.Process
 	events   *ring.Ring[event]
 	done     chan struct{}
 	cancel   context.CancelFunc
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		settings: s, clock: c, events: ring.NewRing[event](eventRing), done: make(chan struct{}), cancel: cancel, ctx: ctx,
-		owner:   state.Owner{Node: state.NodeID(s.LinkAddr.String()), Incarnation: uint64(time.Now().UnixNano())},
+		owner:   state.Process{Node: state.NodeID(s.LinkAddr.String()), Incarnation: uint64(time.Now().UnixNano())},
 		metrics: m, answers: once.NewTable(once.NewTableOptions{}), vms: vmlist.NewClient(s.VMListAddr),
 	}
 	n.transport = worker.NewTransport(func(sent, received int) { n.countControl("worker", sent, received) })
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -52,7 +52,7 @@
 	n.put(func(c *core.Core) {
 		if !c.IsJoined() {
 			for i := range records {
-				results <- result{i, state.ErrNotTaken}
+				results <- result{i, state.ErrNotAppended}
 			}
 			return
 		}
@@ -79,7 +79,7 @@
 	if err == nil || errors.Is(err, state.ErrConflict) {
 		return err
 	}
-	if errors.Is(err, state.ErrUnseen) {
+	if errors.Is(err, state.ErrOutcomeUnknown) {
 		return leverdyke.MayHaveRun("the change is in the log, but this node did not see what became of it: look, or send it again", err)
 	}
 	e := leverdyke.NotRun("the change was not accepted", retryLogOut)
@@ -137,7 +137,7 @@
 	cancelled := 0
 	for _, err := range errs {
 		switch {
-		case errors.Is(err, state.ErrUnknown):
+		case errors.Is(err, state.ErrUnknownJob):
 		case err != nil:
 			return cancelled, notTaken(err)
 		default:
@@ -206,7 +206,7 @@
 
 func jobOf(j *state.Job) *operator.Job {
 	final := map[leverdyke.TaskState]int{}
-	for s, count := range j.Final {
+	for s, count := range j.FinalCounts {
 		final[s] = count
 	}
 	return &operator.Job{
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -46,7 +46,7 @@
 	for _, id := range racks {
 		h.OnRoom(roomOf(id))
 	}
-	h.AddJob(begin, spec.ID, &state.Job{Spec: spec, Number: 1, Marks: make([]state.Mark, spec.Tasks)}, false)
+	h.AddJob(begin, spec.ID, &state.Job{Spec: spec, Number: 1, TaskStates: make([]state.RecordedState, spec.Tasks)}, false)
 	return h
 }
 
@@ -187,7 +187,7 @@
 	add := func(id string) {
 		spec := jobSpec(leverdyke.KindBatch)
 		spec.ID = id
-		h.AddJob(begin, id, &state.Job{Spec: spec, Number: 2, Marks: make([]state.Mark, 1)}, true)
+		h.AddJob(begin, id, &state.Job{Spec: spec, Number: 2, TaskStates: make([]state.RecordedState, 1)}, true)
 	}
 	asks := func(at time.Duration) map[string]state.ShardID {
 		h.Tick(begin.Add(at))
@@ -245,7 +245,7 @@
 			}
 			spec := jobSpec(c.kind)
 			spec.Tasks = tasks
-			h.AddJob(begin, spec.ID, &state.Job{Spec: spec, Number: 1, Marks: make([]state.Mark, tasks)}, true)
+			h.AddJob(begin, spec.ID, &state.Job{Spec: spec, Number: 1, TaskStates: make([]state.RecordedState, tasks)}, true)
 			asked, first := map[state.ShardID]int{}, time.Duration(-1)
 			for at := time.Duration(0); at < 4*time.Second; at += 100 * time.Millisecond {
 				if c.toldAt > 0 && at == c.toldAt {
@@ -283,7 +283,7 @@
 	}
 	spec := jobSpec(leverdyke.KindBatch)
 	spec.ID, spec.Tasks = "batch", tasks
-	h.AddJob(begin, spec.ID, &state.Job{Spec: spec, Number: 2, Marks: make([]state.Mark, tasks)}, true)
+	h.AddJob(begin, spec.ID, &state.Job{Spec: spec, Number: 2, TaskStates: make([]state.RecordedState, tasks)}, true)
 	started := 0
 	now := begin
 	play := func(seconds int, fate error) {
@@ -310,7 +310,7 @@
 			}
 		}
 	}
-	play(120, state.ErrNotTaken)
+	play(120, state.ErrNotAppended)
 	if started < bound || started > bound+64 {
 		t.Errorf("without the log: got: %d started, want: %d and what was asked for at once", started, bound)
 	}
--- a/internal/home/job.go
+++ b/internal/home/job.go
@@ -95,14 +95,14 @@
 		return
 	}
 	j := &job{
-		id: id, number: s.Number, spec: s.Spec, since: now, tasks: make([]task, len(s.Marks)),
+		id: id, number: s.Number, spec: s.Spec, since: now, tasks: make([]task, len(s.TaskStates)),
 		asked: map[state.ShardID]int{}, running: map[state.ShardID]int{}, failures: s.Failures,
 	}
 	h.jobs[id] = j
 	h.list = append(h.list, j)
-	for i, m := range s.Marks {
+	for i, m := range s.TaskStates {
 		t := &j.tasks[i]
-		t.isIntended = m == state.MarkIntended
+		t.isIntended = m == state.RecordedIntent
 		switch {
 		case m.IsFinal():
 			t.phase = phaseFinal
--- a/internal/home/loss_test.go
+++ b/internal/home/loss_test.go
@@ -53,7 +53,7 @@
 			h.OnNews(begin, whole(id))
 		}
 		spec := jobSpec(kind)
-		h.AddJob(begin, spec.ID, &state.Job{Spec: spec, Number: 1, Marks: make([]state.Mark, spec.Tasks)}, true)
+		h.AddJob(begin, spec.ID, &state.Job{Spec: spec, Number: 1, TaskStates: make([]state.RecordedState, spec.Tasks)}, true)
 		if got := loseAll(h); got < want.least || got > want.most {
 			t.Errorf("%s: starts in an hour: got: %d, want: %d to %d", kind, got, want.least, want.most)
 		}
--- a/internal/home/records.go
+++ b/internal/home/records.go
@@ -80,7 +80,7 @@
 	h.finalsNotBefore = now.Add(finalsPeriod)
 	for _, fk := range h.finalOrder {
 		b := h.finals[fk]
-		h.record(recording{final: b, key: fk}, state.Record{Finals: &state.Finals{
+		h.record(recording{final: b, key: fk}, state.Record{TaskResults: &state.TaskResults{
 			Number: fk.number, Tasks: b.tasks, State: fk.state, Failures: b.failures, Reason: fk.reason,
 		}})
 	}
@@ -158,7 +158,7 @@
 		h.onIntended(now, r.intent, err)
 		return
 	}
-	if errors.Is(err, state.ErrNotTaken) {
+	if errors.Is(err, state.ErrNotAppended) {
 		// The end has to be recorded all the same.
 		h.restore(now, r)
 		return
@@ -182,7 +182,7 @@
 		case err == nil:
 			t.isIntended = true
 			h.setPhase(j, i, phaseWaiting)
-		case errors.Is(err, state.ErrNotTaken):
+		case errors.Is(err, state.ErrNotAppended):
 			t.notBefore = now.Add(firstBackoff)
 			h.setPhase(j, i, phaseWaiting)
 		default:
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -79,7 +79,7 @@
 func TestLostAnswersAreSettledBySendingTheSameBatchAgain(t *testing.T) {
 	log := &fakeLog{lose: 2, fail: 1, appended: make(chan []byte, 9)}
 	c := clock.NewFake()
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
@@ -97,8 +97,8 @@
 		out := s.Apply(int64(i), b)
 		if i == 0 {
 			first = out
-		} else if !errors.Is(out.Err, state.ErrDuplicate) {
-			t.Errorf("copy %d: got: %v, want: %v", i, out.Err, state.ErrDuplicate)
+		} else if !errors.Is(out.Err, state.ErrAlreadyApplied) {
+			t.Errorf("copy %d: got: %v, want: %v", i, out.Err, state.ErrAlreadyApplied)
 		}
 	}
 	close(done)
@@ -118,7 +118,7 @@
 func TestBatchThatIsReadEndsTheOutage(t *testing.T) {
 	log := &fakeLog{lose: 1 << 30, appended: make(chan []byte, 1<<10)}
 	c := clock.NewFake()
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	w.Put(join(), nil)
@@ -141,7 +141,7 @@
 func TestBatchThatWasPassedIsSettledOnceAsUnseen(t *testing.T) {
 	log := &fakeLog{fail: 1 << 30, appended: make(chan []byte, 9)}
 	c := clock.NewFake()
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	results := make(chan error, 9)
@@ -154,8 +154,8 @@
 	}
 	w.Passed(1)
 	close(done)
-	if err := <-results; !errors.Is(err, state.ErrUnseen) {
-		t.Errorf("got: %v, want: %v", err, state.ErrUnseen)
+	if err := <-results; !errors.Is(err, state.ErrOutcomeUnknown) {
+		t.Errorf("got: %v, want: %v", err, state.ErrOutcomeUnknown)
 	}
 	w.Folded(1, state.Outcome{Results: []error{nil}})
 	select {
@@ -171,15 +171,15 @@
 func TestRecordThatWaitsTooLongIsNotTaken(t *testing.T) {
 	log := &fakeLog{}
 	c := clock.NewFake()
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: time.Second})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: time.Second})
 	results := make(chan error, 1)
 	w.Put(join(), func(err error) { results <- err })
 	c.Advance(2 * time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
-	if err := <-results; !errors.Is(err, state.ErrNotTaken) {
-		t.Errorf("got: %v, want: %v", err, state.ErrNotTaken)
+	if err := <-results; !errors.Is(err, state.ErrNotAppended) {
+		t.Errorf("got: %v, want: %v", err, state.ErrNotAppended)
 	}
 	if got := len(log.entries); got != 0 {
 		t.Errorf("got: %d appends, want: 0", got)
@@ -188,7 +188,7 @@
 
 func TestRecordsThatComeTogetherShareAnAppend(t *testing.T) {
 	log := &fakeLog{appended: make(chan []byte, 200)}
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: clock.NewFake()})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: clock.NewFake()})
 	for range 100 {
 		w.Put(join(), nil)
 	}
--- a/internal/journal/reader.go
+++ b/internal/journal/reader.go
@@ -168,7 +168,7 @@
 		if rec.Chunk == nil {
 			continue
 		}
-		s, err := found.Add(state.Owner{Node: b.Node, Incarnation: b.Incarnation}, rec.Chunk)
+		s, err := found.Add(state.Process{Node: b.Node, Incarnation: b.Incarnation}, rec.Chunk)
 		if err == nil && s != nil {
 			return s
 		}
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -61,7 +61,7 @@
 // concurrent use.
 type Writer struct {
 	log     Log
-	owner   state.Owner
+	owner   state.Process
 	options NewWriterOptions
 	queue   *ring.Ring[queued]
 
@@ -87,7 +87,7 @@
 }
 
 // NewWriter returns a writer for the process owner; run its Run.
-func NewWriter(log Log, owner state.Owner, options NewWriterOptions) *Writer {
+func NewWriter(log Log, owner state.Process, options NewWriterOptions) *Writer {
 	if options.AppendsPerSecond == 0 {
 		options.AppendsPerSecond = defaultAppendsPerSecond
 	}
@@ -174,7 +174,7 @@
 	w.noteSeen(seq)
 	w.mu.Unlock()
 	for _, done := range passed {
-		done(state.ErrUnseen)
+		done(state.ErrOutcomeUnknown)
 	}
 }
 
@@ -227,7 +227,7 @@
 	dones := []Done{}
 	for q, ok := first, true; ok; q, ok = w.next() {
 		if now.Sub(q.at) > w.options.MaxWait {
-			w.options.Settle(func() { q.done(state.ErrNotTaken) })
+			w.options.Settle(func() { q.done(state.ErrNotAppended) })
 			continue
 		}
 		batch.Records = append(batch.Records, q.record)
@@ -261,7 +261,7 @@
 func (w *Writer) appendUntilSettled(ctx context.Context, b *state.Batch) {
 	data, err := b.Encode()
 	if err != nil {
-		w.fail(b.Seq, errors.Join(state.ErrNotTaken, err))
+		w.fail(b.Seq, errors.Join(state.ErrNotAppended, err))
 		return
 	}
 	for ctx.Err() == nil && !w.isFolded(b.Seq) {
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -171,7 +171,7 @@
 }
 
 // HasFolded reports whether the process o has said that it acts on offset.
-func (t *Table) HasFolded(o state.Owner, offset int64) bool {
+func (t *Table) HasFolded(o state.Process, offset int64) bool {
 	p := t.peers[o.Node]
 	return p != nil && p.hasBeat && p.incarnation == o.Incarnation && p.applied >= offset
 }
--- a/internal/ownership/plan.go
+++ b/internal/ownership/plan.go
@@ -72,7 +72,7 @@
 // View is what a plan is made from.
 type View struct {
 	Now    time.Time
-	Self   state.Owner
+	Self   state.Process
 	Region string
 	// State is the fold; Alive the nodes of the region that may own shards,
 	// sorted; IsDead the judgement about an owner.
--- a/internal/state/fold.go
+++ b/internal/state/apply.go
@@ -14,17 +14,17 @@
 
 // The reasons why a record had no effect.
 var (
-	ErrConflict  = errors.New("state: the document has changed since the version that the change was based on")
-	ErrDuplicate = errors.New("state: the batch was folded before")
-	ErrStale     = errors.New("state: the writer's incarnation has ended")
-	ErrLost      = errors.New("state: another record came first")
-	ErrUnknown   = errors.New("state: there is no such job")
-	ErrTasks     = errors.New("state: a job has at least 1 and at most 1,048,576 tasks")
-	// ErrNotTaken means that a record is not in the log and will not be.
-	ErrNotTaken = errors.New("state: the record was not appended")
-	// ErrUnseen means that a record is in the log, but that this process went on
+	ErrConflict         = errors.New("state: the document has changed since the version that the change was based on")
+	ErrAlreadyApplied   = errors.New("state: the batch was folded before")
+	ErrStaleIncarnation = errors.New("state: the writer's incarnation has ended")
+	ErrNotFirst         = errors.New("state: another record came first")
+	ErrUnknownJob       = errors.New("state: there is no such job")
+	ErrTaskCount        = errors.New("state: a job has at least 1 and at most 1,048,576 tasks")
+	// ErrNotAppended means that a record is not in the log and will not be.
+	ErrNotAppended = errors.New("state: the record was not appended")
+	// ErrOutcomeUnknown means that a record is in the log, but that this process went on
 	// from a later state: whether it took effect is not known.
-	ErrUnseen = errors.New("state: the record is in the log, and its effect was not seen")
+	ErrOutcomeUnknown = errors.New("state: the record is in the log, and its effect was not seen")
 )
 
 // Outcome is what became of a batch.
@@ -39,10 +39,10 @@
 // Applied is refused with ErrDuplicate and changes nothing.
 func (s *State) Apply(offset int64, b *Batch) Outcome {
 	if offset <= s.Applied {
-		return Outcome{Err: ErrDuplicate}
+		return Outcome{Err: ErrAlreadyApplied}
 	}
 	s.Applied = offset
-	if err := s.admit(offset, b); err != nil {
+	if err := s.checkBatch(offset, b); err != nil {
 		return Outcome{Err: err}
 	}
 	s.Millis = max(s.Millis, b.Millis)
@@ -50,28 +50,28 @@
 	for i := range b.Records {
 		out.Results[i] = s.applyRecord(offset, b, &b.Records[i])
 	}
-	s.ageKeys()
+	s.expireKeys()
 	return out
 }
 
 // Skip moves past an offset whose bytes were no batch.
 func (s *State) Skip(offset int64) { s.Applied = max(s.Applied, offset) }
 
-// admit drops second copies and batches of ended incarnations. A first batch
+// checkBatch drops second copies and batches of ended incarnations. A first batch
 // of an incarnation must begin with its Join.
-func (s *State) admit(offset int64, b *Batch) error {
+func (s *State) checkBatch(offset int64, b *Batch) error {
 	m := s.Members[b.Node]
 	if m == nil || m.Incarnation < b.Incarnation {
 		if len(b.Records) == 0 || b.Records[0].Join == nil {
-			return ErrStale
+			return ErrStaleIncarnation
 		}
 		return nil
 	}
 	if m.Incarnation > b.Incarnation || m.HasLeft {
-		return ErrStale
+		return ErrStaleIncarnation
 	}
 	if b.Seq <= m.Seq {
-		return ErrDuplicate
+		return ErrAlreadyApplied
 	}
 	m.Seq, m.Offset = b.Seq, offset
 	return nil
@@ -93,40 +93,40 @@
 		return s.applyPublish(offset, b.Millis, r.Publish)
 	case r.Intent != nil:
 		return s.applyIntent(r.Intent)
-	case r.Finals != nil:
-		return s.applyFinals(r.Finals)
-	case r.Once != nil:
-		return s.applyOnce(b, r.Once)
+	case r.TaskResults != nil:
+		return s.applyTaskResults(r.TaskResults)
+	case r.IdempotencyKey != nil:
+		return s.applyIdempotencyKey(b, r.IdempotencyKey)
 	}
 	return nil
 }
 
 func (s *State) applyJoin(offset int64, b *Batch, j *Join) error {
 	if j.Node != b.Node || j.Incarnation != b.Incarnation {
-		return ErrStale
+		return ErrStaleIncarnation
 	}
-	s.forgetMembers()
+	s.removeDepartedMembers()
 	s.Members[j.Node] = &Member{
 		Incarnation: j.Incarnation, Link: j.Link, Operators: j.Operators, Zone: j.Zone, Region: j.Region, Seq: b.Seq, Offset: offset,
 	}
 	return nil
 }
 
-// forgetMembers drops those who have left and whom no shard names any more:
+// removeDepartedMembers drops those who have left and whom no shard names any more:
 // VMs are replaced every day, under new addresses.
-func (s *State) forgetMembers() {
-	if len(s.Members) < manyMembers {
+func (s *State) removeDepartedMembers() {
+	if len(s.Members) < memberCleanupThreshold {
 		return
 	}
-	named := map[NodeID]bool{}
-	for _, h := range s.Shards {
-		named[h.Owner.Node] = true
-		for _, p := range h.Past {
-			named[p.Node] = true
+	referenced := map[NodeID]bool{}
+	for _, shard := range s.Shards {
+		referenced[shard.Owner.Node] = true
+		for _, p := range shard.PreviousOwners {
+			referenced[p.Node] = true
 		}
 	}
 	for id, m := range s.Members {
-		if m.HasLeft && !named[id] {
+		if m.HasLeft && !referenced[id] {
 			delete(s.Members, id)
 		}
 	}
@@ -135,35 +135,35 @@
 func (s *State) applyLeave(l *Leave) error {
 	m := s.Members[l.Node]
 	if m == nil || m.Incarnation != l.Incarnation {
-		return ErrLost
+		return ErrNotFirst
 	}
 	m.HasLeft = true
 	return nil
 }
 
 func (s *State) applyClaim(offset int64, c *Claim) error {
-	cur := s.Shards[c.Shard]
+	current := s.Shards[c.Shard]
 	epoch := uint64(0)
-	past := []Owner{}
-	if cur != nil {
-		epoch = cur.Epoch
-		past = append(append(past, cur.Past...), cur.Owner)
+	previous := []Process{}
+	if current != nil {
+		epoch = current.Epoch
+		previous = append(append(previous, current.PreviousOwners...), current.Owner)
 	}
 	if c.Epoch != epoch+1 {
-		return ErrLost
+		return ErrNotFirst
 	}
-	owner := Owner{c.Owner, c.Incarnation}
+	owner := Process{c.Owner, c.Incarnation}
 	if !s.IsLive(owner) {
-		return ErrStale
+		return ErrStaleIncarnation
 	}
-	past = slices.DeleteFunc(past, func(o Owner) bool { return o == owner || s.IsEnded(o) })
-	slices.SortFunc(past, compareOwners)
-	past = slices.Compact(past)
-	s.Shards[c.Shard] = &Shard{Epoch: c.Epoch, Owner: owner, Deputies: c.Deputies, Past: past, Offset: offset}
+	previous = slices.DeleteFunc(previous, func(o Process) bool { return o == owner || s.IsEnded(o) })
+	slices.SortFunc(previous, compareProcesses)
+	previous = slices.Compact(previous)
+	s.Shards[c.Shard] = &Shard{Epoch: c.Epoch, Owner: owner, Deputies: c.Deputies, PreviousOwners: previous, Offset: offset}
 	return nil
 }
 
-func compareOwners(a, b Owner) int {
+func compareProcesses(a, b Process) int {
 	return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Incarnation, b.Incarnation))
 }
 
@@ -172,14 +172,14 @@
 		// The same submit sent again is the same job.
 		return nil
 	}
-	if r.Spec.Tasks < 1 || r.Spec.Tasks > maxTasks {
-		return ErrTasks
+	if r.Spec.Tasks < 1 || r.Spec.Tasks > maxTasksPerJob {
+		return ErrTaskCount
 	}
-	s.Numbers++
-	s.byNumber[s.Numbers] = r.Spec.ID
+	s.LastJobNumber++
+	s.jobsByNumber[s.LastJobNumber] = r.Spec.ID
 	s.Jobs[r.Spec.ID] = &Job{
-		Spec: r.Spec, Number: s.Numbers, Offset: offset, Millis: millis,
-		Marks: make([]Mark, r.Spec.Tasks), Final: map[leverdyke.TaskState]int{},
+		Spec: r.Spec, Number: s.LastJobNumber, Offset: offset, Millis: millis,
+		TaskStates: make([]RecordedState, r.Spec.Tasks), FinalCounts: map[leverdyke.TaskState]int{},
 	}
 	return nil
 }
@@ -187,20 +187,20 @@
 func (s *State) applyCancel(c *Cancel) error {
 	j := s.Jobs[c.Job]
 	if j == nil {
-		return ErrUnknown
+		return ErrUnknownJob
 	}
 	if j.IsEnded {
 		return nil
 	}
 	j.IsCancelled = true
-	left := 0
-	for _, m := range j.Marks {
+	remaining := 0
+	for _, m := range j.TaskStates {
 		if !m.IsFinal() {
-			left++
+			remaining++
 		}
 	}
-	j.Final[leverdyke.TaskCancelled] += left
-	s.end(c.Job, j)
+	j.FinalCounts[leverdyke.TaskCancelled] += remaining
+	s.endJob(c.Job, j)
 	return nil
 }
 
@@ -214,7 +214,7 @@
 	}
 	next := &Doc{Version: p.Base + 1, Offset: offset, Author: p.Author, Millis: millis, Body: p.Body, History: d.History}
 	if d.Version > 0 {
-		next.History = append(next.History, Change{d.Version, d.Offset, d.Author, d.Millis})
+		next.History = append(next.History, DocVersion{d.Version, d.Offset, d.Author, d.Millis})
 	}
 	if n := len(next.History); n > maxDocHistory {
 		next.History = next.History[n-maxDocHistory:]
@@ -226,87 +226,87 @@
 func (s *State) applyIntent(r *Intent) error {
 	j := s.Jobs[r.Job]
 	if j == nil || j.IsEnded {
-		return ErrUnknown
+		return ErrUnknownJob
 	}
 	for _, i := range r.Tasks {
-		if i < 0 || i >= len(j.Marks) {
+		if i < 0 || i >= len(j.TaskStates) {
 			continue
 		}
-		if j.Marks[i] != MarkNone {
+		if j.TaskStates[i] != RecordedNothing {
 			// Somebody else intended it first: it may not be started again.
-			return ErrLost
+			return ErrNotFirst
 		}
 	}
 	for _, i := range r.Tasks {
-		if i >= 0 && i < len(j.Marks) {
-			j.Marks[i] = MarkIntended
+		if i >= 0 && i < len(j.TaskStates) {
+			j.TaskStates[i] = RecordedIntent
 		}
 	}
 	return nil
 }
 
-func (s *State) applyFinals(f *Finals) error {
+func (s *State) applyTaskResults(f *TaskResults) error {
 	if f.Job == "" {
-		f.Job = s.byNumber[f.Number]
+		f.Job = s.jobsByNumber[f.Number]
 	}
 	j := s.Jobs[f.Job]
 	if j == nil || j.IsEnded {
-		return ErrUnknown
+		return ErrUnknownJob
 	}
 	j.Failures += f.Failures
 	if f.Reason != "" {
 		j.Reason = f.Reason
 	}
-	mark := MarkDone
+	recorded := RecordedSucceeded
 	switch f.State {
 	case leverdyke.TaskFailed:
-		mark = MarkFailed
+		recorded = RecordedFailed
 	case leverdyke.TaskUnknown:
-		mark = MarkUnknown
+		recorded = RecordedUnknown
 	}
 	for _, i := range f.Tasks {
-		if i < 0 || i >= len(j.Marks) || j.Marks[i].IsFinal() {
+		if i < 0 || i >= len(j.TaskStates) || j.TaskStates[i].IsFinal() {
 			continue
 		}
-		j.Marks[i] = mark
-		j.Final[f.State]++
+		j.TaskStates[i] = recorded
+		j.FinalCounts[f.State]++
 	}
 	total := 0
-	for _, n := range j.Final {
+	for _, n := range j.FinalCounts {
 		total += n
 	}
-	if total >= len(j.Marks) {
-		s.end(f.Job, j)
+	if total >= len(j.TaskStates) {
+		s.endJob(f.Job, j)
 	}
 	return nil
 }
 
-func (s *State) applyOnce(b *Batch, o *Once) error {
-	if _, ok := s.Keys[o.Key]; ok {
-		return ErrLost
+func (s *State) applyIdempotencyKey(b *Batch, o *IdempotencyKey) error {
+	if _, ok := s.IdempotencyKeys[o.Key]; ok {
+		return ErrNotFirst
 	}
-	s.Keys[o.Key] = Owner{b.Node, b.Incarnation}
-	s.KeyQueue = append(s.KeyQueue, KeyAge{o.Key, s.Millis})
+	s.IdempotencyKeys[o.Key] = Process{b.Node, b.Incarnation}
+	s.KeyQueue = append(s.KeyQueue, SeenKey{o.Key, s.Millis})
 	return nil
 }
 
-func (s *State) end(id string, j *Job) {
+func (s *State) endJob(id string, j *Job) {
 	j.IsEnded = true
-	j.Marks = nil
-	s.Ended = append(s.Ended, id)
-	for len(s.Ended) > maxEndedJobs {
-		delete(s.byNumber, s.Jobs[s.Ended[0]].Number)
-		delete(s.Jobs, s.Ended[0])
-		s.Ended = s.Ended[1:]
+	j.TaskStates = nil
+	s.EndedJobs = append(s.EndedJobs, id)
+	for len(s.EndedJobs) > maxEndedJobs {
+		delete(s.jobsByNumber, s.Jobs[s.EndedJobs[0]].Number)
+		delete(s.Jobs, s.EndedJobs[0])
+		s.EndedJobs = s.EndedJobs[1:]
 	}
 }
 
-// ageKeys forgets keys somewhat later than the window, so that a key that the
+// expireKeys forgets keys somewhat later than the window, so that a key that the
 // fold has forgotten is refused as too old.
-func (s *State) ageKeys() {
+func (s *State) expireKeys() {
 	n := 0
-	for n < len(s.KeyQueue) && s.KeyQueue[n].Millis < s.Millis-OnceWindowMillis-OnceSlackMillis {
-		delete(s.Keys, s.KeyQueue[n].Key)
+	for n < len(s.KeyQueue) && s.KeyQueue[n].Millis < s.Millis-KeyWindowMillis-KeyClockSkewMillis {
+		delete(s.IdempotencyKeys, s.KeyQueue[n].Key)
 		n++
 	}
 	s.KeyQueue = s.KeyQueue[n:]
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -19,7 +19,7 @@
 		benchMemory(b, func(i int) state.Record {
 			k := [16]byte{}
 			binary.BigEndian.PutUint64(k[:], uint64(i))
-			return state.Record{Once: &state.Once{Key: k}}
+			return state.Record{IdempotencyKey: &state.IdempotencyKey{Key: k}}
 		})
 	})
 	b.Run("job", func(b *testing.B) {
@@ -33,17 +33,17 @@
 	const entries = 20000
 	for b.Loop() {
 		s, offset := state.NewState(), int64(-1)
-		w := newWriter(s, &offset, "a", 1)
-		before := heap()
+		w := joinNode(s, &offset, "a", 1)
+		before := heapBytes()
 		for i := range entries {
-			w.put(record(i))
+			w.write(record(i))
 		}
-		b.ReportMetric(float64(heap()-before)/entries, "bytes/entry")
+		b.ReportMetric(float64(heapBytes()-before)/entries, "bytes/entry")
 		runtime.KeepAlive(s)
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	m := runtime.MemStats{}
 	runtime.ReadMemStats(&m)
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -37,18 +37,18 @@
 
 // Record is one change. Exactly one field is set.
 type Record struct {
-	Join    *Join    `msgpack:"j,omitempty"`
-	Leave   *Leave   `msgpack:"l,omitempty"`
-	Claim   *Claim   `msgpack:"c,omitempty"`
-	Submit  *Submit  `msgpack:"s,omitempty"`
-	Cancel  *Cancel  `msgpack:"x,omitempty"`
-	Publish *Publish `msgpack:"p,omitempty"`
-	Intent  *Intent  `msgpack:"i,omitempty"`
-	Finals  *Finals  `msgpack:"f,omitempty"`
-	Once    *Once    `msgpack:"o,omitempty"`
-	Chunk   *Chunk   `msgpack:"k,omitempty"`
-	Doubt   *Doubt   `msgpack:"d,omitempty"`
-	Here    *Here    `msgpack:"h,omitempty"`
+	Join           *Join           `msgpack:"j,omitempty"`
+	Leave          *Leave          `msgpack:"l,omitempty"`
+	Claim          *Claim          `msgpack:"c,omitempty"`
+	Submit         *Submit         `msgpack:"s,omitempty"`
+	Cancel         *Cancel         `msgpack:"x,omitempty"`
+	Publish        *Publish        `msgpack:"p,omitempty"`
+	Intent         *Intent         `msgpack:"i,omitempty"`
+	TaskResults    *TaskResults    `msgpack:"f,omitempty"`
+	IdempotencyKey *IdempotencyKey `msgpack:"o,omitempty"`
+	Chunk          *Chunk          `msgpack:"k,omitempty"`
+	LivenessQuery  *LivenessQuery  `msgpack:"d,omitempty"`
+	LivenessReply  *LivenessReply  `msgpack:"h,omitempty"`
 }
 
 // Join makes a node a member under a new incarnation.
@@ -79,15 +79,15 @@
 	Deputies []NodeID `msgpack:"d,omitempty"`
 }
 
-// Doubt asks nodes whether they live: its writer hears neither them nor most
+// LivenessQuery asks nodes whether they live: its writer hears neither them nor most
 // others. It changes nothing.
-type Doubt struct {
-	Of []NodeID `msgpack:"o"`
+type LivenessQuery struct {
+	Nodes []NodeID `msgpack:"o"`
 }
 
-// Here answers a Doubt. Its batch says all: its writer lives and reaches the
+// LivenessReply answers a Doubt. Its batch says all: its writer lives and reaches the
 // log.
-type Here struct{}
+type LivenessReply struct{}
 
 // Submit accepts a job.
 type Submit struct {
@@ -113,9 +113,9 @@
 	Tasks []int  `msgpack:"t"`
 }
 
-// Finals says how tasks ended, and how many attempts failed on the way. It is
+// TaskResults says how tasks ended, and how many attempts failed on the way. It is
 // by far the most frequent record, so that it names its job by number.
-type Finals struct {
+type TaskResults struct {
 	// Job is set by the fold from Number; a writer sets either.
 	Job      string              `msgpack:"j,omitempty"`
 	Number   uint64              `msgpack:"n,omitempty"`
@@ -126,9 +126,9 @@
 	Reason string `msgpack:"r,omitempty"`
 }
 
-// Once says that Node is about to send the request with Key, which may not be
+// IdempotencyKey says that Node is about to send the request with Key, which may not be
 // repeated. The first record of a key wins.
-type Once struct {
+type IdempotencyKey struct {
 	Key [16]byte `msgpack:"k"`
 }
 
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -9,7 +9,7 @@
 	"github.com/leverdyke/leverdyke/internal/codec"
 )
 
-const chunkBytes = 48 * 1024
+const maxChunkBytes = 48 * 1024
 
 // Snapshot returns the state as the records of a snapshot, in order.
 func (s *State) Snapshot() ([]Record, error) {
@@ -17,11 +17,11 @@
 	if err != nil {
 		return nil, err
 	}
-	parts := max((len(data)+chunkBytes-1)/chunkBytes, 1)
+	parts := max((len(data)+maxChunkBytes-1)/maxChunkBytes, 1)
 	records := make([]Record, 0, parts)
 	for i := range parts {
-		end := min((i+1)*chunkBytes, len(data))
-		records = append(records, Record{Chunk: &Chunk{Base: s.Applied, Part: i, Parts: parts, Data: data[i*chunkBytes : end]}})
+		end := min((i+1)*maxChunkBytes, len(data))
+		records = append(records, Record{Chunk: &Chunk{Base: s.Applied, Part: i, Parts: parts, Data: data[i*maxChunkBytes : end]}})
 	}
 	return records, nil
 }
@@ -45,7 +45,7 @@
 		if j == nil {
 			return nil, fmt.Errorf("state: the snapshot has no job %q", id)
 		}
-		s.byNumber[j.Number] = id
+		s.jobsByNumber[j.Number] = id
 	}
 	return s, nil
 }
@@ -53,45 +53,45 @@
 // Assembler collects the chunks of snapshots until one is whole. Its zero
 // value works.
 type Assembler struct {
-	sets map[chunkSet]*partial
+	partials map[snapshotKey]*partialSnapshot
 }
 
-type chunkSet struct {
-	writer Owner
+type snapshotKey struct {
+	writer Process
 	base   int64
 	parts  int
 }
 
-type partial struct {
-	data [][]byte
-	got  int
+type partialSnapshot struct {
+	data     [][]byte
+	received int
 }
 
 // Add takes a chunk and returns the snapshot that it completes, or nil.
-func (a *Assembler) Add(writer Owner, c *Chunk) (*State, error) {
+func (a *Assembler) Add(writer Process, c *Chunk) (*State, error) {
 	if c.Parts < 1 || c.Parts > 4096 || c.Part < 0 || c.Part >= c.Parts {
 		return nil, fmt.Errorf("state: a snapshot has no part %d of %d", c.Part, c.Parts)
 	}
-	if a.sets == nil {
-		a.sets = map[chunkSet]*partial{}
+	if a.partials == nil {
+		a.partials = map[snapshotKey]*partialSnapshot{}
 	}
-	key := chunkSet{writer, c.Base, c.Parts}
-	p := a.sets[key]
+	key := snapshotKey{writer, c.Base, c.Parts}
+	p := a.partials[key]
 	if p == nil {
-		p = &partial{data: make([][]byte, c.Parts)}
-		a.sets[key] = p
+		p = &partialSnapshot{data: make([][]byte, c.Parts)}
+		a.partials[key] = p
 	}
 	if p.data[c.Part] == nil {
 		p.data[c.Part] = c.Data
-		p.got++
+		p.received++
 	}
-	if p.got < c.Parts {
+	if p.received < c.Parts {
 		return nil, nil
 	}
-	delete(a.sets, key)
-	whole := []byte{}
+	delete(a.partials, key)
+	data := []byte{}
 	for _, d := range p.data {
-		whole = append(whole, d...)
+		data = append(data, d...)
 	}
-	return Unmarshal(whole)
+	return Unmarshal(data)
 }
