--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -12,31 +12,33 @@
 	"github.com/leverdyke/leverdyke"
 )
 
-// The reasons why a record had no effect.
+// The reasons why a batch or a record had no effect. Apply returns those up to
+// ErrTaskCount; the others come from the writer of the log.
 var (
 	ErrConflict         = errors.New("state: the document has changed since the version that the change was based on")
-	ErrAlreadyApplied   = errors.New("state: the batch was folded before")
-	ErrStaleIncarnation = errors.New("state: the writer's incarnation has ended")
-	ErrNotFirst         = errors.New("state: another record came first")
+	ErrAlreadyApplied   = errors.New("state: the batch was already applied")
+	ErrStaleIncarnation = errors.New("state: the incarnation that the batch or record names has ended or has not joined")
+	ErrNotFirst         = errors.New("state: another record in the log took effect first")
 	ErrUnknownJob       = errors.New("state: there is no such job")
 	ErrTaskCount        = errors.New("state: a job has at least 1 and at most 1,048,576 tasks")
 	// ErrNotAppended means that a record is not in the log and will not be.
 	ErrNotAppended = errors.New("state: the record was not appended")
-	// ErrOutcomeUnknown means that a record is in the log, but that this process went on
-	// from a later state: whether it took effect is not known.
-	ErrOutcomeUnknown = errors.New("state: the record is in the log, and its effect was not seen")
+	// ErrOutcomeUnknown means that a record is in the log, but that this process
+	// continued from a snapshot that already includes it, so that it is not
+	// known whether the record took effect.
+	ErrOutcomeUnknown = errors.New("state: the record is in the log, but whether it took effect is not known")
 )
 
-// Outcome is what became of a batch.
+// Outcome is the result of applying a batch.
 type Outcome struct {
 	// Err is set when the whole batch had no effect.
 	Err error
-	// Results has one entry a record; nil means that it took effect.
+	// Results has one entry for each record; nil means that it took effect.
 	Results []error
 }
 
-// Apply folds the batch at offset. Offsets must grow; an offset at or before
-// Applied is refused with ErrDuplicate and changes nothing.
+// Apply applies the batch at offset. Offsets must grow: a batch at or before
+// Applied changes nothing and gives ErrAlreadyApplied.
 func (s *State) Apply(offset int64, b *Batch) Outcome {
 	if offset <= s.Applied {
 		return Outcome{Err: ErrAlreadyApplied}
@@ -54,11 +56,11 @@
 	return out
 }
 
-// Skip moves past an offset whose bytes were no batch.
+// Skip advances Applied to an offset whose data could not be decoded as a batch.
 func (s *State) Skip(offset int64) { s.Applied = max(s.Applied, offset) }
 
-// checkBatch drops second copies and batches of ended incarnations. A first batch
-// of an incarnation must begin with its Join.
+// checkBatch rejects a batch that was applied before and a batch of an ended
+// incarnation. The first batch of an incarnation must begin with its Join.
 func (s *State) checkBatch(offset int64, b *Batch) error {
 	m := s.Members[b.Node]
 	if m == nil || m.Incarnation < b.Incarnation {
@@ -112,8 +114,9 @@
 	return nil
 }
 
-// removeDepartedMembers drops those who have left and whom no shard names any more:
-// VMs are replaced every day, under new addresses.
+// removeDepartedMembers removes the members that have left and that no shard
+// lists as owner or previous owner. VMs are replaced every day and get new
+// addresses, so that Members would grow without limit.
 func (s *State) removeDepartedMembers() {
 	if len(s.Members) < memberCleanupThreshold {
 		return
@@ -169,7 +172,7 @@
 
 func (s *State) applySubmit(offset, millis int64, r *Submit) error {
 	if s.Jobs[r.Spec.ID] != nil {
-		// The same submit sent again is the same job.
+		// A retried submission has the same ID and is the same job.
 		return nil
 	}
 	if r.Spec.Tasks < 1 || r.Spec.Tasks > maxTasksPerJob {
@@ -233,7 +236,8 @@
 			continue
 		}
 		if j.TaskStates[i] != RecordedNothing {
-			// Somebody else intended it first: it may not be started again.
+			// An earlier intent exists, or the task has ended: starting it
+			// could run it twice.
 			return ErrNotFirst
 		}
 	}
@@ -301,8 +305,8 @@
 	}
 }
 
-// expireKeys forgets keys somewhat later than the window, so that a key that the
-// fold has forgotten is refused as too old.
+// expireKeys removes keys KeyClockSkewMillis after KeyWindowMillis has passed,
+// so that a request whose key was removed is always refused as too old.
 func (s *State) expireKeys() {
 	n := 0
 	for n < len(s.KeyQueue) && s.KeyQueue[n].Millis < s.Millis-KeyWindowMillis-KeyClockSkewMillis {
--- a/internal/state/apply_test.go
+++ b/internal/state/apply_test.go
@@ -18,7 +18,8 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// batchWriter appends batches of one incarnation.
+// batchWriter numbers the batches of one incarnation and applies them to s. The
+// writers of a test share offset.
 type batchWriter struct {
 	s           *state.State
 	node        state.NodeID
@@ -33,12 +34,14 @@
 	return w.writeAgain(records...)
 }
 
-// writeAgain appends the last batch a second time, as after a lost reply.
+// writeAgain applies a batch with the sequence number of the last one, as when
+// a writer retries an append whose reply was lost.
 func (w *batchWriter) writeAgain(records ...state.Record) state.Outcome {
 	*w.offset++
 	return w.s.Apply(*w.offset, &state.Batch{Node: w.node, Incarnation: w.incarnation, Seq: w.seq, Millis: w.millis, Records: records})
 }
 
+// joinNode applies the Join of an incarnation and returns its writer.
 func joinNode(s *state.State, offset *int64, n state.NodeID, inc uint64) *batchWriter {
 	w := &batchWriter{s: s, node: n, incarnation: inc, offset: offset}
 	w.write(state.Record{Join: &state.Join{Node: n, Incarnation: inc, Region: "r1"}})
@@ -53,7 +56,7 @@
 	s, offset := state.NewState(), int64(-1)
 	a, b := joinNode(s, &offset, "a", 1), joinNode(s, &offset, "b", 1)
 	if got := a.write(claim("rack/r1/k", 1, "a", 1)).Results[0]; got != nil {
-		t.Errorf("the first: got: %v, want: nil", got)
+		t.Errorf("first claim: got: %v, want: nil", got)
 	}
 	for _, epoch := range []uint64{0, 1, 3} {
 		if got := b.write(claim("rack/r1/k", epoch, "b", 1)).Results[0]; !errors.Is(got, state.ErrNotFirst) {
@@ -75,6 +78,8 @@
 	}
 }
 
+// An append whose reply is lost is retried and may put the batch into the log
+// twice. If the copy took effect, the failures of its tasks would count twice.
 func TestDuplicateBatchHasNoEffect(t *testing.T) {
 	s, offset := state.NewState(), int64(-1)
 	w := joinNode(s, &offset, "a", 1)
@@ -89,6 +94,8 @@
 	}
 }
 
+// A process that was replaced may still append. Its batches must not take effect
+// after the Join of the next incarnation.
 func TestBatchOfAnEndedIncarnationIsRejected(t *testing.T) {
 	s, offset := state.NewState(), int64(-1)
 	old := joinNode(s, &offset, "a", 1)
@@ -134,7 +141,7 @@
 	a.millis = state.KeyWindowMillis + state.KeyClockSkewMillis + 1
 	a.write()
 	if len(s.IdempotencyKeys) != 0 {
-		t.Errorf("after the slack: got: %d keys, want: 0", len(s.IdempotencyKeys))
+		t.Errorf("after the window and the clock skew: got: %d keys, want: 0", len(s.IdempotencyKeys))
 	}
 }
 
@@ -148,10 +155,13 @@
 		t.Errorf("got: %v, %v, want: nil, %v", first, second, state.ErrNotFirst)
 	}
 	if got := s.Jobs["j"].TaskStates[0]; got != state.RecordedNothing {
-		t.Errorf("a refused intent marks nothing: got: %v, want: %v", got, state.RecordedNothing)
+		t.Errorf("other task of the rejected intent: got: %v, want: %v", got, state.RecordedNothing)
 	}
 }
 
+// A new owner must wait for every previous owner that may still renew leases. A
+// list with only the last one would miss an owner that never saw that it was
+// replaced.
 func TestPreviousOwnersAreListedUntilTheyHaveEnded(t *testing.T) {
 	s, offset := state.NewState(), int64(-1)
 	a, b, c := joinNode(s, &offset, "a", 1), joinNode(s, &offset, "b", 1), joinNode(s, &offset, "c", 1)
@@ -182,11 +192,12 @@
 		t.Errorf("got: %d members, want: at most 65", got)
 	}
 	if !s.IsEnded(state.Process{Node: "owner", Incarnation: 1}) {
-		t.Error("the owner: got: not known to have ended, want: known")
+		t.Error("owner of the shard: got: not known to have ended, want: known")
 	}
 }
 
-// randomBatch makes a batch out of a number; most have some effect.
+// randomBatch returns the next batch of a random node; most batches have an
+// effect. seq has the last sequence number of each node.
 func randomBatch(r *rand.Rand, seq map[state.NodeID]uint64) *state.Batch {
 	n := state.NodeID([]string{"a", "b", "c"}[r.Intn(3)])
 	seq[n]++
@@ -215,8 +226,9 @@
 	return b
 }
 
-// TestSnapshotAtAnyOffsetRestoresTheSameState compares a fold with one that goes on
-// from a snapshot, and with one that meets every batch twice.
+// TestSnapshotAtAnyOffsetRestoresTheSameState compares a state that applied
+// every batch once with one that was restored from a snapshot on the way, and
+// with one that read every batch twice.
 func TestSnapshotAtAnyOffsetRestoresTheSameState(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.Rng = rand.New(rand.NewSource(1))
@@ -241,7 +253,8 @@
 	properties.TestingRun(t)
 }
 
-// roundTripChunks sends a state through its chunks, in reverse order.
+// roundTripChunks returns the state that an Assembler makes from the chunks of
+// s in reverse order.
 func roundTripChunks(t *testing.T, s *state.State) *state.State {
 	t.Helper()
 	records, err := s.Snapshot()
@@ -258,11 +271,12 @@
 			return got
 		}
 	}
-	t.Fatal("got: no whole snapshot, want: one")
+	t.Fatal("got: no complete snapshot, want: one")
 	return nil
 }
 
-// clearOffsets makes folds comparable that saw the batches at other offsets.
+// clearOffsets makes states comparable that applied the same batches at
+// different offsets.
 func clearOffsets(states ...*state.State) {
 	for _, s := range states {
 		for _, m := range s.Members {
@@ -277,12 +291,13 @@
 		for _, j := range s.Jobs {
 			j.Offset = 0
 		}
-		for _, h := range s.Shards {
-			h.Offset = 0
+		for _, shard := range s.Shards {
+			shard.Offset = 0
 		}
 	}
 }
 
+// equal compares the states after a round trip through chunks and encoding.
 func equal(t *testing.T, a, b *state.State) bool {
 	t.Helper()
 	x, err := roundTripChunks(t, a).Marshal()
@@ -293,7 +308,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Maps have no order: compare what they decode to.
+	// The encoded bytes differ because maps have no order, so compare the
+	// decoded states.
 	p, _ := state.Unmarshal(x)
 	q, _ := state.Unmarshal(y)
 	return reflect.DeepEqual(p, q)
--- a/internal/state/bench_test.go
+++ b/internal/state/bench_test.go
@@ -13,7 +13,8 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// BenchmarkMemory is what a remembered key and a job of 300 tasks take.
+// BenchmarkMemory reports how many bytes of heap an idempotency key and a job
+// of 300 tasks take.
 func BenchmarkMemory(b *testing.B) {
 	b.Run("key", func(b *testing.B) {
 		benchMemory(b, func(i int) state.Record {
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -11,7 +11,8 @@
 
 const maxChunkBytes = 48 * 1024
 
-// Snapshot returns the state as the records of a snapshot, in order.
+// Snapshot returns the state as a sequence of Chunk records. The chunks may be
+// appended in several batches.
 func (s *State) Snapshot() ([]Record, error) {
 	data, err := s.Marshal()
 	if err != nil {
@@ -26,7 +27,7 @@
 	return records, nil
 }
 
-// Marshal returns the state as bytes.
+// Marshal encodes the whole state.
 func (s *State) Marshal() ([]byte, error) {
 	data, err := codec.Marshal(s)
 	if err != nil {
@@ -35,7 +36,8 @@
 	return data, nil
 }
 
-// Unmarshal reads what Marshal wrote; it never panics on foreign bytes.
+// Unmarshal is the inverse of Marshal. It returns an error, and never panics, on
+// malformed input.
 func Unmarshal(data []byte) (*State, error) {
 	s := NewState()
 	if err := codec.Unmarshal(data, s); err != nil {
@@ -43,34 +45,40 @@
 	}
 	for id, j := range s.Jobs {
 		if j == nil {
-			return nil, fmt.Errorf("state: the snapshot has no job %q", id)
+			return nil, fmt.Errorf("state: the snapshot has a null entry for job %q", id)
 		}
 		s.jobsByNumber[j.Number] = id
 	}
 	return s, nil
 }
 
-// Assembler collects the chunks of snapshots until one is whole. Its zero
-// value works.
+// Assembler collects the chunks of snapshots until all chunks of one have
+// arrived. The zero value is ready to use.
 type Assembler struct {
 	partials map[snapshotKey]*partialSnapshot
 }
 
+// snapshotKey identifies a snapshot: several nodes may write one of the same
+// base.
 type snapshotKey struct {
 	writer Process
 	base   int64
 	parts  int
 }
 
+// partialSnapshot has the data of the chunks that have arrived, by Chunk.Part;
+// data has nil for a missing one.
 type partialSnapshot struct {
 	data     [][]byte
 	received int
 }
 
-// Add takes a chunk and returns the snapshot that it completes, or nil.
+// Add stores a chunk that writer appended. It returns the state of the snapshot
+// if this chunk completes it, and nil otherwise. Chunks may arrive in any order
+// and more than once.
 func (a *Assembler) Add(writer Process, c *Chunk) (*State, error) {
 	if c.Parts < 1 || c.Parts > 4096 || c.Part < 0 || c.Part >= c.Parts {
-		return nil, fmt.Errorf("state: a snapshot has no part %d of %d", c.Part, c.Parts)
+		return nil, fmt.Errorf("state: a snapshot chunk is invalid: part %d of %d, want 0 to parts-1 of at most 4096", c.Part, c.Parts)
 	}
 	if a.partials == nil {
 		a.partials = map[snapshotKey]*partialSnapshot{}
