--- a/internal/core/fakenode_test.go
+++ b/internal/core/fakenode_test.go
@@ -200,7 +200,7 @@
 }
 
 func (n *fakeNode) read() {
-	t := &journal.Tailed{SentAt: n.world.clock.Now()}
+	t := &journal.ReadResult{SentAt: n.world.clock.Now()}
 	if !n.hasLog() || n.world.isCut("log", n.name()) {
 		t.Err = fmt.Errorf("out")
 		n.core.OnTailed(t)
@@ -221,7 +221,7 @@
 }
 
 // recover starts at the first whole snapshot, as the journal's reader does.
-func (n *fakeNode) recover(first int64, t *journal.Tailed) {
+func (n *fakeNode) recover(first int64, t *journal.ReadResult) {
 	found := state.Assembler{}
 	page, _, _ := n.world.log.Page(first)
 	for _, e := range page.Entries {
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -160,7 +160,7 @@
 	team := ""
 	for i := range 64 {
 		team = fmt.Sprintf("team-%d", i)
-		if w.ownerOf(string(ownership.HomeShard(region, team))) == n {
+		if w.ownerOf(string(ownership.JobShard(region, team))) == n {
 			break
 		}
 	}
--- a/internal/core/fold.go
+++ b/internal/core/fold.go
@@ -15,7 +15,7 @@
 )
 
 // OnTailed takes what the log's reader found.
-func (c *Core) OnTailed(e *journal.Tailed) {
+func (c *Core) OnTailed(e *journal.ReadResult) {
 	now := c.now()
 	if e.Err != nil {
 		if c.readFailingSince.IsZero() {
@@ -114,7 +114,7 @@
 	}
 	c.isJobsChanged = true
 	events.Log(events.JobAccepted, "job", id, "team", j.Spec.Team, "kind", j.Spec.Kind, "tasks", j.Spec.Tasks, "offset", j.Offset)
-	shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
+	shard := ownership.JobShard(j.Spec.Region, j.Spec.Team)
 	if h := c.homes[shard]; h != nil {
 		h.AddJob(c.now(), id, j, j.Offset > c.state.Shards[shard].Offset)
 	}
@@ -157,7 +157,7 @@
 		if j == nil {
 			continue
 		}
-		shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
+		shard := ownership.JobShard(j.Spec.Region, j.Spec.Team)
 		byHome[shard] = append(byHome[shard], id)
 	}
 	c.ended = nil
@@ -201,7 +201,7 @@
 	}
 	for _, id := range sorted(s.Jobs) {
 		j := s.Jobs[id]
-		shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
+		shard := ownership.JobShard(j.Spec.Region, j.Spec.Team)
 		if h := c.homes[shard]; h != nil && !j.IsEnded {
 			h.AddJob(c.now(), id, j, j.Offset > s.Shards[shard].Offset)
 		}
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -187,9 +187,9 @@
 }
 
 func (c *Core) onHeartbeat(now time.Time, from *node.Hello, hb *node.Heartbeat) {
-	c.members.Heard(now, &membership.Beat{
+	c.members.OnHeartbeat(now, &membership.Heartbeat{
 		Node: from.Node, Incarnation: from.Incarnation, Region: from.Region, Applied: hb.Applied,
-		IsLogOut: hb.IsLogOut, IsDraining: hb.IsDraining, Suspects: hb.Suspects,
+		IsLogUnavailable: hb.IsLogOut, IsDraining: hb.IsDraining, Suspects: hb.Suspects,
 	})
 	for i := range hb.Rooms {
 		room := hb.Rooms[i]
@@ -243,7 +243,7 @@
 	if !isOut {
 		return
 	}
-	peer, most := c.members.MostApplied(now)
+	peer, most := c.members.MostAdvancedPeer(now)
 	if peer == "" {
 		return
 	}
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -120,7 +120,7 @@
 	}
 	for _, job := range sorted(c.state.Jobs) {
 		j := c.state.Jobs[job]
-		if !j.IsEnded && ownership.HomeShard(j.Spec.Region, j.Spec.Team) == id {
+		if !j.IsEnded && ownership.JobShard(j.Spec.Region, j.Spec.Team) == id {
 			h.AddJob(now, job, j, j.Offset > cur.Offset)
 		}
 	}
@@ -205,7 +205,7 @@
 // shards lists the region's homes and the racks of the platform's list.
 func (c *Core) shards() []ownership.Shard {
 	region := c.options.Region
-	list := ownership.Homes(region)
+	list := ownership.JobShards(region)
 	seen := map[state.ShardID]bool{}
 	for i := range c.vms {
 		vm := &c.vms[i]
@@ -230,7 +230,7 @@
 
 // watchDeputies keeps the racks of dead owners alive while the log is out.
 func (c *Core) watchDeputies(now time.Time) {
-	isOut := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > deputyAfter && c.members.IsLogOutForAll(now)
+	isOut := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > deputyAfter && c.members.IsLogUnavailableForAll(now)
 	if !isOut || !c.IsJoined() || c.isDraining {
 		return
 	}
@@ -240,7 +240,7 @@
 		if !ownership.IsRack(id) || ownership.Region(id) != v.Region || c.racks[id] != nil || !v.IsDead(s.Owner.Node) {
 			continue
 		}
-		place := ownership.DeputyPlace(v, s)
+		place := ownership.DeputyRank(v, s)
 		epoch := worker.NewEpoch(s.Epoch, place)
 		if place == 0 || c.deputised[id].epoch >= epoch || c.fenced[id] >= epoch {
 			continue
@@ -303,7 +303,7 @@
 
 func (c *Core) areEnded(past []state.Process, offset int64) bool {
 	for _, p := range past {
-		if !c.state.IsEnded(p) && !c.members.HasFolded(p, offset) {
+		if !c.state.IsEnded(p) && !c.members.HasApplied(p, offset) {
 			return false
 		}
 	}
@@ -322,7 +322,7 @@
 			return time.Time{}
 		}
 	}
-	if !c.members.IsLogOutForAll(now) {
+	if !c.members.IsLogUnavailableForAll(now) {
 		return time.Time{}
 	}
 	return now.Add(-2 * time.Second)
--- a/internal/core/policy_test.go
+++ b/internal/core/policy_test.go
@@ -104,7 +104,7 @@
 		team := fmt.Sprint("team-", i)
 		isOther := true
 		for _, o := range others {
-			isOther = isOther && ownership.HomeShard(region, team) != ownership.HomeShard(region, o)
+			isOther = isOther && ownership.JobShard(region, team) != ownership.JobShard(region, o)
 		}
 		if isOther {
 			return team
@@ -168,8 +168,8 @@
 	w.mustSubmit(t, never)
 	w.mustSubmit(t, batchSpec("good", 6, time.Second))
 	w.run(10 * time.Second)
-	n := w.ownerOf(string(ownership.HomeShard(region, "filings")))
-	if got := n.core.Home(ownership.HomeShard(region, "filings")).Status("never").Why; !strings.Contains(got, "memory") {
+	n := w.ownerOf(string(ownership.JobShard(region, "filings")))
+	if got := n.core.Home(ownership.JobShard(region, "filings")).Status("never").Why; !strings.Contains(got, "memory") {
 		t.Errorf("got: %q, want: the reason", got)
 	}
 	if got := w.job("good").FinalCounts[leverdyke.TaskDone]; got != 6 {
@@ -286,7 +286,7 @@
 // what it heard before.
 func TestMovedHomeSpreadsAServiceAtOnce(t *testing.T) {
 	w := newReadyWorldOf(t, worldOptions{nodes: 3, racks: 4, workers: 2, seed: 52})
-	shard := string(ownership.HomeShard(region, "filings"))
+	shard := string(ownership.JobShard(region, "filings"))
 	w.run(20 * time.Second)
 	w.ownerOf(shard).kill()
 	for range 200 {
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -102,7 +102,7 @@
 	if now.Sub(c.caughtUpAt) < readyWithin {
 		return c.IsJoined()
 	}
-	return c.isLogOut(now) && c.members.IsLogOutForAll(now)
+	return c.isLogOut(now) && c.members.IsLogUnavailableForAll(now)
 }
 
 // CheckSubmit refuses a job of which it is known that it can never run.
@@ -118,7 +118,7 @@
 	if lacks := together.Lacks(team.Quota); lacks != "" {
 		return &document.FieldError{File: file, Key: "each", Problem: "it can never run: it needs more " + lacks + " than its team's quota", Allowed: team.Quota.String()}
 	}
-	if h := c.homes[ownership.HomeShard(spec.Region, spec.Team)]; h != nil && h.IsFull() {
+	if h := c.homes[ownership.JobShard(spec.Region, spec.Team)]; h != nil && h.IsFull() {
 		return leverdyke.NotRun("too many jobs wait", retryQueueFull)
 	}
 	capacities := c.capacities(spec.Region)
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -82,9 +82,9 @@
 	n.router = front.NewRouter(front.NewRouterOptions{Zone: s.Zone, Clock: c})
 	log := logservice.NewClient(s.LogAddr, func(sent, received int) { n.countControl("log", sent, received) })
 	n.writer = journal.NewWriter(log, n.owner, journal.NewWriterOptions{
-		AppendsPerSecond: s.AppendsPerSecond, Clock: c, Appended: func() { n.reader.Wake() }, Settle: func(f func()) { n.put(func(*core.Core) { f() }) },
+		AppendsPerSecond: s.AppendsPerSecond, Clock: c, OnAppended: func() { n.reader.Wake() }, RunInApplier: func(f func()) { n.put(func(*core.Core) { f() }) },
 	})
-	n.reader = journal.NewReader(log, c, n.writer.IsAwaited, func(t journal.Tailed) { n.put(func(c *core.Core) { c.OnTailed(&t) }) })
+	n.reader = journal.NewReader(log, c, n.writer.HasPendingBatch, func(t journal.ReadResult) { n.put(func(c *core.Core) { c.OnTailed(&t) }) })
 	n.core = core.NewCore(n, core.NewCoreOptions{
 		Self: n.owner, Link: s.LinkAddr, Operators: s.OperatorsAddr, Region: s.Region, Zone: s.Zone, Peers: s.PeerAddrs,
 		Lease: s.Lease, SnapshotEvery: s.SnapshotEvery, Router: n.router, Meter: m,
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -211,7 +211,7 @@
 	}
 	return &operator.Job{
 		Spec: j.Spec, Offset: j.Offset, At: time.UnixMilli(j.Millis).UTC(), IsEnded: j.IsEnded, IsCancelled: j.IsCancelled,
-		Final: final, Failures: j.Failures, Reason: j.Reason, Home: string(ownership.HomeShard(j.Spec.Region, j.Spec.Team)),
+		Final: final, Failures: j.Failures, Reason: j.Reason, Home: string(ownership.JobShard(j.Spec.Region, j.Spec.Team)),
 	}
 }
 
@@ -227,7 +227,7 @@
 		if j == nil {
 			return found{}
 		}
-		shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
+		shard := ownership.JobShard(j.Spec.Region, j.Spec.Team)
 		out := jobOf(j)
 		if h := c.Home(shard); h != nil {
 			out.Live = h.Status(id)
--- a/internal/entry/outside.go
+++ b/internal/entry/outside.go
@@ -31,13 +31,13 @@
 func (n *Node) Append(r state.Record, done func(error)) bool { return n.writer.Put(r, done) }
 
 // Folded tells the log's writer that its batch was seen in the log.
-func (n *Node) Folded(seq uint64, out state.Outcome) { n.writer.Folded(seq, out) }
+func (n *Node) Folded(seq uint64, out state.Outcome) { n.writer.OnApplied(seq, out) }
 
 // Passed tells the log's writer up to which of its batches a peer's state goes.
-func (n *Node) Passed(seq uint64) { n.writer.Passed(seq) }
+func (n *Node) Passed(seq uint64) { n.writer.OnSkipped(seq) }
 
 // IsAppendOut reports whether appends have been failing for some time.
-func (n *Node) IsAppendOut() bool { return n.writer.IsOut() }
+func (n *Node) IsAppendOut() bool { return n.writer.IsLogUnavailable() }
 
 // SkipTo lets the log's reader go on after offset.
 func (n *Node) SkipTo(offset int64) { n.reader.SkipTo(offset) }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -22,19 +22,19 @@
 	mu      sync.Mutex
 	entries []logservice.Entry
 	first   int64
-	// lose is how many appends take effect without an answer, fail how many
+	// loseReplies is how many appends take effect without an answer, refuseAppends how many
 	// are not taken.
-	lose, fail int
-	appended   chan []byte
+	loseReplies, refuseAppends int
+	appended                   chan []byte
 }
 
-var errLost = errors.New("lost")
+var errReplyLost = errors.New("lost")
 
 func (l *fakeLog) Append(_ context.Context, data []byte) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.fail > 0 {
-		l.fail--
+	if l.refuseAppends > 0 {
+		l.refuseAppends--
 		return 0, logservice.ErrRefused
 	}
 	offset := int64(len(l.entries))
@@ -42,9 +42,9 @@
 	if l.appended != nil {
 		l.appended <- data
 	}
-	if l.lose > 0 {
-		l.lose--
-		return 0, errLost
+	if l.loseReplies > 0 {
+		l.loseReplies--
+		return 0, errReplyLost
 	}
 	return offset, nil
 }
@@ -60,8 +60,8 @@
 	return page, nil
 }
 
-// advance moves a fake clock until done is closed.
-func advance(c *clock.Fake, done <-chan struct{}) {
+// advanceUntil moves a fake clock until done is closed.
+func advanceUntil(c *clock.Fake, done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
@@ -72,21 +72,21 @@
 	}
 }
 
-func join() state.Record {
+func joinRecord() state.Record {
 	return state.Record{Join: &state.Join{Node: "n", Incarnation: 1}}
 }
 
-func TestLostAnswersAreSettledBySendingTheSameBatchAgain(t *testing.T) {
-	log := &fakeLog{lose: 2, fail: 1, appended: make(chan []byte, 9)}
+func TestAppendIsRetriedAfterALostReplyAndReportedOnce(t *testing.T) {
+	log := &fakeLog{loseReplies: 2, refuseAppends: 1, appended: make(chan []byte, 9)}
 	c := clock.NewFake()
 	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
 	results := make(chan error, 2)
-	w.Put(join(), func(err error) { results <- err })
+	w.Put(joinRecord(), func(err error) { results <- err })
 	done := make(chan struct{})
-	go advance(c, done)
+	go advanceUntil(c, done)
 	s := state.NewState()
 	first := state.Outcome{}
 	for i := range 3 {
@@ -102,7 +102,7 @@
 		}
 	}
 	close(done)
-	w.Folded(1, first)
+	w.OnApplied(1, first)
 	if err := <-results; err != nil {
 		t.Errorf("got: %v, want: nil", err)
 	}
@@ -115,65 +115,65 @@
 
 // A log whose answers are lost has taken the batch that is read from it: it is
 // not out, and the next record must be taken.
-func TestBatchThatIsReadEndsTheOutage(t *testing.T) {
-	log := &fakeLog{lose: 1 << 30, appended: make(chan []byte, 1<<10)}
+func TestBatchReadFromTheLogEndsTheOutage(t *testing.T) {
+	log := &fakeLog{loseReplies: 1 << 30, appended: make(chan []byte, 1<<10)}
 	c := clock.NewFake()
 	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Put(join(), nil)
+	w.Put(joinRecord(), nil)
 	go w.Run(ctx)
 	done := make(chan struct{})
-	go advance(c, done)
-	for !w.IsOut() {
+	go advanceUntil(c, done)
+	for !w.IsLogUnavailable() {
 		runtime.Gosched()
 	}
-	w.Folded(1, state.Outcome{Results: []error{nil}})
-	for w.IsOut() {
+	w.OnApplied(1, state.Outcome{Results: []error{nil}})
+	for w.IsLogUnavailable() {
 		runtime.Gosched()
 	}
 	close(done)
-	if !w.Put(join(), nil) {
+	if !w.Put(joinRecord(), nil) {
 		t.Error("got: the next record is refused, want: taken")
 	}
 }
 
-func TestBatchThatWasPassedIsSettledOnceAsUnseen(t *testing.T) {
-	log := &fakeLog{fail: 1 << 30, appended: make(chan []byte, 9)}
+func TestSkippedBatchIsReportedOnceAsOutcomeUnknown(t *testing.T) {
+	log := &fakeLog{refuseAppends: 1 << 30, appended: make(chan []byte, 9)}
 	c := clock.NewFake()
 	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	results := make(chan error, 9)
-	w.Put(join(), func(err error) { results <- err })
+	w.Put(joinRecord(), func(err error) { results <- err })
 	go w.Run(ctx)
 	done := make(chan struct{})
-	go advance(c, done)
-	for !w.IsAwaited() {
+	go advanceUntil(c, done)
+	for !w.HasPendingBatch() {
 		runtime.Gosched()
 	}
-	w.Passed(1)
+	w.OnSkipped(1)
 	close(done)
 	if err := <-results; !errors.Is(err, state.ErrOutcomeUnknown) {
 		t.Errorf("got: %v, want: %v", err, state.ErrOutcomeUnknown)
 	}
-	w.Folded(1, state.Outcome{Results: []error{nil}})
+	w.OnApplied(1, state.Outcome{Results: []error{nil}})
 	select {
 	case err := <-results:
 		t.Errorf("got: a second callback with %v, want: one", err)
 	default:
 	}
-	if w.IsAwaited() {
+	if w.HasPendingBatch() {
 		t.Error("got: a batch in flight, want: none")
 	}
 }
 
-func TestRecordThatWaitsTooLongIsNotTaken(t *testing.T) {
+func TestRecordThatWaitsTooLongIsNotAppended(t *testing.T) {
 	log := &fakeLog{}
 	c := clock.NewFake()
 	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: time.Second})
 	results := make(chan error, 1)
-	w.Put(join(), func(err error) { results <- err })
+	w.Put(joinRecord(), func(err error) { results <- err })
 	c.Advance(2 * time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -186,11 +186,11 @@
 	}
 }
 
-func TestRecordsThatComeTogetherShareAnAppend(t *testing.T) {
+func TestRecordsQueuedTogetherShareAnAppend(t *testing.T) {
 	log := &fakeLog{appended: make(chan []byte, 200)}
 	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: clock.NewFake()})
 	for range 100 {
-		w.Put(join(), nil)
+		w.Put(joinRecord(), nil)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestReaderStartsAtAWholeSnapshotWhenTheOldestAreGone(t *testing.T) {
+func TestReaderStartsAtACompleteSnapshotWhenTheLogIsTrimmed(t *testing.T) {
 	log := &fakeLog{}
 	s := state.NewState()
 	put := func(seq uint64, records ...state.Record) {
@@ -213,7 +213,7 @@
 		offset, _ := log.Append(context.Background(), data)
 		s.Apply(offset, b)
 	}
-	put(1, join())
+	put(1, joinRecord())
 	put(2, state.Record{Publish: &state.Publish{Doc: "d", Body: []byte("one")}})
 	chunks, err := s.Snapshot()
 	if err != nil {
@@ -223,12 +223,12 @@
 	put(4, chunks...)
 	put(5, state.Record{Publish: &state.Publish{Doc: "d", Base: 2, Body: []byte("three")}})
 	log.first = 2
-	found := make(chan journal.Tailed, 9)
-	r := journal.NewReader(log, clock.NewFake(), func() bool { return false }, func(t journal.Tailed) { found <- t })
+	results := make(chan journal.ReadResult, 9)
+	r := journal.NewReader(log, clock.NewFake(), func() bool { return false }, func(t journal.ReadResult) { results <- t })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go r.Run(ctx)
-	got := <-found
+	got := <-results
 	if got.State == nil || !got.IsCaughtUp {
 		t.Fatalf("got: %+v, want: a snapshot and its tail", got)
 	}
--- a/internal/journal/reader.go
+++ b/internal/journal/reader.go
@@ -17,17 +17,17 @@
 const (
 	// pollWait bounds one read, and with it how late it is known that nothing
 	// new stands in the log.
-	pollWait    = time.Second
-	pollTimeout = 3 * time.Second
-	pollPause   = 300 * time.Millisecond
-	// busyGap joins records that come close together into one read; idleGap
+	pollWait       = time.Second
+	pollTimeout    = 3 * time.Second
+	pollRetryPause = 300 * time.Millisecond
+	// awaitedPollInterval joins records that come close together into one read; idleGap
 	// joins more while nobody here waits for a record of its own.
-	busyGap = 10 * time.Millisecond
-	idleGap = 250 * time.Millisecond
+	awaitedPollInterval = 10 * time.Millisecond
+	idlePollInterval    = 250 * time.Millisecond
 )
 
-// Tailed is what a read found.
-type Tailed struct {
+// ReadResult is what a read found.
+type ReadResult struct {
 	// SentAt is when the read was sent: what is not in it was appended later.
 	SentAt time.Time
 	// State is a snapshot to start from; nil to go on from what is there.
@@ -43,10 +43,10 @@
 type Reader struct {
 	log   Log
 	clock clock.Service
-	// out takes what was read; it may block.
-	out func(Tailed)
-	// isAwaited reports whether somebody here waits for a record.
-	isAwaited func() bool
+	// onResult takes what was read; it may block.
+	onResult func(ReadResult)
+	// isRecordAwaited reports whether somebody here waits for a record.
+	isRecordAwaited func() bool
 	// wake ends a pause early.
 	wake chan struct{}
 
@@ -59,8 +59,8 @@
 // whole snapshot if the oldest are gone; run its Run.
 // isAwaited says whether somebody waits for a record, which makes it read more
 // often.
-func NewReader(log Log, c clock.Service, isAwaited func() bool, out func(Tailed)) *Reader {
-	return &Reader{log: log, clock: c, out: out, isAwaited: isAwaited, wake: make(chan struct{}, 1)}
+func NewReader(log Log, c clock.Service, isRecordAwaited func() bool, onResult func(ReadResult)) *Reader {
+	return &Reader{log: log, clock: c, onResult: onResult, isRecordAwaited: isRecordAwaited, wake: make(chan struct{}, 1)}
 }
 
 // SkipTo goes on after offset, if the reader is not there yet.
@@ -83,11 +83,11 @@
 
 func (r *Reader) loop(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := idleGap
+		pause := idlePollInterval
 		if !r.poll(ctx) {
-			pause = pollPause
-		} else if r.isAwaited() {
-			pause = busyGap
+			pause = pollRetryPause
+		} else if r.isRecordAwaited() {
+			pause = awaitedPollInterval
 		}
 		select {
 		case <-ctx.Done():
@@ -102,7 +102,7 @@
 	r.mu.Lock()
 	from := r.next
 	r.mu.Unlock()
-	sent := r.clock.Now()
+	sentAt := r.clock.Now()
 	attempt, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	page, err := r.log.Read(attempt, from, pollWait)
@@ -110,15 +110,15 @@
 		return r.recover(ctx, page.First)
 	}
 	if err != nil {
-		r.out(Tailed{SentAt: sent, Err: err})
+		r.onResult(ReadResult{SentAt: sentAt, Err: err})
 		return false
 	}
-	r.advance(page.Entries)
-	r.out(Tailed{SentAt: sent, Entries: page.Entries, IsCaughtUp: r.isAt(page.Next)})
+	r.advancePast(page.Entries)
+	r.onResult(ReadResult{SentAt: sentAt, Entries: page.Entries, IsCaughtUp: r.hasReached(page.Next)})
 	return true
 }
 
-func (r *Reader) advance(entries []logservice.Entry) {
+func (r *Reader) advancePast(entries []logservice.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if n := len(entries); n > 0 {
@@ -126,7 +126,7 @@
 	}
 }
 
-func (r *Reader) isAt(next int64) bool {
+func (r *Reader) hasReached(next int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.next >= next
@@ -134,32 +134,32 @@
 
 // recover looks for the first whole snapshot whose tail is still in the log.
 func (r *Reader) recover(ctx context.Context, first int64) bool {
-	found := state.Assembler{}
-	kept := []logservice.Entry{}
+	assembler := state.Assembler{}
+	entries := []logservice.Entry{}
 	from := first
 	for ctx.Err() == nil {
-		sent := r.clock.Now()
+		sentAt := r.clock.Now()
 		attempt, cancel := context.WithTimeout(ctx, pollTimeout)
 		page, err := r.log.Read(attempt, from, 0)
 		cancel()
 		if err != nil || len(page.Entries) == 0 {
-			r.out(Tailed{SentAt: sent, Err: errors.Join(errors.New("journal: no whole snapshot is in the log"), err)})
+			r.onResult(ReadResult{SentAt: sentAt, Err: errors.Join(errors.New("journal: no whole snapshot is in the log"), err)})
 			return false
 		}
 		for i, e := range page.Entries {
-			kept = append(kept, e)
-			s := addChunks(&found, e)
+			entries = append(entries, e)
+			s := findSnapshot(&assembler, e)
 			if s == nil || s.Applied < first-1 {
 				continue
 			}
-			return r.start(sent, s, append(kept, page.Entries[i+1:]...), page.Next)
+			return r.resumeFrom(sentAt, s, append(entries, page.Entries[i+1:]...), page.Next)
 		}
 		from = page.Entries[len(page.Entries)-1].Offset + 1
 	}
 	return false
 }
 
-func addChunks(found *state.Assembler, e logservice.Entry) *state.State {
+func findSnapshot(assembler *state.Assembler, e logservice.Entry) *state.State {
 	b, err := state.DecodeBatch(e.Data)
 	if err != nil {
 		return nil
@@ -168,7 +168,7 @@
 		if rec.Chunk == nil {
 			continue
 		}
-		s, err := found.Add(state.Process{Node: b.Node, Incarnation: b.Incarnation}, rec.Chunk)
+		s, err := assembler.Add(state.Process{Node: b.Node, Incarnation: b.Incarnation}, rec.Chunk)
 		if err == nil && s != nil {
 			return s
 		}
@@ -176,9 +176,9 @@
 	return nil
 }
 
-func (r *Reader) start(sent time.Time, s *state.State, entries []logservice.Entry, next int64) bool {
-	r.advance(entries)
+func (r *Reader) resumeFrom(sentAt time.Time, s *state.State, entries []logservice.Entry, next int64) bool {
+	r.advancePast(entries)
 	r.SkipTo(s.Applied)
-	r.out(Tailed{SentAt: sent, State: s, Entries: entries, IsCaughtUp: r.isAt(next)})
+	r.onResult(ReadResult{SentAt: sentAt, State: s, Entries: entries, IsCaughtUp: r.hasReached(next)})
 	return true
 }
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -26,11 +26,11 @@
 	Read(ctx context.Context, from int64, wait time.Duration) (logservice.Page, error)
 }
 
-// Done is told what became of a record: nil when it took effect, an error of
+// ResultFunc is told what became of a record: nil when it took effect, an error of
 // the fold when it did not, state.ErrNotTaken when it is not in the log,
 // state.ErrUnseen when it is but was never folded here. It is called in the
 // goroutine that folds.
-type Done func(error)
+type ResultFunc func(error)
 
 // NewWriterOptions sets the bounds. Zero values mean the defaults.
 type NewWriterOptions struct {
@@ -39,10 +39,10 @@
 	// MaxWait is how long a record may wait for its first append; 0 means 3 s.
 	MaxWait time.Duration
 	Clock   clock.Service
-	// Appended is called after each append that was answered; nil means nobody.
-	Appended func()
-	// Settle runs f in the goroutine that folds.
-	Settle func(f func())
+	// OnAppended is called after each append that was answered; nil means nobody.
+	OnAppended func()
+	// RunInApplier runs f in the goroutine that folds.
+	RunInApplier func(f func())
 }
 
 const (
@@ -52,9 +52,9 @@
 	maxQueued               = 8192
 	maxBatchRecords         = 512
 	appendTimeout           = 2 * time.Second
-	retryPause              = 200 * time.Millisecond
-	// outAfter is how long an append may fail before the log counts as out.
-	outAfter = 1500 * time.Millisecond
+	appendRetryPause        = 200 * time.Millisecond
+	// unavailableAfter is how long an append may fail before the log counts as out.
+	unavailableAfter = 1500 * time.Millisecond
 )
 
 // Writer appends one process's batches, one at a time. It is safe for
@@ -63,27 +63,27 @@
 	log     Log
 	owner   state.Process
 	options NewWriterOptions
-	queue   *ring.Ring[queued]
+	queue   *ring.Ring[queuedRecord]
 
 	mu sync.Mutex
 	// inFlight has the callbacks of each batch that was handed to the log.
-	inFlight map[uint64][]Done
-	// folded is the last sequence number that was seen in the log.
-	folded   uint64
-	foldedCh chan struct{}
+	inFlight map[uint64][]ResultFunc
+	// lastSeen is the last sequence number that was seen in the log.
+	lastSeen uint64
+	seenCh   chan struct{}
 	// failingSince is since when appends fail; zero while they succeed.
 	failingSince time.Time
 	seq          uint64
-	appends      int64
+	appendCount  int64
 	// next is when the next append may be made, in the sense of the share.
 	tokens   float64
 	refilled time.Time
 }
 
-type queued struct {
-	record state.Record
-	done   Done
-	at     time.Time
+type queuedRecord struct {
+	record   state.Record
+	callback ResultFunc
+	queuedAt time.Time
 }
 
 // NewWriter returns a writer for the process owner; run its Run.
@@ -97,95 +97,95 @@
 	if options.Clock == nil {
 		options.Clock = clock.Real{}
 	}
-	if options.Appended == nil {
-		options.Appended = func() {}
+	if options.OnAppended == nil {
+		options.OnAppended = func() {}
 	}
-	if options.Settle == nil {
-		options.Settle = func(f func()) { f() }
+	if options.RunInApplier == nil {
+		options.RunInApplier = func(f func()) { f() }
 	}
 	return &Writer{
-		log: log, owner: owner, options: options, queue: ring.NewRing[queued](maxQueued),
-		inFlight: map[uint64][]Done{}, foldedCh: make(chan struct{}),
+		log: log, owner: owner, options: options, queue: ring.NewRing[queuedRecord](maxQueued),
+		inFlight: map[uint64][]ResultFunc{}, seenCh: make(chan struct{}),
 		tokens: appendBurst, refilled: options.Clock.Now(),
 	}
 }
 
 // Put queues a record. It reports false, and done is not called, when the log
 // is out or too many records wait: the record is surely not appended.
-func (w *Writer) Put(r state.Record, done Done) bool {
-	if done == nil {
-		done = func(error) {}
+func (w *Writer) Put(r state.Record, callback ResultFunc) bool {
+	if callback == nil {
+		callback = func(error) {}
 	}
-	return !w.IsOut() && w.queue.TryPut(queued{r, done, w.options.Clock.Now()})
+	return !w.IsLogUnavailable() && w.queue.TryPut(queuedRecord{r, callback, w.options.Clock.Now()})
 }
 
-// IsAwaited reports whether a batch has been handed to the log and has not been
+// HasPendingBatch reports whether a batch has been handed to the log and has not been
 // seen in it.
-func (w *Writer) IsAwaited() bool {
+func (w *Writer) HasPendingBatch() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.inFlight) > 0
 }
 
-// IsOut reports whether appends have been failing for some time.
-func (w *Writer) IsOut() bool {
+// IsLogUnavailable reports whether appends have been failing for some time.
+func (w *Writer) IsLogUnavailable() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return !w.failingSince.IsZero() && w.options.Clock.Now().Sub(w.failingSince) > outAfter
+	return !w.failingSince.IsZero() && w.options.Clock.Now().Sub(w.failingSince) > unavailableAfter
 }
 
 // Appends returns how many appends were made.
 func (w *Writer) Appends() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.appends
+	return w.appendCount
 }
 
-// Folded tells the writer that its batch seq stands in the log, with the
+// OnApplied tells the writer that its batch seq stands in the log, with the
 // results of its records. It must be called in the goroutine that folds.
-func (w *Writer) Folded(seq uint64, out state.Outcome) {
+func (w *Writer) OnApplied(seq uint64, out state.Outcome) {
 	w.mu.Lock()
-	dones := w.inFlight[seq]
+	callbacks := w.inFlight[seq]
 	delete(w.inFlight, seq)
-	w.noteSeen(seq)
+	w.recordSeen(seq)
 	w.mu.Unlock()
-	for i, done := range dones {
+	for i, callback := range callbacks {
 		switch {
 		case out.Err != nil:
-			done(out.Err)
+			callback(out.Err)
 		case i < len(out.Results):
-			done(out.Results[i])
+			callback(out.Results[i])
 		}
 	}
 }
 
-// Passed tells the writer that its batches up to seq stand in the log, but were
+// OnSkipped tells the writer that its batches up to seq stand in the log, but were
 // not folded here: whoever waits for their records hears state.ErrUnseen. It
 // must be called in the goroutine that folds.
-func (w *Writer) Passed(seq uint64) {
+func (w *Writer) OnSkipped(seq uint64) {
 	w.mu.Lock()
-	passed := []Done{}
+	skipped := []ResultFunc{}
 	for _, s := range slices.Sorted(maps.Keys(w.inFlight)) {
 		if s <= seq {
-			passed = append(passed, w.inFlight[s]...)
+			skipped = append(skipped, w.inFlight[s]...)
 			delete(w.inFlight, s)
 		}
 	}
-	w.noteSeen(seq)
+	w.recordSeen(seq)
 	w.mu.Unlock()
-	for _, done := range passed {
-		done(state.ErrOutcomeUnknown)
+	for _, callback := range skipped {
+		callback(state.ErrOutcomeUnknown)
 	}
 }
 
-// noteSeen ends the sending of batches up to seq. The caller holds mu.
-func (w *Writer) noteSeen(seq uint64) {
-	if seq <= w.folded {
+// recordSeen ends the sending of batches up to seq. The caller holds mu.
+func (w *Writer) recordSeen(seq uint64) {
+	if seq <= w.lastSeen {
 		return
 	}
-	w.folded = seq
-	close(w.foldedCh)
-	w.foldedCh = make(chan struct{})
+	w.lastSeen = seq
+	close(w.seenCh)
+	w.seenCh = make(chan struct{})
 }
 
 // Run appends batches until ctx ends.
@@ -197,15 +197,15 @@
 		case <-ctx.Done():
 			return
 		case first := <-w.queue.Out():
-			w.awaitShare(ctx)
-			w.runBatch(ctx, first)
+			w.awaitRateLimit(ctx)
+			w.appendBatch(ctx, first)
 		}
 	}
 }
 
-// awaitShare waits until the node's share of the log allows an append; more
+// awaitRateLimit waits until the node's share of the log allows an append; more
 // records join the batch meanwhile.
-func (w *Writer) awaitShare(ctx context.Context) {
+func (w *Writer) awaitRateLimit(ctx context.Context) {
 	now := w.options.Clock.Now()
 	w.tokens = min(w.tokens+now.Sub(w.refilled).Seconds()*w.options.AppendsPerSecond, appendBurst)
 	w.refilled = now
@@ -220,39 +220,39 @@
 	}
 }
 
-// runBatch joins what waits into one batch and appends it until it is settled.
-func (w *Writer) runBatch(ctx context.Context, first queued) {
+// appendBatch joins what waits into one batch and appends it until it is settled.
+func (w *Writer) appendBatch(ctx context.Context, first queuedRecord) {
 	now := w.options.Clock.Now()
 	batch := &state.Batch{Node: w.owner.Node, Incarnation: w.owner.Incarnation, Millis: time.Now().UnixMilli()}
-	dones := []Done{}
-	for q, ok := first, true; ok; q, ok = w.next() {
-		if now.Sub(q.at) > w.options.MaxWait {
-			w.options.Settle(func() { q.done(state.ErrNotAppended) })
+	callbacks := []ResultFunc{}
+	for q, ok := first, true; ok; q, ok = w.nextQueued() {
+		if now.Sub(q.queuedAt) > w.options.MaxWait {
+			w.options.RunInApplier(func() { q.callback(state.ErrNotAppended) })
 			continue
 		}
 		batch.Records = append(batch.Records, q.record)
-		dones = append(dones, q.done)
+		callbacks = append(callbacks, q.callback)
 		if len(batch.Records) >= maxBatchRecords {
 			break
 		}
 	}
-	if len(dones) == 0 {
+	if len(callbacks) == 0 {
 		return
 	}
 	w.mu.Lock()
 	w.seq++
 	batch.Seq = w.seq
-	w.inFlight[batch.Seq] = dones
+	w.inFlight[batch.Seq] = callbacks
 	w.mu.Unlock()
 	w.appendUntilSettled(ctx, batch)
 }
 
-func (w *Writer) next() (queued, bool) {
+func (w *Writer) nextQueued() (queuedRecord, bool) {
 	select {
 	case q := <-w.queue.Out():
 		return q, true
 	default:
-		return queued{}, false
+		return queuedRecord{}, false
 	}
 }
 
@@ -261,58 +261,58 @@
 func (w *Writer) appendUntilSettled(ctx context.Context, b *state.Batch) {
 	data, err := b.Encode()
 	if err != nil {
-		w.fail(b.Seq, errors.Join(state.ErrNotAppended, err))
+		w.failBatch(b.Seq, errors.Join(state.ErrNotAppended, err))
 		return
 	}
-	for ctx.Err() == nil && !w.isFolded(b.Seq) {
+	for ctx.Err() == nil && !w.isSeen(b.Seq) {
 		attempt, cancel := context.WithTimeout(ctx, appendTimeout)
 		_, err := w.log.Append(attempt, data)
 		cancel()
-		w.note(err)
+		w.recordAttempt(err)
 		if err == nil {
-			w.options.Appended()
+			w.options.OnAppended()
 			return
 		}
 		w.mu.Lock()
-		seen := w.foldedCh
+		seenCh := w.seenCh
 		w.mu.Unlock()
 		select {
 		case <-ctx.Done():
-		case <-seen:
-		case <-w.options.Clock.After(retryPause):
+		case <-seenCh:
+		case <-w.options.Clock.After(appendRetryPause):
 		}
 	}
 	// The batch was read from the log: its answers were lost, but the log takes
 	// appends. While it counts as out nothing else would ever be tried.
-	w.noteWorking()
+	w.recordAvailable()
 }
 
-func (w *Writer) noteWorking() {
+func (w *Writer) recordAvailable() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failingSince = time.Time{}
 }
 
-func (w *Writer) fail(seq uint64, err error) {
+func (w *Writer) failBatch(seq uint64, err error) {
 	w.mu.Lock()
-	dones := w.inFlight[seq]
+	callbacks := w.inFlight[seq]
 	delete(w.inFlight, seq)
 	w.mu.Unlock()
-	for _, done := range dones {
-		w.options.Settle(func() { done(err) })
+	for _, callback := range callbacks {
+		w.options.RunInApplier(func() { callback(err) })
 	}
 }
 
-func (w *Writer) isFolded(seq uint64) bool {
+func (w *Writer) isSeen(seq uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.folded >= seq
+	return w.lastSeen >= seq
 }
 
-func (w *Writer) note(err error) {
+func (w *Writer) recordAttempt(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.appends++
+	w.appendCount++
 	switch {
 	case err == nil:
 		w.failingSince = time.Time{}
--- a/internal/logservice/client.go
+++ b/internal/logservice/client.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	maxReplyBytes   = 8 << 20
-	statusTrimmed   = http.StatusGone
-	statusThrottled = http.StatusTooManyRequests
+	maxResponseBytes = 8 << 20
+	statusTrimmed    = http.StatusGone
+	statusThrottled  = http.StatusTooManyRequests
 )
 
 var (
@@ -50,29 +50,29 @@
 
 // Client talks HTTP to the log service. It is safe for concurrent use.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL    string
+	httpClient *http.Client
 }
 
 // NewClient returns a client for the log at addr; count, which may be nil, is
 // told the bytes on its connections.
 func NewClient(addr netip.AddrPort, count netcount.Counter) *Client {
 	transport := &http.Transport{DialContext: netcount.Dial(count), MaxIdleConnsPerHost: 2, DisableCompression: true}
-	return &Client{base: "http://" + addr.String(), client: &http.Client{Transport: transport}}
+	return &Client{baseURL: "http://" + addr.String(), httpClient: &http.Client{Transport: transport}}
 }
 
 // Append adds data at the end and returns its offset. ErrRefused means that it
 // was not taken; after any other error it may have been.
 func (c *Client) Append(ctx context.Context, data []byte) (int64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/append", bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+"/v1/append", bytes.NewReader(data))
 	if err != nil {
 		return 0, fmt.Errorf("logservice: %w", err)
 	}
-	res, err := c.client.Do(req)
+	res, err := c.httpClient.Do(req)
 	if err != nil {
 		return 0, fmt.Errorf("logservice: append: %w", err)
 	}
-	defer drain(res.Body)
+	defer drainAndClose(res.Body)
 	if res.StatusCode == statusThrottled {
 		return 0, ErrRefused
 	}
@@ -94,20 +94,20 @@
 // wait for one. ErrTrimmed comes with a page whose First is set.
 func (c *Client) Read(ctx context.Context, from int64, wait time.Duration) (Page, error) {
 	page := Page{}
-	url := fmt.Sprintf("%s/v1/records?from=%d&wait_ms=%d", c.base, from, wait.Milliseconds())
+	url := fmt.Sprintf("%s/v1/records?from=%d&wait_ms=%d", c.baseURL, from, wait.Milliseconds())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return page, fmt.Errorf("logservice: %w", err)
 	}
-	res, err := c.client.Do(req)
+	res, err := c.httpClient.Do(req)
 	if err != nil {
 		return page, fmt.Errorf("logservice: read: %w", err)
 	}
-	defer drain(res.Body)
+	defer drainAndClose(res.Body)
 	if res.StatusCode != http.StatusOK && res.StatusCode != statusTrimmed {
 		return page, fmt.Errorf("logservice: read: status %d", res.StatusCode)
 	}
-	data, err := io.ReadAll(io.LimitReader(res.Body, maxReplyBytes))
+	data, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return page, fmt.Errorf("logservice: read: %w", err)
 	}
@@ -120,7 +120,7 @@
 	return page, nil
 }
 
-func drain(body io.ReadCloser) {
+func drainAndClose(body io.ReadCloser) {
 	_, _ = io.Copy(io.Discard, io.LimitReader(body, 4096))
 	_ = body.Close()
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -33,30 +33,30 @@
 	// peers has every node that was added; silence counts from when it was
 	// last heard or added.
 	peers map[state.NodeID]*peer
-	// ticked is when the own duty last ran.
-	ticked time.Time
+	// lastTick is when the own duty last ran.
+	lastTick time.Time
 }
 
 type peer struct {
-	incarnation uint64
-	heard       time.Time
-	applied     int64
-	region      string
-	isLogOut    bool
-	isDraining  bool
-	hasBeat     bool
-	suspects    []state.NodeID
-}
-
-// Beat is what a heartbeat says.
-type Beat struct {
-	Node        state.NodeID
-	Incarnation uint64
-	Region      string
-	Applied     int64
-	IsLogOut    bool
-	IsDraining  bool
-	Suspects    []state.NodeID
+	incarnation      uint64
+	lastHeard        time.Time
+	applied          int64
+	region           string
+	isLogUnavailable bool
+	isDraining       bool
+	hasHeartbeat     bool
+	suspects         []state.NodeID
+}
+
+// Heartbeat is what a heartbeat says.
+type Heartbeat struct {
+	Node             state.NodeID
+	Incarnation      uint64
+	Region           string
+	Applied          int64
+	IsLogUnavailable bool
+	IsDraining       bool
+	Suspects         []state.NodeID
 }
 
 // NewTable returns a table that knows only the node itself.
@@ -73,16 +73,16 @@
 // Add makes a node known; its silence counts from now.
 func (t *Table) Add(now time.Time, n state.NodeID, region string) {
 	if t.peers[n] == nil && n != t.self {
-		t.peers[n] = &peer{heard: now, region: region}
+		t.peers[n] = &peer{lastHeard: now, region: region}
 	}
 }
 
 // Remove forgets a node.
 func (t *Table) Remove(n state.NodeID) { delete(t.peers, n) }
 
-// Heard takes a heartbeat. The node's own, or one of an older incarnation,
+// OnHeartbeat takes a heartbeat. The node's own, or one of an older incarnation,
 // changes nothing.
-func (t *Table) Heard(now time.Time, b *Beat) {
+func (t *Table) OnHeartbeat(now time.Time, b *Heartbeat) {
 	if b.Node == t.self {
 		return
 	}
@@ -95,8 +95,8 @@
 		return
 	}
 	*p = peer{
-		incarnation: b.Incarnation, heard: now, applied: b.Applied, region: b.Region,
-		isLogOut: b.IsLogOut, isDraining: b.IsDraining, hasBeat: true, suspects: b.Suspects,
+		incarnation: b.Incarnation, lastHeard: now, applied: b.Applied, region: b.Region,
+		isLogUnavailable: b.IsLogUnavailable, isDraining: b.IsDraining, hasHeartbeat: true, suspects: b.Suspects,
 	}
 }
 
@@ -104,14 +104,14 @@
 // peers get a fresh start: their silence was the listener's, not theirs. It
 // reports whether there was such a pause.
 func (t *Table) Tick(now time.Time) bool {
-	late := now.Sub(t.ticked)
-	isPaused := !t.ticked.IsZero() && late > t.options.PauseAfter
-	t.ticked = now
-	if !isPaused {
+	sinceLastTick := now.Sub(t.lastTick)
+	wasPaused := !t.lastTick.IsZero() && sinceLastTick > t.options.PauseAfter
+	t.lastTick = now
+	if !wasPaused {
 		return false
 	}
 	for _, p := range t.peers {
-		p.heard = now
+		p.lastHeard = now
 	}
 	return true
 }
@@ -119,7 +119,7 @@
 // IsSuspect reports whether the node has been silent for too long.
 func (t *Table) IsSuspect(now time.Time, n state.NodeID) bool {
 	p := t.peers[n]
-	return n != t.self && (p == nil || now.Sub(p.heard) > t.options.SuspectAfter)
+	return n != t.self && (p == nil || now.Sub(p.lastHeard) > t.options.SuspectAfter)
 }
 
 // Suspects lists the silent nodes, sorted.
@@ -141,28 +141,28 @@
 	if !t.IsSuspect(now, n) {
 		return false
 	}
-	voters, agree := 0, 0
+	voters, agreeing := 0, 0
 	for other, p := range t.peers {
 		if other == n || p.region != region || t.IsSuspect(now, other) {
 			continue
 		}
 		voters++
 		if slices.Contains(p.suspects, n) {
-			agree++
+			agreeing++
 		}
 	}
-	return 2*agree >= voters
+	return 2*agreeing >= voters
 }
 
 // Alive lists the nodes of a region that are heard and not draining, with
 // this node itself if isSelfIn, sorted.
-func (t *Table) Alive(now time.Time, region string, isSelfIn bool) []state.NodeID {
+func (t *Table) Alive(now time.Time, region string, includeSelf bool) []state.NodeID {
 	list := []state.NodeID{}
-	if isSelfIn {
+	if includeSelf {
 		list = append(list, t.self)
 	}
 	for n, p := range t.peers {
-		if p.hasBeat && p.region == region && !p.isDraining && !t.IsSuspect(now, n) {
+		if p.hasHeartbeat && p.region == region && !p.isDraining && !t.IsSuspect(now, n) {
 			list = append(list, n)
 		}
 	}
@@ -170,51 +170,51 @@
 	return list
 }
 
-// HasFolded reports whether the process o has said that it acts on offset.
-func (t *Table) HasFolded(o state.Process, offset int64) bool {
+// HasApplied reports whether the process o has said that it acts on offset.
+func (t *Table) HasApplied(o state.Process, offset int64) bool {
 	p := t.peers[o.Node]
-	return p != nil && p.hasBeat && p.incarnation == o.Incarnation && p.applied >= offset
+	return p != nil && p.hasHeartbeat && p.incarnation == o.Incarnation && p.applied >= offset
 }
 
 // Applied returns the last offset that a peer said it acts on, or -1.
 func (t *Table) Applied(n state.NodeID) int64 {
 	p := t.peers[n]
-	if p == nil || !p.hasBeat {
+	if p == nil || !p.hasHeartbeat {
 		return -1
 	}
 	return p.applied
 }
 
-// MostApplied returns the heard peer that is furthest on in the log.
-func (t *Table) MostApplied(now time.Time) (state.NodeID, int64) {
-	best, most := state.NodeID(""), int64(-1)
+// MostAdvancedPeer returns the heard peer that is furthest on in the log.
+func (t *Table) MostAdvancedPeer(now time.Time) (state.NodeID, int64) {
+	id, applied := state.NodeID(""), int64(-1)
 	for n, p := range t.peers {
-		if !p.hasBeat || t.IsSuspect(now, n) {
+		if !p.hasHeartbeat || t.IsSuspect(now, n) {
 			continue
 		}
-		if p.applied > most || (p.applied == most && n < best) {
-			best, most = n, p.applied
+		if p.applied > applied || (p.applied == applied && n < id) {
+			id, applied = n, p.applied
 		}
 	}
-	return best, most
+	return id, applied
 }
 
-// IsLogOutForAll reports whether every peer that is heard says that it does
+// IsLogUnavailableForAll reports whether every peer that is heard says that it does
 // not reach the log either.
-func (t *Table) IsLogOutForAll(now time.Time) bool {
+func (t *Table) IsLogUnavailableForAll(now time.Time) bool {
 	for n, p := range t.peers {
-		if p.hasBeat && !t.IsSuspect(now, n) && !p.isLogOut {
+		if p.hasHeartbeat && !t.IsSuspect(now, n) && !p.isLogUnavailable {
 			return false
 		}
 	}
 	return true
 }
 
-// HeardCount returns how many peers are heard.
-func (t *Table) HeardCount(now time.Time) int {
+// ResponsiveCount returns how many peers are heard.
+func (t *Table) ResponsiveCount(now time.Time) int {
 	count := 0
 	for n, p := range t.peers {
-		if p.hasBeat && !t.IsSuspect(now, n) {
+		if p.hasHeartbeat && !t.IsSuspect(now, n) {
 			count++
 		}
 	}
--- a/internal/ownership/plan.go
+++ b/internal/ownership/plan.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	rackPrefix = "rack/"
-	homePrefix = "home/"
-	// HomeBuckets is how many shards the teams of a region are divided into.
-	HomeBuckets = 16
-	deputies    = 2
-	// settleTime is how long a better owner must stay the better one before a
+	rackPrefix     = "rack/"
+	jobShardPrefix = "home/"
+	// JobShardsPerRegion is how many shards the teams of a region are divided into.
+	JobShardsPerRegion = 16
+	deputyCount        = 2
+	// moveDelay is how long a better owner must stay the better one before a
 	// live owner hands a shard over.
-	settleTime = 10 * time.Second
-	// handOversAtOnce bounds the balance moves of one plan.
-	handOversAtOnce = 2
+	moveDelay = 10 * time.Second
+	// maxMovesPerPlan bounds the balance moves of one plan.
+	maxMovesPerPlan = 2
 )
 
 // RackShard returns the shard of a rack.
@@ -34,13 +34,13 @@
 	return state.ShardID(rackPrefix + region + "/" + rack)
 }
 
-// HomeShard returns the shard that is home to a team in a region.
-func HomeShard(region, team string) state.ShardID {
-	return homeBucket(region, int(xxhash.Sum64String(team)%HomeBuckets))
+// JobShard returns the shard that is home to a team in a region.
+func JobShard(region, team string) state.ShardID {
+	return jobShardID(region, int(xxhash.Sum64String(team)%JobShardsPerRegion))
 }
 
-func homeBucket(region string, n int) state.ShardID {
-	return state.ShardID(fmt.Sprintf("%s%s/%02d", homePrefix, region, n))
+func jobShardID(region string, n int) state.ShardID {
+	return state.ShardID(fmt.Sprintf("%s%s/%02d", jobShardPrefix, region, n))
 }
 
 // IsRack reports whether the shard is a rack.
@@ -60,11 +60,11 @@
 	Zone string
 }
 
-// Homes lists the home shards of a region.
-func Homes(region string) []Shard {
-	list := make([]Shard, 0, HomeBuckets)
-	for n := range HomeBuckets {
-		list = append(list, Shard{ID: homeBucket(region, n)})
+// JobShards lists the home shards of a region.
+func JobShards(region string) []Shard {
+	list := make([]Shard, 0, JobShardsPerRegion)
+	for n := range JobShardsPerRegion {
+		list = append(list, Shard{ID: jobShardID(region, n)})
 	}
 	return list
 }
@@ -91,7 +91,7 @@
 // Planner remembers since when another node would be the better owner. It
 // belongs to one goroutine. Its zero value works.
 type Planner struct {
-	better map[state.ShardID]candidate
+	betterOwners map[state.ShardID]candidate
 }
 
 type candidate struct {
@@ -102,8 +102,8 @@
 // Plan returns the claims to append now. The log decides between the claims of
 // several nodes, so that a wrong guess costs a move and never harms.
 func (p *Planner) Plan(v *View) []state.Claim {
-	if p.better == nil {
-		p.better = map[state.ShardID]candidate{}
+	if p.betterOwners == nil {
+		p.betterOwners = map[state.ShardID]candidate{}
 	}
 	claims := []state.Claim{}
 	moves := 0
@@ -112,23 +112,23 @@
 		if len(ranked) == 0 {
 			continue
 		}
-		cur := v.State.Shards[s.ID]
-		if cur == nil || v.State.IsEnded(cur.Owner) || v.IsDead(cur.Owner.Node) {
+		current := v.State.Shards[s.ID]
+		if current == nil || v.State.IsEnded(current.Owner) || v.IsDead(current.Owner.Node) {
 			if ranked[0] == v.Self.Node {
-				claims = append(claims, claim(v, s, cur, ranked))
+				claims = append(claims, newClaim(v, s, current, ranked))
 			}
 			continue
 		}
-		if cur.Owner == v.Self && v.IsFenced(s.ID) {
-			claims = append(claims, claim(v, s, cur, ranked))
+		if current.Owner == v.Self && v.IsFenced(s.ID) {
+			claims = append(claims, newClaim(v, s, current, ranked))
 			continue
 		}
-		if cur.Owner != v.Self || !p.shouldMove(v, s, ranked[0]) {
+		if current.Owner != v.Self || !p.shouldMove(v, s, ranked[0]) {
 			continue
 		}
-		if moves < handOversAtOnce || v.IsDraining {
+		if moves < maxMovesPerPlan || v.IsDraining {
 			moves++
-			claims = append(claims, claim(v, s, cur, ranked))
+			claims = append(claims, newClaim(v, s, current, ranked))
 		}
 	}
 	return claims
@@ -136,28 +136,28 @@
 
 func (p *Planner) shouldMove(v *View, s Shard, best state.NodeID) bool {
 	if best == v.Self.Node {
-		delete(p.better, s.ID)
+		delete(p.betterOwners, s.ID)
 		return false
 	}
 	if v.IsDraining {
 		return true
 	}
-	c := p.better[s.ID]
+	c := p.betterOwners[s.ID]
 	if c.node != best {
-		p.better[s.ID] = candidate{best, v.Now}
+		p.betterOwners[s.ID] = candidate{best, v.Now}
 		return false
 	}
-	return v.Now.Sub(c.since) >= settleTime
+	return v.Now.Sub(c.since) >= moveDelay
 }
 
-func claim(v *View, s Shard, cur *state.Shard, ranked []state.NodeID) state.Claim {
+func newClaim(v *View, s Shard, current *state.Shard, ranked []state.NodeID) state.Claim {
 	epoch := uint64(0)
-	if cur != nil {
-		epoch = cur.Epoch
+	if current != nil {
+		epoch = current.Epoch
 	}
 	c := state.Claim{Shard: s.ID, Epoch: epoch + 1, Owner: ranked[0], Incarnation: v.State.Members[ranked[0]].Incarnation}
 	if IsRack(s.ID) {
-		c.Deputies = ranked[1:min(len(ranked), 1+deputies)]
+		c.Deputies = ranked[1:min(len(ranked), 1+deputyCount)]
 	}
 	return c
 }
@@ -166,21 +166,21 @@
 // a rack's own availability zone first, then by rendezvous hashing.
 func Rank(v *View, s Shard) []state.NodeID {
 	type scored struct {
-		node   state.NodeID
-		isNear bool
-		score  uint64
+		node       state.NodeID
+		isSameZone bool
+		score      uint64
 	}
 	list := make([]scored, 0, len(v.Alive))
 	for _, n := range v.Alive {
-		m := v.State.Members[n]
-		if m == nil || m.HasLeft {
+		member := v.State.Members[n]
+		if member == nil || member.HasLeft {
 			continue
 		}
-		list = append(list, scored{n, s.Zone != "" && m.Zone == s.Zone, xxhash.Sum64String(string(n) + "|" + string(s.ID))})
+		list = append(list, scored{n, s.Zone != "" && member.Zone == s.Zone, xxhash.Sum64String(string(n) + "|" + string(s.ID))})
 	}
 	slices.SortFunc(list, func(a, b scored) int {
-		if a.isNear != b.isNear {
-			if a.isNear {
+		if a.isSameZone != b.isSameZone {
+			if a.isSameZone {
 				return -1
 			}
 			return 1
@@ -200,10 +200,10 @@
 	return ranked
 }
 
-// DeputyPlace returns this node's place among the deputies who are still
+// DeputyRank returns this node's place among the deputies who are still
 // alive, from 1, or 0 if it is none, or one before it is alive.
-func DeputyPlace(v *View, cur *state.Shard) int {
-	for i, d := range cur.Deputies {
+func DeputyRank(v *View, current *state.Shard) int {
+	for i, d := range current.Deputies {
 		if d == v.Self.Node {
 			return i + 1
 		}
--- a/internal/policy/jobs.go
+++ b/internal/policy/jobs.go
@@ -39,7 +39,7 @@
 
 // ParseJob reads a job file. find returns a template, or nil; region is where
 // the job runs unless it says so.
-func ParseJob(file string, body []byte, id, region string, find func(name string) *Template) (*leverdyke.JobSpec, error) {
+func ParseJob(file string, body []byte, id, region string, findTemplate func(name string) *Template) (*leverdyke.JobSpec, error) {
 	j := &JobFile{}
 	f, err := document.Decode(file, body, j)
 	if err != nil {
@@ -51,12 +51,12 @@
 		}
 		return j.spec(f, id, region)
 	}
-	return expand(f, j, id, region, find)
+	return expandTemplate(f, j, id, region, findTemplate)
 }
 
-// expand fills in a template and reads the result as a job file.
-func expand(f *document.File, j *JobFile, id, region string, find func(name string) *Template) (*leverdyke.JobSpec, error) {
-	t := find(j.Template)
+// expandTemplate fills in a template and reads the result as a job file.
+func expandTemplate(f *document.File, j *JobFile, id, region string, findTemplate func(name string) *Template) (*leverdyke.JobSpec, error) {
+	t := findTemplate(j.Template)
 	if t == nil {
 		return nil, f.Errorf("template", "a published template", "there is no template named %q", j.Template)
 	}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -13,14 +13,14 @@
 	"github.com/leverdyke/leverdyke/internal/policy"
 )
 
-const goodJob = `team: filings
+const validJob = `team: filings
 kind: batch
 tasks: 2
 each: {milli_cpu: 100, memory_mib: 10}
 run_time: 5s
 `
 
-func find(name string) *policy.Template {
+func findTemplate(name string) *policy.Template {
 	if name != "nightly" {
 		return nil
 	}
@@ -31,7 +31,7 @@
 }
 
 func TestTemplateIsFilledInForACustomer(t *testing.T) {
-	spec, err := policy.ParseJob("j.yaml", []byte("template: nightly\ncustomer: bergamo-12\nparams: {run_time: 7s}\n"), "id", "r1", find)
+	spec, err := policy.ParseJob("j.yaml", []byte("template: nightly\ncustomer: bergamo-12\nparams: {run_time: 7s}\n"), "id", "r1", findTemplate)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,26 +40,26 @@
 	}
 }
 
-func TestBadJobsAreRefusedByKey(t *testing.T) {
-	with := func(old, text string) string { return strings.Replace(goodJob, old, text, 1) }
+func TestInvalidJobsAreRefusedWithTheKeyAtFault(t *testing.T) {
+	replace := func(old, text string) string { return strings.Replace(validJob, old, text, 1) }
 	for name, c := range map[string]struct{ text, key string }{
-		"unknown key":         {goodJob + "prio: 9\n", "prio"},
-		"no team":             {with("team: filings\n", ""), "team"},
-		"bad kind":            {with("kind: batch", "kind: cron"), "kind"},
-		"no tasks":            {with("tasks: 2\n", ""), "tasks"},
-		"too many tasks":      {with("tasks: 2", "tasks: 20001"), "tasks"},
-		"no processors":       {with("milli_cpu: 100, ", ""), "each.milli_cpu"},
-		"negative memory":     {with("memory_mib: 10", "memory_mib: -10"), "each.memory_mib"},
-		"no run time":         {with("run_time: 5s\n", ""), "run_time"},
-		"bad class":           {goodJob + "class: soon\n", "class"},
-		"a batch as service":  {goodJob + "service: x\n", "service"},
-		"params for nothing":  {goodJob + "params: {a: b}\n", "params"},
+		"unknown key":         {validJob + "prio: 9\n", "prio"},
+		"no team":             {replace("team: filings\n", ""), "team"},
+		"bad kind":            {replace("kind: batch", "kind: cron"), "kind"},
+		"no tasks":            {replace("tasks: 2\n", ""), "tasks"},
+		"too many tasks":      {replace("tasks: 2", "tasks: 20001"), "tasks"},
+		"no processors":       {replace("milli_cpu: 100, ", ""), "each.milli_cpu"},
+		"negative memory":     {replace("memory_mib: 10", "memory_mib: -10"), "each.memory_mib"},
+		"no run time":         {replace("run_time: 5s\n", ""), "run_time"},
+		"bad class":           {validJob + "class: soon\n", "class"},
+		"a batch as service":  {validJob + "service: x\n", "service"},
+		"params for nothing":  {validJob + "params: {a: b}\n", "params"},
 		"unknown template":    {"template: weekly\n", "template"},
 		"unknown parameter":   {"template: nightly\nparams: {colour: red}\n", "params.colour"},
 		"missing parameter":   {"template: nightly\n", "params.run_time"},
 		"parameter with YAML": {"template: nightly\nparams: {run_time: \"7s\\nonce: true\"}\n", "params.run_time"},
 	} {
-		_, err := policy.ParseJob("j.yaml", []byte(c.text), "id", "r1", find)
+		_, err := policy.ParseJob("j.yaml", []byte(c.text), "id", "r1", findTemplate)
 		field := &document.FieldError{}
 		if !errors.As(err, &field) || field.Key != c.key || field.Allowed == "" {
 			t.Errorf("%s: got: %v, want: an error at %q that says what is allowed", name, err, c.key)
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestBadDocumentsAreRefused(t *testing.T) {
+func TestInvalidDocumentsAreRefused(t *testing.T) {
 	for name, c := range map[string]struct{ doc, text string }{
 		"no kind":              {"colour/red", "a: b\n"},
 		"no name":              {"team/Bad_Name", "office: head\n"},
@@ -89,11 +89,11 @@
 }
 
 func FuzzParseJob(f *testing.F) {
-	f.Add([]byte(goodJob))
+	f.Add([]byte(validJob))
 	f.Add([]byte("template: nightly\nparams: {run_time: 7s}\n"))
 	f.Add([]byte("each: {{}}"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		spec, err := policy.ParseJob("f", data, "id", "r1", find)
+		spec, err := policy.ParseJob("f", data, "id", "r1", findTemplate)
 		if err == nil && (spec.Tasks < 1 || spec.Team == "" || spec.Each.MilliCPU < 1) {
 			t.Errorf("got: %+v, want: refused", spec)
 		}
