--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -17,13 +17,14 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// fakeLog is a log in memory that loses answers.
+// fakeLog is an in-memory log that can lose replies and refuse appends.
 type fakeLog struct {
 	mu      sync.Mutex
 	entries []logservice.Entry
-	first   int64
-	// loseReplies is how many appends take effect without an answer, refuseAppends how many
-	// are not taken.
+	// first is the oldest offset that has not been trimmed.
+	first int64
+	// loseReplies is the number of next appends that take effect but return an
+	// error; refuseAppends is the number of next appends that the log refuses.
 	loseReplies, refuseAppends int
 	appended                   chan []byte
 }
@@ -76,6 +77,9 @@
 	return state.Record{Join: &state.Join{Node: "n", Incarnation: 1}}
 }
 
+// An append whose reply is lost may still have taken effect, so the writer
+// retries with the same sequence number. The copies must be recognised as
+// duplicates, and the callback must be called once, with the result of the first.
 func TestAppendIsRetriedAfterALostReplyAndReportedOnce(t *testing.T) {
 	log := &fakeLog{loseReplies: 2, refuseAppends: 1, appended: make(chan []byte, 9)}
 	c := clock.NewFake()
@@ -113,8 +117,9 @@
 	}
 }
 
-// A log whose answers are lost has taken the batch that is read from it: it is
-// not out, and the next record must be taken.
+// When only the replies of the log are lost, a batch that is read from the log
+// shows that appends work. If the writer still considered the log unavailable,
+// it would refuse the next record, and no append could ever end the outage.
 func TestBatchReadFromTheLogEndsTheOutage(t *testing.T) {
 	log := &fakeLog{loseReplies: 1 << 30, appended: make(chan []byte, 1<<10)}
 	c := clock.NewFake()
@@ -134,10 +139,12 @@
 	}
 	close(done)
 	if !w.Put(joinRecord(), nil) {
-		t.Error("got: the next record is refused, want: taken")
+		t.Error("got: the next record is refused, want: accepted")
 	}
 }
 
+// A process that continues from a snapshot never applies its own batches that
+// the snapshot includes. Their callbacks must still be called, and only once.
 func TestSkippedBatchIsReportedOnceAsOutcomeUnknown(t *testing.T) {
 	log := &fakeLog{refuseAppends: 1 << 30, appended: make(chan []byte, 9)}
 	c := clock.NewFake()
@@ -201,6 +208,9 @@
 	}
 }
 
+// Here the log no longer has the first two batches, so a reader cannot apply it
+// from the start: it must find the snapshot and the records that follow its base,
+// including one that was appended before the snapshot's chunks.
 func TestReaderStartsAtACompleteSnapshotWhenTheLogIsTrimmed(t *testing.T) {
 	log := &fakeLog{}
 	s := state.NewState()
@@ -230,7 +240,7 @@
 	go r.Run(ctx)
 	got := <-results
 	if got.State == nil || !got.IsCaughtUp {
-		t.Fatalf("got: %+v, want: a snapshot and its tail", got)
+		t.Fatalf("got: %+v, want: a snapshot and the records after it", got)
 	}
 	for _, e := range got.Entries {
 		b, err := state.DecodeBatch(e.Data)
--- a/internal/journal/reader.go
+++ b/internal/journal/reader.go
@@ -15,62 +15,74 @@
 )
 
 const (
-	// pollWait bounds one read, and with it how late it is known that nothing
-	// new stands in the log.
+	// pollWait is how long the log service may hold a read (long poll) when it
+	// has no new record. It also bounds the age of ReadResult.IsCaughtUp, which
+	// is only known when a read returns.
 	pollWait       = time.Second
 	pollTimeout    = 3 * time.Second
 	pollRetryPause = 300 * time.Millisecond
-	// awaitedPollInterval joins records that come close together into one read; idleGap
-	// joins more while nobody here waits for a record of its own.
+	// awaitedPollInterval and idlePollInterval are the pauses after a read, so
+	// that records appended in quick succession are fetched by one read. The
+	// longer pause applies while this process waits for no record of its own.
 	awaitedPollInterval = 10 * time.Millisecond
 	idlePollInterval    = 250 * time.Millisecond
 )
 
-// ReadResult is what a read found.
+// ReadResult is the result of one read of the log.
 type ReadResult struct {
-	// SentAt is when the read was sent: what is not in it was appended later.
+	// SentAt is when the read was sent. With IsCaughtUp, every record that is
+	// not in the result was appended after this time.
 	SentAt time.Time
-	// State is a snapshot to start from; nil to go on from what is there.
+	// State is a snapshot that replaces the reader's current state before
+	// Entries are applied; nil means that Entries follow the current state.
 	State   *state.State
 	Entries []logservice.Entry
-	// IsCaughtUp means that the log has nothing more.
+	// IsCaughtUp means that the log had no more records than those delivered so
+	// far.
 	IsCaughtUp bool
-	// Err is set when the log did not answer.
+	// Err is set when the read failed; the other fields but SentAt are then
+	// zero.
 	Err error
 }
 
-// Reader follows the log. It is safe for concurrent use.
+// Reader polls the log and passes new records to a callback. It is safe for
+// concurrent use.
 type Reader struct {
 	log   Log
 	clock clock.Service
-	// onResult takes what was read; it may block.
+	// onResult receives the result of each read; it may block, which delays the
+	// next read.
 	onResult func(ReadResult)
-	// isRecordAwaited reports whether somebody here waits for a record.
+	// isRecordAwaited reports whether this process waits for a record to be
+	// read; the reader then polls more often.
 	isRecordAwaited func() bool
-	// wake ends a pause early.
+	// wake ends the pause between two reads.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// next is the offset to read; it only grows.
+	// next is the offset at which the next read starts; it only grows.
 	next int64
 }
 
-// NewReader returns a reader that starts at the oldest record, or at the last
-// whole snapshot if the oldest are gone; run its Run.
-// isAwaited says whether somebody waits for a record, which makes it read more
+// NewReader returns a reader that starts at offset 0 or, if the log service has
+// trimmed the oldest records, at a complete snapshot in the log. The caller must
+// call Run. onResult receives the result of each read. isRecordAwaited reports
+// whether this process waits for a record to be read; the reader then polls more
 // often.
 func NewReader(log Log, c clock.Service, isRecordAwaited func() bool, onResult func(ReadResult)) *Reader {
 	return &Reader{log: log, clock: c, onResult: onResult, isRecordAwaited: isRecordAwaited, wake: make(chan struct{}, 1)}
 }
 
-// SkipTo goes on after offset, if the reader is not there yet.
+// SkipTo makes the next read start after offset, unless the reader has already
+// passed it. It is for records that were received from elsewhere.
 func (r *Reader) SkipTo(offset int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.next = max(r.next, offset+1)
 }
 
-// Wake makes the reader read at once, for a record that was just appended.
+// Wake ends the pause before the next read. It is called when this process has
+// just appended a record, to read it without delay.
 func (r *Reader) Wake() {
 	select {
 	case r.wake <- struct{}{}:
@@ -78,7 +90,7 @@
 	}
 }
 
-// Run reads until ctx ends.
+// Run polls the log until ctx is done.
 func (r *Reader) Run(ctx context.Context) { r.loop(ctx) }
 
 func (r *Reader) loop(ctx context.Context) {
@@ -97,7 +109,7 @@
 	}
 }
 
-// poll makes one read and reports whether the log answered.
+// poll makes one read and reports whether it succeeded.
 func (r *Reader) poll(ctx context.Context) bool {
 	r.mu.Lock()
 	from := r.next
@@ -132,7 +144,10 @@
 	return r.next >= next
 }
 
-// recover looks for the first whole snapshot whose tail is still in the log.
+// recover continues after records were trimmed that this reader has not read.
+// It reads from first, the oldest offset in the log, until it finds a complete
+// snapshot whose following records are all still in the log, and reports whether
+// it found one.
 func (r *Reader) recover(ctx context.Context, first int64) bool {
 	assembler := state.Assembler{}
 	entries := []logservice.Entry{}
@@ -143,7 +158,7 @@
 		page, err := r.log.Read(attempt, from, 0)
 		cancel()
 		if err != nil || len(page.Entries) == 0 {
-			r.onResult(ReadResult{SentAt: sentAt, Err: errors.Join(errors.New("journal: no whole snapshot is in the log"), err)})
+			r.onResult(ReadResult{SentAt: sentAt, Err: errors.Join(errors.New("journal: the oldest records have been trimmed, and no complete snapshot was read from the log"), err)})
 			return false
 		}
 		for i, e := range page.Entries {
@@ -159,6 +174,8 @@
 	return false
 }
 
+// findSnapshot adds the snapshot chunks of an entry to the assembler and returns
+// the state if one of them completes a snapshot, and nil otherwise.
 func findSnapshot(assembler *state.Assembler, e logservice.Entry) *state.State {
 	b, err := state.DecodeBatch(e.Data)
 	if err != nil {
@@ -176,6 +193,9 @@
 	return nil
 }
 
+// resumeFrom delivers the snapshot s with the entries that were read, and makes
+// the next read start after them. Entries that s already includes are skipped by
+// state.State.Apply. It always returns true, the result of poll.
 func (r *Reader) resumeFrom(sentAt time.Time, s *state.State, entries []logservice.Entry, next int64) bool {
 	r.advancePast(entries)
 	r.SkipTo(s.Applied)
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package journal writes records to the log in groups and follows the log. It
-// settles lost replies by sending a batch again under the same sequence number;
-// whoever folds the log drops the second copy.
+// Package journal appends records to the log in batches and reads the log. When
+// the reply to an append is lost, the writer appends the batch again with the
+// same sequence number; state.State.Apply ignores the second copy.
 package journal
 
 import (
@@ -20,28 +20,34 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// Log is what the writer and the reader need of the log service.
+// Log is the part of the log service's client that the writer and the reader
+// use.
 type Log interface {
 	Append(ctx context.Context, data []byte) (int64, error)
 	Read(ctx context.Context, from int64, wait time.Duration) (logservice.Page, error)
 }
 
-// ResultFunc is told what became of a record: nil when it took effect, an error of
-// the fold when it did not, state.ErrNotTaken when it is not in the log,
-// state.ErrUnseen when it is but was never folded here. It is called in the
-// goroutine that folds.
+// ResultFunc receives the outcome of a record: nil if it took effect, an error
+// of state.State.Apply if it did not, state.ErrNotAppended if it is not in the
+// log and will not be, or state.ErrOutcomeUnknown if it is in the log but was
+// not applied by this process. It is called in the goroutine that applies the
+// log.
 type ResultFunc func(error)
 
-// NewWriterOptions sets the bounds. Zero values mean the defaults.
+// NewWriterOptions configures a Writer. Zero values mean the defaults.
 type NewWriterOptions struct {
-	// AppendsPerSecond is this node's share of the log; 0 means 6.
+	// AppendsPerSecond limits the rate of appends, because all nodes share the
+	// log service; 0 means 6.
 	AppendsPerSecond float64
-	// MaxWait is how long a record may wait for its first append; 0 means 3 s.
+	// MaxWait is how long a record may wait in the queue before its first append
+	// is tried; 0 means 3 s. After that it fails with state.ErrNotAppended.
 	MaxWait time.Duration
 	Clock   clock.Service
-	// OnAppended is called after each append that was answered; nil means nobody.
+	// OnAppended, if not nil, is called after each append that the log
+	// acknowledged.
 	OnAppended func()
-	// RunInApplier runs f in the goroutine that folds.
+	// RunInApplier runs f in the goroutine that applies the log; nil means that
+	// f is called directly.
 	RunInApplier func(f func())
 }
 
@@ -53,11 +59,12 @@
 	maxBatchRecords         = 512
 	appendTimeout           = 2 * time.Second
 	appendRetryPause        = 200 * time.Millisecond
-	// unavailableAfter is how long an append may fail before the log counts as out.
+	// unavailableAfter is how long appends must have been failing before the log
+	// counts as unavailable.
 	unavailableAfter = 1500 * time.Millisecond
 )
 
-// Writer appends one process's batches, one at a time. It is safe for
+// Writer appends the batches of one process, one at a time. It is safe for
 // concurrent use.
 type Writer struct {
 	log     Log
@@ -66,16 +73,21 @@
 	queue   *ring.Ring[queuedRecord]
 
 	mu sync.Mutex
-	// inFlight has the callbacks of each batch that was handed to the log.
+	// inFlight has the callbacks of each batch of which an append has been or
+	// will be tried and whose outcome is not known, by sequence number.
 	inFlight map[uint64][]ResultFunc
-	// lastSeen is the last sequence number that was seen in the log.
+	// lastSeen is the largest sequence number of this process that was read from
+	// the log. seenCh is closed, and replaced, when it grows.
 	lastSeen uint64
 	seenCh   chan struct{}
-	// failingSince is since when appends fail; zero while they succeed.
+	// failingSince is when the first of the current run of failed appends ended;
+	// zero while appends succeed.
 	failingSince time.Time
-	seq          uint64
-	appendCount  int64
-	// next is when the next append may be made, in the sense of the share.
+	// seq is the sequence number of the last batch.
+	seq         uint64
+	appendCount int64
+	// tokens and refilled are the token bucket that limits the rate of appends.
+	// tokens is negative by what was borrowed for an append that waits.
 	tokens   float64
 	refilled time.Time
 }
@@ -86,7 +98,7 @@
 	queuedAt time.Time
 }
 
-// NewWriter returns a writer for the process owner; run its Run.
+// NewWriter returns a writer for the process owner. The caller must call Run.
 func NewWriter(log Log, owner state.Process, options NewWriterOptions) *Writer {
 	if options.AppendsPerSecond == 0 {
 		options.AppendsPerSecond = defaultAppendsPerSecond
@@ -110,8 +122,9 @@
 	}
 }
 
-// Put queues a record. It reports false, and done is not called, when the log
-// is out or too many records wait: the record is surely not appended.
+// Put queues a record and reports whether it was accepted. It returns false
+// while the log is unavailable or the queue is full; the record is then certain
+// not to be appended, and callback, which may be nil, is not called.
 func (w *Writer) Put(r state.Record, callback ResultFunc) bool {
 	if callback == nil {
 		callback = func(error) {}
@@ -119,30 +132,32 @@
 	return !w.IsLogUnavailable() && w.queue.TryPut(queuedRecord{r, callback, w.options.Clock.Now()})
 }
 
-// HasPendingBatch reports whether a batch has been handed to the log and has not been
-// seen in it.
+// HasPendingBatch reports whether there is a batch in flight: one that the
+// writer started to append and that has not been read from the log.
 func (w *Writer) HasPendingBatch() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.inFlight) > 0
 }
 
-// IsLogUnavailable reports whether appends have been failing for some time.
+// IsLogUnavailable reports whether appends have been failing for more than 1.5 s.
 func (w *Writer) IsLogUnavailable() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return !w.failingSince.IsZero() && w.options.Clock.Now().Sub(w.failingSince) > unavailableAfter
 }
 
-// Appends returns how many appends were made.
+// Appends returns the number of appends that were tried, including those that
+// failed.
 func (w *Writer) Appends() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.appendCount
 }
 
-// OnApplied tells the writer that its batch seq stands in the log, with the
-// results of its records. It must be called in the goroutine that folds.
+// OnApplied notifies the writer that its batch seq was read from the log and
+// applied with the outcome out, and calls the callbacks of its records. It must
+// be called in the goroutine that applies the log.
 func (w *Writer) OnApplied(seq uint64, out state.Outcome) {
 	w.mu.Lock()
 	callbacks := w.inFlight[seq]
@@ -159,9 +174,10 @@
 	}
 }
 
-// OnSkipped tells the writer that its batches up to seq stand in the log, but were
-// not folded here: whoever waits for their records hears state.ErrUnseen. It
-// must be called in the goroutine that folds.
+// OnSkipped notifies the writer that its batches up to seq are in the log but
+// will not be applied by this process, because it continued from a snapshot that
+// includes them. The callbacks of their records get state.ErrOutcomeUnknown. It
+// must be called in the goroutine that applies the log.
 func (w *Writer) OnSkipped(seq uint64) {
 	w.mu.Lock()
 	skipped := []ResultFunc{}
@@ -178,7 +194,8 @@
 	}
 }
 
-// recordSeen ends the sending of batches up to seq. The caller holds mu.
+// recordSeen ends the retries of batches up to seq, since they are in the log.
+// The caller holds mu.
 func (w *Writer) recordSeen(seq uint64) {
 	if seq <= w.lastSeen {
 		return
@@ -188,7 +205,7 @@
 	w.seenCh = make(chan struct{})
 }
 
-// Run appends batches until ctx ends.
+// Run appends the queued records until ctx is done.
 func (w *Writer) Run(ctx context.Context) { w.loop(ctx) }
 
 func (w *Writer) loop(ctx context.Context) {
@@ -203,8 +220,8 @@
 	}
 }
 
-// awaitRateLimit waits until the node's share of the log allows an append; more
-// records join the batch meanwhile.
+// awaitRateLimit takes a token and waits until AppendsPerSecond allows the
+// append. Records that are queued meanwhile become part of the same batch.
 func (w *Writer) awaitRateLimit(ctx context.Context) {
 	now := w.options.Clock.Now()
 	w.tokens = min(w.tokens+now.Sub(w.refilled).Seconds()*w.options.AppendsPerSecond, appendBurst)
@@ -220,7 +237,9 @@
 	}
 }
 
-// appendBatch joins what waits into one batch and appends it until it is settled.
+// appendBatch puts first and the other queued records, up to maxBatchRecords,
+// into one batch and appends it. Records that have waited longer than MaxWait
+// fail instead.
 func (w *Writer) appendBatch(ctx context.Context, first queuedRecord) {
 	now := w.options.Clock.Now()
 	batch := &state.Batch{Node: w.owner.Node, Incarnation: w.owner.Incarnation, Millis: time.Now().UnixMilli()}
@@ -247,6 +266,7 @@
 	w.appendUntilSettled(ctx, batch)
 }
 
+// nextQueued returns the next queued record, or false if there is none.
 func (w *Writer) nextQueued() (queuedRecord, bool) {
 	select {
 	case q := <-w.queue.Out():
@@ -256,8 +276,9 @@
 	}
 }
 
-// appendUntilSettled sends a batch until the log answers or the batch is seen
-// in it. Its fate is not known in between, so that it can not be given up.
+// appendUntilSettled retries the append of a batch until the log acknowledges it
+// or the batch is read from the log. After a failed append it is not known
+// whether the batch is in the log, so that it cannot be reported as not appended.
 func (w *Writer) appendUntilSettled(ctx context.Context, b *state.Batch) {
 	data, err := b.Encode()
 	if err != nil {
@@ -282,17 +303,21 @@
 		case <-w.options.Clock.After(appendRetryPause):
 		}
 	}
-	// The batch was read from the log: its answers were lost, but the log takes
-	// appends. While it counts as out nothing else would ever be tried.
+	// The batch was read from the log: only the replies were lost, and the log
+	// accepts appends. It must not count as unavailable any longer: Put would
+	// refuse every record, so that no append would be tried that could end the
+	// outage.
 	w.recordAvailable()
 }
 
+// recordAvailable notes that the log accepts appends.
 func (w *Writer) recordAvailable() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failingSince = time.Time{}
 }
 
+// failBatch calls the callbacks of a batch that will not be appended.
 func (w *Writer) failBatch(seq uint64, err error) {
 	w.mu.Lock()
 	callbacks := w.inFlight[seq]
@@ -309,6 +334,7 @@
 	return w.lastSeen >= seq
 }
 
+// recordAttempt counts an append and notes whether it failed.
 func (w *Writer) recordAttempt(err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,8 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package membership judges which nodes live, from what is heard directly and
-// from whom others suspect. It is pure: it has no clock and does no I/O.
+// Package membership is the failure detector for the other nodes. It decides
+// which nodes are alive from their heartbeats and from the lists of silent nodes
+// that the heartbeats of others contain. It does no I/O and reads no clock; the
+// caller passes the current time.
 package membership
 
 import (
@@ -12,12 +14,14 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// NewTableOptions sets the bounds. Zero values mean the defaults.
+// NewTableOptions configures a Table. Zero values mean the defaults.
 type NewTableOptions struct {
-	// SuspectAfter is how long a node may be silent; 0 means 1.5 s.
+	// SuspectAfter is how long a node may send no heartbeat before it is
+	// suspected to have failed; 0 means 1.5 s.
 	SuspectAfter time.Duration
-	// PauseAfter is how late the own duty may run before what was not heard
-	// meanwhile counts as unheard; 0 means 1 s.
+	// PauseAfter is the longest time between two calls of Tick for which the
+	// silence of peers counts. After a longer one, this process was paused itself
+	// and could not receive heartbeats; 0 means 1 s.
 	PauseAfter time.Duration
 }
 
@@ -26,40 +30,46 @@
 	defaultPauseAfter   = time.Second
 )
 
-// Table is what a node thinks of its peers. It belongs to one goroutine.
+// Table is a node's view of its peers. It is not safe for concurrent use.
 type Table struct {
 	options NewTableOptions
 	self    state.NodeID
-	// peers has every node that was added; silence counts from when it was
-	// last heard or added.
+	// peers has every node that was added or has sent a heartbeat.
 	peers map[state.NodeID]*peer
-	// lastTick is when the own duty last ran.
+	// lastTick is the time of the last call of Tick.
 	lastTick time.Time
 }
 
+// peer is what is known of one node, from its last heartbeat.
 type peer struct {
-	incarnation      uint64
+	incarnation uint64
+	// lastHeard is the time of the last heartbeat, or of Add if there was none,
+	// or of the end of a pause of this process if that is later.
 	lastHeard        time.Time
 	applied          int64
 	region           string
 	isLogUnavailable bool
 	isDraining       bool
-	hasHeartbeat     bool
-	suspects         []state.NodeID
+	// hasHeartbeat is false for a node that was added and has not been heard.
+	hasHeartbeat bool
+	suspects     []state.NodeID
 }
 
-// Heartbeat is what a heartbeat says.
+// Heartbeat is the content of a heartbeat that a node sends to its peers.
 type Heartbeat struct {
-	Node             state.NodeID
-	Incarnation      uint64
-	Region           string
-	Applied          int64
+	Node        state.NodeID
+	Incarnation uint64
+	Region      string
+	// Applied is the offset up to which the sender has applied the log.
+	Applied int64
+	// IsLogUnavailable means that the sender does not reach the log.
 	IsLogUnavailable bool
 	IsDraining       bool
-	Suspects         []state.NodeID
+	// Suspects lists the nodes that the sender has not heard for SuspectAfter.
+	Suspects []state.NodeID
 }
 
-// NewTable returns a table that knows only the node itself.
+// NewTable returns a table without peers for the node self.
 func NewTable(self state.NodeID, options NewTableOptions) *Table {
 	if options.SuspectAfter == 0 {
 		options.SuspectAfter = defaultSuspectAfter
@@ -70,18 +80,18 @@
 	return &Table{options: options, self: self, peers: map[state.NodeID]*peer{}}
 }
 
-// Add makes a node known; its silence counts from now.
+// Add adds a node as if it had been heard now, unless it is already known.
 func (t *Table) Add(now time.Time, n state.NodeID, region string) {
 	if t.peers[n] == nil && n != t.self {
 		t.peers[n] = &peer{lastHeard: now, region: region}
 	}
 }
 
-// Remove forgets a node.
+// Remove removes a node.
 func (t *Table) Remove(n state.NodeID) { delete(t.peers, n) }
 
-// OnHeartbeat takes a heartbeat. The node's own, or one of an older incarnation,
-// changes nothing.
+// OnHeartbeat records a heartbeat that was received. Heartbeats of this node
+// itself and of an older incarnation of a peer are ignored.
 func (t *Table) OnHeartbeat(now time.Time, b *Heartbeat) {
 	if b.Node == t.self {
 		return
@@ -100,9 +110,10 @@
 	}
 }
 
-// Tick tells the table that its own duty runs. After a pause of its own, all
-// peers get a fresh start: their silence was the listener's, not theirs. It
-// reports whether there was such a pause.
+// Tick must be called regularly. It reports whether this process was paused,
+// which it infers from more than PauseAfter since the last call. All peers then
+// count as heard now, because the process could not receive their heartbeats
+// during the pause.
 func (t *Table) Tick(now time.Time) bool {
 	sinceLastTick := now.Sub(t.lastTick)
 	wasPaused := !t.lastTick.IsZero() && sinceLastTick > t.options.PauseAfter
@@ -116,13 +127,14 @@
 	return true
 }
 
-// IsSuspect reports whether the node has been silent for too long.
+// IsSuspect reports whether the node has not been heard for SuspectAfter or is
+// unknown. A node does not suspect itself.
 func (t *Table) IsSuspect(now time.Time, n state.NodeID) bool {
 	p := t.peers[n]
 	return n != t.self && (p == nil || now.Sub(p.lastHeard) > t.options.SuspectAfter)
 }
 
-// Suspects lists the silent nodes, sorted.
+// Suspects lists the nodes that IsSuspect holds for, sorted.
 func (t *Table) Suspects(now time.Time) []state.NodeID {
 	list := []state.NodeID{}
 	for n := range t.peers {
@@ -134,9 +146,10 @@
 	return list
 }
 
-// IsDead reports whether the node is silent for this node and for at least
-// half of the others of the region that this node still hears. One that alone
-// does not hear a node, as in a one-way cut, takes nothing away from it.
+// IsDead reports whether the node is suspected by this node and by at least half
+// of the other nodes of the region that this node hears. Without this vote, a
+// node that alone does not hear another, as in a one-way partition, would take
+// over the shards of a healthy owner.
 func (t *Table) IsDead(now time.Time, n state.NodeID, region string) bool {
 	if !t.IsSuspect(now, n) {
 		return false
@@ -154,8 +167,9 @@
 	return 2*agreeing >= voters
 }
 
-// Alive lists the nodes of a region that are heard and not draining, with
-// this node itself if isSelfIn, sorted.
+// Alive lists the nodes of a region that are not suspected and not draining,
+// sorted. A node that has never sent a heartbeat is left out. This node itself is
+// included if includeSelf is true.
 func (t *Table) Alive(now time.Time, region string, includeSelf bool) []state.NodeID {
 	list := []state.NodeID{}
 	if includeSelf {
@@ -170,13 +184,15 @@
 	return list
 }
 
-// HasApplied reports whether the process o has said that it acts on offset.
+// HasApplied reports whether the last heartbeat of the process o says that it has
+// applied the log up to offset or further.
 func (t *Table) HasApplied(o state.Process, offset int64) bool {
 	p := t.peers[o.Node]
 	return p != nil && p.hasHeartbeat && p.incarnation == o.Incarnation && p.applied >= offset
 }
 
-// Applied returns the last offset that a peer said it acts on, or -1.
+// Applied returns the offset up to which a peer has applied the log, from its
+// last heartbeat, or -1 if there was none.
 func (t *Table) Applied(n state.NodeID) int64 {
 	p := t.peers[n]
 	if p == nil || !p.hasHeartbeat {
@@ -185,7 +201,9 @@
 	return p.applied
 }
 
-// MostAdvancedPeer returns the heard peer that is furthest on in the log.
+// MostAdvancedPeer returns the peer that has applied the most of the log, among
+// those that are not suspected, and its offset. It returns "" and -1 if there is
+// none.
 func (t *Table) MostAdvancedPeer(now time.Time) (state.NodeID, int64) {
 	id, applied := state.NodeID(""), int64(-1)
 	for n, p := range t.peers {
@@ -199,8 +217,8 @@
 	return id, applied
 }
 
-// IsLogUnavailableForAll reports whether every peer that is heard says that it does
-// not reach the log either.
+// IsLogUnavailableForAll reports whether the last heartbeat of every peer that is
+// not suspected says that the peer does not reach the log.
 func (t *Table) IsLogUnavailableForAll(now time.Time) bool {
 	for n, p := range t.peers {
 		if p.hasHeartbeat && !t.IsSuspect(now, n) && !p.isLogUnavailable {
@@ -210,7 +228,8 @@
 	return true
 }
 
-// ResponsiveCount returns how many peers are heard.
+// ResponsiveCount returns the number of peers that have sent a heartbeat and are
+// not suspected.
 func (t *Table) ResponsiveCount(now time.Time) int {
 	count := 0
 	for n, p := range t.peers {
--- a/internal/ownership/plan.go
+++ b/internal/ownership/plan.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package ownership decides which node should own which shard, and when a
-// claim may be written. It is pure: it has no clock and does no I/O.
+// Package ownership decides which node should own which shard, and which claims
+// a node writes to the log. It does no I/O and reads no clock; the caller passes
+// the current time.
 package ownership
 
 import (
@@ -17,36 +18,40 @@
 )
 
 const (
-	rackPrefix     = "rack/"
+	rackPrefix = "rack/"
+	// jobShardPrefix is part of the shard IDs in the log.
 	jobShardPrefix = "home/"
-	// JobShardsPerRegion is how many shards the teams of a region are divided into.
+	// JobShardsPerRegion is the number of job shards among which the teams of a
+	// region are divided.
 	JobShardsPerRegion = 16
 	deputyCount        = 2
-	// moveDelay is how long a better owner must stay the better one before a
-	// live owner hands a shard over.
+	// moveDelay is how long the same other node must rank first for a shard
+	// before a healthy owner hands the shard over to it.
 	moveDelay = 10 * time.Second
-	// maxMovesPerPlan bounds the balance moves of one plan.
+	// maxMovesPerPlan limits how many shards a node that is not draining hands
+	// over in one plan.
 	maxMovesPerPlan = 2
 )
 
-// RackShard returns the shard of a rack.
+// RackShard returns the ID of the shard that has the workers of a rack.
 func RackShard(region, rack string) state.ShardID {
 	return state.ShardID(rackPrefix + region + "/" + rack)
 }
 
-// JobShard returns the shard that is home to a team in a region.
+// JobShard returns the ID of the shard that has the jobs of a team in a region.
 func JobShard(region, team string) state.ShardID {
 	return jobShardID(region, int(xxhash.Sum64String(team)%JobShardsPerRegion))
 }
 
+// jobShardID returns the ID of the nth job shard of a region.
 func jobShardID(region string, n int) state.ShardID {
 	return state.ShardID(fmt.Sprintf("%s%s/%02d", jobShardPrefix, region, n))
 }
 
-// IsRack reports whether the shard is a rack.
+// IsRack reports whether the shard is that of a rack.
 func IsRack(s state.ShardID) bool { return strings.HasPrefix(string(s), rackPrefix) }
 
-// Region returns the region that a shard lives in.
+// Region returns the region that a shard belongs to; it is part of the ID.
 func Region(s state.ShardID) string {
 	_, rest, _ := strings.Cut(string(s), "/")
 	region, _, _ := strings.Cut(rest, "/")
@@ -56,11 +61,12 @@
 // Shard is a shard that should have an owner.
 type Shard struct {
 	ID state.ShardID
-	// Zone is where a rack stands; empty for a home.
+	// Zone is the availability zone of a rack; it is empty for a job shard and
+	// for a rack that is no longer in the platform's VM list.
 	Zone string
 }
 
-// JobShards lists the home shards of a region.
+// JobShards lists the job shards of a region.
 func JobShards(region string) []Shard {
 	list := make([]Shard, 0, JobShardsPerRegion)
 	for n := range JobShardsPerRegion {
@@ -69,38 +75,47 @@
 	return list
 }
 
-// View is what a plan is made from.
+// View is the input of a plan: what this node knows of its region.
 type View struct {
 	Now    time.Time
 	Self   state.Process
 	Region string
-	// State is the fold; Alive the nodes of the region that may own shards,
-	// sorted; IsDead the judgement about an owner.
-	State  *state.State
-	Alive  []state.NodeID
+	// State is the state of the log that this node has applied.
+	State *state.State
+	// Alive lists the nodes of the region that may own shards, sorted.
+	Alive []state.NodeID
+	// IsDead reports whether a node is considered failed, so that others may
+	// claim its shards.
 	IsDead func(state.NodeID) bool
-	// IsFenced reports whether the workers of a rack that this node owns obey a
-	// deputy; the node then needs the next epoch.
+	// IsFenced reports whether the workers of a rack that this node owns have
+	// accepted the higher epoch of a deputy. They reject this node's orders
+	// until it has claimed the next epoch.
 	IsFenced func(state.ShardID) bool
-	// Shards lists the region's racks and homes.
+	// Shards lists the racks and the job shards of the region.
 	Shards []Shard
-	// IsDraining means that this node gives away all that it owns.
+	// IsDraining means that this node hands over all its shards.
 	IsDraining bool
 }
 
-// Planner remembers since when another node would be the better owner. It
-// belongs to one goroutine. Its zero value works.
+// Planner decides which claims a node writes. It remembers how long another node
+// has ranked first for each of this node's shards. It is not safe for concurrent
+// use. The zero value is ready to use.
 type Planner struct {
 	betterOwners map[state.ShardID]candidate
 }
 
+// candidate is the node that ranks first for a shard, and since when.
 type candidate struct {
 	node  state.NodeID
 	since time.Time
 }
 
-// Plan returns the claims to append now. The log decides between the claims of
-// several nodes, so that a wrong guess costs a move and never harms.
+// Plan returns the claims to append now. If a shard's owner is missing or failed,
+// only the node that ranks first claims the shard; a healthy owner itself claims
+// it for the node to which it hands it over. Several nodes with different views
+// may claim the same shard: the first claim of an epoch in the log takes effect,
+// so a wrong view costs an unnecessary move, but two claims of one epoch never
+// both take effect.
 func (p *Planner) Plan(v *View) []state.Claim {
 	if p.betterOwners == nil {
 		p.betterOwners = map[state.ShardID]candidate{}
@@ -134,6 +149,9 @@
 	return claims
 }
 
+// shouldMove reports whether this node, the owner of s, should hand it over to
+// best: at once if the node is draining, and otherwise once best has ranked first
+// for moveDelay.
 func (p *Planner) shouldMove(v *View, s Shard, best state.NodeID) bool {
 	if best == v.Self.Node {
 		delete(p.betterOwners, s.ID)
@@ -150,6 +168,8 @@
 	return v.Now.Sub(c.since) >= moveDelay
 }
 
+// newClaim returns the claim of the next epoch for the node that ranks first. The
+// next deputyCount nodes become the deputies of a rack.
 func newClaim(v *View, s Shard, current *state.Shard, ranked []state.NodeID) state.Claim {
 	epoch := uint64(0)
 	if current != nil {
@@ -162,8 +182,9 @@
 	return c
 }
 
-// Rank orders the live members by how much each should own the shard: nodes of
-// a rack's own availability zone first, then by rendezvous hashing.
+// Rank lists the nodes of v.Alive that are members, the preferred owner of the
+// shard first: nodes in the availability zone of a rack come before others, and
+// rendezvous hashing decides among the rest.
 func Rank(v *View, s Shard) []state.NodeID {
 	type scored struct {
 		node       state.NodeID
@@ -200,8 +221,9 @@
 	return ranked
 }
 
-// DeputyRank returns this node's place among the deputies who are still
-// alive, from 1, or 0 if it is none, or one before it is alive.
+// DeputyRank returns this node's position, from 1, in the list of deputies of a
+// rack. It returns 0 if this node is not a deputy or if a deputy before it is
+// alive and therefore takes over first.
 func DeputyRank(v *View, current *state.Shard) int {
 	for i, d := range current.Deputies {
 		if d == v.Self.Node {
