--- a/internal/policy/docs.go
+++ b/internal/policy/docs.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package policy reads the configuration that operators publish: the offices'
-// weights, the teams' quotas, templates, drained workers; and it turns job
-// files and templates into jobs.
+// Package policy parses and checks the documents that operators publish (the
+// placement weights of offices, the quotas of teams, job templates and drained
+// workers) and the job files that they submit.
 package policy
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/leverdyke/leverdyke/internal/document"
 )
 
-// The prefixes of the documents' names.
+// The prefixes of document names, such as "team/NAME".
 const (
 	OfficePrefix   = "office/"
 	TeamPrefix     = "team/"
@@ -22,35 +22,40 @@
 	DrainPrefix    = "drain/"
 )
 
-// MaxDocBytes is the longest document that is accepted.
+// MaxDocBytes is the largest size of a document that Check accepts.
 const MaxDocBytes = 16 << 10
 
-// Office is how an office weighs its aims.
+// Office is the document of an office, a group of teams. It weighs two
+// goals of placement against each other.
 type Office struct {
-	// Waiting and Packing are from 0 to 1.
+	// Waiting and Packing are weights from 0 to 1. The larger Waiting is, the more
+	// a task is placed where much capacity remains free; the larger Packing is,
+	// the more it is placed where little remains.
 	Waiting float64 `yaml:"waiting"`
 	Packing float64 `yaml:"packing"`
 }
 
-// Team is a team's office and quota.
+// Team is the document of a team.
 type Team struct {
-	// Office names an office's document.
+	// Office is the name of the team's office, whose weights apply to its jobs.
 	Office string `yaml:"office"`
-	// Quota is the most that the team uses at once in one region.
+	// Quota is the most resources that the team may use at once in one region.
 	Quota leverdyke.Resources `yaml:"quota"`
 }
 
-// Drain is an operator's word on a worker.
+// Drain is the document by which an operator drains a worker.
 type Drain struct {
-	// IsDrained means that the worker gets nothing new.
+	// IsDrained means that no new tasks are placed on the worker.
 	IsDrained bool `yaml:"drained"`
 }
 
-// Template is a job with parameters.
+// Template is the document of a job template: a job file with parameters.
 type Template struct {
-	// Params has the default of each parameter; an empty one has to be given.
+	// Params has the default value of each parameter. If it is empty, the job
+	// file must give a value.
 	Params map[string]string `yaml:"params"`
-	// Job is the text of a job file in which ${name} stands for a parameter.
+	// Job is the text of a job file in which ${name} is replaced by the value of
+	// the parameter, and ${customer} by the customer of the job file.
 	Job string `yaml:"job"`
 }
 
@@ -61,17 +66,19 @@
 
 const nameAllowed = "lower-case letters, digits, '-' and '.', at most 63"
 
-// IsName reports whether s may name a team, a template, a service or a worker.
+// IsName reports whether s is a valid name of a document, a team, a region, a
+// customer or a service.
 func IsName(s string) bool { return namePattern.MatchString(s) }
 
-// Check refuses a document that may not be published. file names it in errors.
+// Check returns an error if the document must not be published. doc is its name
+// with the prefix; file is the file name that errors give.
 func Check(doc, file string, body []byte) error {
 	if len(body) > MaxDocBytes {
 		return &document.FieldError{File: file, Problem: "is too long", Allowed: "16 KiB"}
 	}
 	kind, name, _ := strings.Cut(doc, "/")
 	if !IsName(name) {
-		return &document.FieldError{File: file, Key: doc, Problem: "is no document's name", Allowed: "office/NAME, team/NAME, template/NAME or drain/WORKER; NAME of " + nameAllowed}
+		return &document.FieldError{File: file, Key: doc, Problem: "is not a valid document name", Allowed: "office/NAME, team/NAME, template/NAME or drain/WORKER; NAME of " + nameAllowed}
 	}
 	switch kind + "/" {
 	case OfficePrefix:
@@ -87,10 +94,10 @@
 		_, err := document.Decode(file, body, &Drain{})
 		return err
 	}
-	return &document.FieldError{File: file, Key: doc, Problem: "is no kind of document", Allowed: "office/, team/, template/, drain/"}
+	return &document.FieldError{File: file, Key: doc, Problem: "does not begin with a known kind of document", Allowed: "office/, team/, template/, drain/"}
 }
 
-// ParseOffice reads an office's document.
+// ParseOffice parses and checks the document of an office.
 func ParseOffice(file string, body []byte) (*Office, error) {
 	o := &Office{}
 	f, err := document.Decode(file, body, o)
@@ -109,7 +116,7 @@
 	return o, nil
 }
 
-// ParseTeam reads a team's document.
+// ParseTeam parses and checks the document of a team.
 func ParseTeam(file string, body []byte) (*Team, error) {
 	t := &Team{}
 	f, err := document.Decode(file, body, t)
@@ -117,7 +124,7 @@
 		return nil, err
 	}
 	if !IsName(t.Office) {
-		return nil, f.Errorf("office", nameAllowed, "%q is missing or no name", t.Office)
+		return nil, f.Errorf("office", nameAllowed, "%q is missing or not a valid name", t.Office)
 	}
 	if err := checkResources(f, "quota", t.Quota); err != nil {
 		return nil, err
@@ -128,6 +135,8 @@
 	return t, nil
 }
 
+// checkResources checks that each resource is from 0 to 2^40. key is the path of
+// the resources in the file.
 func checkResources(f *document.File, key string, r leverdyke.Resources) error {
 	for _, d := range []struct {
 		name  string
@@ -140,7 +149,8 @@
 	return nil
 }
 
-// ParseTemplate reads a template's document.
+// ParseTemplate parses and checks the document of a template. The job file in it
+// is only checked once its parameters have values.
 func ParseTemplate(file string, body []byte) (*Template, error) {
 	t := &Template{}
 	f, err := document.Decode(file, body, t)
@@ -152,13 +162,13 @@
 	}
 	for _, m := range paramPattern.FindAllStringSubmatch(t.Job, -1) {
 		if _, ok := t.Params[m[1]]; !ok && m[1] != "customer" {
-			return nil, f.Errorf("params", "a default, or an empty string, for each ${...}", "${%s} is not among them", m[1])
+			return nil, f.Errorf("params", "a default, or an empty string, for each ${...}", "${%s} is used in the job but not declared in params", m[1])
 		}
 	}
 	return t, nil
 }
 
-// Set is the configuration in force. It belongs to one goroutine.
+// Set is the current version of all documents. It is not safe for concurrent use.
 type Set struct {
 	offices   map[string]*Office
 	teams     map[string]*Team
@@ -166,13 +176,14 @@
 	drained   map[string]bool
 }
 
-// NewSet returns an empty configuration.
+// NewSet returns a set without documents.
 func NewSet() *Set {
 	return &Set{offices: map[string]*Office{}, teams: map[string]*Team{}, templates: map[string]*Template{}, drained: map[string]bool{}}
 }
 
-// Put brings a document into force. What is in the log was checked before it
-// was appended; a document that cannot be read leaves the earlier one in force.
+// Put replaces a document by a new version. Documents are checked before they are
+// appended to the log; if one cannot be parsed all the same, Put returns an error
+// and the previous version stays.
 func (s *Set) Put(doc string, body []byte) error {
 	kind, name, _ := strings.Cut(doc, "/")
 	switch kind + "/" {
@@ -192,6 +203,7 @@
 	return nil
 }
 
+// put parses a document and stores it in m under its name without the prefix.
 func put[T any](m map[string]*T, name, doc string, body []byte, parse func(string, []byte) (*T, error)) error {
 	v, err := parse(doc, body)
 	if err != nil {
@@ -201,13 +213,13 @@
 	return nil
 }
 
-// IsDrained reports whether an operator has drained the worker.
+// IsDrained reports whether a document drains the worker.
 func (s *Set) IsDrained(worker string) bool { return s.drained[worker] }
 
-// Team returns a team's document, or nil.
+// Team returns the document of a team, or nil if there is none.
 func (s *Set) Team(name string) *Team { return s.teams[name] }
 
-// Office returns the document of a team's office, or nil.
+// Office returns the document of the office of a team, or nil if there is none.
 func (s *Set) Office(team string) *Office {
 	t := s.teams[team]
 	if t == nil {
@@ -216,8 +228,8 @@
 	return s.offices[t.Office]
 }
 
-// Template returns a template, or nil.
+// Template returns the document of a template, or nil if there is none.
 func (s *Set) Template(name string) *Template { return s.templates[name] }
 
-// Clear forgets all documents.
+// Clear removes all documents.
 func (s *Set) Clear() { *s = *NewSet() }
--- a/internal/policy/jobs.go
+++ b/internal/policy/jobs.go
@@ -12,11 +12,11 @@
 	"github.com/leverdyke/leverdyke/internal/document"
 )
 
-// MaxTasks is how many tasks a job may have.
+// MaxTasks is the largest number of tasks that a job file may ask for.
 const MaxTasks = 20000
 
-// JobFile is what an operator writes for a job. Either Template is set, or the
-// job is written out.
+// JobFile is the content of a job file. It either refers to a template, with
+// Template, Params, Customer and Region, or has all fields of the job itself.
 type JobFile struct {
 	Template string            `yaml:"template"`
 	Params   map[string]string `yaml:"params"`
@@ -37,8 +37,9 @@
 	RequestOnce bool                `yaml:"request_once"`
 }
 
-// ParseJob reads a job file. find returns a template, or nil; region is where
-// the job runs unless it says so.
+// ParseJob parses and checks a job file and returns the specification of the job
+// id. findTemplate returns a template, or nil if there is none. region is the
+// region of the job if the file names none.
 func ParseJob(file string, body []byte, id, region string, findTemplate func(name string) *Template) (*leverdyke.JobSpec, error) {
 	j := &JobFile{}
 	f, err := document.Decode(file, body, j)
@@ -47,14 +48,16 @@
 	}
 	if j.Template == "" {
 		if len(j.Params) > 0 {
-			return nil, f.Errorf("params", "only with a template", "there is no template to fill in")
+			return nil, f.Errorf("params", "only with a template", "parameters are given, but no template")
 		}
 		return j.spec(f, id, region)
 	}
 	return expandTemplate(f, j, id, region, findTemplate)
 }
 
-// expandTemplate fills in a template and reads the result as a job file.
+// expandTemplate replaces the parameters in the template that j names and parses
+// the result as a job file. Values with YAML syntax or line breaks are refused,
+// because they could add or change keys of the template's job.
 func expandTemplate(f *document.File, j *JobFile, id, region string, findTemplate func(name string) *Template) (*leverdyke.JobSpec, error) {
 	t := findTemplate(j.Template)
 	if t == nil {
@@ -80,7 +83,7 @@
 			return nil, f.Errorf("params."+name, "a value", "the template needs it and has no default")
 		}
 		if strings.ContainsAny(value, "\n\r#:{}[]&*!|>'\"%@`") {
-			return nil, f.Errorf("params."+name, "one word or number", "%q would change the shape of the template", value)
+			return nil, f.Errorf("params."+name, "one word or number", "%q has characters that could change the keys of the template's job", value)
 		}
 		pairs = append(pairs, "${"+name+"}", value)
 	}
@@ -90,7 +93,7 @@
 		return nil, err
 	}
 	if inner.Template != "" {
-		return nil, file.Errorf("template", "a job that is written out", "a template cannot use a template")
+		return nil, file.Errorf("template", "a job without a template", "a template cannot use a template")
 	}
 	if inner.Customer == "" {
 		inner.Customer = j.Customer
@@ -101,7 +104,8 @@
 	return inner.spec(file, id, region)
 }
 
-// spec checks a job that is written out.
+// spec sets the defaults of a job file without a template, checks it and returns
+// the specification of the job.
 func (j *JobFile) spec(f *document.File, id, region string) (*leverdyke.JobSpec, error) {
 	j.setDefaults(region)
 	for _, check := range []func(*document.File) error{j.checkNames, j.checkKind, j.checkSizes, j.checkService} {
@@ -134,11 +138,11 @@
 func (j *JobFile) checkNames(f *document.File) error {
 	for _, n := range []struct{ key, value string }{{"team", j.Team}, {"region", j.Region}} {
 		if !IsName(n.value) {
-			return f.Errorf(n.key, nameAllowed, "%q is missing or no name", n.value)
+			return f.Errorf(n.key, nameAllowed, "%q is missing or not a valid name", n.value)
 		}
 	}
 	if j.Customer != "" && !IsName(j.Customer) {
-		return f.Errorf("customer", nameAllowed, "%q is no name", j.Customer)
+		return f.Errorf("customer", nameAllowed, "%q is not a valid name", j.Customer)
 	}
 	return nil
 }
@@ -146,11 +150,11 @@
 func (j *JobFile) checkKind(f *document.File) error {
 	kinds := []leverdyke.Kind{leverdyke.KindService, leverdyke.KindBatch, leverdyke.KindGang}
 	if !slices.Contains(kinds, j.Kind) {
-		return f.Errorf("kind", "service, batch, all-at-once", "%q is missing or no kind", j.Kind)
+		return f.Errorf("kind", "service, batch, all-at-once", "%q is missing or not a kind of job", j.Kind)
 	}
 	classes := []leverdyke.Class{leverdyke.ClassUrgent, leverdyke.ClassNormal, leverdyke.ClassBatch}
 	if !slices.Contains(classes, j.Class) {
-		return f.Errorf("class", "urgent, normal, batch", "%q is no class", j.Class)
+		return f.Errorf("class", "urgent, normal, batch", "%q is not a class", j.Class)
 	}
 	if j.Kind == leverdyke.KindService && j.IsOnce {
 		return f.Errorf("once", "false for a service", "a service starts its tasks again when they end")
@@ -191,7 +195,7 @@
 		return f.Errorf("service", "only with kind: service", "callers cannot reach a job of kind %s", j.Kind)
 	}
 	if !IsName(j.Service) {
-		return f.Errorf("service", nameAllowed, "%q is no name", j.Service)
+		return f.Errorf("service", nameAllowed, "%q is not a valid name", j.Service)
 	}
 	return nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -40,6 +40,8 @@
 	}
 }
 
+// An operator must see which key of a job file is invalid and what is allowed
+// there. Values of template parameters must not be able to add keys to the job.
 func TestInvalidJobsAreRefusedWithTheKeyAtFault(t *testing.T) {
 	replace := func(old, text string) string { return strings.Replace(validJob, old, text, 1) }
 	for name, c := range map[string]struct{ text, key string }{
@@ -67,6 +69,8 @@
 	}
 }
 
+// A document is checked only before it is published: an invalid one in the log
+// would be ignored by every node.
 func TestInvalidDocumentsAreRefused(t *testing.T) {
 	for name, c := range map[string]struct{ doc, text string }{
 		"no kind":              {"colour/red", "a: b\n"},
