--- a/internal/journal/reader.go
+++ b/internal/journal/reader.go
@@ -30,8 +30,8 @@
 
 // ReadResult is the result of one read of the log.
 type ReadResult struct {
-	// SentAt is when the read was sent. With IsCaughtUp, every record that is
-	// not in the result was appended after this time.
+	// SentAt is when the read was sent. With IsCaughtUp, every record that has
+	// not been delivered yet was appended after this time.
 	SentAt time.Time
 	// State is a snapshot that replaces the reader's current state before
 	// Entries are applied; nil means that Entries follow the current state.
--- a/internal/ownership/plan.go
+++ b/internal/ownership/plan.go
@@ -89,7 +89,7 @@
 	IsDead func(state.NodeID) bool
 	// IsFenced reports whether the workers of a rack that this node owns have
 	// accepted the higher epoch of a deputy. They reject this node's orders
-	// until it has claimed the next epoch.
+	// until the next epoch has been claimed.
 	IsFenced func(state.ShardID) bool
 	// Shards lists the racks and the job shards of the region.
 	Shards []Shard
