--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -39,7 +39,7 @@
 	id := c.lastQueryID
 	peers := []state.NodeID{keyOwner}
 	alive := c.members.Alive(c.now(), c.options.Region, false)
-	owner, ok := c.state.Keys[key]
+	owner, ok := c.state.IdempotencyKeys[key]
 	switch {
 	case ok && !c.state.IsLive(owner):
 		peers = alive
--- a/internal/core/apply.go
+++ b/internal/core/apply.go
@@ -15,7 +15,7 @@
 )
 
 // OnLogRead handles the result of a read of the log.
-func (c *Core) OnLogRead(e *journal.Tailed) {
+func (c *Core) OnLogRead(e *journal.ReadResult) {
 	now := c.now()
 	if e.Err != nil {
 		if c.readFailingSince.IsZero() {
@@ -86,10 +86,10 @@
 	case r.Cancel != nil:
 		events.Log(events.JobCancelled, "job", r.Cancel.Job)
 		c.recordEndedJob(r.Cancel.Job)
-	case r.Finals != nil:
-		c.recordEndedJob(r.Finals.Job)
-	case r.Doubt != nil:
-		c.onLivenessQuery(offset, writer, r.Doubt)
+	case r.TaskResults != nil:
+		c.recordEndedJob(r.TaskResults.Job)
+	case r.LivenessQuery != nil:
+		c.onLivenessQuery(offset, writer, r.LivenessQuery)
 	case r.Chunk != nil:
 		c.snapshotBase = max(c.snapshotBase, r.Chunk.Base)
 	}
@@ -114,7 +114,7 @@
 	}
 	c.haveJobsChanged = true
 	events.Log(events.JobAccepted, "job", id, "team", j.Spec.Team, "kind", j.Spec.Kind, "tasks", j.Spec.Tasks, "offset", j.Offset)
-	shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
+	shard := ownership.JobShard(j.Spec.Region, j.Spec.Team)
 	if h := c.jobShards[shard]; h != nil {
 		h.AddJob(c.now(), id, j, j.Offset > c.state.Shards[shard].Offset)
 	}
@@ -159,7 +159,7 @@
 		if j == nil {
 			continue
 		}
-		shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
+		shard := ownership.JobShard(j.Spec.Region, j.Spec.Team)
 		jobsByShard[shard] = append(jobsByShard[shard], id)
 	}
 	c.endedJobs = nil
@@ -204,7 +204,7 @@
 	}
 	for _, id := range sorted(s.Jobs) {
 		j := s.Jobs[id]
-		shard := ownership.HomeShard(j.Spec.Region, j.Spec.Team)
+		shard := ownership.JobShard(j.Spec.Region, j.Spec.Team)
 		if h := c.jobShards[shard]; h != nil && !j.IsEnded {
 			h.AddJob(c.now(), id, j, j.Offset > s.Shards[shard].Offset)
 		}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -121,7 +121,7 @@
 // NewCoreOptions identifies the node and sets its parameters. All fields except
 // Peers must be set.
 type NewCoreOptions struct {
-	Self            state.Owner
+	Self            state.Process
 	Link, Operators netip.AddrPort
 	Region, Zone    string
 	// Peers are the addresses of nodes to contact before the members are known
@@ -323,7 +323,7 @@
 	refused := c.refusedAppends
 	c.refusedAppends = nil
 	for _, done := range refused {
-		done(state.ErrNotTaken)
+		done(state.ErrNotAppended)
 	}
 }
 
--- a/internal/core/fakenode_test.go
+++ b/internal/core/fakenode_test.go
@@ -81,7 +81,7 @@
 	zone := n.hello().Zone
 	n.router = front.NewRouter(front.NewRouterOptions{Zone: zone, Clock: n.cluster.clock})
 	n.core = core.NewCore(n, core.NewCoreOptions{
-		Self: state.Owner{Node: n.id(), Incarnation: n.incarnation}, Link: n.addr, Operators: n.addr, Region: region, Zone: zone,
+		Self: state.Process{Node: n.id(), Incarnation: n.incarnation}, Link: n.addr, Operators: n.addr, Region: region, Zone: zone,
 		Lease: testLease, SnapshotEvery: n.snapshotEvery, Router: n.router,
 		Meter: discardMeter{}, Peers: n.peers(),
 	})
@@ -177,7 +177,7 @@
 func (n *fakeNode) buildBatch(now time.Time) {
 	for _, p := range n.pending {
 		if now.Sub(p.at) > 3*time.Second {
-			n.deferred = append(n.deferred, func() { p.done(state.ErrNotTaken) })
+			n.deferred = append(n.deferred, func() { p.done(state.ErrNotAppended) })
 			continue
 		}
 		if n.inFlightBatch == nil {
@@ -208,7 +208,7 @@
 }
 
 func (n *fakeNode) read() {
-	t := &journal.Tailed{SentAt: n.cluster.clock.Now()}
+	t := &journal.ReadResult{SentAt: n.cluster.clock.Now()}
 	if !n.isLogReachable() || n.cluster.isBlocked("log", n.name()) {
 		t.Err = fmt.Errorf("out")
 		n.core.OnLogRead(t)
@@ -230,7 +230,7 @@
 
 // recover starts from the first complete snapshot in the log, as the journal's
 // reader does when the log has dropped the offset that it would read next.
-func (n *fakeNode) recover(firstOffset int64, t *journal.Tailed) {
+func (n *fakeNode) recover(firstOffset int64, t *journal.ReadResult) {
 	found := state.Assembler{}
 	page, _, _ := n.cluster.log.Page(firstOffset)
 	for _, e := range page.Entries {
@@ -242,7 +242,7 @@
 			if r.Chunk == nil || t.State != nil {
 				continue
 			}
-			s, err := found.Add(state.Owner{Node: b.Node, Incarnation: b.Incarnation}, r.Chunk)
+			s, err := found.Add(state.Process{Node: b.Node, Incarnation: b.Incarnation}, r.Chunk)
 			if err == nil && s != nil && s.Applied >= firstOffset-1 {
 				t.State = s
 			}
@@ -324,7 +324,7 @@
 // BatchesSkipped ends the wait for batches that are part of a peer's state.
 func (n *fakeNode) BatchesSkipped(seq uint64) {
 	for s := uint64(1); s <= seq; s++ {
-		n.BatchApplied(s, state.Outcome{Err: state.ErrUnseen})
+		n.BatchApplied(s, state.Outcome{Err: state.ErrOutcomeUnknown})
 	}
 }
 
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -170,7 +170,7 @@
 	team := ""
 	for i := range 64 {
 		team = fmt.Sprintf("team-%d", i)
-		if cl.ownerOf(string(ownership.HomeShard(region, team))) == n {
+		if cl.ownerOf(string(ownership.JobShard(region, team))) == n {
 			break
 		}
 	}
@@ -195,7 +195,7 @@
 	cl.checkInvariants(t)
 	cl.heal()
 	cl.run(time.Minute)
-	if got := cl.job("batch").Final[leverdyke.TaskDone]; got != 60 {
+	if got := cl.job("batch").FinalCounts[leverdyke.TaskDone]; got != 60 {
 		t.Errorf("got: %d done, want: 60", got)
 	}
 	cl.checkInvariants(t)
@@ -275,7 +275,7 @@
 		cl.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeDead})
 	}
 	cl.run(90 * time.Second)
-	if got := cl.job("once").Final; dead == 0 || got[leverdyke.TaskUnknown] != dead || got[leverdyke.TaskDone] != 4-dead {
+	if got := cl.job("once").FinalCounts; dead == 0 || got[leverdyke.TaskUnknown] != dead || got[leverdyke.TaskDone] != 4-dead {
 		t.Errorf("got: %v, want: %d of unknown fate and the others done", got, dead)
 	}
 	cl.checkInvariants(t)
@@ -323,8 +323,8 @@
 	cl.isLogUnavailable = true
 	cl.run(5 * time.Second)
 	err := cl.append(state.Record{Submit: &state.Submit{Spec: batchSpec("late", 1, time.Second)}})
-	if !errors.Is(err, state.ErrNotTaken) {
-		t.Errorf("got: %v, want: %v", err, state.ErrNotTaken)
+	if !errors.Is(err, state.ErrNotAppended) {
+		t.Errorf("got: %v, want: %v", err, state.ErrNotAppended)
 	}
 	cl.isLogUnavailable = false
 	cl.run(10 * time.Second)
@@ -347,7 +347,7 @@
 	}
 	cl.isLogUnavailable = false
 	cl.run(20 * time.Second)
-	if got := cl.job("batch").Final[leverdyke.TaskDone]; got != 40 {
+	if got := cl.job("batch").FinalCounts[leverdyke.TaskDone]; got != 40 {
 		t.Errorf("got: %d done, want: 40", got)
 	}
 	if got := cl.oracle.Report().Starts; got != 40 {
@@ -459,8 +459,8 @@
 	}
 	cl.run(90 * time.Second)
 	j := cl.job("once")
-	if got := j.Final[leverdyke.TaskDone] + j.Final[leverdyke.TaskUnknown]; got != 4 {
-		t.Errorf("got: %v, want: 4 done or of unknown fate", j.Final)
+	if got := j.FinalCounts[leverdyke.TaskDone] + j.FinalCounts[leverdyke.TaskUnknown]; got != 4 {
+		t.Errorf("got: %v, want: 4 done or of unknown fate", j.FinalCounts)
 	}
 	if got := cl.oracle.Report().Starts; got != 4 {
 		t.Errorf("got: %d starts, want: 4", got)
--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -14,27 +14,27 @@
 // the first one in the log, and, if it is not, which process made the first one.
 type KeyResult struct {
 	Fate  once.Fate
-	Owner state.Owner
+	Owner state.Process
 }
 
 // ClaimKey appends a claim of an idempotency key to the log, which decides which
 // process may run the key's request. It calls done with the result, which is
 // never FateOpen.
 func (c *Core) ClaimKey(key once.Key, done func(KeyResult)) {
-	if owner, ok := c.state.Keys[key]; ok {
+	if owner, ok := c.state.IdempotencyKeys[key]; ok {
 		done(KeyResult{once.FateLost, owner})
 		return
 	}
-	if !c.IsJoined() || c.isLogUnavailable(c.now()) || len(c.state.Keys) >= state.MaxKeys {
+	if !c.IsJoined() || c.isLogUnavailable(c.now()) || len(c.state.IdempotencyKeys) >= state.MaxIdempotencyKeys {
 		done(KeyResult{Fate: once.FateNotTaken})
 		return
 	}
-	c.Append(state.Record{Once: &state.Once{Key: key}}, func(err error) {
+	c.Append(state.Record{IdempotencyKey: &state.IdempotencyKey{Key: key}}, func(err error) {
 		switch {
 		case err == nil:
 			done(KeyResult{Fate: once.FateWon})
-		case errors.Is(err, state.ErrLost):
-			done(KeyResult{once.FateLost, c.state.Keys[key]})
+		case errors.Is(err, state.ErrNotFirst):
+			done(KeyResult{once.FateLost, c.state.IdempotencyKeys[key]})
 		default:
 			// The claim was not appended, or its batch was rejected or skipped. In
 			// none of these cases may this process run the request.
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -109,21 +109,21 @@
 	}
 	c.livenessChecks.queriedAt = now
 	events.Log(events.PeersDoubted, "peers", suspects)
-	c.Append(state.Record{Doubt: &state.Doubt{Of: suspects}}, nil)
+	c.Append(state.Record{LivenessQuery: &state.LivenessQuery{Nodes: suspects}}, nil)
 }
 
 // onLivenessQuery records a query of this node, or answers a peer's query by
 // appending a record if this node is among those queried.
-func (c *Core) onLivenessQuery(offset int64, writer state.NodeID, d *state.Doubt) {
+func (c *Core) onLivenessQuery(offset int64, writer state.NodeID, d *state.LivenessQuery) {
 	if writer == c.options.Self.Node {
-		for _, n := range d.Of {
+		for _, n := range d.Nodes {
 			c.livenessChecks.pending[n] = livenessCheck{c.now(), offset}
 		}
 		return
 	}
-	if c.livenessChecks.isAnswering || !c.IsJoined() || !slices.Contains(d.Of, c.options.Self.Node) {
+	if c.livenessChecks.isAnswering || !c.IsJoined() || !slices.Contains(d.Nodes, c.options.Self.Node) {
 		return
 	}
 	c.livenessChecks.isAnswering = true
-	c.Append(state.Record{Here: &state.Here{}}, func(error) { c.livenessChecks.isAnswering = false })
+	c.Append(state.Record{LivenessReply: &state.LivenessReply{}}, func(error) { c.livenessChecks.isAnswering = false })
 }
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -198,9 +198,9 @@
 }
 
 func (c *Core) onHeartbeat(now time.Time, from *node.Hello, hb *node.Heartbeat) {
-	c.members.Heard(now, &membership.Beat{
+	c.members.OnHeartbeat(now, &membership.Heartbeat{
 		Node: from.Node, Incarnation: from.Incarnation, Region: from.Region, Applied: hb.Applied,
-		IsLogOut: hb.IsLogOut, IsDraining: hb.IsDraining, Suspects: hb.Suspects,
+		IsLogUnavailable: hb.IsLogOut, IsDraining: hb.IsDraining, Suspects: hb.Suspects,
 	})
 	for i := range hb.Rooms {
 		rackSummary := hb.Rooms[i]
@@ -256,7 +256,7 @@
 	if !isReadFailing {
 		return
 	}
-	peer, mostApplied := c.members.MostApplied(now)
+	peer, mostApplied := c.members.MostAdvancedPeer(now)
 	if peer == "" {
 		return
 	}
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -122,7 +122,7 @@
 	}
 	for _, job := range sorted(c.state.Jobs) {
 		j := c.state.Jobs[job]
-		if !j.IsEnded && ownership.HomeShard(j.Spec.Region, j.Spec.Team) == id {
+		if !j.IsEnded && ownership.JobShard(j.Spec.Region, j.Spec.Team) == id {
 			h.AddJob(now, job, j, j.Offset > current.Offset)
 		}
 	}
@@ -188,7 +188,7 @@
 				return
 			}
 			delete(c.pendingClaims, claim.Shard)
-			if errors.Is(err, state.ErrUnseen) {
+			if errors.Is(err, state.ErrOutcomeUnknown) {
 				// The state that this node continues from says who owns the shard.
 				return
 			}
@@ -212,7 +212,7 @@
 // of VMs or the log has.
 func (c *Core) shards() []ownership.Shard {
 	region := c.options.Region
-	list := ownership.Homes(region)
+	list := ownership.JobShards(region)
 	seen := map[state.ShardID]bool{}
 	for i := range c.vms {
 		vm := &c.vms[i]
@@ -239,7 +239,7 @@
 // deputy while the log is unavailable, so that their leases are renewed and
 // their tasks keep running.
 func (c *Core) takeOverAsDeputy(now time.Time) {
-	isUnavailableForAll := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > deputyAfter && c.members.IsLogOutForAll(now)
+	isUnavailableForAll := !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) > deputyAfter && c.members.IsLogUnavailableForAll(now)
 	if !isUnavailableForAll || !c.IsJoined() || c.isDraining {
 		return
 	}
@@ -249,7 +249,7 @@
 		if !ownership.IsRack(id) || ownership.Region(id) != v.Region || c.racks[id] != nil || !v.IsDead(s.Owner.Node) {
 			continue
 		}
-		rank := ownership.DeputyPlace(v, s)
+		rank := ownership.DeputyRank(v, s)
 		epoch := worker.NewEpoch(s.Epoch, rank)
 		if rank == 0 || c.deputies[id].epoch >= epoch || c.fenced[id] >= epoch {
 			continue
@@ -304,7 +304,7 @@
 	}
 	for id, o := range c.racks {
 		s := c.state.Shards[id]
-		if s == nil || s.Owner != c.options.Self || !c.haveEnded(s.Past, s.Offset) {
+		if s == nil || s.Owner != c.options.Self || !c.haveEnded(s.PreviousOwners, s.Offset) {
 			continue
 		}
 		if _, ok := c.deputies[id]; !ok {
@@ -315,9 +315,9 @@
 
 // haveEnded reports whether each of the previous owners has ended, or has
 // applied the log up to the offset of the claim that replaced it.
-func (c *Core) haveEnded(past []state.Owner, offset int64) bool {
+func (c *Core) haveEnded(past []state.Process, offset int64) bool {
 	for _, p := range past {
-		if !c.state.IsEnded(p) && !c.members.HasFolded(p, offset) {
+		if !c.state.IsEnded(p) && !c.members.HasApplied(p, offset) {
 			return false
 		}
 	}
@@ -339,7 +339,7 @@
 			return time.Time{}
 		}
 	}
-	if !c.members.IsLogOutForAll(now) {
+	if !c.members.IsLogUnavailableForAll(now) {
 		return time.Time{}
 	}
 	return now.Add(-2 * time.Second)
--- a/internal/core/policy_test.go
+++ b/internal/core/policy_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("got: at most %d tasks at once, want: 3, which the quota allows", most)
 	}
 	for i := range 3 {
-		if got := cl.job(fmt.Sprint("job", i)).Final[leverdyke.TaskDone]; got != 6 {
+		if got := cl.job(fmt.Sprint("job", i)).FinalCounts[leverdyke.TaskDone]; got != 6 {
 			t.Errorf("got: %d done, want: 6", got)
 		}
 	}
@@ -85,13 +85,13 @@
 		cl.run(step)
 		for _, id := range []string{"gang0", "gang1"} {
 			j := cl.job(id)
-			if n := cl.running(id); n > 0 && n < 20 && j.Final[leverdyke.TaskDone] == 0 {
+			if n := cl.running(id); n > 0 && n < 20 && j.FinalCounts[leverdyke.TaskDone] == 0 {
 				partialSteps[id]++
 			}
 		}
 	}
 	for _, id := range []string{"gang0", "gang1"} {
-		if got := cl.job(id).Final[leverdyke.TaskDone]; got != 20 {
+		if got := cl.job(id).FinalCounts[leverdyke.TaskDone]; got != 20 {
 			t.Errorf("%s: got: %d done after a minute, want: 20", id, got)
 		}
 		if partialSteps[id] > 30 {
@@ -107,7 +107,7 @@
 		team := fmt.Sprint("team-", i)
 		isOther := true
 		for _, o := range others {
-			isOther = isOther && ownership.HomeShard(region, team) != ownership.HomeShard(region, o)
+			isOther = isOther && ownership.JobShard(region, team) != ownership.JobShard(region, o)
 		}
 		if isOther {
 			return team
@@ -128,7 +128,7 @@
 		}
 	}
 	cl.run(70 * time.Second)
-	if got := cl.job("gang").Final[leverdyke.TaskDone]; got != 8 {
+	if got := cl.job("gang").FinalCounts[leverdyke.TaskDone]; got != 8 {
 		t.Errorf("got: %d done, want: 8", got)
 	}
 	cl.checkInvariants(t)
@@ -145,7 +145,7 @@
 	urgent.Class = leverdyke.ClassUrgent
 	cl.mustSubmit(t, urgent)
 	cl.run(3400*time.Millisecond + time.Second)
-	if got := cl.job("urgent").Final[leverdyke.TaskDone] + cl.running("urgent"); got != 4 {
+	if got := cl.job("urgent").FinalCounts[leverdyke.TaskDone] + cl.running("urgent"); got != 4 {
 		t.Errorf("got: %d of 4 tasks started within 3.4 s, want: 4", got)
 	}
 	cl.checkInvariants(t)
@@ -161,10 +161,10 @@
 	cl.mustSubmit(t, batchSpec("good", 6, time.Second))
 	cl.run(2 * time.Minute)
 	j := cl.job("always-fails")
-	if !j.IsEnded || j.Final[leverdyke.TaskFailed] != 3 || !strings.Contains(j.Reason, "budget") {
-		t.Errorf("got: %v %q, want: 3 failed by the budget", j.Final, j.Reason)
+	if !j.IsEnded || j.FinalCounts[leverdyke.TaskFailed] != 3 || !strings.Contains(j.Reason, "budget") {
+		t.Errorf("got: %v %q, want: 3 failed by the budget", j.FinalCounts, j.Reason)
 	}
-	if got := cl.job("good").Final[leverdyke.TaskDone]; got != 6 {
+	if got := cl.job("good").FinalCounts[leverdyke.TaskDone]; got != 6 {
 		t.Errorf("the other job: got: %d done, want: 6", got)
 	}
 }
@@ -178,11 +178,11 @@
 	cl.mustSubmit(t, never)
 	cl.mustSubmit(t, batchSpec("good", 6, time.Second))
 	cl.run(10 * time.Second)
-	n := cl.ownerOf(string(ownership.HomeShard(region, "filings")))
-	if got := n.core.JobShard(ownership.HomeShard(region, "filings")).Status("never").Why; !strings.Contains(got, "memory") {
+	n := cl.ownerOf(string(ownership.JobShard(region, "filings")))
+	if got := n.core.JobShard(ownership.JobShard(region, "filings")).Status("never").Why; !strings.Contains(got, "memory") {
 		t.Errorf("got: %q, want: the reason", got)
 	}
-	if got := cl.job("good").Final[leverdyke.TaskDone]; got != 6 {
+	if got := cl.job("good").FinalCounts[leverdyke.TaskDone]; got != 6 {
 		t.Errorf("the other job: got: %d done, want: 6", got)
 	}
 	spec := never
@@ -203,7 +203,7 @@
 	cl.mustSubmit(t, late)
 	cl.run(15 * time.Second)
 	if j := cl.job("late"); !j.IsEnded || !strings.Contains(j.Reason, "deadline") {
-		t.Errorf("got: %v %q, want: failed by its deadline", j.Final, j.Reason)
+		t.Errorf("got: %v %q, want: failed by its deadline", j.FinalCounts, j.Reason)
 	}
 }
 
@@ -222,7 +222,7 @@
 	}
 	cl.mustSubmit(t, batchSpec("batch", 60, 2*time.Second))
 	cl.run(60 * time.Second)
-	if got := cl.job("batch").Final[leverdyke.TaskDone]; got != 60 || cl.running("service") != 12 {
+	if got := cl.job("batch").FinalCounts[leverdyke.TaskDone]; got != 60 || cl.running("service") != 12 {
 		t.Errorf("got: %d done and %d of the service, want: 60 and 12", got, cl.running("service"))
 	}
 	cl.checkInvariants(t)
@@ -302,7 +302,7 @@
 // service's tasks on the few racks that it has heard of since.
 func TestMovedJobShardSpreadsAServiceOverZones(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 4, workers: 2, seed: 52})
-	shard := string(ownership.HomeShard(region, "filings"))
+	shard := string(ownership.JobShard(region, "filings"))
 	cl.run(20 * time.Second)
 	cl.ownerOf(shard).kill()
 	for range 200 {
--- a/internal/core/stateful_test.go
+++ b/internal/core/stateful_test.go
@@ -108,7 +108,7 @@
 		switch {
 		case err == nil:
 			s.cancelled[id] = true
-		case !errors.Is(err, state.ErrNotTaken):
+		case !errors.Is(err, state.ErrNotAppended):
 			// The cancellation may still take effect, so that the job may end either
 			// way.
 			delete(s.accepted, id)
@@ -173,11 +173,11 @@
 			return fmt.Sprintf("%d of %d tasks run", got, spec.Tasks)
 		}
 	case spec.IsOnce:
-		if got := j.Final[leverdyke.TaskDone] + j.Final[leverdyke.TaskUnknown]; got != spec.Tasks {
-			return fmt.Sprintf("not all of %d at-most-once tasks have ended: %v", spec.Tasks, j.Final)
+		if got := j.FinalCounts[leverdyke.TaskDone] + j.FinalCounts[leverdyke.TaskUnknown]; got != spec.Tasks {
+			return fmt.Sprintf("not all of %d at-most-once tasks have ended: %v", spec.Tasks, j.FinalCounts)
 		}
-	case j.Final[leverdyke.TaskDone] != spec.Tasks:
-		return fmt.Sprintf("not all of %d tasks have succeeded: %v", spec.Tasks, j.Final)
+	case j.FinalCounts[leverdyke.TaskDone] != spec.Tasks:
+		return fmt.Sprintf("not all of %d tasks have succeeded: %v", spec.Tasks, j.FinalCounts)
 	}
 	return ""
 }
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -106,7 +106,7 @@
 	if now.Sub(c.caughtUpAt) < readyMaxAge {
 		return c.IsJoined()
 	}
-	return c.isLogUnavailable(now) && c.members.IsLogOutForAll(now)
+	return c.isLogUnavailable(now) && c.members.IsLogUnavailableForAll(now)
 }
 
 // CheckSubmit returns an error if a job can never run as far as this node knows,
@@ -123,7 +123,7 @@
 	if lacks := together.Lacks(team.Quota); lacks != "" {
 		return &document.FieldError{File: file, Key: "each", Problem: "it can never run: it needs more " + lacks + " than its team's quota", Allowed: team.Quota.String()}
 	}
-	if h := c.jobShards[ownership.HomeShard(spec.Region, spec.Team)]; h != nil && h.IsFull() {
+	if h := c.jobShards[ownership.JobShard(spec.Region, spec.Team)]; h != nil && h.IsFull() {
 		return leverdyke.NotRun("too many jobs wait", queueFullRetrySeconds)
 	}
 	capacities := c.capacities(spec.Region)
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -39,7 +39,7 @@
 type Node struct {
 	settings *settings.Node
 	clock    clock.Service
-	owner    state.Owner
+	owner    state.Process
 	events   *ring.Ring[event]
 	done     chan struct{}
 	cancel   context.CancelFunc
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
 		settings: s, clock: c, events: ring.NewRing[event](eventRing), done: make(chan struct{}), cancel: cancel, ctx: ctx,
-		owner:   state.Owner{Node: state.NodeID(s.LinkAddr.String()), Incarnation: uint64(time.Now().UnixNano())},
+		owner:   state.Process{Node: state.NodeID(s.LinkAddr.String()), Incarnation: uint64(time.Now().UnixNano())},
 		metrics: m, answers: once.NewTable(once.NewTableOptions{}), vms: vmlist.NewClient(s.VMListAddr),
 	}
 	n.transport = worker.NewTransport(func(sent, received int) { n.countControl("worker", sent, received) })
@@ -82,9 +82,9 @@
 	n.router = front.NewRouter(front.NewRouterOptions{Zone: s.Zone, Clock: c})
 	log := logservice.NewClient(s.LogAddr, func(sent, received int) { n.countControl("log", sent, received) })
 	n.writer = journal.NewWriter(log, n.owner, journal.NewWriterOptions{
-		AppendsPerSecond: s.AppendsPerSecond, Clock: c, Appended: func() { n.reader.Wake() }, Settle: func(f func()) { n.put(func(*core.Core) { f() }) },
+		AppendsPerSecond: s.AppendsPerSecond, Clock: c, OnAppended: func() { n.reader.Wake() }, RunInApplier: func(f func()) { n.put(func(*core.Core) { f() }) },
 	})
-	n.reader = journal.NewReader(log, c, n.writer.IsAwaited, func(t journal.Tailed) { n.put(func(c *core.Core) { c.OnLogRead(&t) }) })
+	n.reader = journal.NewReader(log, c, n.writer.HasPendingBatch, func(t journal.ReadResult) { n.put(func(c *core.Core) { c.OnLogRead(&t) }) })
 	n.core = core.NewCore(n, core.NewCoreOptions{
 		Self: n.owner, Link: s.LinkAddr, Operators: s.OperatorsAddr, Region: s.Region, Zone: s.Zone, Peers: s.PeerAddrs,
 		Lease: s.Lease, SnapshotEvery: s.SnapshotEvery, Router: n.router, Meter: m,
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -17,24 +17,25 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-// fakeLog is a log in memory that loses answers.
+// fakeLog is an in-memory log that can lose replies and refuse appends.
 type fakeLog struct {
 	mu      sync.Mutex
 	entries []logservice.Entry
-	first   int64
-	// lose is how many appends take effect without an answer, fail how many
-	// are not taken.
-	lose, fail int
-	appended   chan []byte
+	// first is the oldest offset that has not been trimmed.
+	first int64
+	// loseReplies is the number of next appends that take effect but return an
+	// error; refuseAppends is the number of next appends that the log refuses.
+	loseReplies, refuseAppends int
+	appended                   chan []byte
 }
 
-var errLost = errors.New("lost")
+var errReplyLost = errors.New("lost")
 
 func (l *fakeLog) Append(_ context.Context, data []byte) (int64, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.fail > 0 {
-		l.fail--
+	if l.refuseAppends > 0 {
+		l.refuseAppends--
 		return 0, logservice.ErrRefused
 	}
 	offset := int64(len(l.entries))
@@ -42,9 +43,9 @@
 	if l.appended != nil {
 		l.appended <- data
 	}
-	if l.lose > 0 {
-		l.lose--
-		return 0, errLost
+	if l.loseReplies > 0 {
+		l.loseReplies--
+		return 0, errReplyLost
 	}
 	return offset, nil
 }
@@ -60,8 +61,8 @@
 	return page, nil
 }
 
-// advance moves a fake clock until done is closed.
-func advance(c *clock.Fake, done <-chan struct{}) {
+// advanceUntil moves a fake clock until done is closed.
+func advanceUntil(c *clock.Fake, done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
@@ -72,21 +73,24 @@
 	}
 }
 
-func join() state.Record {
+func joinRecord() state.Record {
 	return state.Record{Join: &state.Join{Node: "n", Incarnation: 1}}
 }
 
-func TestLostAnswersAreSettledBySendingTheSameBatchAgain(t *testing.T) {
-	log := &fakeLog{lose: 2, fail: 1, appended: make(chan []byte, 9)}
+// An append whose reply is lost may still have taken effect, so the writer
+// retries with the same sequence number. The copies must be recognised as
+// duplicates, and the callback must be called once, with the result of the first.
+func TestAppendIsRetriedAfterALostReplyAndReportedOnce(t *testing.T) {
+	log := &fakeLog{loseReplies: 2, refuseAppends: 1, appended: make(chan []byte, 9)}
 	c := clock.NewFake()
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
 	results := make(chan error, 2)
-	w.Put(join(), func(err error) { results <- err })
+	w.Put(joinRecord(), func(err error) { results <- err })
 	done := make(chan struct{})
-	go advance(c, done)
+	go advanceUntil(c, done)
 	s := state.NewState()
 	first := state.Outcome{}
 	for i := range 3 {
@@ -97,12 +101,12 @@
 		out := s.Apply(int64(i), b)
 		if i == 0 {
 			first = out
-		} else if !errors.Is(out.Err, state.ErrDuplicate) {
-			t.Errorf("copy %d: got: %v, want: %v", i, out.Err, state.ErrDuplicate)
+		} else if !errors.Is(out.Err, state.ErrAlreadyApplied) {
+			t.Errorf("copy %d: got: %v, want: %v", i, out.Err, state.ErrAlreadyApplied)
 		}
 	}
 	close(done)
-	w.Folded(1, first)
+	w.OnApplied(1, first)
 	if err := <-results; err != nil {
 		t.Errorf("got: %v, want: nil", err)
 	}
@@ -113,84 +117,87 @@
 	}
 }
 
-// A log whose answers are lost has taken the batch that is read from it: it is
-// not out, and the next record must be taken.
-func TestBatchThatIsReadEndsTheOutage(t *testing.T) {
-	log := &fakeLog{lose: 1 << 30, appended: make(chan []byte, 1<<10)}
+// When only the replies of the log are lost, a batch that is read from the log
+// shows that appends work. If the writer still considered the log unavailable,
+// it would refuse the next record, and no append could ever end the outage.
+func TestBatchReadFromTheLogEndsTheOutage(t *testing.T) {
+	log := &fakeLog{loseReplies: 1 << 30, appended: make(chan []byte, 1<<10)}
 	c := clock.NewFake()
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	w.Put(join(), nil)
+	w.Put(joinRecord(), nil)
 	go w.Run(ctx)
 	done := make(chan struct{})
-	go advance(c, done)
-	for !w.IsOut() {
+	go advanceUntil(c, done)
+	for !w.IsLogUnavailable() {
 		runtime.Gosched()
 	}
-	w.Folded(1, state.Outcome{Results: []error{nil}})
-	for w.IsOut() {
+	w.OnApplied(1, state.Outcome{Results: []error{nil}})
+	for w.IsLogUnavailable() {
 		runtime.Gosched()
 	}
 	close(done)
-	if !w.Put(join(), nil) {
-		t.Error("got: the next record is refused, want: taken")
+	if !w.Put(joinRecord(), nil) {
+		t.Error("got: the next record is refused, want: accepted")
 	}
 }
 
-func TestBatchThatWasPassedIsSettledOnceAsUnseen(t *testing.T) {
-	log := &fakeLog{fail: 1 << 30, appended: make(chan []byte, 9)}
+// A process that continues from a snapshot never applies its own batches that
+// the snapshot includes. Their callbacks must still be called, and only once.
+func TestSkippedBatchIsReportedOnceAsOutcomeUnknown(t *testing.T) {
+	log := &fakeLog{refuseAppends: 1 << 30, appended: make(chan []byte, 9)}
 	c := clock.NewFake()
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: 1 << 60})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	results := make(chan error, 9)
-	w.Put(join(), func(err error) { results <- err })
+	w.Put(joinRecord(), func(err error) { results <- err })
 	go w.Run(ctx)
 	done := make(chan struct{})
-	go advance(c, done)
-	for !w.IsAwaited() {
+	go advanceUntil(c, done)
+	for !w.HasPendingBatch() {
 		runtime.Gosched()
 	}
-	w.Passed(1)
+	w.OnSkipped(1)
 	close(done)
-	if err := <-results; !errors.Is(err, state.ErrUnseen) {
-		t.Errorf("got: %v, want: %v", err, state.ErrUnseen)
+	if err := <-results; !errors.Is(err, state.ErrOutcomeUnknown) {
+		t.Errorf("got: %v, want: %v", err, state.ErrOutcomeUnknown)
 	}
-	w.Folded(1, state.Outcome{Results: []error{nil}})
+	w.OnApplied(1, state.Outcome{Results: []error{nil}})
 	select {
 	case err := <-results:
 		t.Errorf("got: a second callback with %v, want: one", err)
 	default:
 	}
-	if w.IsAwaited() {
+	if w.HasPendingBatch() {
 		t.Error("got: a batch in flight, want: none")
 	}
 }
 
-func TestRecordThatWaitsTooLongIsNotTaken(t *testing.T) {
+func TestRecordThatWaitsTooLongIsNotAppended(t *testing.T) {
 	log := &fakeLog{}
 	c := clock.NewFake()
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: time.Second})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: c, MaxWait: time.Second})
 	results := make(chan error, 1)
-	w.Put(join(), func(err error) { results <- err })
+	w.Put(joinRecord(), func(err error) { results <- err })
 	c.Advance(2 * time.Second)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go w.Run(ctx)
-	if err := <-results; !errors.Is(err, state.ErrNotTaken) {
-		t.Errorf("got: %v, want: %v", err, state.ErrNotTaken)
+	if err := <-results; !errors.Is(err, state.ErrNotAppended) {
+		t.Errorf("got: %v, want: %v", err, state.ErrNotAppended)
 	}
 	if got := len(log.entries); got != 0 {
 		t.Errorf("got: %d appends, want: 0", got)
 	}
 }
 
-func TestRecordsThatComeTogetherShareAnAppend(t *testing.T) {
+func TestRecordsQueuedTogetherShareAnAppend(t *testing.T) {
 	log := &fakeLog{appended: make(chan []byte, 200)}
-	w := journal.NewWriter(log, state.Owner{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: clock.NewFake()})
+	w := journal.NewWriter(log, state.Process{Node: "n", Incarnation: 1}, journal.NewWriterOptions{Clock: clock.NewFake()})
 	for range 100 {
-		w.Put(join(), nil)
+		w.Put(joinRecord(), nil)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -201,7 +208,10 @@
 	}
 }
 
-func TestReaderStartsAtAWholeSnapshotWhenTheOldestAreGone(t *testing.T) {
+// Here the log no longer has the first two batches, so a reader cannot apply it
+// from the start: it must find the snapshot and the records that follow its base,
+// including one that was appended before the snapshot's chunks.
+func TestReaderStartsAtACompleteSnapshotWhenTheLogIsTrimmed(t *testing.T) {
 	log := &fakeLog{}
 	s := state.NewState()
 	put := func(seq uint64, records ...state.Record) {
@@ -213,7 +223,7 @@
 		offset, _ := log.Append(context.Background(), data)
 		s.Apply(offset, b)
 	}
-	put(1, join())
+	put(1, joinRecord())
 	put(2, state.Record{Publish: &state.Publish{Doc: "d", Body: []byte("one")}})
 	chunks, err := s.Snapshot()
 	if err != nil {
@@ -223,14 +233,14 @@
 	put(4, chunks...)
 	put(5, state.Record{Publish: &state.Publish{Doc: "d", Base: 2, Body: []byte("three")}})
 	log.first = 2
-	found := make(chan journal.Tailed, 9)
-	r := journal.NewReader(log, clock.NewFake(), func() bool { return false }, func(t journal.Tailed) { found <- t })
+	results := make(chan journal.ReadResult, 9)
+	r := journal.NewReader(log, clock.NewFake(), func() bool { return false }, func(t journal.ReadResult) { results <- t })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go r.Run(ctx)
-	got := <-found
+	got := <-results
 	if got.State == nil || !got.IsCaughtUp {
-		t.Fatalf("got: %+v, want: a snapshot and its tail", got)
+		t.Fatalf("got: %+v, want: a snapshot and the records after it", got)
 	}
 	for _, e := range got.Entries {
 		b, err := state.DecodeBatch(e.Data)
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -9,24 +9,25 @@
 	"github.com/leverdyke/leverdyke/internal/codec"
 )
 
-const chunkBytes = 48 * 1024
+const maxChunkBytes = 48 * 1024
 
-// Snapshot returns the state as the records of a snapshot, in order.
+// Snapshot returns the state as a sequence of Chunk records. The chunks may be
+// appended in several batches.
 func (s *State) Snapshot() ([]Record, error) {
 	data, err := s.Marshal()
 	if err != nil {
 		return nil, err
 	}
-	parts := max((len(data)+chunkBytes-1)/chunkBytes, 1)
+	parts := max((len(data)+maxChunkBytes-1)/maxChunkBytes, 1)
 	records := make([]Record, 0, parts)
 	for i := range parts {
-		end := min((i+1)*chunkBytes, len(data))
-		records = append(records, Record{Chunk: &Chunk{Base: s.Applied, Part: i, Parts: parts, Data: data[i*chunkBytes : end]}})
+		end := min((i+1)*maxChunkBytes, len(data))
+		records = append(records, Record{Chunk: &Chunk{Base: s.Applied, Part: i, Parts: parts, Data: data[i*maxChunkBytes : end]}})
 	}
 	return records, nil
 }
 
-// Marshal returns the state as bytes.
+// Marshal encodes the whole state.
 func (s *State) Marshal() ([]byte, error) {
 	data, err := codec.Marshal(s)
 	if err != nil {
@@ -35,7 +36,8 @@
 	return data, nil
 }
 
-// Unmarshal reads what Marshal wrote; it never panics on foreign bytes.
+// Unmarshal is the inverse of Marshal. It returns an error, and never panics, on
+// malformed input.
 func Unmarshal(data []byte) (*State, error) {
 	s := NewState()
 	if err := codec.Unmarshal(data, s); err != nil {
@@ -43,55 +45,61 @@
 	}
 	for id, j := range s.Jobs {
 		if j == nil {
-			return nil, fmt.Errorf("state: the snapshot has no job %q", id)
+			return nil, fmt.Errorf("state: the snapshot has a null entry for job %q", id)
 		}
-		s.byNumber[j.Number] = id
+		s.jobsByNumber[j.Number] = id
 	}
 	return s, nil
 }
 
-// Assembler collects the chunks of snapshots until one is whole. Its zero
-// value works.
+// Assembler collects the chunks of snapshots until all chunks of one have
+// arrived. The zero value is ready to use.
 type Assembler struct {
-	sets map[chunkSet]*partial
+	partials map[snapshotKey]*partialSnapshot
 }
 
-type chunkSet struct {
-	writer Owner
+// snapshotKey identifies a snapshot: several nodes may write one of the same
+// base.
+type snapshotKey struct {
+	writer Process
 	base   int64
 	parts  int
 }
 
-type partial struct {
-	data [][]byte
-	got  int
+// partialSnapshot has the data of the chunks that have arrived, by Chunk.Part;
+// data has nil for a missing one.
+type partialSnapshot struct {
+	data     [][]byte
+	received int
 }
 
-// Add takes a chunk and returns the snapshot that it completes, or nil.
-func (a *Assembler) Add(writer Owner, c *Chunk) (*State, error) {
+// Add stores a chunk that writer appended. It returns the state of the snapshot
+// if this chunk completes it, and nil otherwise. Chunks may arrive in any order
+// and more than once.
+func (a *Assembler) Add(writer Process, c *Chunk) (*State, error) {
 	if c.Parts < 1 || c.Parts > 4096 || c.Part < 0 || c.Part >= c.Parts {
-		return nil, fmt.Errorf("state: a snapshot has no part %d of %d", c.Part, c.Parts)
+		return nil, fmt.Errorf("state: a snapshot chunk is invalid: part %d of %d, want 0 to parts-1 of at most 4096", c.Part, c.Parts)
 	}
-	if a.sets == nil {
-		a.sets = map[chunkSet]*partial{}
+	if a.partials == nil {
+		a.partials = map[snapshotKey]*partialSnapshot{}
 	}
-	key := chunkSet{writer, c.Base, c.Parts}
-	p := a.sets[key]
+	key := snapshotKey{writer, c.Base, c.Parts}
+	p := a.partials[key]
 	if p == nil {
-		p = &partial{data: make([][]byte, c.Parts)}
-		a.sets[key] = p
+		p = &partialSnapshot{data: make([][]byte, c.Parts)}
+		a.partials[key] = p
 	}
 	if p.data[c.Part] == nil {
 		p.data[c.Part] = c.Data
-		p.got++
+		p.received++
 	}
-	if p.got < c.Parts {
+	if p.received < c.Parts {
 		return nil, nil
 	}
-	delete(a.sets, key)
-	whole := []byte{}
+	delete(a.partials, key)
+	data := []byte{}
 	for _, d := range p.data {
-		whole = append(whole, d...)
+		data = append(data, d...)
 	}
-	return Unmarshal(whole)
+	return Unmarshal(data)
 }
