--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,7 +17,7 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/front"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/membership"
 	"github.com/leverdyke/leverdyke/internal/node"
 	"github.com/leverdyke/leverdyke/internal/ownership"
@@ -124,7 +124,7 @@
 	vms []vmlist.VM
 	// racks and homes are what this node owns, by the fold.
 	racks map[state.ShardID]*ownedRack
-	homes map[state.ShardID]*home.Home
+	homes map[state.ShardID]*jobshard.Home
 	// fenced has the racks whose workers obey another owner, by the epoch that
 	// was fenced; deputised the racks that peers keep alive.
 	fenced    map[state.ShardID]worker.Epoch
@@ -191,7 +191,7 @@
 	c := &Core{
 		options: options, out: out, state: state.NewState(),
 		members:  membership.NewTable(options.Self.Node, membership.NewTableOptions{}),
-		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, homes: map[state.ShardID]*home.Home{},
+		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, homes: map[state.ShardID]*jobshard.Home{},
 		fenced: map[state.ShardID]worker.Epoch{}, deputised: map[state.ShardID]deputy{}, claiming: map[state.ShardID]uint64{},
 		rooms:        map[state.ShardID]*node.Room{},
 		rackCapacity: map[state.ShardID]leverdyke.Resources{}, startedAt: out.Now(), tail: tail.NewBuffer(-1), silent: map[state.NodeID]time.Time{},
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/node"
 	"github.com/leverdyke/leverdyke/internal/rack"
 	"github.com/leverdyke/leverdyke/internal/state"
@@ -105,7 +105,7 @@
 	c.OnMessage(&node.Envelope{From: node.Hello{Node: to, Incarnation: c.options.Self.Incarnation}, Message: *m})
 }
 
-func (c *Core) performHome(id state.ShardID, h *home.Home) bool {
+func (c *Core) performHome(id state.ShardID, h *jobshard.Home) bool {
 	out := h.Take()
 	for _, d := range out.Decisions {
 		events.Log(events.TaskRouted, "task", d.Key.String(), "rack", d.Rack, "why", d.Why)
@@ -140,7 +140,7 @@
 
 // putForHome appends a home's record; the home hears of it only while it is
 // still the same.
-func (c *Core) putForHome(id state.ShardID, h *home.Home, p home.PendingRecord) {
+func (c *Core) putForHome(id state.ShardID, h *jobshard.Home, p jobshard.PendingRecord) {
 	c.Append(p.Record, func(err error) {
 		if c.homes[id] == h {
 			h.OnRecorded(c.now(), p.Token, err)
@@ -206,15 +206,15 @@
 	events.Log(rackEvents[e.Kind], kv...)
 }
 
-var homeEvents = map[home.EventKind]events.Event{
-	home.EventNever:       events.JobNever,
-	home.EventUnknownFate: events.TaskFateUnknown,
-	home.EventJobFailed:   events.JobFailed,
-	home.EventGangBroken:  events.GangBroken,
-	home.EventSynced:      events.HomeSynced,
-	home.EventTwoAttempts: events.TaskTwice,
+var homeEvents = map[jobshard.EventKind]events.Event{
+	jobshard.EventNever:       events.JobNever,
+	jobshard.EventUnknownFate: events.TaskFateUnknown,
+	jobshard.EventJobFailed:   events.JobFailed,
+	jobshard.EventGangBroken:  events.GangBroken,
+	jobshard.EventSynced:      events.HomeSynced,
+	jobshard.EventTwoAttempts: events.TaskTwice,
 }
 
-func (c *Core) logHomeEvent(id state.ShardID, e *home.Event) {
+func (c *Core) logHomeEvent(id state.ShardID, e *jobshard.Event) {
 	events.Log(homeEvents[e.Kind], "home", id, "job", e.Job, "detail", e.Detail)
 }
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/node"
 	"github.com/leverdyke/leverdyke/internal/ownership"
 	"github.com/leverdyke/leverdyke/internal/rack"
@@ -111,7 +111,7 @@
 
 func (c *Core) openHome(id state.ShardID, cur *state.Shard) {
 	now := c.now()
-	h := home.NewHome(now, id, cur.Epoch, c, home.NewHomeOptions{})
+	h := jobshard.NewHome(now, id, cur.Epoch, c, jobshard.NewHomeOptions{})
 	c.homes[id] = h
 	c.changed(events.ShardOwned, id, cur.Epoch)
 	h.SetRacks(now, c.rackInfos())
@@ -127,8 +127,8 @@
 }
 
 // rackInfos lists the region's racks under the epochs in force.
-func (c *Core) rackInfos() []home.RackInfo {
-	infos := []home.RackInfo{}
+func (c *Core) rackInfos() []jobshard.RackInfo {
+	infos := []jobshard.RackInfo{}
 	for _, id := range sorted(c.state.Shards) {
 		s := c.state.Shards[id]
 		if !ownership.IsRack(id) || ownership.Region(id) != c.options.Region {
@@ -138,7 +138,7 @@
 		if d, ok := c.deputised[id]; ok {
 			epoch = max(epoch, d.epoch)
 		}
-		infos = append(infos, home.RackInfo{ID: id, Epoch: epoch})
+		infos = append(infos, jobshard.RackInfo{ID: id, Epoch: epoch})
 	}
 	return infos
 }
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -9,7 +9,7 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/document"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/ownership"
 	"github.com/leverdyke/leverdyke/internal/placement"
 	"github.com/leverdyke/leverdyke/internal/policy"
@@ -69,7 +69,7 @@
 func (c *Core) Policies() *policy.Set { return c.policies }
 
 // Home returns an owned home, or nil.
-func (c *Core) Home(id state.ShardID) *home.Home { return c.homes[id] }
+func (c *Core) Home(id state.ShardID) *jobshard.Home { return c.homes[id] }
 
 // IsLogOut reports whether this node does not reach the log.
 func (c *Core) IsLogOut() bool { return c.isLogOut(c.now()) }
--- a/internal/home/loss_test.go
+++ b/internal/jobshard/loss_test.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package home_test
+package jobshard_test
 
 import (
 	"testing"
 	"time"
 
 	"github.com/leverdyke/leverdyke"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/node"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/worker"
@@ -16,7 +16,7 @@
 
 // loseAll loses each attempt of the job's task with its worker as soon as it is asked for,
 // for an hour at most, and returns how many there were.
-func loseAll(h *home.Home) int {
+func loseAll(h *jobshard.Home) int {
 	n := 0
 	for now := begin; now.Before(begin.Add(time.Hour)); now = now.Add(100 * time.Millisecond) {
 		h.Tick(now)
@@ -42,10 +42,10 @@
 		// A service is never given up; it starts every other minute in the end.
 		leverdyke.KindService: {20, 60},
 	} {
-		h := home.NewHome(begin, homeID, homeEpoch, openPolicies{}, home.NewHomeOptions{})
-		infos := []home.RackInfo{}
+		h := jobshard.NewHome(begin, homeID, homeEpoch, openPolicies{}, jobshard.NewHomeOptions{})
+		infos := []jobshard.RackInfo{}
 		for _, id := range racks {
-			infos = append(infos, home.RackInfo{ID: id, Epoch: rackEpoch})
+			infos = append(infos, jobshard.RackInfo{ID: id, Epoch: rackEpoch})
 		}
 		h.SetRacks(begin, infos)
 		for _, id := range racks {
--- a/internal/home/home.go
+++ b/internal/jobshard/shard.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package home is the owner of the teams of one bucket in one region: it keeps
+// Package jobshard is the owner of the teams of one bucket in one region: it keeps
 // their jobs and queue, checks their quotas, and asks the racks' owners for
 // places. It is pure: events in, orders out; it has no clock and no I/O.
-package home
+package jobshard
 
 import (
 	"slices"
--- a/internal/home/home_test.go
+++ b/internal/jobshard/shard_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package home_test
+package jobshard_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/node"
 	"github.com/leverdyke/leverdyke/internal/placement"
 	"github.com/leverdyke/leverdyke/internal/state"
@@ -36,11 +36,11 @@
 
 // newMovedHome returns a home that has just moved, with a job of one task that
 // its earlier owner may have started.
-func newMovedHome(spec leverdyke.JobSpec) *home.Home {
-	h := home.NewHome(begin, homeID, homeEpoch, openPolicies{}, home.NewHomeOptions{})
-	infos := []home.RackInfo{}
+func newMovedHome(spec leverdyke.JobSpec) *jobshard.Home {
+	h := jobshard.NewHome(begin, homeID, homeEpoch, openPolicies{}, jobshard.NewHomeOptions{})
+	infos := []jobshard.RackInfo{}
 	for _, id := range racks {
-		infos = append(infos, home.RackInfo{ID: id, Epoch: rackEpoch})
+		infos = append(infos, jobshard.RackInfo{ID: id, Epoch: rackEpoch})
 	}
 	h.SetRacks(begin, infos)
 	for _, id := range racks {
@@ -81,7 +81,7 @@
 }
 
 // drain lets the home decide for some seconds and returns what it sent.
-func drain(h *home.Home) sent {
+func drain(h *jobshard.Home) sent {
 	s := sent{}
 	for i := range 40 {
 		h.Tick(begin.Add(time.Duration(i) * 100 * time.Millisecond))
@@ -235,13 +235,13 @@
 		"a batch takes what is there now": {leverdyke.KindBatch, time.Second, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := home.NewHome(begin, homeID, homeEpoch, openPolicies{}, home.NewHomeOptions{})
-			h.SetRacks(begin, []home.RackInfo{{ID: racks[0], Epoch: rackEpoch}, {ID: racks[1], Epoch: rackEpoch}})
+			h := jobshard.NewHome(begin, homeID, homeEpoch, openPolicies{}, jobshard.NewHomeOptions{})
+			h.SetRacks(begin, []jobshard.RackInfo{{ID: racks[0], Epoch: rackEpoch}, {ID: racks[1], Epoch: rackEpoch}})
 			h.OnRoom(roomOf(racks[0]))
 			if c.toldAt == 0 {
 				// Known from an earlier owner, so that the job is not held back by that.
 				h.OnRoom(&node.Room{Rack: racks[1], Epoch: rackEpoch, Capacity: large})
-				h.SetRacks(begin, []home.RackInfo{{ID: racks[1], Epoch: rackEpoch + 1}})
+				h.SetRacks(begin, []jobshard.RackInfo{{ID: racks[1], Epoch: rackEpoch + 1}})
 			}
 			spec := jobSpec(c.kind)
 			spec.Tasks = tasks
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/rack"
 )
 
@@ -84,7 +84,7 @@
 	Home        string                      `json:"home"`
 	// Live is what the home's owner knows; nil when the job has ended or the
 	// owner did not answer.
-	Live *home.JobStatus `json:"live,omitempty"`
+	Live *jobshard.JobStatus `json:"live,omitempty"`
 }
 
 // Status is what a node says of itself.
