--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -18,7 +18,7 @@
 
 // onceWait waits for the answer to a key from one peer or several.
 type onceWait struct {
-	reply chan node.OnceReply
+	reply chan node.SavedAnswerReply
 	// first is whose key it is by the log. Its word alone says that nothing ran:
 	// another node may have refused a retry under the key.
 	first state.NodeID
@@ -30,7 +30,7 @@
 // reply must have room for one. If that process stops, is silent or has ended,
 // all nodes of the region are asked: it may have given its answers to one of
 // them. The returned number is for GiveUpOnce.
-func (c *Core) AskOnce(first state.NodeID, key once.Key, reply chan node.OnceReply) uint64 {
+func (c *Core) AskOnce(first state.NodeID, key once.Key, reply chan node.SavedAnswerReply) uint64 {
 	c.onceID++
 	id := c.onceID
 	peers := []state.NodeID{first}
@@ -45,7 +45,7 @@
 	w := &onceWait{reply: reply, first: first}
 	c.onceWaiting[id] = w
 	for _, peer := range peers {
-		if c.out.Send(peer, &node.Message{OnceAsk: &node.OnceAsk{ID: id, Key: key}}) {
+		if c.out.Send(peer, &node.Message{SavedAnswerRequest: &node.SavedAnswerRequest{ID: id, Key: key}}) {
 			w.left++
 		}
 	}
@@ -56,9 +56,9 @@
 }
 
 // GiveUpOnce ends the wait for an answer that does not come.
-func (c *Core) GiveUpOnce(id uint64) { c.settleOnce(&node.OnceReply{ID: id}) }
+func (c *Core) GiveUpOnce(id uint64) { c.settleOnce(&node.SavedAnswerReply{ID: id}) }
 
-func (c *Core) onOnceReply(from state.NodeID, m *node.OnceReply) {
+func (c *Core) onOnceReply(from state.NodeID, m *node.SavedAnswerReply) {
 	w := c.onceWaiting[m.ID]
 	if w == nil {
 		return
@@ -73,7 +73,7 @@
 	}
 }
 
-func (c *Core) settleOnce(m *node.OnceReply) {
+func (c *Core) settleOnce(m *node.SavedAnswerReply) {
 	if w := c.onceWaiting[m.ID]; w != nil {
 		delete(c.onceWaiting, m.ID)
 		w.reply <- *m
@@ -84,7 +84,7 @@
 // peer; done is called once when the peer has them all, or at once when there
 // is nobody. Answers that do not arrive are lost: a retry is then told that its
 // request may have run.
-func (c *Core) GiveAnswers(list []node.KeptAnswer, done func()) {
+func (c *Core) GiveAnswers(list []node.KeyedAnswer, done func()) {
 	heirs := c.members.Alive(c.now(), c.options.Region, false)
 	if len(list) == 0 || len(heirs) == 0 {
 		done()
@@ -94,12 +94,12 @@
 	c.giving, c.given = len(chunks), done
 	events.Log(events.AnswersGiven, "peer", heirs[0], "answers", len(list))
 	for _, chunk := range chunks {
-		c.out.Send(heirs[0], &node.Message{OnceKept: &node.OnceKept{Answers: chunk}})
+		c.out.Send(heirs[0], &node.Message{SavedAnswerTransfer: &node.SavedAnswerTransfer{Answers: chunk}})
 	}
 }
 
-func chunksOf(list []node.KeptAnswer) [][]node.KeptAnswer {
-	chunks := [][]node.KeptAnswer{}
+func chunksOf(list []node.KeyedAnswer) [][]node.KeyedAnswer {
+	chunks := [][]node.KeyedAnswer{}
 	from, size := 0, 0
 	for i := range list {
 		if size > givenBytes {
@@ -111,9 +111,9 @@
 	return append(chunks, list[from:])
 }
 
-func (c *Core) onOnceKept(from state.NodeID, m *node.OnceKept) {
+func (c *Core) onOnceKept(from state.NodeID, m *node.SavedAnswerTransfer) {
 	c.out.KeepAnswers(m.Answers)
-	c.out.Send(from, &node.Message{OnceTaken: &node.OnceTaken{}})
+	c.out.Send(from, &node.Message{SavedAnswerTransferAck: &node.SavedAnswerTransferAck{}})
 }
 
 func (c *Core) onOnceTaken() {
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -26,10 +26,10 @@
 		"another: not run":   {other, leverdyke.VerdictNotRun, false},
 		"another: ran":       {other, leverdyke.VerdictRan, true},
 	} {
-		reply := make(chan node.OnceReply, 1)
+		reply := make(chan node.SavedAnswerReply, 1)
 		id := asker.core.AskOnce(first.id(), once.Key{1}, reply)
 		asker.core.OnMessage(&node.Envelope{From: c.from.hello(), Message: node.Message{
-			OnceReply: &node.OnceReply{ID: id, IsKnown: true, Answer: node.SavedAnswer{Verdict: c.verdict}},
+			SavedAnswerReply: &node.SavedAnswerReply{ID: id, IsKnown: true, Answer: node.SavedAnswer{Verdict: c.verdict}},
 		}})
 		if got := <-reply; got.IsKnown != c.isKnown {
 			t.Errorf("%s: got: known %v, want: %v", name, got.IsKnown, c.isKnown)
@@ -44,11 +44,11 @@
 	asker, first, heir := w.nodes[0], w.nodes[1], w.nodes[2]
 	first.core.Drain()
 	w.run(20 * step)
-	reply := make(chan node.OnceReply, 1)
+	reply := make(chan node.SavedAnswerReply, 1)
 	id := asker.core.AskOnce(first.id(), once.Key{1}, reply)
 	isAsked := false
 	for i := range heir.inbox {
-		isAsked = isAsked || heir.inbox[i].OnceAsk != nil
+		isAsked = isAsked || heir.inbox[i].SavedAnswerRequest != nil
 	}
 	if !isAsked {
 		t.Error("got: the heir is not asked, want: asked")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -72,9 +72,9 @@
 	SkipTo(offset int64)
 	OpenWorker(rack state.ShardID, epoch worker.Epoch, id worker.ID, addr netip.AddrPort) WorkerLink
 	// KeepAnswers keeps the answers of a peer that stops, for callers' retries.
-	KeepAnswers(list []node.KeptAnswer)
+	KeepAnswers(list []node.KeyedAnswer)
 	// AnswerOnce answers a peer that asks for the answer to a key.
-	AnswerOnce(from state.NodeID, m *node.OnceAsk)
+	AnswerOnce(from state.NodeID, m *node.SavedAnswerRequest)
 }
 
 // WorkerLink gives one worker its orders, in the epoch for which it was opened,
@@ -132,7 +132,7 @@
 	claiming  map[state.ShardID]uint64
 	// rooms has the last summary of each rack of the region, for homes that come
 	// here later; none is changed once it is kept.
-	rooms map[state.ShardID]*node.Room
+	rooms map[state.ShardID]*node.RackSummary
 	// rackCapacity has the largest VM that each rack has told of.
 	rackCapacity map[state.ShardID]leverdyke.Resources
 
@@ -174,7 +174,7 @@
 	rack  *rack.Rack
 	links map[worker.ID]WorkerLink
 	// room is the summary as it is, told as peers have it.
-	room, told node.Room
+	room, told node.RackSummary
 	// roomAt is when the room was last told to peers.
 	roomAt     time.Time
 	isRoomTold bool
@@ -193,7 +193,7 @@
 		members:  membership.NewTable(options.Self.Node, membership.NewTableOptions{}),
 		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, homes: map[state.ShardID]*jobshard.Home{},
 		fenced: map[state.ShardID]worker.Epoch{}, deputised: map[state.ShardID]deputy{}, claiming: map[state.ShardID]uint64{},
-		rooms:        map[state.ShardID]*node.Room{},
+		rooms:        map[state.ShardID]*node.RackSummary{},
 		rackCapacity: map[state.ShardID]leverdyke.Resources{}, startedAt: out.Now(), tail: tail.NewBuffer(-1), silent: map[state.NodeID]time.Time{},
 		onceWaiting: map[uint64]*onceWait{}, doubts: doubts{open: map[state.NodeID]doubted{}},
 	}
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -172,10 +172,10 @@
 func (c *Core) PlanGrants() {
 	p := c.options.Router.Plan()
 	for i := range p.Asks {
-		c.sendToRack(p.Asks[i].Rack, &node.Message{GrantAsk: &p.Asks[i]})
+		c.sendToRack(p.Asks[i].Rack, &node.Message{GrantRequest: &p.Asks[i]})
 	}
 	for i := range p.Done {
-		c.sendToRack(p.Done[i].Rack, &node.Message{GrantDone: &p.Done[i]})
+		c.sendToRack(p.Done[i].Rack, &node.Message{GrantReturn: &p.Done[i]})
 	}
 }
 
--- a/internal/core/fakenode_test.go
+++ b/internal/core/fakenode_test.go
@@ -324,9 +324,9 @@
 
 func (n *fakeNode) SkipTo(offset int64) { n.next = max(n.next, offset+1) }
 
-func (n *fakeNode) AnswerOnce(state.NodeID, *node.OnceAsk) {}
+func (n *fakeNode) AnswerOnce(state.NodeID, *node.SavedAnswerRequest) {}
 
-func (n *fakeNode) KeepAnswers([]node.KeptAnswer) {}
+func (n *fakeNode) KeepAnswers([]node.KeyedAnswer) {}
 
 func (n *fakeNode) OpenWorker(rack state.ShardID, epoch worker.Epoch, id worker.ID, _ netip.AddrPort) core.WorkerLink {
 	l := &fakeLink{node: n, rack: rack, epoch: epoch, id: id}
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -28,9 +28,9 @@
 	switch {
 	case m.Heartbeat != nil:
 		c.onHeartbeat(now, &e.From, m.Heartbeat)
-	case m.Ask != nil, m.Deed != nil, m.HomeSync != nil, m.NewsAck != nil, m.Hold != nil, m.Release != nil, m.GrantAsk != nil, m.GrantDone != nil:
+	case m.StartRequest != nil, m.AttemptOrder != nil, m.JobShardSync != nil, m.AttemptReportAck != nil, m.ReserveRequest != nil, m.ReservationRelease != nil, m.GrantRequest != nil, m.GrantReturn != nil:
 		c.toOwnedRack(now, e.From.Node, m)
-	case m.Answer != nil, m.News != nil, m.HoldReply != nil:
+	case m.StartReply != nil, m.AttemptReport != nil, m.ReserveReply != nil:
 		c.toOwnedHome(now, m)
 	case m.Grant != nil:
 		c.options.Router.OnGrant(m.Grant)
@@ -38,21 +38,21 @@
 		c.options.Router.OnRecall(m.GrantRecall.Key)
 	case m.GrantCheck != nil:
 		c.onGrantCheck(m.GrantCheck)
-	case m.TailAsk != nil:
-		c.onTailAsk(e.From.Node, m.TailAsk)
-	case m.Tail != nil:
-		c.onTail(e.From.Node, m.Tail)
-	case m.StateAsk != nil:
+	case m.LogRequest != nil:
+		c.onTailAsk(e.From.Node, m.LogRequest)
+	case m.LogReply != nil:
+		c.onTail(e.From.Node, m.LogReply)
+	case m.StateRequest != nil:
 		c.onStateAsk(e.From.Node)
-	case m.State != nil:
-		c.onState(e.From.Node, m.State)
-	case m.OnceAsk != nil:
-		c.out.AnswerOnce(e.From.Node, m.OnceAsk)
-	case m.OnceReply != nil:
-		c.onOnceReply(e.From.Node, m.OnceReply)
-	case m.OnceKept != nil:
-		c.onOnceKept(e.From.Node, m.OnceKept)
-	case m.OnceTaken != nil:
+	case m.StateReply != nil:
+		c.onState(e.From.Node, m.StateReply)
+	case m.SavedAnswerRequest != nil:
+		c.out.AnswerOnce(e.From.Node, m.SavedAnswerRequest)
+	case m.SavedAnswerReply != nil:
+		c.onOnceReply(e.From.Node, m.SavedAnswerReply)
+	case m.SavedAnswerTransfer != nil:
+		c.onOnceKept(e.From.Node, m.SavedAnswerTransfer)
+	case m.SavedAnswerTransferAck != nil:
 		c.onOnceTaken()
 	}
 }
@@ -60,7 +60,7 @@
 // onGrantCheck returns the grants that this node does not have.
 func (c *Core) onGrantCheck(m *node.GrantCheck) {
 	for _, k := range c.options.Router.Lacking(m.Keys) {
-		c.sendToRack(m.Rack, &node.Message{GrantDone: &node.GrantDone{Rack: m.Rack, Key: k}})
+		c.sendToRack(m.Rack, &node.Message{GrantReturn: &node.GrantReturn{Rack: m.Rack, Key: k}})
 	}
 }
 
@@ -72,60 +72,60 @@
 	}
 	r := o.rack
 	switch {
-	case m.Ask != nil:
-		r.OnAsk(m.Ask)
-	case m.Deed != nil:
-		r.OnDeed(now, m.Deed)
-	case m.HomeSync != nil:
-		r.OnHomeSync(m.HomeSync)
-	case m.NewsAck != nil:
-		r.OnNewsAck(m.NewsAck)
-	case m.Hold != nil:
-		r.OnHold(now, m.Hold)
-	case m.Release != nil:
-		r.OnRelease(m.Release)
-	case m.GrantAsk != nil:
-		r.OnGrantAsk(now, from, m.GrantAsk)
-	case m.GrantDone != nil:
-		r.OnGrantDone(now, from, m.GrantDone)
+	case m.StartRequest != nil:
+		r.OnAsk(m.StartRequest)
+	case m.AttemptOrder != nil:
+		r.OnDeed(now, m.AttemptOrder)
+	case m.JobShardSync != nil:
+		r.OnHomeSync(m.JobShardSync)
+	case m.AttemptReportAck != nil:
+		r.OnNewsAck(m.AttemptReportAck)
+	case m.ReserveRequest != nil:
+		r.OnHold(now, m.ReserveRequest)
+	case m.ReservationRelease != nil:
+		r.OnRelease(m.ReservationRelease)
+	case m.GrantRequest != nil:
+		r.OnGrantAsk(now, from, m.GrantRequest)
+	case m.GrantReturn != nil:
+		r.OnGrantDone(now, from, m.GrantReturn)
 	}
 }
 
 func rackOf(m *node.Message) state.ShardID {
 	switch {
-	case m.Ask != nil:
-		return m.Ask.Rack
-	case m.Deed != nil:
-		return m.Deed.Rack
-	case m.HomeSync != nil:
-		return m.HomeSync.Rack
-	case m.NewsAck != nil:
-		return m.NewsAck.Rack
-	case m.Hold != nil:
-		return m.Hold.Rack
-	case m.Release != nil:
-		return m.Release.Rack
-	case m.GrantAsk != nil:
-		return m.GrantAsk.Rack
-	case m.GrantDone != nil:
-		return m.GrantDone.Rack
+	case m.StartRequest != nil:
+		return m.StartRequest.Rack
+	case m.AttemptOrder != nil:
+		return m.AttemptOrder.Rack
+	case m.JobShardSync != nil:
+		return m.JobShardSync.Rack
+	case m.AttemptReportAck != nil:
+		return m.AttemptReportAck.Rack
+	case m.ReserveRequest != nil:
+		return m.ReserveRequest.Rack
+	case m.ReservationRelease != nil:
+		return m.ReservationRelease.Rack
+	case m.GrantRequest != nil:
+		return m.GrantRequest.Rack
+	case m.GrantReturn != nil:
+		return m.GrantReturn.Rack
 	}
 	return ""
 }
 
 func (c *Core) toOwnedHome(now time.Time, m *node.Message) {
 	switch {
-	case m.Answer != nil:
-		if h := c.homes[m.Answer.Home]; h != nil {
-			h.OnAnswer(now, m.Answer)
+	case m.StartReply != nil:
+		if h := c.homes[m.StartReply.JobShard]; h != nil {
+			h.OnAnswer(now, m.StartReply)
 		}
-	case m.News != nil:
-		if h := c.homes[m.News.Home]; h != nil {
-			h.OnNews(now, m.News)
+	case m.AttemptReport != nil:
+		if h := c.homes[m.AttemptReport.JobShard]; h != nil {
+			h.OnNews(now, m.AttemptReport)
 		}
-	case m.HoldReply != nil:
-		if h := c.homes[m.HoldReply.Home]; h != nil {
-			h.OnHoldReply(now, m.HoldReply)
+	case m.ReserveReply != nil:
+		if h := c.homes[m.ReserveReply.JobShard]; h != nil {
+			h.OnHoldReply(now, m.ReserveReply)
 		}
 	}
 }
@@ -138,18 +138,18 @@
 	c.beatAt = now
 	rooms := c.changedRooms(now)
 	hb := &node.Heartbeat{
-		Applied: c.state.Applied, IsLogOut: c.isLogOut(now), IsDraining: c.isDraining, Suspects: c.members.Suspects(now), Rooms: rooms,
+		Applied: c.state.Applied, IsLogOut: c.isLogOut(now), IsDraining: c.isDraining, Suspects: c.members.Suspects(now), Summaries: rooms,
 	}
 	for _, id := range sorted(c.deputised) {
 		d := c.deputised[id]
 		if d.node == c.options.Self.Node {
-			hb.Deputised = append(hb.Deputised, node.Deputised{Rack: id, Epoch: d.epoch})
+			hb.DeputyRacks = append(hb.DeputyRacks, node.DeputyRack{Rack: id, Epoch: d.epoch})
 		}
 	}
 	m := &node.Message{Heartbeat: hb}
 	// Only nodes of the region place or route there.
 	bare := *hb
-	bare.Rooms = nil
+	bare.Summaries = nil
 	for _, id := range sorted(c.state.Members) {
 		member := c.state.Members[id]
 		switch {
@@ -170,8 +170,8 @@
 
 // changedRooms returns the summaries that differ from what was told last, and
 // each one now and then, for those who missed it.
-func (c *Core) changedRooms(now time.Time) []node.Room {
-	rooms := []node.Room{}
+func (c *Core) changedRooms(now time.Time) []node.RackSummary {
+	rooms := []node.RackSummary{}
 	for _, id := range sorted(c.racks) {
 		o := c.racks[id]
 		isDue := now.Sub(o.roomAt) >= roomRefresh
@@ -191,14 +191,14 @@
 		Node: from.Node, Incarnation: from.Incarnation, Region: from.Region, Applied: hb.Applied,
 		IsLogOut: hb.IsLogOut, IsDraining: hb.IsDraining, Suspects: hb.Suspects,
 	})
-	for i := range hb.Rooms {
-		room := hb.Rooms[i]
+	for i := range hb.Summaries {
+		room := hb.Summaries[i]
 		c.onRoom(&room)
 	}
-	c.onDeputised(from.Node, hb.Deputised)
+	c.onDeputised(from.Node, hb.DeputyRacks)
 }
 
-func (c *Core) onRoom(room *node.Room) {
+func (c *Core) onRoom(room *node.RackSummary) {
 	if room.Workers > 0 {
 		c.rackCapacity[room.Rack] = c.rackCapacity[room.Rack].Max(room.Capacity)
 	}
@@ -249,23 +249,23 @@
 	}
 	if c.state.Applied < 0 && now.Sub(c.startedAt) > stateAfter && now.Sub(c.askedStateAt) > stateRetry {
 		c.askedStateAt = now
-		c.out.Send(peer, &node.Message{StateAsk: &node.StateAsk{}})
+		c.out.Send(peer, &node.Message{StateRequest: &node.StateRequest{}})
 		return
 	}
 	if c.state.Applied >= 0 && most > c.state.Applied && now.Sub(c.askedTailAt) > tailRetry {
 		c.askedTailAt = now
-		c.out.Send(peer, &node.Message{TailAsk: &node.TailAsk{After: c.state.Applied}})
+		c.out.Send(peer, &node.Message{LogRequest: &node.LogRequest{After: c.state.Applied}})
 	}
 }
 
-func (c *Core) onTailAsk(from state.NodeID, m *node.TailAsk) {
-	c.out.Send(from, &node.Message{Tail: &node.Tail{After: m.After, Entries: c.tail.After(m.After)}})
+func (c *Core) onTailAsk(from state.NodeID, m *node.LogRequest) {
+	c.out.Send(from, &node.Message{LogReply: &node.LogReply{After: m.After, Entries: c.tail.After(m.After)}})
 }
 
-func (c *Core) onTail(from state.NodeID, m *node.Tail) {
+func (c *Core) onTail(from state.NodeID, m *node.LogReply) {
 	if len(m.Entries) == 0 {
 		// The peer has no longer what comes next: its whole state has.
-		c.out.Send(from, &node.Message{StateAsk: &node.StateAsk{}})
+		c.out.Send(from, &node.Message{StateRequest: &node.StateRequest{}})
 		return
 	}
 	if m.After > c.state.Applied {
@@ -288,10 +288,10 @@
 		events.Log(events.BadRecord, "err", err.Error())
 		return
 	}
-	c.out.Send(from, &node.Message{State: &node.StateSet{Data: data}})
+	c.out.Send(from, &node.Message{StateReply: &node.StateReply{Data: data}})
 }
 
-func (c *Core) onState(from state.NodeID, m *node.StateSet) {
+func (c *Core) onState(from state.NodeID, m *node.StateReply) {
 	s, err := state.Unmarshal(m.Data)
 	if err != nil {
 		events.Log(events.BadRecord, "peer", from, "err", err.Error())
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -253,7 +253,7 @@
 
 // onDeputised takes a peer's word that it keeps a rack alive. An owner that is
 // alive after all yields: the workers obey the deputy.
-func (c *Core) onDeputised(from state.NodeID, list []node.Deputised) {
+func (c *Core) onDeputised(from state.NodeID, list []node.DeputyRack) {
 	for _, d := range list {
 		s := c.state.Shards[d.Rack]
 		if s == nil || d.Epoch.Claim() != s.Epoch || c.deputised[d.Rack].epoch >= d.Epoch {
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -188,8 +188,8 @@
 	events.Log(events.BadFrame, "from", from.String(), "err", err.Error())
 }
 
-// Counted counts the bytes of a frame.
-func (n *Node) Counted(sent, received int) { n.countControl("node", sent, received) }
+// CountBytes counts the bytes of a frame.
+func (n *Node) CountBytes(sent, received int) { n.countControl("node", sent, received) }
 
 func (n *Node) countControl(peer string, sent, received int) {
 	n.metrics.Control(metrics.Sent, peer, sent)
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -34,7 +34,7 @@
 // FetchAnswer asks the node that was first to have a key for its answer; false
 // means that the answer is not known.
 func (n *Node) FetchAnswer(ctx context.Context, from state.NodeID, key once.Key) (node.SavedAnswer, bool) {
-	reply := make(chan node.OnceReply, 1)
+	reply := make(chan node.SavedAnswerReply, 1)
 	id := ask(n, func(c *core.Core) uint64 { return c.AskOnce(from, key, reply) })
 	select {
 	case r := <-reply:
@@ -49,10 +49,10 @@
 
 // AnswerOnce answers a peer's question for a key; if the request is still in
 // progress, when it has ended.
-func (n *Node) AnswerOnce(from state.NodeID, m *node.OnceAsk) {
+func (n *Node) AnswerOnce(from state.NodeID, m *node.SavedAnswerRequest) {
 	e := n.answers.Find(m.Key)
 	if e == nil {
-		n.links.Send(from, &node.Message{OnceReply: &node.OnceReply{ID: m.ID}})
+		n.links.Send(from, &node.Message{SavedAnswerReply: &node.SavedAnswerReply{ID: m.ID}})
 		return
 	}
 	n.wg.Add(1)
@@ -65,11 +65,11 @@
 	defer cancel()
 	a, ok := e.Wait(ctx)
 	isKnown := ok && a.Verdict != ""
-	n.links.Send(from, &node.Message{OnceReply: &node.OnceReply{ID: id, IsKnown: isKnown, Answer: a}})
+	n.links.Send(from, &node.Message{SavedAnswerReply: &node.SavedAnswerReply{ID: id, IsKnown: isKnown, Answer: a}})
 }
 
 // KeepAnswers keeps the answers of a peer that stops.
-func (n *Node) KeepAnswers(list []node.KeptAnswer) { n.answers.Keep(list) }
+func (n *Node) KeepAnswers(list []node.KeyedAnswer) { n.answers.Keep(list) }
 
 // GiveAnswers gives this node's kept answers to a peer before the node stops;
 // it returns when the peer has them, or ctx ends.
--- a/internal/front/grants.go
+++ b/internal/front/grants.go
@@ -22,8 +22,8 @@
 
 // Plan is what the router wants of the racks' owners.
 type Plan struct {
-	Asks []node.GrantAsk
-	Done []node.GrantDone
+	Asks []node.GrantRequest
+	Done []node.GrantReturn
 }
 
 // OnGrant takes a grant, or its refusal.
@@ -33,7 +33,7 @@
 	s := r.service(g.Service)
 	s.answered(g.Rack)
 	now := r.options.Clock.Now()
-	if g.Refused != "" {
+	if g.RefusalReason != "" {
 		s.shut(now, g.Rack)
 		return
 	}
@@ -146,7 +146,7 @@
 		if g.inUse > 0 || (!g.isRecalled && !isIdle) {
 			return false
 		}
-		p.Done = append(p.Done, node.GrantDone{Rack: g.Rack, Key: g.Key})
+		p.Done = append(p.Done, node.GrantReturn{Rack: g.Rack, Key: g.Key})
 		if room := s.rooms[g.Rack]; room != nil {
 			room.slots += g.Slots
 		}
@@ -174,7 +174,7 @@
 		s.asked[rack] = ask{n, now}
 		room.slots -= n
 		need -= n
-		p.Asks = append(p.Asks, node.GrantAsk{Rack: rack, Service: name, Slots: n, Class: class})
+		p.Asks = append(p.Asks, node.GrantRequest{Rack: rack, Service: name, Slots: n, Class: class})
 	}
 }
 
--- a/internal/front/router.go
+++ b/internal/front/router.go
@@ -189,7 +189,7 @@
 }
 
 // OnRoom takes a rack's summary.
-func (r *Router) OnRoom(room *node.Room) {
+func (r *Router) OnRoom(room *node.RackSummary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.services {
@@ -197,7 +197,7 @@
 	}
 	for _, sr := range room.Services {
 		s := r.service(sr.Service)
-		s.rooms[room.Rack] = &rackRoom{slots: sr.Slots, yield: sr.Yield, zone: room.Zone}
+		s.rooms[room.Rack] = &rackRoom{slots: sr.Slots, yield: sr.PreemptibleSlots, zone: room.Zone}
 	}
 }
 
--- a/internal/front/router_test.go
+++ b/internal/front/router_test.go
@@ -144,9 +144,9 @@
 
 func TestGrantsAreAskedForNearFirst(t *testing.T) {
 	r, c := newRouter(0)
-	for _, room := range []node.Room{
-		{Rack: "rack/r1/a", Zone: "far", Services: []node.ServiceRoom{{Service: "s", Slots: 50}}},
-		{Rack: "rack/r1/b", Zone: "near", Services: []node.ServiceRoom{{Service: "s", Slots: 1}}},
+	for _, room := range []node.RackSummary{
+		{Rack: "rack/r1/a", Zone: "far", Services: []node.ServiceCapacity{{Service: "s", Slots: 50}}},
+		{Rack: "rack/r1/b", Zone: "near", Services: []node.ServiceCapacity{{Service: "s", Slots: 1}}},
 	} {
 		r.OnRoom(&room)
 	}
@@ -159,7 +159,7 @@
 	if again := r.Plan().Asks; len(again) != 0 {
 		t.Errorf("unanswered: got: %+v, want: none", again)
 	}
-	r.OnGrant(&node.Grant{Rack: "rack/r1/b", Service: "s", Refused: "no room"})
+	r.OnGrant(&node.Grant{Rack: "rack/r1/b", Service: "s", RefusalReason: "no room"})
 	c.Advance(2 * time.Second)
 	if again := r.Plan().Asks; len(again) != 1 || again[0].Rack != "rack/r1/b" {
 		t.Errorf("after a refusal and a silence: got: %+v, want: the near one, which has answered", again)
@@ -174,7 +174,7 @@
 func TestOneWaiterAsksOneRackAtATime(t *testing.T) {
 	r, c := newRouter(0)
 	for _, rack := range []state.ShardID{"rack/r1/a", "rack/r1/b", "rack/r1/c"} {
-		r.OnRoom(&node.Room{Rack: rack, Zone: "near", Services: []node.ServiceRoom{{Service: "s", Slots: 4}}})
+		r.OnRoom(&node.RackSummary{Rack: rack, Zone: "near", Services: []node.ServiceCapacity{{Service: "s", Slots: 4}}})
 	}
 	wait(t, r, leverdyke.ClassNormal)
 	if got := len(r.Plan().Asks) + len(r.Plan().Asks); got != 1 {
@@ -190,21 +190,21 @@
 // nothing more: what it told must count again.
 func TestRefusalShutsARackForAWhileOnly(t *testing.T) {
 	r, c := newRouter(0)
-	r.OnRoom(&node.Room{Rack: "rack/r1/a", Zone: "near", Services: []node.ServiceRoom{{Service: "s", Slots: 4}}})
+	r.OnRoom(&node.RackSummary{Rack: "rack/r1/a", Zone: "near", Services: []node.ServiceCapacity{{Service: "s", Slots: 4}}})
 	wait(t, r, leverdyke.ClassNormal)
 	began := c.Now()
 	asked := []time.Duration{}
 	for range 100 {
 		if asks := r.Plan().Asks; len(asks) > 0 {
 			asked = append(asked, c.Now().Sub(began))
-			r.OnGrant(&node.Grant{Rack: "rack/r1/a", Service: "s", Refused: "no room"})
+			r.OnGrant(&node.Grant{Rack: "rack/r1/a", Service: "s", RefusalReason: "no room"})
 		}
 		c.Advance(100 * time.Millisecond)
 	}
 	if n := len(asked); n < 6 || n > 9 {
 		t.Errorf("got: asked at %v, want: 6 to 9 times in 10 s, ever more rarely", asked)
 	}
-	r.OnRoom(&node.Room{Rack: "rack/r1/a", Zone: "near", Services: []node.ServiceRoom{{Service: "s", Slots: 4}}})
+	r.OnRoom(&node.RackSummary{Rack: "rack/r1/a", Zone: "near", Services: []node.ServiceCapacity{{Service: "s", Slots: 4}}})
 	if got := len(r.Plan().Asks); got != 1 {
 		t.Errorf("after a new summary: got: %d asks, want: 1 at once", got)
 	}
@@ -212,7 +212,7 @@
 
 func TestReturnedSlotsCountAgain(t *testing.T) {
 	r, c := newRouter(0)
-	r.OnRoom(&node.Room{Rack: "rack/r1/k", Zone: "near", Services: []node.ServiceRoom{{Service: "s", Slots: 1}}})
+	r.OnRoom(&node.RackSummary{Rack: "rack/r1/k", Zone: "near", Services: []node.ServiceCapacity{{Service: "s", Slots: 1}}})
 	for i := range 5 {
 		done := wait(t, r, leverdyke.ClassNormal)
 		if got := len(r.Plan().Asks); got != 1 {
@@ -256,8 +256,8 @@
 		leverdyke.ClassBatch:  {"rack/r1/free"},
 	} {
 		r, _ := newRouter(0)
-		r.OnRoom(&node.Room{Rack: "rack/r1/full", Zone: "near", Services: []node.ServiceRoom{{Service: "s", Yield: 4}}})
-		r.OnRoom(&node.Room{Rack: "rack/r1/free", Zone: "far", Services: []node.ServiceRoom{{Service: "s", Slots: 1}}})
+		r.OnRoom(&node.RackSummary{Rack: "rack/r1/full", Zone: "near", Services: []node.ServiceCapacity{{Service: "s", PreemptibleSlots: 4}}})
+		r.OnRoom(&node.RackSummary{Rack: "rack/r1/free", Zone: "far", Services: []node.ServiceCapacity{{Service: "s", Slots: 1}}})
 		wait(t, r, class)
 		wait(t, r, class)
 		got := []state.ShardID{}
--- a/internal/jobshard/gang.go
+++ b/internal/jobshard/gang.go
@@ -150,21 +150,21 @@
 	g := &j.gang
 	rack := g.racks[g.at]
 	g.sentAt = now
-	h.toRack(rack, node.Message{Hold: &node.Hold{
-		Home: h.ID, HomeEpoch: h.Epoch, Rack: rack, RackEpoch: h.racks[rack].epoch, ID: g.id, Each: j.spec.Each,
+	h.toRack(rack, node.Message{ReserveRequest: &node.ReserveRequest{
+		JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, RackEpoch: h.racks[rack].epoch, ID: g.id, Each: j.spec.Each,
 		Count: g.need - g.total(), Class: j.spec.Class, Age: now.Sub(j.since), Expiry: holdExpiry,
 	}})
 }
 
 // OnHoldReply takes a rack's word on held places.
-func (h *Home) OnHoldReply(now time.Time, r *node.HoldReply) {
-	if r.Room != nil {
-		h.OnRoom(r.Room)
+func (h *Home) OnHoldReply(now time.Time, r *node.ReserveReply) {
+	if r.Summary != nil {
+		h.OnRoom(r.Summary)
 	}
 	j := h.gangByHold(r.ID)
 	if j == nil {
 		if r.Count > 0 {
-			h.toRack(r.Rack, node.Message{Release: &node.Release{Home: h.ID, Rack: r.Rack, ID: r.ID}})
+			h.toRack(r.Rack, node.Message{ReservationRelease: &node.ReservationRelease{JobShard: h.ID, Rack: r.Rack, ID: r.ID}})
 		}
 		return
 	}
@@ -197,7 +197,7 @@
 // commit asks for the held places.
 func (h *Home) commit(now time.Time, j *job) {
 	g := &j.gang
-	s := &scanner{now: now, asks: map[state.ShardID]*node.Ask{}}
+	s := &scanner{now: now, asks: map[state.ShardID]*node.StartRequest{}}
 	next := 0
 	for _, rack := range g.racks {
 		for n := g.counts[rack]; n > 0 && next < len(j.tasks); next++ {
@@ -227,7 +227,7 @@
 	}
 	for i, rack := range g.racks {
 		if i <= g.at {
-			h.toRack(rack, node.Message{Release: &node.Release{Home: h.ID, Rack: rack, ID: g.id}})
+			h.toRack(rack, node.Message{ReservationRelease: &node.ReservationRelease{JobShard: h.ID, Rack: rack, ID: g.id}})
 		}
 	}
 	g.id = 0
--- a/internal/jobshard/loss_test.go
+++ b/internal/jobshard/loss_test.go
@@ -21,13 +21,13 @@
 	for now := begin; now.Before(begin.Add(time.Hour)); now = now.Add(100 * time.Millisecond) {
 		h.Tick(now)
 		for _, m := range h.Take().ToRack {
-			if m.Message.Ask == nil {
+			if m.Message.StartRequest == nil {
 				continue
 			}
-			for _, item := range m.Message.Ask.Items {
+			for _, item := range m.Message.StartRequest.Items {
 				n++
-				lost := node.NewsItem{Key: item.Task.Key, State: worker.StateStopped, Worker: "w1", IsLost: true}
-				h.OnNews(now, &node.News{Home: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.NewsItem{lost}})
+				lost := node.AttemptStatus{Key: item.Task.Key, State: worker.StateStopped, Worker: "w1", IsLost: true}
+				h.OnNews(now, &node.AttemptReport{JobShard: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.AttemptStatus{lost}})
 			}
 		}
 	}
--- a/internal/jobshard/report.go
+++ b/internal/jobshard/report.go
@@ -15,20 +15,20 @@
 )
 
 // OnAnswer takes a rack owner's word on asked attempts.
-func (h *Home) OnAnswer(now time.Time, a *node.Answer) {
+func (h *Home) OnAnswer(now time.Time, a *node.StartReply) {
 	v := h.racks[a.Rack]
-	if v == nil || a.Home != h.ID {
+	if v == nil || a.JobShard != h.ID {
 		return
 	}
 	for _, r := range a.Results {
 		h.onResult(now, v, a, &r)
 	}
-	if a.Room != nil {
-		h.OnRoom(a.Room)
+	if a.Summary != nil {
+		h.OnRoom(a.Summary)
 	}
 }
 
-func (h *Home) onResult(now time.Time, v *rackView, a *node.Answer, r *node.AnswerResult) {
+func (h *Home) onResult(now time.Time, v *rackView, a *node.StartReply, r *node.StartResult) {
 	j := h.jobs[r.Key.Task.Job]
 	isOurs := j != nil && r.Key.Task.Index >= 0 && r.Key.Task.Index < len(j.tasks) && j.tasks[r.Key.Task.Index].attempt == r.Key.Attempt
 	if !isOurs {
@@ -49,16 +49,16 @@
 	// The home keeps to its own order of racks, so that homes keep out of each
 	// other's way, and goes on in it after a refusal (docs/MEASUREMENTS.md).
 	switch {
-	case r.Expected != nil:
+	case r.ExpectedUsage != nil:
 		// The rack has room, but not for what the task will take.
-		j.expected = j.expected.Max(*r.Expected)
+		j.expected = j.expected.Max(*r.ExpectedUsage)
 	case !h.isStarvedAsk(j):
 		h.offset = slices.Index(h.order, a.Rack) + 1
 		v.shutUntil = now.Add(refusedShut)
 	}
 	v.pending = v.pending.Sub(j.spec.Each)
 	h.setPhase(j, r.Key.Task.Index, phaseWaiting)
-	j.why = "a rack refused it: " + r.Refused
+	j.why = "a rack refused it: " + r.RefusalReason
 	h.requeue(j)
 	if j.spec.Kind == leverdyke.KindGang {
 		h.breakGang(j, "a held place was refused")
@@ -82,9 +82,9 @@
 }
 
 // OnNews takes a rack owner's word on the home's attempts.
-func (h *Home) OnNews(now time.Time, n *node.News) {
+func (h *Home) OnNews(now time.Time, n *node.AttemptReport) {
 	v := h.racks[n.Rack]
-	if v == nil || n.Home != h.ID || n.RackEpoch != v.epoch {
+	if v == nil || n.JobShard != h.ID || n.RackEpoch != v.epoch {
 		return
 	}
 	listed := map[worker.Key]bool{}
@@ -97,7 +97,7 @@
 		}
 	}
 	h.ack(n.Rack, acks)
-	if n.IsWhole && n.IsComplete && !v.isSynced {
+	if n.IsFullReport && n.IsInventoryComplete && !v.isSynced {
 		v.isSynced = true
 		h.dropMissing(now, n.Rack, listed)
 		h.resolveUnsure(now)
@@ -106,13 +106,13 @@
 
 func (h *Home) ack(rack state.ShardID, keys []worker.Key) {
 	if len(keys) > 0 {
-		h.toRack(rack, node.Message{NewsAck: &node.NewsAck{Home: h.ID, Rack: rack, Keys: keys}})
+		h.toRack(rack, node.Message{AttemptReportAck: &node.AttemptReportAck{JobShard: h.ID, Rack: rack, Keys: keys}})
 	}
 }
 
 // onItem takes the state of one attempt. It reports whether the rack may
 // forget it at once.
-func (h *Home) onItem(now time.Time, n *node.News, item *node.NewsItem) bool {
+func (h *Home) onItem(now time.Time, n *node.AttemptReport, item *node.AttemptStatus) bool {
 	isOver := item.State != worker.StateRunning
 	j := h.jobs[item.Key.Task.Job]
 	i := item.Key.Task.Index
@@ -152,7 +152,7 @@
 }
 
 // take makes an attempt that a rack tells of the task's current one.
-func (h *Home) take(j *job, i int, rack state.ShardID, epoch worker.Epoch, item *node.NewsItem) {
+func (h *Home) take(j *job, i int, rack state.ShardID, epoch worker.Epoch, item *node.AttemptStatus) {
 	t := &j.tasks[i]
 	// Out of all counts while the fields change on which they hang.
 	h.count(j, t, -1)
@@ -166,14 +166,14 @@
 }
 
 func (h *Home) stop(rack state.ShardID, k worker.Key) {
-	h.toRack(rack, node.Message{Deed: &node.Deed{
-		Home: h.ID, HomeEpoch: h.Epoch, Rack: rack, Deed: worker.DeedStop, Keys: []worker.Key{k},
+	h.toRack(rack, node.Message{AttemptOrder: &node.AttemptOrder{
+		JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, Effect: worker.DeedStop, Keys: []worker.Key{k},
 	}})
 }
 
 // onEnd decides what follows the end of an attempt. It reports whether the
 // rack may forget it at once; a final end is kept there until it is recorded.
-func (h *Home) onEnd(now time.Time, j *job, i int, item *node.NewsItem) bool {
+func (h *Home) onEnd(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
 	t := &j.tasks[i]
 	h.noteFreed(j, t.rack)
 	isService := j.spec.Kind == leverdyke.KindService
@@ -213,14 +213,14 @@
 	h.isDirty = true
 }
 
-func (h *Home) onFailure(now time.Time, j *job, i int, item *node.NewsItem) bool {
+func (h *Home) onFailure(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
 	t := &j.tasks[i]
 	if j.spec.IsOnce {
 		h.setPhase(j, i, phaseFinal)
 		h.final(j, i, leverdyke.TaskFailed, &item.Key, 1, "")
 		return false
 	}
-	if !item.IsBlamed {
+	if !item.IsWorkerAtFault {
 		t.failures++
 		j.failures++
 	}
@@ -241,7 +241,7 @@
 // onLoss takes that an attempt was lost with its worker. It may be what crashed the worker,
 // which tells no end: without a bound such a task takes one worker after the other, for
 // ever. The budget is that of failures, for each task: most losses have another cause.
-func (h *Home) onLoss(now time.Time, j *job, i int, item *node.NewsItem) bool {
+func (h *Home) onLoss(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
 	t := &j.tasks[i]
 	t.losses++
 	t.notBefore = now
@@ -276,7 +276,7 @@
 				continue
 			}
 			key := j.key(i)
-			h.onEnd(now, j, i, &node.NewsItem{Key: key, State: worker.StateStopped, IsLost: true})
+			h.onEnd(now, j, i, &node.AttemptStatus{Key: key, State: worker.StateStopped, IsLost: true})
 		}
 	}
 }
--- a/internal/jobshard/scan.go
+++ b/internal/jobshard/scan.go
@@ -39,7 +39,7 @@
 type scanner struct {
 	now   time.Time
 	views []placement.RackView
-	asks  map[state.ShardID]*node.Ask
+	asks  map[state.ShardID]*node.StartRequest
 	count int
 	// isFullOfEnds means that only services are started.
 	isFullOfEnds bool
@@ -57,7 +57,7 @@
 		return
 	}
 	s := &scanner{
-		now: now, asks: map[state.ShardID]*node.Ask{}, failed: map[leverdyke.Resources]bool{},
+		now: now, asks: map[state.ShardID]*node.StartRequest{}, failed: map[leverdyke.Resources]bool{},
 		pushed: map[state.ShardID]int{}, isFullOfEnds: h.isFullOfEnds(),
 	}
 	for _, id := range h.order {
@@ -69,11 +69,11 @@
 
 // sendAsks sends the asks, each with the lowest attempt that the home still
 // waits for at the rack.
-func (h *Home) sendAsks(asks map[state.ShardID]*node.Ask) {
+func (h *Home) sendAsks(asks map[state.ShardID]*node.StartRequest) {
 	for _, id := range h.order {
 		if ask := asks[id]; ask != nil {
-			ask.Floor = h.floor(id)
-			h.toRack(id, node.Message{Ask: ask})
+			ask.MinAttempt = h.floor(id)
+			h.toRack(id, node.Message{StartRequest: ask})
 		}
 	}
 }
@@ -252,7 +252,7 @@
 	for i := range h.order {
 		at := (i + h.offset) % len(h.order)
 		v := h.racks[h.order[at]]
-		if s.views[at].IsShut || s.pushed[h.order[at]] >= v.room.Workers || !j.spec.Each.FitsIn(v.room.Yield) {
+		if s.views[at].IsShut || s.pushed[h.order[at]] >= v.room.Workers || !j.spec.Each.FitsIn(v.room.Preemptible) {
 			continue
 		}
 		s.pushed[h.order[at]]++
@@ -280,29 +280,29 @@
 	s.count++
 	ask := s.asks[rack]
 	if ask == nil {
-		ask = &node.Ask{Home: h.ID, HomeEpoch: h.Epoch, Rack: rack, RackEpoch: v.epoch}
+		ask = &node.StartRequest{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, RackEpoch: v.epoch}
 		s.asks[rack] = ask
 	}
 	ask.Items = append(ask.Items, h.askItem(s.now, j, i))
 	h.out.Decisions = append(h.out.Decisions, Decision{j.key(i), rack, "most fitting of the racks with room"})
 }
 
-func (h *Home) askItem(now time.Time, j *job, i int) node.AskItem {
+func (h *Home) askItem(now time.Time, j *job, i int) node.StartItem {
 	w := h.policy(j)
 	t := worker.Task{
 		Key: j.key(i), Home: string(h.ID), Each: j.spec.Each, Class: j.spec.Class, IsOnce: j.spec.IsOnce,
 		Service: j.spec.Service, Request: j.spec.Request, IsRequestOnce: j.spec.IsRequestOnce, RunTime: j.spec.RunTime,
 	}
-	return node.AskItem{
-		Task: t, Share: h.Share(j.spec.Team), Age: now.Sub(j.since), Waiting: w.Waiting, Packing: w.Packing,
-		HoldID: j.tasks[i].holdID, IsStarved: h.isStarvedAsk(j),
+	return node.StartItem{
+		Task: t, Share: h.Share(j.spec.Team), Age: now.Sub(j.since), WaitingWeight: w.Waiting, PackingWeight: w.Packing,
+		ReservationID: j.tasks[i].holdID, IsStarved: h.isStarvedAsk(j),
 	}
 }
 
 // resendAsks sends again what a rack's owner has not answered, as long as the
 // rack has the epoch that was asked.
 func (h *Home) resendAsks(now time.Time) {
-	asks := map[state.ShardID]*node.Ask{}
+	asks := map[state.ShardID]*node.StartRequest{}
 	for _, j := range h.list {
 		if len(j.asked) == 0 {
 			continue
@@ -315,7 +315,7 @@
 			t.sentAt = now
 			ask := asks[t.rack]
 			if ask == nil {
-				ask = &node.Ask{Home: h.ID, HomeEpoch: h.Epoch, Rack: t.rack, RackEpoch: t.rackEpoch}
+				ask = &node.StartRequest{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: t.rack, RackEpoch: t.rackEpoch}
 				asks[t.rack] = ask
 			}
 			ask.Items = append(ask.Items, h.askItem(now, j, i))
--- a/internal/jobshard/shard.go
+++ b/internal/jobshard/shard.go
@@ -101,7 +101,7 @@
 	// there, and that nothing else may.
 	isSynced bool
 	syncedAt time.Time
-	room     node.Room
+	room     node.RackSummary
 	hasRoom  bool
 	// pending is what was asked for since the room was told.
 	pending leverdyke.Resources
@@ -215,7 +215,7 @@
 }
 
 // OnRoom takes a rack's summary.
-func (h *Home) OnRoom(room *node.Room) {
+func (h *Home) OnRoom(room *node.RackSummary) {
 	v := h.racks[room.Rack]
 	if v == nil || v.epoch != room.Epoch {
 		return
@@ -274,7 +274,7 @@
 			continue
 		}
 		v.syncedAt = now
-		h.toRack(id, node.Message{HomeSync: &node.HomeSync{Home: h.ID, HomeEpoch: h.Epoch, Rack: id}})
+		h.toRack(id, node.Message{JobShardSync: &node.JobShardSync{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: id}})
 	}
 }
 
--- a/internal/jobshard/shard_test.go
+++ b/internal/jobshard/shard_test.go
@@ -51,8 +51,8 @@
 }
 
 // roomOf is the summary of a rack with one empty worker.
-func roomOf(rack state.ShardID) *node.Room {
-	return &node.Room{Rack: rack, Epoch: rackEpoch, Workers: 1, Free: large, Largest: large, Capacity: large}
+func roomOf(rack state.ShardID) *node.RackSummary {
+	return &node.RackSummary{Rack: rack, Epoch: rackEpoch, Workers: 1, Free: large, Largest: large, Capacity: large}
 }
 
 func jobSpec(kind leverdyke.Kind) leverdyke.JobSpec {
@@ -67,12 +67,12 @@
 }
 
 // whole is a rack's whole word on the home's attempts.
-func whole(rack state.ShardID, items ...node.NewsItem) *node.News {
-	return &node.News{Home: homeID, Rack: rack, RackEpoch: rackEpoch, IsWhole: true, IsComplete: true, Items: items}
+func whole(rack state.ShardID, items ...node.AttemptStatus) *node.AttemptReport {
+	return &node.AttemptReport{JobShard: homeID, Rack: rack, RackEpoch: rackEpoch, IsFullReport: true, IsInventoryComplete: true, Items: items}
 }
 
-func ended(attempt uint64, s worker.TaskState) node.NewsItem {
-	return node.NewsItem{Key: key(attempt), State: s, Worker: "w1"}
+func ended(attempt uint64, s worker.TaskState) node.AttemptStatus {
+	return node.AttemptStatus{Key: key(attempt), State: s, Worker: "w1"}
 }
 
 // sent is what a home has sent to the racks.
@@ -86,13 +86,13 @@
 	for i := range 40 {
 		h.Tick(begin.Add(time.Duration(i) * 100 * time.Millisecond))
 		for _, m := range h.Take().ToRack {
-			if m.Message.Ask != nil {
-				for _, item := range m.Message.Ask.Items {
+			if m.Message.StartRequest != nil {
+				for _, item := range m.Message.StartRequest.Items {
 					s.asked = append(s.asked, item.Task.Key)
 				}
 			}
-			if m.Message.NewsAck != nil {
-				s.acked = append(s.acked, m.Message.NewsAck.Keys...)
+			if m.Message.AttemptReportAck != nil {
+				s.acked = append(s.acked, m.Message.AttemptReportAck.Keys...)
 			}
 		}
 	}
@@ -103,8 +103,8 @@
 // forget may be lost with whoever had to give it. The end of an old attempt says
 // nothing of the attempt that followed it on another rack.
 func TestEndOfAnOldAttemptDoesNotStartAnother(t *testing.T) {
-	old, current := ended(3, worker.StateStopped), node.NewsItem{Key: key(9), State: worker.StateRunning, Worker: "w2"}
-	for name, order := range map[string][]*node.News{
+	old, current := ended(3, worker.StateStopped), node.AttemptStatus{Key: key(9), State: worker.StateRunning, Worker: "w2"}
+	for name, order := range map[string][]*node.AttemptReport{
 		"the end first":   {whole(racks[0], old), whole(racks[1], current)},
 		"the end last":    {whole(racks[1], current), whole(racks[0], old)},
 		"both of a rack":  {whole(racks[0], old, current), whole(racks[1])},
@@ -193,12 +193,12 @@
 		h.Tick(begin.Add(at))
 		list := map[string]state.ShardID{}
 		for _, m := range h.Take().ToRack {
-			if a := m.Message.Ask; a != nil {
+			if a := m.Message.StartRequest; a != nil {
 				list[a.Items[0].Task.Key.Task.Job] = a.Rack
 				if a.Items[0].Task.Key.Task.Job == "hungry" {
 					expected := leverdyke.Resources{MilliCPU: 500, MemoryMiB: 40000, Slots: 1}
-					h.OnAnswer(begin.Add(at), &node.Answer{Home: homeID, Rack: a.Rack, RackEpoch: rackEpoch, Results: []node.AnswerResult{
-						{Key: a.Items[0].Task.Key, Refused: "no room", Expected: &expected},
+					h.OnAnswer(begin.Add(at), &node.StartReply{JobShard: homeID, Rack: a.Rack, RackEpoch: rackEpoch, Results: []node.StartResult{
+						{Key: a.Items[0].Task.Key, RefusalReason: "no room", ExpectedUsage: &expected},
 					}})
 				}
 			}
@@ -214,7 +214,7 @@
 		t.Errorf("got: %v, want: the modest one alone, at once", got)
 	}
 	more := leverdyke.Resources{MilliCPU: 64000, MemoryMiB: 64000, Slots: 64}
-	h.OnRoom(&node.Room{Rack: racks[1], Epoch: rackEpoch, Workers: 1, Free: more, Largest: more, Capacity: more})
+	h.OnRoom(&node.RackSummary{Rack: racks[1], Epoch: rackEpoch, Workers: 1, Free: more, Largest: more, Capacity: more})
 	if got := asks(20 * time.Millisecond); got["hungry"] != racks[1] {
 		t.Errorf("got: %v, want: asked for where there is room for it", got)
 	}
@@ -240,7 +240,7 @@
 			h.OnRoom(roomOf(racks[0]))
 			if c.toldAt == 0 {
 				// Known from an earlier owner, so that the job is not held back by that.
-				h.OnRoom(&node.Room{Rack: racks[1], Epoch: rackEpoch, Capacity: large})
+				h.OnRoom(&node.RackSummary{Rack: racks[1], Epoch: rackEpoch, Capacity: large})
 				h.SetRacks(begin, []jobshard.RackInfo{{ID: racks[1], Epoch: rackEpoch + 1}})
 			}
 			spec := jobSpec(c.kind)
@@ -253,7 +253,7 @@
 				}
 				h.Tick(begin.Add(at))
 				for _, m := range h.Take().ToRack {
-					if m.Message.Ask == nil {
+					if m.Message.StartRequest == nil {
 						continue
 					}
 					if first < 0 {
@@ -295,16 +295,16 @@
 				h.OnRecorded(now, r.Token, fate)
 			}
 			for _, m := range out.ToRack {
-				if m.Message.Ask == nil {
+				if m.Message.StartRequest == nil {
 					continue
 				}
 				h.OnRoom(roomOf(m.Rack))
-				for _, item := range m.Message.Ask.Items {
+				for _, item := range m.Message.StartRequest.Items {
 					k := item.Task.Key
-					h.OnAnswer(now, &node.Answer{Home: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Results: []node.AnswerResult{{Key: k, Worker: "w"}}})
+					h.OnAnswer(now, &node.StartReply{JobShard: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Results: []node.StartResult{{Key: k, Worker: "w"}}})
 					if k.Task.Job == "batch" {
 						started++
-						h.OnNews(now, &node.News{Home: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.NewsItem{{Key: k, State: worker.StateDone, Worker: "w"}}})
+						h.OnNews(now, &node.AttemptReport{JobShard: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.AttemptStatus{{Key: k, State: worker.StateDone, Worker: "w"}}})
 					}
 				}
 			}
--- a/internal/jobshard/uncertain.go
+++ b/internal/jobshard/uncertain.go
@@ -18,13 +18,13 @@
 type keptEnd struct {
 	rack  state.ShardID
 	epoch worker.Epoch
-	item  node.NewsItem
+	item  node.AttemptStatus
 }
 
 // mayBeFollowed reports whether an earlier home may have started the task again
 // after this end. A worker lists an ended attempt until it is told to forget it,
 // and that word may have been lost.
-func mayBeFollowed(j *job, item *node.NewsItem) bool {
+func mayBeFollowed(j *job, item *node.AttemptStatus) bool {
 	if j.spec.IsOnce {
 		return false
 	}
@@ -33,7 +33,7 @@
 
 // keepEnd keeps the end of the newest attempt until every rack has told what
 // runs. It reports whether the rack may forget the one that was told.
-func (h *Home) keepEnd(t *task, n *node.News, item *node.NewsItem) bool {
+func (h *Home) keepEnd(t *task, n *node.AttemptReport, item *node.AttemptStatus) bool {
 	if t.kept != nil && t.kept.item.Key.Attempt > item.Key.Attempt {
 		return true
 	}
--- a/internal/node/frame_test.go
+++ b/internal/node/frame_test.go
@@ -36,7 +36,7 @@
 }
 
 func FuzzReadFrame(f *testing.F) {
-	buf, err := node.AppendFrame(nil, &node.Message{Ask: &node.Ask{Home: "h", Items: []node.AskItem{{Age: 1}}}})
+	buf, err := node.AppendFrame(nil, &node.Message{StartRequest: &node.StartRequest{JobShard: "h", Items: []node.StartItem{{Age: 1}}}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -40,8 +40,8 @@
 	Deliver(e Envelope)
 	// BadFrame is told that a link was closed because of its bytes.
 	BadFrame(from netip.AddrPort, err error)
-	// Counted is told the bytes of each frame sent or received.
-	Counted(sent, received int)
+	// CountBytes is told the bytes of each frame sent or received.
+	CountBytes(sent, received int)
 }
 
 // Links connects a node with its peers: one outgoing connection to each, and
@@ -64,7 +64,7 @@
 	links *Links
 	node  state.NodeID
 	addr  netip.AddrPort
-	ring  *ring.Ring[*Message]
+	queue *ring.Ring[*Message]
 	stop  context.CancelFunc
 }
 
@@ -84,7 +84,7 @@
 		peers: map[state.NodeID]*outgoing{}, conns: map[net.Conn]bool{},
 	}
 	links.wg.Add(1)
-	go links.loop()
+	go links.acceptLoop()
 	return links, nil
 }
 
@@ -111,10 +111,10 @@
 		return
 	}
 	ctx, stop := context.WithCancel(l.ctx)
-	o := &outgoing{links: l, node: peer, addr: addr, ring: ring.NewRing[*Message](outboundFrames), stop: stop}
+	o := &outgoing{links: l, node: peer, addr: addr, queue: ring.NewRing[*Message](outboundFrames), stop: stop}
 	l.peers[peer] = o
 	l.wg.Add(1)
-	go o.loop(ctx)
+	go o.redialLoop(ctx)
 }
 
 // Disconnect ends the outgoing link to a peer.
@@ -133,10 +133,10 @@
 	l.mu.Lock()
 	o := l.peers[peer]
 	l.mu.Unlock()
-	return o != nil && o.ring.TryPut(m)
+	return o != nil && o.queue.TryPut(m)
 }
 
-func (l *Links) loop() {
+func (l *Links) acceptLoop() {
 	defer l.wg.Done()
 	for {
 		c, err := l.listener.Accept()
@@ -191,16 +191,16 @@
 		if err != nil {
 			return
 		}
-		l.observer.Counted(0, n)
+		l.observer.CountBytes(0, n)
 		l.observer.Deliver(Envelope{From: *hello.Hello, Message: *m})
 	}
 }
 
-// loop dials, sends what is queued, and dials again when the link breaks.
-func (o *outgoing) loop(ctx context.Context) {
+// redialLoop dials, sends what is queued, and dials again when the link breaks.
+func (o *outgoing) redialLoop(ctx context.Context) {
 	defer o.links.wg.Done()
 	for ctx.Err() == nil {
-		o.serve(ctx)
+		o.dialAndSend(ctx)
 		select {
 		case <-ctx.Done():
 		case <-o.links.clock.After(redialPeriod):
@@ -208,7 +208,7 @@
 	}
 }
 
-func (o *outgoing) serve(ctx context.Context) {
+func (o *outgoing) dialAndSend(ctx context.Context) {
 	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, "tcp", o.addr.String())
 	if err != nil {
@@ -226,7 +226,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-o.ring.Out():
+		case m := <-o.queue.Out():
 			if o.write(c, m) != nil {
 				return
 			}
@@ -239,7 +239,7 @@
 func (o *outgoing) dropQueued() {
 	for {
 		select {
-		case <-o.ring.Out():
+		case <-o.queue.Out():
 		default:
 			return
 		}
@@ -255,6 +255,6 @@
 	if _, err := c.Write(buf); err != nil {
 		return fmt.Errorf("node: write: %w", err)
 	}
-	o.links.observer.Counted(len(buf), 0)
+	o.links.observer.CountBytes(len(buf), 0)
 	return nil
 }
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -23,31 +23,31 @@
 	Hello     *Hello     `msgpack:"he,omitempty"`
 	Heartbeat *Heartbeat `msgpack:"hb,omitempty"`
 
-	Ask       *Ask       `msgpack:"ak,omitempty"`
-	Answer    *Answer    `msgpack:"an,omitempty"`
-	Deed      *Deed      `msgpack:"de,omitempty"`
-	HomeSync  *HomeSync  `msgpack:"hs,omitempty"`
-	News      *News      `msgpack:"nw,omitempty"`
-	NewsAck   *NewsAck   `msgpack:"na,omitempty"`
-	Hold      *Hold      `msgpack:"ho,omitempty"`
-	HoldReply *HoldReply `msgpack:"hr,omitempty"`
-	Release   *Release   `msgpack:"re,omitempty"`
-
-	GrantAsk    *GrantAsk    `msgpack:"ga,omitempty"`
-	Grant       *Grant       `msgpack:"gr,omitempty"`
-	GrantDone   *GrantDone   `msgpack:"gd,omitempty"`
-	GrantRecall *GrantRecall `msgpack:"gc,omitempty"`
-	GrantCheck  *GrantCheck  `msgpack:"gk,omitempty"`
-
-	TailAsk  *TailAsk  `msgpack:"ta,omitempty"`
-	Tail     *Tail     `msgpack:"tl,omitempty"`
-	StateAsk *StateAsk `msgpack:"sa,omitempty"`
-	State    *StateSet `msgpack:"st,omitempty"`
-
-	OnceAsk   *OnceAsk   `msgpack:"oa,omitempty"`
-	OnceReply *OnceReply `msgpack:"or,omitempty"`
-	OnceKept  *OnceKept  `msgpack:"ok,omitempty"`
-	OnceTaken *OnceTaken `msgpack:"ot,omitempty"`
+	StartRequest       *StartRequest       `msgpack:"ak,omitempty"`
+	StartReply         *StartReply         `msgpack:"an,omitempty"`
+	AttemptOrder       *AttemptOrder       `msgpack:"de,omitempty"`
+	JobShardSync       *JobShardSync       `msgpack:"hs,omitempty"`
+	AttemptReport      *AttemptReport      `msgpack:"nw,omitempty"`
+	AttemptReportAck   *AttemptReportAck   `msgpack:"na,omitempty"`
+	ReserveRequest     *ReserveRequest     `msgpack:"ho,omitempty"`
+	ReserveReply       *ReserveReply       `msgpack:"hr,omitempty"`
+	ReservationRelease *ReservationRelease `msgpack:"re,omitempty"`
+
+	GrantRequest *GrantRequest `msgpack:"ga,omitempty"`
+	Grant        *Grant        `msgpack:"gr,omitempty"`
+	GrantReturn  *GrantReturn  `msgpack:"gd,omitempty"`
+	GrantRecall  *GrantRecall  `msgpack:"gc,omitempty"`
+	GrantCheck   *GrantCheck   `msgpack:"gk,omitempty"`
+
+	LogRequest   *LogRequest   `msgpack:"ta,omitempty"`
+	LogReply     *LogReply     `msgpack:"tl,omitempty"`
+	StateRequest *StateRequest `msgpack:"sa,omitempty"`
+	StateReply   *StateReply   `msgpack:"st,omitempty"`
+
+	SavedAnswerRequest     *SavedAnswerRequest     `msgpack:"oa,omitempty"`
+	SavedAnswerReply       *SavedAnswerReply       `msgpack:"or,omitempty"`
+	SavedAnswerTransfer    *SavedAnswerTransfer    `msgpack:"ok,omitempty"`
+	SavedAnswerTransferAck *SavedAnswerTransferAck `msgpack:"ot,omitempty"`
 }
 
 // Hello opens a link in both directions.
@@ -68,20 +68,20 @@
 	// IsDraining says that the sender is about to leave.
 	IsDraining bool           `msgpack:"x,omitempty"`
 	Suspects   []state.NodeID `msgpack:"s,omitempty"`
-	// Rooms has the summaries of the sender's racks that have changed.
-	Rooms []Room `msgpack:"r,omitempty"`
-	// Deputised lists the racks that the sender keeps alive as a deputy.
-	Deputised []Deputised `msgpack:"d,omitempty"`
+	// Summaries has the summaries of the sender's racks that have changed.
+	Summaries []RackSummary `msgpack:"r,omitempty"`
+	// DeputyRacks lists the racks that the sender keeps alive as a deputy.
+	DeputyRacks []DeputyRack `msgpack:"d,omitempty"`
 }
 
-// Deputised is a rack under a deputy.
-type Deputised struct {
+// DeputyRack is a rack under a deputy.
+type DeputyRack struct {
 	Rack  state.ShardID `msgpack:"r"`
 	Epoch worker.Epoch  `msgpack:"e"`
 }
 
-// Room is a rack's summary: enough to choose a rack, never to promise a place.
-type Room struct {
+// RackSummary is a rack's summary: enough to choose a rack, never to promise a place.
+type RackSummary struct {
 	Rack  state.ShardID `msgpack:"k"`
 	Epoch worker.Epoch  `msgpack:"e"`
 	Zone  string        `msgpack:"z"`
@@ -90,156 +90,156 @@
 	Free     leverdyke.Resources `msgpack:"f"`
 	Largest  leverdyke.Resources `msgpack:"l"`
 	Capacity leverdyke.Resources `msgpack:"c"`
-	// Yield is what preemption for urgent work could free on one worker.
-	Yield    leverdyke.Resources `msgpack:"y"`
-	Workers  int                 `msgpack:"w"`
-	Services []ServiceRoom       `msgpack:"s,omitempty"`
+	// Preemptible is what preemption for urgent work could free on one worker.
+	Preemptible leverdyke.Resources `msgpack:"y"`
+	Workers     int                 `msgpack:"w"`
+	Services    []ServiceCapacity   `msgpack:"s,omitempty"`
 }
 
-// ServiceRoom says how many requests of a service a rack could still take.
-type ServiceRoom struct {
+// ServiceCapacity says how many requests of a service a rack could still take.
+type ServiceCapacity struct {
 	Service  string `msgpack:"s"`
 	Replicas int    `msgpack:"n"`
 	Slots    int    `msgpack:"f"`
-	// Yield counts further ones for which batches could be pushed aside.
-	Yield int `msgpack:"y,omitempty"`
+	// PreemptibleSlots counts further ones for which batches could be pushed aside.
+	PreemptibleSlots int `msgpack:"y,omitempty"`
 }
 
-// Ask asks a rack's owner to start attempts. It is bound to the rack's epoch:
+// StartRequest asks a rack's owner to start attempts. It is bound to the rack's epoch:
 // an attempt is never asked for again under a later one before that owner has
 // told the home all that runs in the rack.
-type Ask struct {
-	Home      state.ShardID `msgpack:"h"`
-	HomeEpoch uint64        `msgpack:"e"`
-	Rack      state.ShardID `msgpack:"r"`
-	RackEpoch worker.Epoch  `msgpack:"k"`
-	// Floor is the lowest attempt that the home still waits for at this rack;
+type StartRequest struct {
+	JobShard      state.ShardID `msgpack:"h"`
+	JobShardEpoch uint64        `msgpack:"e"`
+	Rack          state.ShardID `msgpack:"r"`
+	RackEpoch     worker.Epoch  `msgpack:"k"`
+	// MinAttempt is the lowest attempt that the home still waits for at this rack;
 	// it never goes down in a home's epoch. A late copy of an ask for an earlier
 	// attempt must have no effect.
-	Floor uint64    `msgpack:"f"`
-	Items []AskItem `msgpack:"i"`
+	MinAttempt uint64      `msgpack:"f"`
+	Items      []StartItem `msgpack:"i"`
 }
 
-// AskItem is one attempt that is asked for.
-type AskItem struct {
+// StartItem is one attempt that is asked for.
+type StartItem struct {
 	Task worker.Task `msgpack:"t"`
 	// Share is the part of its quota that the team uses, from 0 up; it settles
 	// who goes first between teams of the same class.
 	Share float64 `msgpack:"s"`
 	// Age is how long the task has waited.
-	Age     time.Duration `msgpack:"a"`
-	Waiting float64       `msgpack:"w"`
-	Packing float64       `msgpack:"p"`
-	// HoldID is set when the attempt takes a place that was held before.
-	HoldID uint64 `msgpack:"h,omitempty"`
+	Age           time.Duration `msgpack:"a"`
+	WaitingWeight float64       `msgpack:"w"`
+	PackingWeight float64       `msgpack:"p"`
+	// ReservationID is set when the attempt takes a place that was held before.
+	ReservationID uint64 `msgpack:"h,omitempty"`
 	// IsStarved means that the job has long found no room anywhere: if there is
 	// none here either, a VM is kept for it.
 	IsStarved bool `msgpack:"v,omitempty"`
 }
 
-// Answer is the rack owner's word on asked attempts.
-type Answer struct {
-	Home      state.ShardID  `msgpack:"h"`
-	Rack      state.ShardID  `msgpack:"r"`
-	RackEpoch worker.Epoch   `msgpack:"k"`
-	Results   []AnswerResult `msgpack:"i"`
-	Room      *Room          `msgpack:"m,omitempty"`
+// StartReply is the rack owner's word on asked attempts.
+type StartReply struct {
+	JobShard  state.ShardID `msgpack:"h"`
+	Rack      state.ShardID `msgpack:"r"`
+	RackEpoch worker.Epoch  `msgpack:"k"`
+	Results   []StartResult `msgpack:"i"`
+	Summary   *RackSummary  `msgpack:"m,omitempty"`
 }
 
-// AnswerResult says that an attempt runs, or that it was not started and will
+// StartResult says that an attempt runs, or that it was not started and will
 // not be started by this ask.
-type AnswerResult struct {
+type StartResult struct {
 	Key worker.Key `msgpack:"k"`
 	// Worker is where it runs; empty when it was refused.
-	Worker  worker.ID `msgpack:"w,omitempty"`
-	Refused string    `msgpack:"x,omitempty"`
-	// Expected is set when the task was refused because others of its job use
+	Worker        worker.ID `msgpack:"w,omitempty"`
+	RefusalReason string    `msgpack:"x,omitempty"`
+	// ExpectedUsage is set when the task was refused because others of its job use
 	// more than they declare: what it will most likely take.
-	Expected *leverdyke.Resources `msgpack:"e,omitempty"`
+	ExpectedUsage *leverdyke.Resources `msgpack:"e,omitempty"`
 }
 
-// Deed tells a rack's owner to do something to a home's attempts.
-type Deed struct {
-	Home      state.ShardID `msgpack:"h"`
-	HomeEpoch uint64        `msgpack:"e"`
-	Rack      state.ShardID `msgpack:"r"`
-	Deed      worker.Deed   `msgpack:"d"`
-	Keys      []worker.Key  `msgpack:"k"`
+// AttemptOrder tells a rack's owner to do something to a home's attempts.
+type AttemptOrder struct {
+	JobShard      state.ShardID `msgpack:"h"`
+	JobShardEpoch uint64        `msgpack:"e"`
+	Rack          state.ShardID `msgpack:"r"`
+	Effect        worker.Deed   `msgpack:"d"`
+	Keys          []worker.Key  `msgpack:"k"`
 }
 
-// HomeSync makes the sender the home's only owner at the rack and asks for all
+// JobShardSync makes the sender the home's only owner at the rack and asks for all
 // attempts of the home there.
-type HomeSync struct {
-	Home      state.ShardID `msgpack:"h"`
-	HomeEpoch uint64        `msgpack:"e"`
-	Rack      state.ShardID `msgpack:"r"`
+type JobShardSync struct {
+	JobShard      state.ShardID `msgpack:"h"`
+	JobShardEpoch uint64        `msgpack:"e"`
+	Rack          state.ShardID `msgpack:"r"`
 }
 
-// News tells a home of its attempts in a rack.
-type News struct {
-	Home      state.ShardID `msgpack:"h"`
+// AttemptReport tells a home of its attempts in a rack.
+type AttemptReport struct {
+	JobShard  state.ShardID `msgpack:"h"`
 	Rack      state.ShardID `msgpack:"r"`
 	RackEpoch worker.Epoch  `msgpack:"k"`
-	// IsWhole says that Items has every attempt of the home in the rack that
+	// IsFullReport says that Items has every attempt of the home in the rack that
 	// the owner knows of.
-	IsWhole bool `msgpack:"w,omitempty"`
-	// IsComplete says that no worker of the rack may run an attempt that the
+	IsFullReport bool `msgpack:"w,omitempty"`
+	// IsInventoryComplete says that no worker of the rack may run an attempt that the
 	// owner does not know of.
-	IsComplete bool       `msgpack:"c,omitempty"`
-	Items      []NewsItem `msgpack:"i"`
+	IsInventoryComplete bool            `msgpack:"c,omitempty"`
+	Items               []AttemptStatus `msgpack:"i"`
 }
 
-// NewsItem is the state of one attempt.
-type NewsItem struct {
+// AttemptStatus is the state of one attempt.
+type AttemptStatus struct {
 	Key    worker.Key       `msgpack:"k"`
 	State  worker.TaskState `msgpack:"s"`
 	Worker worker.ID        `msgpack:"w"`
 	// IsLost says that the attempt is gone with its worker or its lease.
 	IsLost bool `msgpack:"l,omitempty"`
-	// IsBlamed says that the worker, not the job, is thought to be at fault.
-	IsBlamed bool `msgpack:"b,omitempty"`
+	// IsWorkerAtFault says that the worker, not the job, is thought to be at fault.
+	IsWorkerAtFault bool `msgpack:"b,omitempty"`
 }
 
-// NewsAck lets the rack's owner forget attempts that have ended.
-type NewsAck struct {
-	Home state.ShardID `msgpack:"h"`
-	Rack state.ShardID `msgpack:"r"`
-	Keys []worker.Key  `msgpack:"k"`
+// AttemptReportAck lets the rack's owner forget attempts that have ended.
+type AttemptReportAck struct {
+	JobShard state.ShardID `msgpack:"h"`
+	Rack     state.ShardID `msgpack:"r"`
+	Keys     []worker.Key  `msgpack:"k"`
 }
 
-// Hold reserves room for several tasks of one all-at-once job until Expiry has
+// ReserveRequest reserves room for several tasks of one all-at-once job until Expiry has
 // passed or the places are asked for.
-type Hold struct {
-	Home      state.ShardID       `msgpack:"h"`
-	HomeEpoch uint64              `msgpack:"e"`
-	Rack      state.ShardID       `msgpack:"r"`
-	RackEpoch worker.Epoch        `msgpack:"k"`
-	ID        uint64              `msgpack:"i"`
-	Each      leverdyke.Resources `msgpack:"n"`
-	Count     int                 `msgpack:"c"`
-	Class     leverdyke.Class     `msgpack:"l"`
-	Age       time.Duration       `msgpack:"a"`
-	Expiry    time.Duration       `msgpack:"x"`
-}
-
-// HoldReply says how many places are held.
-type HoldReply struct {
-	Home  state.ShardID `msgpack:"h"`
-	Rack  state.ShardID `msgpack:"r"`
-	ID    uint64        `msgpack:"i"`
-	Count int           `msgpack:"c"`
-	Room  *Room         `msgpack:"m,omitempty"`
-}
-
-// Release gives held places back.
-type Release struct {
-	Home state.ShardID `msgpack:"h"`
-	Rack state.ShardID `msgpack:"r"`
-	ID   uint64        `msgpack:"i"`
-}
-
-// GrantAsk asks a rack's owner for slots of a service's workers.
-type GrantAsk struct {
+type ReserveRequest struct {
+	JobShard      state.ShardID       `msgpack:"h"`
+	JobShardEpoch uint64              `msgpack:"e"`
+	Rack          state.ShardID       `msgpack:"r"`
+	RackEpoch     worker.Epoch        `msgpack:"k"`
+	ID            uint64              `msgpack:"i"`
+	Each          leverdyke.Resources `msgpack:"n"`
+	Count         int                 `msgpack:"c"`
+	Class         leverdyke.Class     `msgpack:"l"`
+	Age           time.Duration       `msgpack:"a"`
+	Expiry        time.Duration       `msgpack:"x"`
+}
+
+// ReserveReply says how many places are held.
+type ReserveReply struct {
+	JobShard state.ShardID `msgpack:"h"`
+	Rack     state.ShardID `msgpack:"r"`
+	ID       uint64        `msgpack:"i"`
+	Count    int           `msgpack:"c"`
+	Summary  *RackSummary  `msgpack:"m,omitempty"`
+}
+
+// ReservationRelease gives held places back.
+type ReservationRelease struct {
+	JobShard state.ShardID `msgpack:"h"`
+	Rack     state.ShardID `msgpack:"r"`
+	ID       uint64        `msgpack:"i"`
+}
+
+// GrantRequest asks a rack's owner for slots of a service's workers.
+type GrantRequest struct {
 	Rack    state.ShardID   `msgpack:"r"`
 	Service string          `msgpack:"s"`
 	Slots   int             `msgpack:"n"`
@@ -257,12 +257,12 @@
 	Zone      string         `msgpack:"z"`
 	Slots     int            `msgpack:"n"`
 	IsOnce    bool           `msgpack:"o,omitempty"`
-	// Refused is set when there is no slot to give.
-	Refused string `msgpack:"x,omitempty"`
+	// RefusalReason is set when there is no slot to give.
+	RefusalReason string `msgpack:"x,omitempty"`
 }
 
-// GrantDone returns a grant of which no request is in progress.
-type GrantDone struct {
+// GrantReturn returns a grant of which no request is in progress.
+type GrantReturn struct {
 	Rack state.ShardID `msgpack:"r"`
 	Key  worker.Key    `msgpack:"k"`
 }
@@ -279,58 +279,58 @@
 	Keys []worker.Key  `msgpack:"k"`
 }
 
-// TailAsk asks a peer for the log's batches after an offset.
-type TailAsk struct {
+// LogRequest asks a peer for the log's batches after an offset.
+type LogRequest struct {
 	After int64 `msgpack:"a"`
 }
 
-// Tail has batches in order, without gaps, after the offset asked for; it is
+// LogReply has batches in order, without gaps, after the offset asked for; it is
 // empty when the peer no longer has them.
-type Tail struct {
-	After   int64       `msgpack:"a"`
-	Entries []TailEntry `msgpack:"e"`
+type LogReply struct {
+	After   int64      `msgpack:"a"`
+	Entries []LogBatch `msgpack:"e"`
 }
 
-// TailEntry is one batch as it stands in the log.
-type TailEntry struct {
+// LogBatch is one batch as it stands in the log.
+type LogBatch struct {
 	Offset int64  `msgpack:"o"`
 	Data   []byte `msgpack:"d"`
 }
 
-// StateAsk asks a peer for its whole state.
-type StateAsk struct{}
+// StateRequest asks a peer for its whole state.
+type StateRequest struct{}
 
-// StateSet is a peer's whole state.
-type StateSet struct {
+// StateReply is a peer's whole state.
+type StateReply struct {
 	Data []byte `msgpack:"d"`
 }
 
-// OnceAsk asks the node that was first to run a key for its answer.
-type OnceAsk struct {
+// SavedAnswerRequest asks the node that was first to run a key for its answer.
+type SavedAnswerRequest struct {
 	ID  uint64   `msgpack:"i"`
 	Key [16]byte `msgpack:"k"`
 }
 
-// OnceReply is the first answer, or says that it is not known.
-type OnceReply struct {
+// SavedAnswerReply is the first answer, or says that it is not known.
+type SavedAnswerReply struct {
 	ID      uint64      `msgpack:"i"`
 	IsKnown bool        `msgpack:"y,omitempty"`
 	Answer  SavedAnswer `msgpack:"a"`
 }
 
-// OnceKept gives answers of a node that stops to a peer, for callers' retries.
-type OnceKept struct {
-	Answers []KeptAnswer `msgpack:"a"`
+// SavedAnswerTransfer gives answers of a node that stops to a peer, for callers' retries.
+type SavedAnswerTransfer struct {
+	Answers []KeyedAnswer `msgpack:"a"`
 }
 
-// KeptAnswer is the answer to a request that may not be repeated.
-type KeptAnswer struct {
+// KeyedAnswer is the answer to a request that may not be repeated.
+type KeyedAnswer struct {
 	Key    [16]byte    `msgpack:"k"`
 	Answer SavedAnswer `msgpack:"a"`
 }
 
-// OnceTaken says that the answers of one OnceKept are kept.
-type OnceTaken struct{}
+// SavedAnswerTransferAck says that the answers of one OnceKept are kept.
+type SavedAnswerTransferAck struct{}
 
 // SavedAnswer is an answer that is kept for a caller's retry.
 type SavedAnswer struct {
--- a/internal/once/table.go
+++ b/internal/once/table.go
@@ -122,13 +122,13 @@
 }
 
 // Kept returns the answers, oldest first.
-func (t *Table) Kept() []node.KeptAnswer {
+func (t *Table) Kept() []node.KeyedAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := make([]node.KeptAnswer, 0, t.order.Len())
+	list := make([]node.KeyedAnswer, 0, t.order.Len())
 	for el := t.order.Front(); el != nil; el = el.Next() {
 		if e, ok := el.Value.(*Entry); ok {
-			list = append(list, node.KeptAnswer{Key: e.key, Answer: e.answer})
+			list = append(list, node.KeyedAnswer{Key: e.key, Answer: e.answer})
 		}
 	}
 	return list
@@ -136,7 +136,7 @@
 
 // Keep adds answers that another node had kept. A key that is here already
 // stays as it is.
-func (t *Table) Keep(list []node.KeptAnswer) {
+func (t *Table) Keep(list []node.KeyedAnswer) {
 	for i := range list {
 		e, isNew := t.Begin(list[i].Key, list[i].Answer.Digest)
 		if isNew {
--- a/internal/rack/asks.go
+++ b/internal/rack/asks.go
@@ -17,8 +17,8 @@
 
 // pendingAsk is one attempt that is asked for, until the next Flush.
 type pendingAsk struct {
-	ask  *node.Ask
-	item *node.AskItem
+	ask  *node.StartRequest
+	item *node.StartItem
 }
 
 // The reasons for refusing an attempt. None of them lets it be started later.
@@ -70,18 +70,18 @@
 }
 
 // OnAsk takes an ask; it is settled with the others at the next Flush.
-func (r *Rack) OnAsk(ask *node.Ask) {
+func (r *Rack) OnAsk(ask *node.StartRequest) {
 	why := ""
 	switch {
 	case ask.RackEpoch != r.Epoch:
 		why = whyEpoch
-	case !r.acceptHome(ask.Home, ask.HomeEpoch):
+	case !r.acceptHome(ask.JobShard, ask.JobShardEpoch):
 		why = whyHome
 	case r.options.IsDeputy:
 		why = whyDeputy
 	}
 	if why == "" {
-		r.settledOf(ask.Home).raiseFloor(ask.Floor)
+		r.settledOf(ask.JobShard).raiseFloor(ask.MinAttempt)
 	}
 	for i := range ask.Items {
 		if why != "" {
@@ -117,7 +117,7 @@
 // answered as it stands, so that an ask may be sent again.
 func (r *Rack) settle(now time.Time, p pendingAsk) {
 	key := p.item.Task.Key
-	s := r.settledOf(p.ask.Home)
+	s := r.settledOf(p.ask.JobShard)
 	if why, ok := s.why[key.Attempt]; ok || key.Attempt < s.floor {
 		if why != "" {
 			r.answerRefused(p.ask, key, why)
@@ -138,7 +138,7 @@
 		r.answerRefused(p.ask, key, whyOther)
 		return
 	}
-	if p.item.HoldID != 0 {
+	if p.item.ReservationID != 0 {
 		r.settleHeld(now, p)
 		return
 	}
@@ -156,7 +156,7 @@
 }
 
 // choose returns the worker to take and the runner-up, or nil.
-func (r *Rack) choose(now time.Time, item *node.AskItem) (best, second *vm) {
+func (r *Rack) choose(now time.Time, item *node.StartItem) (best, second *vm) {
 	candidates := make([]placement.Candidate, len(r.order))
 	for i, id := range r.order {
 		v := r.vms[id]
@@ -169,7 +169,7 @@
 			candidates[i].Siblings = siblings(v, item.Task.Key.Task.Job)
 		}
 	}
-	b, s := placement.Best(placement.Policy{Waiting: item.Waiting, Packing: item.Packing}, r.expected(&item.Task), candidates)
+	b, s := placement.Best(placement.Policy{Waiting: item.WaitingWeight, Packing: item.PackingWeight}, r.expected(&item.Task), candidates)
 	if b >= 0 {
 		best = r.vms[r.order[b]]
 	}
@@ -215,49 +215,49 @@
 	if h.asked == nil {
 		return
 	}
-	r.answer(h.asked, node.AnswerResult{Key: h.task.Key, Worker: h.vm.id})
+	r.answer(h.asked, node.StartResult{Key: h.task.Key, Worker: h.vm.id})
 	h.asked = nil
 }
 
-func (r *Rack) answerRefused(ask *node.Ask, key worker.Key, why string) {
-	r.refuse(ask, node.AnswerResult{Key: key, Refused: why})
+func (r *Rack) answerRefused(ask *node.StartRequest, key worker.Key, why string) {
+	r.refuse(ask, node.StartResult{Key: key, RefusalReason: why})
 }
 
-func (r *Rack) refuse(ask *node.Ask, result node.AnswerResult) {
+func (r *Rack) refuse(ask *node.StartRequest, result node.StartResult) {
 	if ask == nil {
 		return
 	}
-	r.settledOf(ask.Home).why[result.Key.Attempt] = result.Refused
+	r.settledOf(ask.JobShard).why[result.Key.Attempt] = result.RefusalReason
 	r.answer(ask, result)
 }
 
 // refuseForRoom refuses an ask for which there is no room, and tells the home
 // if more was needed than the task declares.
 func (r *Rack) refuseForRoom(p pendingAsk) {
-	result := node.AnswerResult{Key: p.item.Task.Key, Refused: whyNoRoom}
+	result := node.StartResult{Key: p.item.Task.Key, RefusalReason: whyNoRoom}
 	if need := r.expected(&p.item.Task); need != p.item.Task.Each {
-		result.Expected = &need
+		result.ExpectedUsage = &need
 	}
 	r.refuse(p.ask, result)
 }
 
 // answer adds a result to the answers, joined with others for the same home.
-func (r *Rack) answer(ask *node.Ask, result node.AnswerResult) {
+func (r *Rack) answer(ask *node.StartRequest, result node.StartResult) {
 	for i := range r.out.ToHome {
 		m := &r.out.ToHome[i]
-		if m.Home == ask.Home && m.Message.Answer != nil {
-			m.Message.Answer.Results = append(m.Message.Answer.Results, result)
+		if m.Home == ask.JobShard && m.Message.StartReply != nil {
+			m.Message.StartReply.Results = append(m.Message.StartReply.Results, result)
 			return
 		}
 	}
-	a := &node.Answer{Home: ask.Home, Rack: r.ID, RackEpoch: ask.RackEpoch, Results: []node.AnswerResult{result}}
-	r.out.ToHome = append(r.out.ToHome, HomeMessage{ask.Home, node.Message{Answer: a}})
+	a := &node.StartReply{JobShard: ask.JobShard, Rack: r.ID, RackEpoch: ask.RackEpoch, Results: []node.StartResult{result}}
+	r.out.ToHome = append(r.out.ToHome, HomeMessage{ask.JobShard, node.Message{StartReply: a}})
 }
 
 // OnDeed does a home's deed to its attempts. Attempts that are not here are
 // left out: the home learns of them by news.
-func (r *Rack) OnDeed(now time.Time, d *node.Deed) {
-	if !r.acceptHome(d.Home, d.HomeEpoch) {
+func (r *Rack) OnDeed(now time.Time, d *node.AttemptOrder) {
+	if !r.acceptHome(d.JobShard, d.JobShardEpoch) {
 		return
 	}
 	orders := map[worker.ID][]worker.Key{}
@@ -267,13 +267,13 @@
 		if h == nil || h.phase == phaseEnded {
 			continue
 		}
-		h.deed = d.Deed
+		h.deed = d.Effect
 		h.told = now
 		orders[h.vm.id] = append(orders[h.vm.id], k)
 	}
 	for _, id := range r.order {
 		if keys := orders[id]; len(keys) > 0 {
-			r.out.Acts = append(r.out.Acts, ActOrder{id, d.Deed, keys})
+			r.out.Acts = append(r.out.Acts, ActOrder{id, d.Effect, keys})
 		}
 	}
 }
--- a/internal/rack/bench_test.go
+++ b/internal/rack/bench_test.go
@@ -38,7 +38,7 @@
 		began := time.Now()
 		at := placement.BestRack(placement.Fill, each, views, i, 8)
 		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, Home: string(home), Each: each}
-		racks[at].OnAsk(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch, Items: []node.AskItem{{Task: task, Packing: 1}}})
+		racks[at].OnAsk(&node.StartRequest{JobShard: home, JobShardEpoch: 1, RackEpoch: epoch, Items: []node.StartItem{{Task: task, PackingWeight: 1}}})
 		racks[at].Flush(now)
 		_ = h.RecordValue(time.Since(began).Nanoseconds())
 		out := racks[at].Take()
--- a/internal/rack/grants.go
+++ b/internal/rack/grants.go
@@ -22,7 +22,7 @@
 )
 
 // OnGrantAsk gives a node slots of a worker that runs the service.
-func (r *Rack) OnGrantAsk(now time.Time, from state.NodeID, m *node.GrantAsk) {
+func (r *Rack) OnGrantAsk(now time.Time, from state.NodeID, m *node.GrantRequest) {
 	v, replica := r.bestReplica(now, m.Service)
 	switch {
 	case v != nil:
@@ -32,13 +32,13 @@
 	}
 }
 
-func (r *Rack) refuseGrantAsk(to state.NodeID, m *node.GrantAsk) {
-	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: m.Service, Refused: whyNoRoom}
+func (r *Rack) refuseGrantAsk(to state.NodeID, m *node.GrantRequest) {
+	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: m.Service, RefusalReason: whyNoRoom}
 	r.out.ToNode = append(r.out.ToNode, NodeMessage{to, node.Message{Grant: g}})
 }
 
 // giveGrant starts a grant on a worker that has room for one slot at least.
-func (r *Rack) giveGrant(now time.Time, to state.NodeID, m *node.GrantAsk, v *vm, replica *worker.Task) {
+func (r *Rack) giveGrant(now time.Time, to state.NodeID, m *node.GrantRequest, v *vm, replica *worker.Task) {
 	slots := min(replica.Request.Count(r.free(v)), int64(max(m.Slots, 1)), maxGrantSlots)
 	r.nextGrant++
 	key := worker.Key{Attempt: r.nextGrant}
@@ -92,7 +92,7 @@
 }
 
 func (r *Rack) refuseGrant(h *held, why string) {
-	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: h.task.Service, Refused: why}
+	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: h.task.Service, RefusalReason: why}
 	r.out.ToNode = append(r.out.ToNode, NodeMessage{state.NodeID(h.task.Holder), node.Message{Grant: g}})
 }
 
@@ -111,7 +111,7 @@
 }
 
 // OnGrantDone takes a grant back. Its room is free when the worker says so.
-func (r *Rack) OnGrantDone(now time.Time, from state.NodeID, m *node.GrantDone) {
+func (r *Rack) OnGrantDone(now time.Time, from state.NodeID, m *node.GrantReturn) {
 	h := r.held[m.Key]
 	if h != nil && h.task.Holder == string(from) {
 		r.stopGrant(now, h)
--- a/internal/rack/holds.go
+++ b/internal/rack/holds.go
@@ -43,19 +43,19 @@
 }
 
 // OnHold holds as many of the places as there are.
-func (r *Rack) OnHold(now time.Time, m *node.Hold) {
-	id := holdID{m.Home, m.ID}
-	reply := &node.HoldReply{Home: m.Home, Rack: r.ID, ID: m.ID}
-	isRefused := m.RackEpoch != r.Epoch || !r.acceptHome(m.Home, m.HomeEpoch) || r.options.IsDeputy
+func (r *Rack) OnHold(now time.Time, m *node.ReserveRequest) {
+	id := holdID{m.JobShard, m.ID}
+	reply := &node.ReserveReply{JobShard: m.JobShard, Rack: r.ID, ID: m.ID}
+	isRefused := m.RackEpoch != r.Epoch || !r.acceptHome(m.JobShard, m.JobShardEpoch) || r.options.IsDeputy
 	if !isRefused {
 		reply.Count = r.hold(now, id, m)
 		r.noteEarmark(now, id, m, reply.Count)
 		r.isChanged = true
 	}
-	r.out.ToHome = append(r.out.ToHome, HomeMessage{m.Home, node.Message{HoldReply: reply}})
+	r.out.ToHome = append(r.out.ToHome, HomeMessage{m.JobShard, node.Message{ReserveReply: reply}})
 }
 
-func (r *Rack) hold(now time.Time, id holdID, m *node.Hold) int {
+func (r *Rack) hold(now time.Time, id holdID, m *node.ReserveRequest) int {
 	if h := r.holds[id]; h != nil {
 		h.until = now.Add(min(m.Expiry, maxHold))
 		return h.count()
@@ -89,12 +89,12 @@
 // bestFor returns the worker that the need fills best, or nil.
 func (r *Rack) bestFor(now time.Time, need leverdyke.Resources) *vm {
 	// A run time, since only services pass a VM that is kept for another task.
-	item := &node.AskItem{Task: worker.Task{Each: need, Class: leverdyke.ClassBatch, RunTime: 1}, Packing: 1}
+	item := &node.StartItem{Task: worker.Task{Each: need, Class: leverdyke.ClassBatch, RunTime: 1}, PackingWeight: 1}
 	best, _ := r.choose(now, item)
 	return best
 }
 
-func (r *Rack) noteEarmark(now time.Time, id holdID, m *node.Hold, count int) {
+func (r *Rack) noteEarmark(now time.Time, id holdID, m *node.ReserveRequest, count int) {
 	if count >= m.Count || m.Age < earmarkAge {
 		return
 	}
@@ -108,7 +108,7 @@
 
 // isEarmarkedAgainst reports whether an ask has to leave the room to the
 // all-at-once job that waits. More urgent work and services do not wait.
-func (r *Rack) isEarmarkedAgainst(now time.Time, item *node.AskItem) bool {
+func (r *Rack) isEarmarkedAgainst(now time.Time, item *node.StartItem) bool {
 	e := r.earmark
 	if e == nil || !now.Before(e.until) || item.Task.RunTime == 0 {
 		return false
@@ -118,7 +118,7 @@
 
 // settleHeld starts an attempt on a place that its job holds.
 func (r *Rack) settleHeld(now time.Time, p pendingAsk) {
-	id := holdID{p.ask.Home, p.item.HoldID}
+	id := holdID{p.ask.JobShard, p.item.ReservationID}
 	h := r.holds[id]
 	if h == nil {
 		r.answerRefused(p.ask, p.item.Task.Key, whyNoHold)
@@ -143,8 +143,8 @@
 }
 
 // OnRelease gives held places back.
-func (r *Rack) OnRelease(m *node.Release) {
-	id := holdID{m.Home, m.ID}
+func (r *Rack) OnRelease(m *node.ReservationRelease) {
+	id := holdID{m.JobShard, m.ID}
 	if r.holds[id] != nil {
 		delete(r.holds, id)
 		r.isChanged = true
--- a/internal/rack/keep.go
+++ b/internal/rack/keep.go
@@ -24,7 +24,7 @@
 
 // keepFor keeps a VM for a starved task that found no room, if no older one has
 // the rack's.
-func (r *Rack) keepFor(now time.Time, item *node.AskItem) {
+func (r *Rack) keepFor(now time.Time, item *node.StartItem) {
 	if !item.IsStarved {
 		return
 	}
@@ -84,7 +84,7 @@
 
 // isKeptFrom reports whether an ask has to leave the VM to a starved task. More
 // urgent work and services do not wait.
-func (r *Rack) isKeptFrom(now time.Time, v *vm, item *node.AskItem) bool {
+func (r *Rack) isKeptFrom(now time.Time, v *vm, item *node.StartItem) bool {
 	if !r.isKept(now, v) || item.Task.Key.Task.Job == r.kept.job || item.Task.RunTime == 0 {
 		return false
 	}
--- a/internal/rack/keep_test.go
+++ b/internal/rack/keep_test.go
@@ -23,7 +23,7 @@
 func (b *bench) starve(job string, class leverdyke.Class, age time.Duration) worker.Task {
 	b.t.Helper()
 	t := b.batchTask(job, leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 1000, Slots: 1}, class, time.Hour)
-	b.ask(node.AskItem{Task: t, Age: age, IsStarved: true})
+	b.ask(node.StartItem{Task: t, Age: age, IsStarved: true})
 	return t
 }
 
@@ -43,14 +43,14 @@
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, 1, vm)
 			for range 4 {
-				b.ask(node.AskItem{Task: b.batchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
+				b.ask(node.StartItem{Task: b.batchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
 			}
 			if c.isStarved {
 				b.starve("large", leverdyke.ClassNormal, 20*time.Second)
 			}
 			b.run(4)
 			other := b.batchTask("other", small, c.class, c.run)
-			b.ask(node.AskItem{Task: other})
+			b.ask(node.StartItem{Task: other})
 			if got := b.answers[other.Key].Worker != ""; got != c.isTaken {
 				t.Errorf("got: %+v, want: taken %v", b.answers[other.Key], c.isTaken)
 			}
@@ -64,7 +64,7 @@
 func TestStarvedTaskGetsTheVMThatIsKept(t *testing.T) {
 	b := newBench(t, 2, vm)
 	for range 8 {
-		b.ask(node.AskItem{Task: b.batchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
+		b.ask(node.StartItem{Task: b.batchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
 	}
 	b.starve("large", leverdyke.ClassNormal, 20*time.Second)
 	// A younger one waits for the older.
@@ -83,12 +83,12 @@
 func TestKeptVMIsGivenBackWithoutFurtherAsks(t *testing.T) {
 	b := newBench(t, 1, vm)
 	for range 4 {
-		b.ask(node.AskItem{Task: b.batchTask("small", small, leverdyke.ClassNormal, 2*time.Second)})
+		b.ask(node.StartItem{Task: b.batchTask("small", small, leverdyke.ClassNormal, 2*time.Second)})
 	}
 	b.starve("large", leverdyke.ClassNormal, 20*time.Second)
 	b.run(6)
 	other := b.batchTask("other", small, leverdyke.ClassNormal, time.Hour)
-	b.ask(node.AskItem{Task: other})
+	b.ask(node.StartItem{Task: other})
 	if got := b.answers[other.Key]; got.Worker == "" {
 		t.Errorf("got: %+v, want: started, since nobody asked again", got)
 	}
--- a/internal/rack/news.go
+++ b/internal/rack/news.go
@@ -15,13 +15,13 @@
 
 // OnHomeSync makes the sender's epoch the home's own here and answers with all
 // of the home's attempts, now and again when the rack is complete.
-func (r *Rack) OnHomeSync(m *node.HomeSync) {
-	if !r.acceptHome(m.Home, m.HomeEpoch) {
+func (r *Rack) OnHomeSync(m *node.JobShardSync) {
+	if !r.acceptHome(m.JobShard, m.JobShardEpoch) {
 		return
 	}
-	r.synced[m.Home] = true
-	r.dropOldAsks(m.Home, m.HomeEpoch)
-	r.tellWhole(m.Home)
+	r.synced[m.JobShard] = true
+	r.dropOldAsks(m.JobShard, m.JobShardEpoch)
+	r.tellWhole(m.JobShard)
 }
 
 // dropOldAsks forgets what an earlier owner of the home asked for and has not
@@ -29,7 +29,7 @@
 func (r *Rack) dropOldAsks(home state.ShardID, epoch uint64) {
 	kept := r.asks[:0]
 	for _, p := range r.asks {
-		if p.ask.Home != home || p.ask.HomeEpoch >= epoch {
+		if p.ask.JobShard != home || p.ask.JobShardEpoch >= epoch {
 			kept = append(kept, p)
 		}
 	}
@@ -38,21 +38,21 @@
 }
 
 func (r *Rack) tellWhole(home state.ShardID) {
-	n := &node.News{Home: home, Rack: r.ID, RackEpoch: r.Epoch, IsWhole: true, IsComplete: r.IsComplete()}
+	n := &node.AttemptReport{JobShard: home, Rack: r.ID, RackEpoch: r.Epoch, IsFullReport: true, IsInventoryComplete: r.IsComplete()}
 	for _, h := range sortedHeld(r.held) {
 		if h.task.Home == string(home) {
 			n.Items = append(n.Items, newsItem(h))
 		}
 	}
-	r.out.ToHome = append(r.out.ToHome, HomeMessage{home, node.Message{News: n}})
+	r.out.ToHome = append(r.out.ToHome, HomeMessage{home, node.Message{AttemptReport: n}})
 }
 
-func newsItem(h *held) node.NewsItem {
+func newsItem(h *held) node.AttemptStatus {
 	s := h.task.State
 	if h.phase != phaseEnded {
 		s = worker.StateRunning
 	}
-	return node.NewsItem{Key: h.task.Key, State: s, Worker: h.vm.id, IsLost: h.isLost, IsBlamed: h.isBlamed}
+	return node.AttemptStatus{Key: h.task.Key, State: s, Worker: h.vm.id, IsLost: h.isLost, IsWorkerAtFault: h.isBlamed}
 }
 
 // tellNews tells the home of one attempt, joined with others for it.
@@ -60,13 +60,13 @@
 	home := state.ShardID(h.task.Home)
 	for i := range r.out.ToHome {
 		m := &r.out.ToHome[i]
-		if m.Home == home && m.Message.News != nil && !m.Message.News.IsWhole {
-			m.Message.News.Items = append(m.Message.News.Items, newsItem(h))
+		if m.Home == home && m.Message.AttemptReport != nil && !m.Message.AttemptReport.IsFullReport {
+			m.Message.AttemptReport.Items = append(m.Message.AttemptReport.Items, newsItem(h))
 			return
 		}
 	}
-	n := &node.News{Home: home, Rack: r.ID, RackEpoch: r.Epoch, IsComplete: r.IsComplete(), Items: []node.NewsItem{newsItem(h)}}
-	r.out.ToHome = append(r.out.ToHome, HomeMessage{home, node.Message{News: n}})
+	n := &node.AttemptReport{JobShard: home, Rack: r.ID, RackEpoch: r.Epoch, IsInventoryComplete: r.IsComplete(), Items: []node.AttemptStatus{newsItem(h)}}
+	r.out.ToHome = append(r.out.ToHome, HomeMessage{home, node.Message{AttemptReport: n}})
 }
 
 func (r *Rack) resendNews(now time.Time) {
@@ -80,7 +80,7 @@
 }
 
 // OnNewsAck forgets attempts whose end the home has recorded.
-func (r *Rack) OnNewsAck(m *node.NewsAck) {
+func (r *Rack) OnNewsAck(m *node.AttemptReportAck) {
 	forgets := map[worker.ID][]worker.Key{}
 	for _, k := range m.Keys {
 		h := r.held[k]
@@ -88,7 +88,7 @@
 			continue
 		}
 		r.remove(h)
-		r.settledOf(m.Home).why[k.Attempt] = ""
+		r.settledOf(m.JobShard).why[k.Attempt] = ""
 		forgets[h.vm.id] = append(forgets[h.vm.id], k)
 	}
 	for _, id := range r.order {
--- a/internal/rack/pushes.go
+++ b/internal/rack/pushes.go
@@ -20,7 +20,7 @@
 // kept by a hold, so that nobody else takes what becomes free.
 type pushedGrant struct {
 	from    state.NodeID
-	ask     *node.GrantAsk
+	ask     *node.GrantRequest
 	vm      *vm
 	replica worker.Task
 	slots   int64
@@ -31,7 +31,7 @@
 // pushForGrant makes room for a caller's requests beside a replica of their
 // service, and reports whether it will come. Only tasks of a lower class than
 // the most urgent request's are touched, and none that may not be repeated.
-func (r *Rack) pushForGrant(now time.Time, from state.NodeID, m *node.GrantAsk) bool {
+func (r *Rack) pushForGrant(now time.Time, from state.NodeID, m *node.GrantRequest) bool {
 	if r.isPushing(from, m.Service) {
 		// The ask was sent again: the first one will be answered.
 		return true
@@ -57,7 +57,7 @@
 
 // cheapestReplica returns the worker with a replica of the service on which the
 // fewest and gentlest deeds make room for one request.
-func (r *Rack) cheapestReplica(now time.Time, m *node.GrantAsk) (best *vm, replica *held, pushes []placement.Push) {
+func (r *Rack) cheapestReplica(now time.Time, m *node.GrantRequest) (best *vm, replica *held, pushes []placement.Push) {
 	for _, id := range r.order {
 		v := r.vms[id]
 		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
--- a/internal/rack/pushes_test.go
+++ b/internal/rack/pushes_test.go
@@ -19,12 +19,12 @@
 	b := newBench(t, 1, vm)
 	replica := b.task("service", small, leverdyke.ClassNormal)
 	replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
-	b.ask(node.AskItem{Task: replica})
+	b.ask(node.StartItem{Task: replica})
 	for range 3 {
 		task := b.task("fill", small, class)
 		task.IsOnce = isOnce
 		task.RunTime = time.Hour
-		b.ask(node.AskItem{Task: task})
+		b.ask(node.StartItem{Task: task})
 	}
 	b.run(1)
 	if got := b.rack.Room(b.clock.Now()).Free.Slots; got != 0 {
@@ -51,14 +51,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newFullBench(t, c.class, c.isOnce)
-			b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.asked})
+			b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 3, Class: c.asked})
 			b.perform()
-			b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.asked})
+			b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 3, Class: c.asked})
 			b.perform()
 			b.run(2)
 			given, refused := 0, 0
 			for i := range b.toNode {
-				if g := b.toNode[i].Grant; g != nil && g.Refused == "" {
+				if g := b.toNode[i].Grant; g != nil && g.RefusalReason == "" {
 					given++
 				} else if g != nil {
 					refused++
@@ -89,14 +89,14 @@
 // Room that does not come about is refused in time for another rack to be asked.
 func TestPushThatDoesNotHelpIsRefused(t *testing.T) {
 	b := newFullBench(t, leverdyke.ClassBatch, false)
-	b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 1, Class: leverdyke.ClassNormal})
+	b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 1, Class: leverdyke.ClassNormal})
 	// The worker's answer is lost with the worker: nothing is performed.
 	b.rack.Take()
 	b.clock.Advance(2 * time.Second)
 	b.rack.OnSilent("w0")
 	b.rack.Tick(b.clock.Now())
 	b.perform()
-	if len(b.toNode) != 1 || b.toNode[0].Grant == nil || b.toNode[0].Grant.Refused == "" {
+	if len(b.toNode) != 1 || b.toNode[0].Grant == nil || b.toNode[0].Grant.RefusalReason == "" {
 		t.Errorf("got: %+v, want: one refusal", b.toNode)
 	}
 }
@@ -106,7 +106,7 @@
 	for class, want := range map[leverdyke.Class]int{leverdyke.ClassBatch: 3, leverdyke.ClassNormal: 0} {
 		b := newFullBench(t, class, false)
 		room := b.rack.Room(b.clock.Now())
-		if got := room.Services[0]; got.Slots != 0 || got.Yield != want {
+		if got := room.Services[0]; got.Slots != 0 || got.PreemptibleSlots != want {
 			t.Errorf("%s: got: %+v, want: 0 slots and %d yielded", class, got, want)
 		}
 	}
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -134,7 +134,7 @@
 	// deed is what was ordered and has not shown in a report; empty for none.
 	deed worker.Deed
 	// asked is the home's ask that waits for the start; nil for none.
-	asked *node.Ask
+	asked *node.StartRequest
 }
 
 // Output is what the rack's owner wants done.
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -38,8 +38,8 @@
 	names   []worker.ID
 	reports map[worker.ID]*worker.Report
 	// answers and news are what the home has heard.
-	answers map[worker.Key]node.AnswerResult
-	news    map[worker.Key]node.NewsItem
+	answers map[worker.Key]node.StartResult
+	news    map[worker.Key]node.AttemptStatus
 	toNode  []node.Message
 	events  []rack.Event
 	// forgets is what each worker is told to forget with its next sync.
@@ -55,7 +55,7 @@
 	t.Helper()
 	b := &bench{
 		t: t, clock: clock.NewFake(), oracle: native.NewOracle(), workers: map[worker.ID]*native.Worker{},
-		reports: map[worker.ID]*worker.Report{}, answers: map[worker.Key]node.AnswerResult{}, news: map[worker.Key]node.NewsItem{},
+		reports: map[worker.ID]*worker.Report{}, answers: map[worker.Key]node.StartResult{}, news: map[worker.Key]node.AttemptStatus{},
 		forgets: map[worker.ID][]worker.Key{},
 	}
 	b.rack = rack.NewRack(b.clock.Now(), "rack/r1/k", epoch, rack.NewRackOptions{})
@@ -129,13 +129,13 @@
 }
 
 func (b *bench) hear(m *node.Message) {
-	if m.Answer != nil {
-		for _, r := range m.Answer.Results {
+	if m.StartReply != nil {
+		for _, r := range m.StartReply.Results {
 			b.answers[r.Key] = r
 		}
 	}
-	if m.News != nil {
-		for _, n := range m.News.Items {
+	if m.AttemptReport != nil {
+		for _, n := range m.AttemptReport.Items {
 			b.news[n.Key] = n
 		}
 	}
@@ -163,9 +163,9 @@
 	}
 }
 
-func (b *bench) ask(items ...node.AskItem) {
+func (b *bench) ask(items ...node.StartItem) {
 	b.t.Helper()
-	b.rack.OnAsk(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch, Items: items})
+	b.rack.OnAsk(&node.StartRequest{JobShard: home, JobShardEpoch: 1, RackEpoch: epoch, Items: items})
 	b.rack.Flush(b.clock.Now())
 	b.perform()
 }
@@ -179,7 +179,7 @@
 	b := newBench(t, 1, vm)
 	b.isMute = true
 	task := b.task("j", small, leverdyke.ClassNormal)
-	b.ask(node.AskItem{Task: task})
+	b.ask(node.StartItem{Task: task})
 	b.run(3)
 	if b.starts != 1 {
 		t.Errorf("got: %d starts, want: 1 until the first is known to have failed", b.starts)
@@ -194,20 +194,20 @@
 func TestAskForAnotherEpochIsRefused(t *testing.T) {
 	b := newBench(t, 1, vm)
 	task := b.task("j", small, leverdyke.ClassNormal)
-	b.rack.OnAsk(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch - 1, Items: []node.AskItem{{Task: task}}})
+	b.rack.OnAsk(&node.StartRequest{JobShard: home, JobShardEpoch: 1, RackEpoch: epoch - 1, Items: []node.StartItem{{Task: task}}})
 	b.rack.Flush(b.clock.Now())
 	b.perform()
-	if got := b.answers[task.Key]; got.Refused == "" || b.starts != 0 {
+	if got := b.answers[task.Key]; got.RefusalReason == "" || b.starts != 0 {
 		t.Errorf("got: %+v and %d starts, want: refused and none", got, b.starts)
 	}
 }
 
 func TestLaterHomeShutsTheEarlierOneOut(t *testing.T) {
 	b := newBench(t, 1, vm)
-	b.rack.OnHomeSync(&node.HomeSync{Home: home, HomeEpoch: 2, Rack: "rack/r1/k"})
+	b.rack.OnHomeSync(&node.JobShardSync{JobShard: home, JobShardEpoch: 2, Rack: "rack/r1/k"})
 	task := b.task("j", small, leverdyke.ClassNormal)
-	b.ask(node.AskItem{Task: task})
-	if got := b.answers[task.Key]; got.Refused == "" || b.starts != 0 {
+	b.ask(node.StartItem{Task: task})
+	if got := b.answers[task.Key]; got.RefusalReason == "" || b.starts != 0 {
 		t.Errorf("got: %+v and %d starts, want: refused and none", got, b.starts)
 	}
 }
@@ -215,12 +215,12 @@
 func TestRefusalHoldsForLateCopies(t *testing.T) {
 	b := newBench(t, 1, vm)
 	big := b.task("big", leverdyke.Resources{MilliCPU: 5000, Slots: 1}, leverdyke.ClassNormal)
-	b.ask(node.AskItem{Task: big})
-	if got := b.answers[big.Key]; got.Refused == "" {
+	b.ask(node.StartItem{Task: big})
+	if got := b.answers[big.Key]; got.RefusalReason == "" {
 		t.Fatalf("got: %+v, want: refused", got)
 	}
 	big.Each = small
-	b.ask(node.AskItem{Task: big})
+	b.ask(node.StartItem{Task: big})
 	if b.starts != 0 {
 		t.Errorf("got: %d starts, want: 0", b.starts)
 	}
@@ -229,10 +229,10 @@
 func TestReportedUseRaisesTheCharge(t *testing.T) {
 	b := newBench(t, 1, vm)
 	b.workers["w0"].SetFaults(native.WorkerFaults{UsageFactor: 3})
-	b.ask(node.AskItem{Task: b.task("j", small, leverdyke.ClassNormal)})
+	b.ask(node.StartItem{Task: b.task("j", small, leverdyke.ClassNormal)})
 	b.run(4)
 	// The report of its use comes with the next change.
-	b.ask(node.AskItem{Task: b.task("other", leverdyke.Resources{MilliCPU: 1, MemoryMiB: 1, Slots: 1}, leverdyke.ClassNormal)})
+	b.ask(node.StartItem{Task: b.task("other", leverdyke.Resources{MilliCPU: 1, MemoryMiB: 1, Slots: 1}, leverdyke.ClassNormal)})
 	b.reports["w0"].Rev = 0
 	b.sync()
 	room := b.rack.Room(b.clock.Now())
@@ -246,18 +246,18 @@
 	for i := range 4 {
 		task := b.task("batch", small, leverdyke.ClassBatch)
 		task.IsOnce = i < 3
-		b.ask(node.AskItem{Task: task})
+		b.ask(node.StartItem{Task: task})
 	}
 	urgent := b.task("urgent", leverdyke.Resources{MilliCPU: 500, MemoryMiB: 500, Slots: 1}, leverdyke.ClassUrgent)
-	b.ask(node.AskItem{Task: urgent})
+	b.ask(node.StartItem{Task: urgent})
 	b.run(1)
 	if got := b.answers[urgent.Key]; got.Worker == "" {
 		t.Errorf("got: %+v, want: started", got)
 	}
 	second := b.task("urgent", small, leverdyke.ClassUrgent)
-	b.ask(node.AskItem{Task: second})
+	b.ask(node.StartItem{Task: second})
 	b.run(3)
-	if got := b.answers[second.Key]; got.Refused == "" {
+	if got := b.answers[second.Key]; got.RefusalReason == "" {
 		t.Errorf("got: %+v, want: refused, since what is left may not be repeated", got)
 	}
 	if got := b.oracle.Report(); got.OverCommits != 0 {
@@ -268,10 +268,10 @@
 func TestThrottlingComesBeforeStoppingAndIsTakenBack(t *testing.T) {
 	b := newBench(t, 1, vm)
 	batch := b.task("batch", leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 100, Slots: 1}, leverdyke.ClassBatch)
-	b.ask(node.AskItem{Task: batch})
+	b.ask(node.StartItem{Task: batch})
 	urgent := b.task("urgent", small, leverdyke.ClassUrgent)
 	urgent.RunTime = 3 * time.Second
-	b.ask(node.AskItem{Task: urgent})
+	b.ask(node.StartItem{Task: urgent})
 	b.run(1)
 	if got := b.answers[urgent.Key]; got.Worker == "" {
 		t.Fatalf("got: %+v, want: started", got)
@@ -295,7 +295,7 @@
 		for i := range seconds {
 			task := b.task(fmt.Sprintf("job-%d-%d", b.attempt, i), small, leverdyke.ClassNormal)
 			task.RunTime = time.Second
-			b.ask(node.AskItem{Task: task, Waiting: 1})
+			b.ask(node.StartItem{Task: task, WaitingWeight: 1})
 			b.run(1)
 		}
 		return b.workers["w0"].Starts()
@@ -318,7 +318,7 @@
 		for i := range n {
 			task := b.task(fmt.Sprintf("%s-%d", prefix, i), small, leverdyke.ClassNormal)
 			task.RunTime = takes
-			b.ask(node.AskItem{Task: task, Waiting: 1})
+			b.ask(node.StartItem{Task: task, WaitingWeight: 1})
 			b.run(1)
 		}
 	}
@@ -340,14 +340,14 @@
 func TestEndOfALostAttemptIsForgottenWhenItsWorkerIsBack(t *testing.T) {
 	b := newBench(t, 1, vm)
 	task := b.task("j", small, leverdyke.ClassNormal)
-	b.ask(node.AskItem{Task: task})
+	b.ask(node.StartItem{Task: task})
 	b.run(1)
 	b.workers["w0"].SetFaults(native.WorkerFaults{Mode: native.ModeCut})
 	b.run(30)
 	if got := b.news[task.Key]; !got.IsLost {
 		t.Fatalf("got: %+v, want: lost", got)
 	}
-	b.rack.OnNewsAck(&node.NewsAck{Home: home, Keys: []worker.Key{task.Key}})
+	b.rack.OnNewsAck(&node.AttemptReportAck{JobShard: home, Keys: []worker.Key{task.Key}})
 	// The word to forget goes with the link of an owner that is replaced.
 	b.rack.Take()
 	b.workers["w0"].SetFaults(native.WorkerFaults{})
@@ -363,26 +363,26 @@
 
 func TestHoldIsAllThereIsAndExpires(t *testing.T) {
 	b := newBench(t, 2, vm)
-	hold := &node.Hold{Home: home, HomeEpoch: 1, Rack: "rack/r1/k", RackEpoch: epoch, ID: 9, Each: small, Count: 20, Expiry: 5 * time.Second}
+	hold := &node.ReserveRequest{JobShard: home, JobShardEpoch: 1, Rack: "rack/r1/k", RackEpoch: epoch, ID: 9, Each: small, Count: 20, Expiry: 5 * time.Second}
 	b.rack.OnHold(b.clock.Now(), hold)
 	out := b.rack.Take()
-	if got := out.ToHome[0].Message.HoldReply.Count; got != 8 {
+	if got := out.ToHome[0].Message.ReserveReply.Count; got != 8 {
 		t.Fatalf("got: %d places, want: 8", got)
 	}
 	task := b.task("small", small, leverdyke.ClassNormal)
-	b.ask(node.AskItem{Task: task})
-	if got := b.answers[task.Key]; got.Refused == "" {
+	b.ask(node.StartItem{Task: task})
+	if got := b.answers[task.Key]; got.RefusalReason == "" {
 		t.Errorf("got: %+v, want: refused while all is held", got)
 	}
 	gang := b.task("gang", small, leverdyke.ClassNormal)
-	b.ask(node.AskItem{Task: gang, HoldID: 9})
+	b.ask(node.StartItem{Task: gang, ReservationID: 9})
 	if got := b.answers[gang.Key]; got.Worker == "" {
 		t.Errorf("got: %+v, want: started on a held place", got)
 	}
 	b.run(6)
 	late := b.task("gang", small, leverdyke.ClassNormal)
-	b.ask(node.AskItem{Task: late, HoldID: 9})
-	if got := b.answers[late.Key]; got.Refused == "" {
+	b.ask(node.StartItem{Task: late, ReservationID: 9})
+	if got := b.answers[late.Key]; got.RefusalReason == "" {
 		t.Errorf("got: %+v, want: refused after the hold's expiry", got)
 	}
 }
@@ -391,16 +391,16 @@
 	b := newBench(t, 2, vm)
 	replica := b.task("service", small, leverdyke.ClassNormal)
 	replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
-	b.ask(node.AskItem{Task: replica})
-	b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 9})
+	b.ask(node.StartItem{Task: replica})
+	b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 9})
 	b.perform()
 	b.run(1)
 	if len(b.toNode) != 1 || b.toNode[0].Grant.Slots != 3 {
 		t.Fatalf("got: %+v, want: one grant of 3 slots", b.toNode)
 	}
-	b.rack.OnGrantAsk(b.clock.Now(), "n2", &node.GrantAsk{Service: "s", Slots: 1})
+	b.rack.OnGrantAsk(b.clock.Now(), "n2", &node.GrantRequest{Service: "s", Slots: 1})
 	b.perform()
-	if got := b.toNode[1].Grant.Refused; got == "" {
+	if got := b.toNode[1].Grant.RefusalReason; got == "" {
 		t.Error("got: a grant, want: refused, since no slot is left")
 	}
 	b.rack.DropHolder(b.clock.Now(), func(n state.NodeID) bool { return n == "n1" })
@@ -417,8 +417,8 @@
 	b := newBench(t, 1, vm)
 	replica := b.task("service", small, leverdyke.ClassNormal)
 	replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
-	b.ask(node.AskItem{Task: replica})
-	b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 2})
+	b.ask(node.StartItem{Task: replica})
+	b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 2})
 	b.perform()
 	b.run(1)
 	grant := b.toNode[0].Grant.Key
@@ -427,7 +427,7 @@
 	if len(b.toNode) != 2 || b.toNode[0].GrantCheck == nil || b.toNode[0].GrantCheck.Keys[0] != grant {
 		t.Fatalf("got: %+v, want: two checks of the grant in 11 s", b.toNode)
 	}
-	b.rack.OnGrantDone(b.clock.Now(), "n1", &node.GrantDone{Key: grant})
+	b.rack.OnGrantDone(b.clock.Now(), "n1", &node.GrantReturn{Key: grant})
 	b.perform()
 	b.run(2)
 	if got := b.rack.Room(b.clock.Now()).Free.Slots; got != 3 {
@@ -447,8 +447,8 @@
 		b := newBench(t, 1, vm)
 		replica := b.task("service", small, leverdyke.ClassNormal)
 		replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
-		b.ask(node.AskItem{Task: replica})
-		b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 2})
+		b.ask(node.StartItem{Task: replica})
+		b.rack.OnGrantAsk(b.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 2})
 		b.perform()
 		b.run(1)
 		grant := b.toNode[0].Grant.Key
@@ -486,7 +486,7 @@
 			task := b.task(fmt.Sprint("j", r.Intn(5)), each, classes[r.Intn(3)])
 			task.RunTime = time.Duration(r.Intn(5)+1) * time.Second
 			task.IsOnce = r.Intn(4) == 0
-			b.ask(node.AskItem{Task: task, Waiting: r.Float64(), Packing: r.Float64()})
+			b.ask(node.StartItem{Task: task, WaitingWeight: r.Float64(), PackingWeight: r.Float64()})
 			b.run(r.Intn(2))
 		}
 		return b.oracle.Report().OverCommits == 0
--- a/internal/rack/room.go
+++ b/internal/rack/room.go
@@ -14,9 +14,9 @@
 )
 
 // Room returns the rack's summary.
-func (r *Rack) Room(now time.Time) node.Room {
-	room := node.Room{Rack: r.ID, Epoch: r.Epoch}
-	services := map[string]*node.ServiceRoom{}
+func (r *Rack) Room(now time.Time) node.RackSummary {
+	room := node.RackSummary{Rack: r.ID, Epoch: r.Epoch}
+	services := map[string]*node.ServiceCapacity{}
 	for _, id := range r.order {
 		v := r.vms[id]
 		room.Zone = v.zone
@@ -30,13 +30,13 @@
 			room.Largest = room.Largest.Max(free)
 		}
 		room.Capacity = room.Capacity.Max(v.capacity)
-		room.Yield = room.Yield.Max(r.yield(v))
+		room.Preemptible = room.Preemptible.Max(r.yield(v))
 		countServices(v, free, services)
 	}
 	for _, s := range services {
 		room.Services = append(room.Services, *s)
 	}
-	slices.SortFunc(room.Services, func(a, b node.ServiceRoom) int {
+	slices.SortFunc(room.Services, func(a, b node.ServiceCapacity) int {
 		if a.Service < b.Service {
 			return -1
 		}
@@ -45,20 +45,20 @@
 	return room
 }
 
-func countServices(v *vm, free leverdyke.Resources, services map[string]*node.ServiceRoom) {
+func countServices(v *vm, free leverdyke.Resources, services map[string]*node.ServiceCapacity) {
 	for _, h := range v.held {
 		if h.phase != phaseRunning || h.task.Service == "" || h.task.Holder != "" {
 			continue
 		}
 		s := services[h.task.Service]
 		if s == nil {
-			s = &node.ServiceRoom{Service: h.task.Service}
+			s = &node.ServiceCapacity{Service: h.task.Service}
 			services[h.task.Service] = s
 		}
 		s.Replicas++
 		slots := h.task.Request.Count(free)
 		s.Slots += int(slots)
-		s.Yield += int(h.task.Request.Count(yieldTo(v, free)) - slots)
+		s.PreemptibleSlots += int(h.task.Request.Count(yieldTo(v, free)) - slots)
 	}
 }
 
--- a/internal/rack/sizes_test.go
+++ b/internal/rack/sizes_test.go
@@ -59,11 +59,11 @@
 	o := sizeOutcome{}
 	ended := 0
 	for second := 1; second <= sizeTime && o.done == 0; second++ {
-		items := []node.AskItem{}
+		items := []node.StartItem{}
 		for i := range waiting {
 			b.attempt++
 			waiting[i].Key.Attempt = b.attempt
-			items = append(items, node.AskItem{Task: waiting[i], Packing: 1})
+			items = append(items, node.StartItem{Task: waiting[i], PackingWeight: 1})
 		}
 		b.ask(items...)
 		b.run(1)
@@ -82,7 +82,7 @@
 				continue
 			}
 			delete(running, key)
-			b.rack.OnNewsAck(&node.NewsAck{Home: home, Keys: []worker.Key{key}})
+			b.rack.OnNewsAck(&node.AttemptReportAck{JobShard: home, Keys: []worker.Key{key}})
 			if news.State == worker.StateDone {
 				ended++
 				continue
@@ -138,7 +138,7 @@
 		if change != nil {
 			change(&task)
 		}
-		b.ask(node.AskItem{Task: task})
+		b.ask(node.StartItem{Task: task})
 	}
 	b.run(6)
 }
@@ -197,7 +197,7 @@
 				t.Errorf("got: %d throttled, want some: %v", throttled, want)
 			}
 			for key, n := range b.news {
-				if n.State != worker.StateCheckpointed || n.IsBlamed {
+				if n.State != worker.StateCheckpointed || n.IsWorkerAtFault {
 					t.Errorf("%s: got: %+v, want: checkpointed and nobody blamed", key, n)
 				}
 			}
@@ -238,7 +238,7 @@
 		for i := range 40 {
 			task := b.task(fmt.Sprint("j", i%5), leverdyke.Resources{MilliCPU: int64(300 + 97*i%1500), MemoryMiB: int64(200 + 61*i%900), Slots: 1}, leverdyke.ClassNormal)
 			task.RunTime = time.Minute * factor / 10
-			b.ask(node.AskItem{Task: task, Packing: 1})
+			b.ask(node.StartItem{Task: task, PackingWeight: 1})
 		}
 		return fmt.Sprint(b.decided)
 	}
--- a/internal/rack/urgent.go
+++ b/internal/rack/urgent.go
@@ -50,7 +50,7 @@
 }
 
 // cheapest returns the worker where the fewest and gentlest deeds make room.
-func (r *Rack) cheapest(now time.Time, item *node.AskItem) (*vm, []placement.Push) {
+func (r *Rack) cheapest(now time.Time, item *node.StartItem) (*vm, []placement.Push) {
 	var best *vm
 	var bestPushes []placement.Push
 	bestCost := 0
@@ -131,7 +131,7 @@
 }
 
 func (r *Rack) dropOldUrgents(home state.ShardID, epoch uint64) {
-	r.dropUrgents(func(u *urgent) bool { return u.ask.ask.Home == home && u.ask.ask.HomeEpoch < epoch })
+	r.dropUrgents(func(u *urgent) bool { return u.ask.ask.JobShard == home && u.ask.ask.JobShardEpoch < epoch })
 }
 
 func (r *Rack) dropUrgents(isOver func(*urgent) bool) {
--- a/internal/summary/summary.go
+++ b/internal/summary/summary.go
@@ -13,14 +13,14 @@
 )
 
 // IsSame reports whether two summaries of a rack say the same.
-func IsSame(a, b *node.Room) bool {
-	return a.Epoch == b.Epoch && a.Free == b.Free && a.Largest == b.Largest && a.Yield == b.Yield && a.Workers == b.Workers &&
+func IsSame(a, b *node.RackSummary) bool {
+	return a.Epoch == b.Epoch && a.Free == b.Free && a.Largest == b.Largest && a.Preemptible == b.Preemptible && a.Workers == b.Workers &&
 		slices.Equal(a.Services, b.Services)
 }
 
 // IsWorthTelling reports whether peers would decide differently by the summary
 // as it is now than by the one that they were told.
-func IsWorthTelling(told, now *node.Room) bool {
+func IsWorthTelling(told, now *node.RackSummary) bool {
 	if told.Epoch != now.Epoch || told.Workers != now.Workers || len(told.Services) != len(now.Services) {
 		return true
 	}
@@ -32,9 +32,9 @@
 	return isFar(told.Free, now.Free) || isFar(told.Largest, now.Largest)
 }
 
-func isOtherService(told, now *node.ServiceRoom) bool {
+func isOtherService(told, now *node.ServiceCapacity) bool {
 	isFarOff := told.Slots > 2*now.Slots || now.Slots > 2*told.Slots
-	return told.Service != now.Service || isFarOff || (told.Yield > 0) != (now.Yield > 0)
+	return told.Service != now.Service || isFarOff || (told.PreemptibleSlots > 0) != (now.PreemptibleSlots > 0)
 }
 
 // isFar reports whether an amount has doubled or halved in some dimension: the
