--- a/internal/node/frame.go
+++ b/internal/node/frame.go
@@ -9,14 +9,15 @@
 	"github.com/leverdyke/leverdyke/internal/frame"
 )
 
-// ErrFrame means that the bytes on a link are no frame; the link is closed.
+// ErrFrame means that a peer sent a malformed frame. The link is closed, since the
+// start of the next frame is unknown.
 var ErrFrame = frame.ErrBad
 
-// AppendFrame appends m to buf as one frame.
+// AppendFrame appends m to buf, encoded as one frame.
 func AppendFrame(buf []byte, m *Message) ([]byte, error) { return frame.Append(buf, m) }
 
-// ReadFrame reads one frame and returns its length on the wire. Errors other
-// than the reader's own are ErrFrame.
+// ReadFrame reads one frame and returns its message and its length on the wire. An
+// error wraps either the reader's own or ErrFrame.
 func ReadFrame(r io.Reader) (*Message, int, error) {
 	m := &Message{}
 	n, err := frame.Read(r, m)
--- a/internal/node/frame_test.go
+++ b/internal/node/frame_test.go
@@ -11,7 +11,7 @@
 	"github.com/leverdyke/leverdyke/internal/node"
 )
 
-func TestFramesRoundTrip(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	buf, err := node.AppendFrame(nil, &node.Message{Heartbeat: &node.Heartbeat{Applied: 7}})
 	if err != nil {
 		t.Fatal(err)
@@ -22,12 +22,14 @@
 	}
 }
 
-func TestBadFramesAreNamed(t *testing.T) {
+// A malformed frame has to give ErrFrame, by which a link tells it from a broken
+// connection and reports the peer.
+func TestMalformedFrameReturnsErrFrame(t *testing.T) {
 	for name, data := range map[string][]byte{
-		"no length":  {0, 0, 0, 0},
-		"too long":   {0xff, 0xff, 0xff, 0xff},
-		"no msgpack": {0, 0, 0, 1, 0xc1},
-		"a lie":      {0, 0, 0, 5, 0xdd, 0xff, 0xff, 0xff, 0xff},
+		"no length":        {0, 0, 0, 0},
+		"too long":         {0xff, 0xff, 0xff, 0xff},
+		"no msgpack":       {0, 0, 0, 1, 0xc1},
+		"missing elements": {0, 0, 0, 5, 0xdd, 0xff, 0xff, 0xff, 0xff},
 	} {
 		if _, _, err := node.ReadFrame(bytes.NewReader(data)); !errors.Is(err, node.ErrFrame) {
 			t.Errorf("%s: got: %v, want: %v", name, err, node.ErrFrame)
@@ -35,6 +37,8 @@
 	}
 }
 
+// ReadFrame must neither panic nor allocate what a forged length claims, whatever
+// bytes a peer sends.
 func FuzzReadFrame(f *testing.F) {
 	buf, err := node.AppendFrame(nil, &node.Message{StartRequest: &node.StartRequest{JobShard: "h", Items: []node.StartItem{{Age: 1}}}})
 	if err != nil {
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -19,33 +19,40 @@
 )
 
 const (
+	// outboundFrames is the capacity of the queue of messages to one peer.
 	outboundFrames = 1024
 	dialTimeout    = 2 * time.Second
 	writeTimeout   = 5 * time.Second
-	idleTimeout    = 20 * time.Second
-	redialPeriod   = 500 * time.Millisecond
-	helloTimeout   = 3 * time.Second
+	// idleTimeout closes an incoming connection that delivers no frame.
+	idleTimeout  = 20 * time.Second
+	redialPeriod = 500 * time.Millisecond
+	// helloTimeout closes an incoming connection that does not send its Hello.
+	helloTimeout = 3 * time.Second
 )
 
-// Envelope is a message with its sender.
+// Envelope is a received message with the Hello of its sender.
 type Envelope struct {
 	From Hello
 	Message
 }
 
-// Observer is told what happens on links. Its methods may be called from many
-// goroutines.
+// Observer receives the messages and events of links. Its methods may be called
+// from several goroutines at once.
 type Observer interface {
-	// Deliver takes a message that came; it may block until there is room.
+	// Deliver accepts a received message. It may block until the receiver's queue
+	// has space; meanwhile nothing more is read from that link.
 	Deliver(e Envelope)
-	// BadFrame is told that a link was closed because of its bytes.
+	// BadFrame reports that a link was closed because the peer sent a malformed
+	// frame, or no valid Hello.
 	BadFrame(from netip.AddrPort, err error)
-	// CountBytes is told the bytes of each frame sent or received.
+	// CountBytes reports the length in bytes of a frame sent or received; the
+	// other count is 0.
 	CountBytes(sent, received int)
 }
 
-// Links connects a node with its peers: one outgoing connection to each, and
-// any number of incoming ones. It is safe for concurrent use.
+// Links connects a node with its peers. It sends over one outgoing connection to
+// each peer and receives over any number of incoming ones. It is safe for
+// concurrent use.
 type Links struct {
 	self     Hello
 	clock    clock.Service
@@ -60,6 +67,8 @@
 	conns map[net.Conn]bool
 }
 
+// outgoing is the link to one peer: a queue of messages and the connection over
+// which they are sent.
 type outgoing struct {
 	links *Links
 	node  state.NodeID
@@ -68,11 +77,12 @@
 	stop  context.CancelFunc
 }
 
-// NewLinks listens at addr. The hello says who this node is.
+// NewLinks listens at addr. It sends self to every peer that it connects to; an
+// empty self.Node is replaced by the address of the listener.
 func NewLinks(addr netip.AddrPort, self Hello, c clock.Service, o Observer) (*Links, error) {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
-		return nil, fmt.Errorf("node: %w", err)
+		return nil, fmt.Errorf("node: cannot listen for peers: %w", err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	self.Version = ProtocolVersion
@@ -91,7 +101,8 @@
 // Self returns this node's name.
 func (l *Links) Self() state.NodeID { return l.self.Node }
 
-// Close ends all links and waits for their goroutines.
+// Close closes the listener and all links, and waits until their goroutines have
+// ended.
 func (l *Links) Close() {
 	l.cancel()
 	_ = l.listener.Close()
@@ -103,7 +114,8 @@
 	l.wg.Wait()
 }
 
-// Connect keeps an outgoing link to a peer until Disconnect.
+// Connect opens an outgoing link to a peer and dials it again whenever the
+// connection breaks, until Disconnect. It does nothing if there is such a link.
 func (l *Links) Connect(peer state.NodeID, addr netip.AddrPort) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +129,7 @@
 	go o.redialLoop(ctx)
 }
 
-// Disconnect ends the outgoing link to a peer.
+// Disconnect closes the outgoing link to a peer.
 func (l *Links) Disconnect(peer state.NodeID) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,8 +139,9 @@
 	}
 }
 
-// Send queues a message for a peer. It reports false, and the message is not
-// sent, when there is no link or its queue is full.
+// Send queues a message for a peer. It returns false, and the message is dropped,
+// if there is no link to the peer or its queue is full. A queued message may still
+// be lost when the connection breaks.
 func (l *Links) Send(peer state.NodeID, m *Message) bool {
 	l.mu.Lock()
 	o := l.peers[peer]
@@ -136,6 +149,8 @@
 	return o != nil && o.queue.TryPut(m)
 }
 
+// acceptLoop starts a goroutine for each incoming connection until the listener is
+// closed.
 func (l *Links) acceptLoop() {
 	defer l.wg.Done()
 	for {
@@ -151,6 +166,8 @@
 	}
 }
 
+// track registers a connection, so that Close can close it. If Links is closed
+// already, track closes the connection and returns false.
 func (l *Links) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,7 +186,8 @@
 	_ = c.Close()
 }
 
-// runIncoming reads one peer's frames until the link breaks.
+// runIncoming reads the Hello and then the messages of one peer until the
+// connection breaks or delivers a malformed frame.
 func (l *Links) runIncoming(c net.Conn) {
 	defer l.wg.Done()
 	defer l.untrack(c)
@@ -196,7 +214,8 @@
 	}
 }
 
-// redialLoop dials, sends what is queued, and dials again when the link breaks.
+// redialLoop dials the peer, sends the queued messages, and dials again after
+// redialPeriod when the connection breaks.
 func (o *outgoing) redialLoop(ctx context.Context) {
 	defer o.links.wg.Done()
 	for ctx.Err() == nil {
@@ -208,6 +227,8 @@
 	}
 }
 
+// dialAndSend opens one connection, sends the Hello, and then sends the queued
+// messages until a write fails or ctx is done.
 func (o *outgoing) dialAndSend(ctx context.Context) {
 	d := net.Dialer{Timeout: dialTimeout}
 	c, err := d.DialContext(ctx, "tcp", o.addr.String())
@@ -234,8 +255,8 @@
 	}
 }
 
-// dropQueued empties the queue of a peer that cannot be reached: what is sent
-// again is newer than what waits.
+// dropQueued empties the queue of a peer that cannot be reached. Senders repeat
+// what still matters, with newer contents than the queued messages have.
 func (o *outgoing) dropQueued() {
 	for {
 		select {
@@ -253,7 +274,7 @@
 	}
 	_ = c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.Write(buf); err != nil {
-		return fmt.Errorf("node: write: %w", err)
+		return fmt.Errorf("node: cannot write frame to peer: %w", err)
 	}
 	o.links.observer.CountBytes(len(buf), 0)
 	return nil
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package node is the adapter for the other nodes: the typed messages that
-// nodes exchange and the links that carry them as msgpack frames over TCP.
+// Package node connects the nodes of a cluster: it defines the typed messages
+// that they exchange and the links that carry these as msgpack frames over TCP.
 package node
 
 import (
@@ -14,11 +14,12 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// ProtocolVersion is what both ends of a link must name in their greeting.
+// ProtocolVersion is sent in the Hello of a link; a receiver of another version
+// closes the link.
 const ProtocolVersion = 1
 
-// Message is what one frame carries. Exactly one field is set. Messages may be
-// lost when a link breaks and are never delivered twice by a link.
+// Message is the content of one frame. Exactly one field is set. Messages may be
+// lost when a link breaks; a link never delivers a message twice.
 type Message struct {
 	Hello     *Hello     `msgpack:"he,omitempty"`
 	Heartbeat *Heartbeat `msgpack:"hb,omitempty"`
@@ -50,7 +51,8 @@
 	SavedAnswerTransferAck *SavedAnswerTransferAck `msgpack:"ot,omitempty"`
 }
 
-// Hello opens a link in both directions.
+// Hello is the first message on a connection and identifies the node that
+// dialed it. A connection carries messages from the dialing node only.
 type Hello struct {
 	Version     int          `msgpack:"v"`
 	Node        state.NodeID `msgpack:"n"`
@@ -59,85 +61,98 @@
 	Region      string       `msgpack:"r"`
 }
 
-// Heartbeat says that its sender lives and what it knows.
+// Heartbeat is sent periodically: it shows that the sender is alive and carries
+// its view of the log, of its peers and of its racks.
 type Heartbeat struct {
-	// Applied is the last offset that the sender folded and acts on.
+	// Applied is the offset of the last log record that the sender has applied to
+	// its state.
 	Applied int64 `msgpack:"a"`
-	// IsLogOut says that the sender does not reach the log.
+	// IsLogOut means that the sender cannot reach the log.
 	IsLogOut bool `msgpack:"o,omitempty"`
-	// IsDraining says that the sender is about to leave.
-	IsDraining bool           `msgpack:"x,omitempty"`
-	Suspects   []state.NodeID `msgpack:"s,omitempty"`
-	// Summaries has the summaries of the sender's racks that have changed.
+	// IsDraining means that the sender hands over its shards and will leave.
+	IsDraining bool `msgpack:"x,omitempty"`
+	// Suspects lists the peers that the sender suspects of having failed.
+	Suspects []state.NodeID `msgpack:"s,omitempty"`
+	// Summaries has the summaries of those racks of the sender that have changed.
 	Summaries []RackSummary `msgpack:"r,omitempty"`
-	// DeputyRacks lists the racks that the sender keeps alive as a deputy.
+	// DeputyRacks lists the racks that the sender keeps alive as a deputy: their
+	// owner has failed, and while the log is out no successor can claim them.
 	DeputyRacks []DeputyRack `msgpack:"d,omitempty"`
 }
 
-// DeputyRack is a rack under a deputy.
+// DeputyRack is a rack that a deputy keeps alive, with the epoch that it uses.
 type DeputyRack struct {
 	Rack  state.ShardID `msgpack:"r"`
 	Epoch worker.Epoch  `msgpack:"e"`
 }
 
-// RackSummary is a rack's summary: enough to choose a rack, never to promise a place.
+// RackSummary is a rack's free capacity in short. It is used to choose a rack; it
+// may be out of date, so only the rack's owner can say whether a task fits.
 type RackSummary struct {
 	Rack  state.ShardID `msgpack:"k"`
 	Epoch worker.Epoch  `msgpack:"e"`
 	Zone  string        `msgpack:"z"`
-	// Free is the sum over the rack's usable workers, Largest the most that one
-	// of them has free in each dimension, Capacity the largest VM.
+	// Free is the free capacity of all usable workers of the rack together;
+	// Largest is, in each dimension, the most that any one of them has free;
+	// Capacity is that of the largest VM.
 	Free     leverdyke.Resources `msgpack:"f"`
 	Largest  leverdyke.Resources `msgpack:"l"`
 	Capacity leverdyke.Resources `msgpack:"c"`
-	// Preemptible is what preemption for urgent work could free on one worker.
+	// Preemptible is how much capacity preemption for urgent work could free on
+	// one worker.
 	Preemptible leverdyke.Resources `msgpack:"y"`
 	Workers     int                 `msgpack:"w"`
 	Services    []ServiceCapacity   `msgpack:"s,omitempty"`
 }
 
-// ServiceCapacity says how many requests of a service a rack could still take.
+// ServiceCapacity is how many more requests of a service a rack could accept.
 type ServiceCapacity struct {
 	Service  string `msgpack:"s"`
 	Replicas int    `msgpack:"n"`
 	Slots    int    `msgpack:"f"`
-	// PreemptibleSlots counts further ones for which batches could be pushed aside.
+	// PreemptibleSlots is how many more slots preemption of batch work could free.
 	PreemptibleSlots int `msgpack:"y,omitempty"`
 }
 
-// StartRequest asks a rack's owner to start attempts. It is bound to the rack's epoch:
-// an attempt is never asked for again under a later one before that owner has
-// told the home all that runs in the rack.
+// StartRequest asks a rack's owner to start attempts. It is valid in one epoch of
+// the rack only: the job shard does not request an attempt again in a later epoch
+// until the new owner has reported every attempt that runs in the rack, because
+// the earlier request may have been carried out.
 type StartRequest struct {
 	JobShard      state.ShardID `msgpack:"h"`
 	JobShardEpoch uint64        `msgpack:"e"`
 	Rack          state.ShardID `msgpack:"r"`
 	RackEpoch     worker.Epoch  `msgpack:"k"`
-	// MinAttempt is the lowest attempt that the home still waits for at this rack;
-	// it never goes down in a home's epoch. A late copy of an ask for an earlier
-	// attempt must have no effect.
+	// MinAttempt is the lowest attempt number for which the job shard still waits
+	// for this rack's reply; it never decreases within an epoch of the job shard.
+	// The rack's owner ignores requests for lower attempts: they are late
+	// duplicates.
 	MinAttempt uint64      `msgpack:"f"`
 	Items      []StartItem `msgpack:"i"`
 }
 
-// StartItem is one attempt that is asked for.
+// StartItem is one attempt to start.
 type StartItem struct {
 	Task worker.Task `msgpack:"t"`
-	// Share is the part of its quota that the team uses, from 0 up; it settles
-	// who goes first between teams of the same class.
+	// Share is the fraction of its quota that the team uses, 0 or more. Among
+	// teams of the same class the one with the smaller share goes first.
 	Share float64 `msgpack:"s"`
 	// Age is how long the task has waited.
-	Age           time.Duration `msgpack:"a"`
-	WaitingWeight float64       `msgpack:"w"`
-	PackingWeight float64       `msgpack:"p"`
-	// ReservationID is set when the attempt takes a place that was held before.
+	Age time.Duration `msgpack:"a"`
+	// WaitingWeight and PackingWeight are the weights of the placement policy:
+	// the former prefers VMs with capacity left over, the latter VMs that the
+	// task fills up.
+	WaitingWeight float64 `msgpack:"w"`
+	PackingWeight float64 `msgpack:"p"`
+	// ReservationID is set if the attempt uses capacity reserved by a
+	// ReserveRequest of this ID.
 	ReservationID uint64 `msgpack:"h,omitempty"`
-	// IsStarved means that the job has long found no room anywhere: if there is
-	// none here either, a VM is kept for it.
+	// IsStarved means that the job has found no free capacity anywhere for a long
+	// time. If there is none in this rack either, the rack keeps a VM free for it.
 	IsStarved bool `msgpack:"v,omitempty"`
 }
 
-// StartReply is the rack owner's word on asked attempts.
+// StartReply is the rack owner's reply to the attempts of a StartRequest.
 type StartReply struct {
 	JobShard  state.ShardID `msgpack:"h"`
 	Rack      state.ShardID `msgpack:"r"`
@@ -146,19 +161,20 @@
 	Summary   *RackSummary  `msgpack:"m,omitempty"`
 }
 
-// StartResult says that an attempt runs, or that it was not started and will
-// not be started by this ask.
+// StartResult says that an attempt runs, or that it was not started and that the
+// request for it will not start it later.
 type StartResult struct {
 	Key worker.Key `msgpack:"k"`
-	// Worker is where it runs; empty when it was refused.
+	// Worker is where the attempt runs; empty if it was refused.
 	Worker        worker.ID `msgpack:"w,omitempty"`
 	RefusalReason string    `msgpack:"x,omitempty"`
-	// ExpectedUsage is set when the task was refused because others of its job use
-	// more than they declare: what it will most likely take.
+	// ExpectedUsage is set if the task was refused because other tasks of its job
+	// use more than they declare. It is the usage to expect of this one.
 	ExpectedUsage *leverdyke.Resources `msgpack:"e,omitempty"`
 }
 
-// AttemptOrder tells a rack's owner to do something to a home's attempts.
+// AttemptOrder tells a rack's owner what to do to attempts of a job shard, such as
+// to stop them. Attempts that the rack does not have are skipped.
 type AttemptOrder struct {
 	JobShard      state.ShardID `msgpack:"h"`
 	JobShardEpoch uint64        `msgpack:"e"`
@@ -167,24 +183,25 @@
 	Keys          []worker.Key  `msgpack:"k"`
 }
 
-// JobShardSync makes the sender the home's only owner at the rack and asks for all
-// attempts of the home there.
+// JobShardSync asks a rack's owner for all attempts of a job shard there. From
+// then on the rack's owner accepts the job shard's requests from this epoch on
+// only, so the sender is its only owner there.
 type JobShardSync struct {
 	JobShard      state.ShardID `msgpack:"h"`
 	JobShardEpoch uint64        `msgpack:"e"`
 	Rack          state.ShardID `msgpack:"r"`
 }
 
-// AttemptReport tells a home of its attempts in a rack.
+// AttemptReport reports the states of a job shard's attempts in a rack.
 type AttemptReport struct {
 	JobShard  state.ShardID `msgpack:"h"`
 	Rack      state.ShardID `msgpack:"r"`
 	RackEpoch worker.Epoch  `msgpack:"k"`
-	// IsFullReport says that Items has every attempt of the home in the rack that
-	// the owner knows of.
+	// IsFullReport means that Items has every attempt of the job shard that the
+	// rack's owner knows of.
 	IsFullReport bool `msgpack:"w,omitempty"`
-	// IsInventoryComplete says that no worker of the rack may run an attempt that the
-	// owner does not know of.
+	// IsInventoryComplete means that the rack's owner knows every attempt that a
+	// worker of the rack may run.
 	IsInventoryComplete bool            `msgpack:"c,omitempty"`
 	Items               []AttemptStatus `msgpack:"i"`
 }
@@ -194,21 +211,24 @@
 	Key    worker.Key       `msgpack:"k"`
 	State  worker.TaskState `msgpack:"s"`
 	Worker worker.ID        `msgpack:"w"`
-	// IsLost says that the attempt is gone with its worker or its lease.
+	// IsLost means that the attempt was lost with its worker, or that its lease
+	// expired.
 	IsLost bool `msgpack:"l,omitempty"`
-	// IsWorkerAtFault says that the worker, not the job, is thought to be at fault.
+	// IsWorkerAtFault means that the failure is attributed to the worker, so that
+	// it does not count against the job.
 	IsWorkerAtFault bool `msgpack:"b,omitempty"`
 }
 
-// AttemptReportAck lets the rack's owner forget attempts that have ended.
+// AttemptReportAck acknowledges ended attempts, so that the rack's owner may
+// forget them.
 type AttemptReportAck struct {
 	JobShard state.ShardID `msgpack:"h"`
 	Rack     state.ShardID `msgpack:"r"`
 	Keys     []worker.Key  `msgpack:"k"`
 }
 
-// ReserveRequest reserves room for several tasks of one all-at-once job until Expiry has
-// passed or the places are asked for.
+// ReserveRequest reserves capacity for up to Count tasks of one all-at-once job. The
+// reservation ends after Expiry, or when the tasks are started in it.
 type ReserveRequest struct {
 	JobShard      state.ShardID       `msgpack:"h"`
 	JobShardEpoch uint64              `msgpack:"e"`
@@ -222,7 +242,7 @@
 	Expiry        time.Duration       `msgpack:"x"`
 }
 
-// ReserveReply says how many places are held.
+// ReserveReply says for how many tasks capacity is reserved.
 type ReserveReply struct {
 	JobShard state.ShardID `msgpack:"h"`
 	Rack     state.ShardID `msgpack:"r"`
@@ -231,14 +251,15 @@
 	Summary  *RackSummary  `msgpack:"m,omitempty"`
 }
 
-// ReservationRelease gives held places back.
+// ReservationRelease ends a reservation and frees its capacity.
 type ReservationRelease struct {
 	JobShard state.ShardID `msgpack:"h"`
 	Rack     state.ShardID `msgpack:"r"`
 	ID       uint64        `msgpack:"i"`
 }
 
-// GrantRequest asks a rack's owner for slots of a service's workers.
+// GrantRequest asks a rack's owner for a grant: the right to send requests to
+// slots of a worker that runs the service.
 type GrantRequest struct {
 	Rack    state.ShardID   `msgpack:"r"`
 	Service string          `msgpack:"s"`
@@ -246,7 +267,8 @@
 	Class   leverdyke.Class `msgpack:"c"`
 }
 
-// Grant gives slots of one worker, until the worker refuses their use.
+// Grant gives its holder slots of one worker. It is valid until the holder returns
+// it or the worker refuses a request under it.
 type Grant struct {
 	Rack      state.ShardID  `msgpack:"r"`
 	RackEpoch worker.Epoch   `msgpack:"e"`
@@ -257,88 +279,96 @@
 	Zone      string         `msgpack:"z"`
 	Slots     int            `msgpack:"n"`
 	IsOnce    bool           `msgpack:"o,omitempty"`
-	// RefusalReason is set when there is no slot to give.
+	// RefusalReason is set if no slot was granted.
 	RefusalReason string `msgpack:"x,omitempty"`
 }
 
-// GrantReturn returns a grant of which no request is in progress.
+// GrantReturn returns a grant under which no request is in progress.
 type GrantReturn struct {
 	Rack state.ShardID `msgpack:"r"`
 	Key  worker.Key    `msgpack:"k"`
 }
 
-// GrantRecall asks for a grant back as soon as its requests have ended.
+// GrantRecall asks the holder to return a grant as soon as the requests under it
+// have ended.
 type GrantRecall struct {
 	Key worker.Key `msgpack:"k"`
 }
 
-// GrantCheck asks the holder of grants which of them it has: those that it
-// lacks it returns. A grant, or its return, may have been lost on the way.
+// GrantCheck lists grants to their holder, which returns those that it does not
+// have: the message with the grant, or with its return, may have been lost.
 type GrantCheck struct {
 	Rack state.ShardID `msgpack:"r"`
 	Keys []worker.Key  `msgpack:"k"`
 }
 
-// LogRequest asks a peer for the log's batches after an offset.
+// LogRequest asks a peer for the batches of the log after an offset.
 type LogRequest struct {
 	After int64 `msgpack:"a"`
 }
 
-// LogReply has batches in order, without gaps, after the offset asked for; it is
-// empty when the peer no longer has them.
+// LogReply has the batches after the requested offset, in order and without gaps.
+// It is empty if the peer no longer has them.
 type LogReply struct {
 	After   int64      `msgpack:"a"`
 	Entries []LogBatch `msgpack:"e"`
 }
 
-// LogBatch is one batch as it stands in the log.
+// LogBatch is one batch, encoded as in the log.
 type LogBatch struct {
 	Offset int64  `msgpack:"o"`
 	Data   []byte `msgpack:"d"`
 }
 
-// StateRequest asks a peer for its whole state.
+// StateRequest asks a peer for its complete state. A node sends it if it has no
+// state yet, or if the peer no longer has the batches that the node lacks.
 type StateRequest struct{}
 
-// StateReply is a peer's whole state.
+// StateReply is the complete state of a peer, encoded.
 type StateReply struct {
 	Data []byte `msgpack:"d"`
 }
 
-// SavedAnswerRequest asks the node that was first to run a key for its answer.
+// SavedAnswerRequest asks the node that first ran the request with an idempotency
+// key for the answer that it saved.
 type SavedAnswerRequest struct {
 	ID  uint64   `msgpack:"i"`
 	Key [16]byte `msgpack:"k"`
 }
 
-// SavedAnswerReply is the first answer, or says that it is not known.
+// SavedAnswerReply has the answer to the first request with the key; IsKnown is
+// false if the node has none.
 type SavedAnswerReply struct {
 	ID      uint64      `msgpack:"i"`
 	IsKnown bool        `msgpack:"y,omitempty"`
 	Answer  SavedAnswer `msgpack:"a"`
 }
 
-// SavedAnswerTransfer gives answers of a node that stops to a peer, for callers' retries.
+// SavedAnswerTransfer passes the saved answers of a node that stops to a peer,
+// which then answers the callers' retries.
 type SavedAnswerTransfer struct {
 	Answers []KeyedAnswer `msgpack:"a"`
 }
 
-// KeyedAnswer is the answer to a request that may not be repeated.
+// KeyedAnswer is a saved answer with the idempotency key of its request.
 type KeyedAnswer struct {
 	Key    [16]byte    `msgpack:"k"`
 	Answer SavedAnswer `msgpack:"a"`
 }
 
-// SavedAnswerTransferAck says that the answers of one OnceKept are kept.
+// SavedAnswerTransferAck confirms that the peer has saved the answers of one
+// SavedAnswerTransfer.
 type SavedAnswerTransferAck struct{}
 
-// SavedAnswer is an answer that is kept for a caller's retry.
+// SavedAnswer is the answer to a request that may not be repeated. It is saved so
+// that a retry gets the same answer.
 type SavedAnswer struct {
 	Status  int               `msgpack:"s"`
 	Header  []HeaderLine      `msgpack:"h"`
 	Body    []byte            `msgpack:"b"`
 	Verdict leverdyke.Verdict `msgpack:"v"`
-	// Digest is of the request that was answered; a retry must be the same.
+	// Digest is the hash of the answered request. A retry with another digest is
+	// a different request under the same key and is refused.
 	Digest uint64 `msgpack:"g"`
 }
 
