--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -124,7 +124,7 @@
 	vms []vmlist.VM
 	// racks and homes are what this node owns, by the fold.
 	racks map[state.ShardID]*ownedRack
-	homes map[state.ShardID]*jobshard.Home
+	homes map[state.ShardID]*jobshard.Shard
 	// fenced has the racks whose workers obey another owner, by the epoch that
 	// was fenced; deputised the racks that peers keep alive.
 	fenced    map[state.ShardID]worker.Epoch
@@ -191,7 +191,7 @@
 	c := &Core{
 		options: options, out: out, state: state.NewState(),
 		members:  membership.NewTable(options.Self.Node, membership.NewTableOptions{}),
-		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, homes: map[state.ShardID]*jobshard.Home{},
+		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, homes: map[state.ShardID]*jobshard.Shard{},
 		fenced: map[state.ShardID]worker.Epoch{}, deputised: map[state.ShardID]deputy{}, claiming: map[state.ShardID]uint64{},
 		rooms:        map[state.ShardID]*node.RackSummary{},
 		rackCapacity: map[state.ShardID]leverdyke.Resources{}, startedAt: out.Now(), tail: tail.NewBuffer(-1), silent: map[state.NodeID]time.Time{},
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -105,10 +105,10 @@
 	c.OnMessage(&node.Envelope{From: node.Hello{Node: to, Incarnation: c.options.Self.Incarnation}, Message: *m})
 }
 
-func (c *Core) performHome(id state.ShardID, h *jobshard.Home) bool {
-	out := h.Take()
+func (c *Core) performHome(id state.ShardID, h *jobshard.Shard) bool {
+	out := h.TakeOutput()
 	for _, d := range out.Decisions {
-		events.Log(events.TaskRouted, "task", d.Key.String(), "rack", d.Rack, "why", d.Why)
+		events.Log(events.TaskRouted, "task", d.Key.String(), "rack", d.Rack, "why", d.Reason)
 	}
 	for _, s := range out.Starts {
 		events.Log(events.TaskStarted, "task", s.Key.String(), "worker", s.Worker, "class", s.Class, "waited", s.Waited)
@@ -140,10 +140,10 @@
 
 // putForHome appends a home's record; the home hears of it only while it is
 // still the same.
-func (c *Core) putForHome(id state.ShardID, h *jobshard.Home, p jobshard.PendingRecord) {
+func (c *Core) putForHome(id state.ShardID, h *jobshard.Shard, p jobshard.PendingRecord) {
 	c.Append(p.Record, func(err error) {
 		if c.homes[id] == h {
-			h.OnRecorded(c.now(), p.Token, err)
+			h.OnRecordResult(c.now(), p.Token, err)
 		}
 	})
 }
@@ -207,12 +207,12 @@
 }
 
 var homeEvents = map[jobshard.EventKind]events.Event{
-	jobshard.EventNever:       events.JobNever,
-	jobshard.EventUnknownFate: events.TaskFateUnknown,
-	jobshard.EventJobFailed:   events.JobFailed,
-	jobshard.EventGangBroken:  events.GangBroken,
-	jobshard.EventSynced:      events.HomeSynced,
-	jobshard.EventTwoAttempts: events.TaskTwice,
+	jobshard.EventUnschedulable:    events.JobNever,
+	jobshard.EventUnknownOutcome:   events.TaskFateUnknown,
+	jobshard.EventJobFailed:        events.JobFailed,
+	jobshard.EventGangRestart:      events.GangBroken,
+	jobshard.EventSynced:           events.HomeSynced,
+	jobshard.EventDuplicateAttempt: events.TaskTwice,
 }
 
 func (c *Core) logHomeEvent(id state.ShardID, e *jobshard.Event) {
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -117,15 +117,15 @@
 	switch {
 	case m.StartReply != nil:
 		if h := c.homes[m.StartReply.JobShard]; h != nil {
-			h.OnAnswer(now, m.StartReply)
+			h.OnStartReply(now, m.StartReply)
 		}
 	case m.AttemptReport != nil:
 		if h := c.homes[m.AttemptReport.JobShard]; h != nil {
-			h.OnNews(now, m.AttemptReport)
+			h.OnAttemptReport(now, m.AttemptReport)
 		}
 	case m.ReserveReply != nil:
 		if h := c.homes[m.ReserveReply.JobShard]; h != nil {
-			h.OnHoldReply(now, m.ReserveReply)
+			h.OnReserveReply(now, m.ReserveReply)
 		}
 	}
 }
@@ -205,7 +205,7 @@
 	c.rooms[room.Rack] = room
 	c.options.Router.OnRoom(room)
 	for _, id := range sorted(c.homes) {
-		c.homes[id].OnRoom(room)
+		c.homes[id].OnRackSummary(room)
 	}
 }
 
@@ -259,11 +259,11 @@
 }
 
 func (c *Core) onTailAsk(from state.NodeID, m *node.LogRequest) {
-	c.out.Send(from, &node.Message{LogReply: &node.LogReply{After: m.After, Entries: c.tail.After(m.After)}})
+	c.out.Send(from, &node.Message{LogReply: &node.LogReply{After: m.After, Batches: c.tail.After(m.After)}})
 }
 
 func (c *Core) onTail(from state.NodeID, m *node.LogReply) {
-	if len(m.Entries) == 0 {
+	if len(m.Batches) == 0 {
 		// The peer has no longer what comes next: its whole state has.
 		c.out.Send(from, &node.Message{StateRequest: &node.StateRequest{}})
 		return
@@ -271,8 +271,8 @@
 	if m.After > c.state.Applied {
 		return
 	}
-	events.Log(events.TailFromPeer, "peer", from, "batches", len(m.Entries))
-	for _, e := range m.Entries {
+	events.Log(events.TailFromPeer, "peer", from, "batches", len(m.Batches))
+	for _, e := range m.Batches {
 		c.fold(e.Offset, e.Data)
 		c.out.SkipTo(e.Offset)
 	}
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -111,12 +111,12 @@
 
 func (c *Core) openHome(id state.ShardID, cur *state.Shard) {
 	now := c.now()
-	h := jobshard.NewHome(now, id, cur.Epoch, c, jobshard.NewHomeOptions{})
+	h := jobshard.NewShard(now, id, cur.Epoch, c, jobshard.NewShardOptions{})
 	c.homes[id] = h
 	c.changed(events.ShardOwned, id, cur.Epoch)
 	h.SetRacks(now, c.rackInfos())
 	for _, rack := range sorted(c.rooms) {
-		h.OnRoom(c.rooms[rack])
+		h.OnRackSummary(c.rooms[rack])
 	}
 	for _, job := range sorted(c.state.Jobs) {
 		j := c.state.Jobs[job]
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -52,7 +52,7 @@
 	}
 	for id, h := range c.homes {
 		v.Homes = append(v.Homes, string(id))
-		v.Waiting += h.Waiting()
+		v.Waiting += h.WaitingJobs()
 	}
 	for _, p := range c.members.Suspects(now) {
 		v.Suspects = append(v.Suspects, string(p))
@@ -69,7 +69,7 @@
 func (c *Core) Policies() *policy.Set { return c.policies }
 
 // Home returns an owned home, or nil.
-func (c *Core) Home(id state.ShardID) *jobshard.Home { return c.homes[id] }
+func (c *Core) Home(id state.ShardID) *jobshard.Shard { return c.homes[id] }
 
 // IsLogOut reports whether this node does not reach the log.
 func (c *Core) IsLogOut() bool { return c.isLogOut(c.now()) }
@@ -118,7 +118,7 @@
 	if lacks := together.Lacks(team.Quota); lacks != "" {
 		return &document.FieldError{File: file, Key: "each", Problem: "it can never run: it needs more " + lacks + " than its team's quota", Allowed: team.Quota.String()}
 	}
-	if h := c.homes[ownership.HomeShard(spec.Region, spec.Team)]; h != nil && h.IsFull() {
+	if h := c.homes[ownership.HomeShard(spec.Region, spec.Team)]; h != nil && h.IsQueueFull() {
 		return leverdyke.NotRun("too many jobs wait", retryQueueFull)
 	}
 	capacities := c.capacities(spec.Region)
--- a/internal/jobshard/gang.go
+++ b/internal/jobshard/gang.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	// holdExpiry is how long a rack keeps held places; holdPatience how long the
+	// reservationExpiry is how long a rack keeps held places; holdPatience how long the
 	// home waits for a rack's word before it lets go of all.
-	holdExpiry   = 10 * time.Second
-	holdPatience = 3 * time.Second
-	gangRetry    = 500 * time.Millisecond
-	// persistAge is from when on an all-at-once job asks every rack, even if the
+	reservationExpiry  = 10 * time.Second
+	reservationTimeout = 3 * time.Second
+	gangRetry          = 500 * time.Millisecond
+	// requestAllRacksAge is from when on an all-at-once job asks every rack, even if the
 	// summaries say that there is no room, so that the racks keep room for it.
-	persistAge = 10 * time.Second
+	requestAllRacksAge = 10 * time.Second
 )
 
 // gang is an all-at-once job's way to its places. Holds are taken rack by rack
 // in the order of the racks' names, which every home follows, so that no two
 // jobs wait for each other; whoever cannot get all lets go of all.
 type gang struct {
-	// id is the hold in progress; 0 means none.
-	id    uint64
-	need  int
-	racks []state.ShardID
-	// counts has the places held so far, at names the rack that was asked last.
-	counts map[state.ShardID]int
-	at     int
-	sentAt time.Time
+	// reservationID is the hold in progress; 0 means none.
+	reservationID uint64
+	taskCount     int
+	racks         []state.ShardID
+	// reserved has the places held so far, at names the rack that was asked last.
+	reserved  map[state.ShardID]int
+	rackIndex int
+	sentAt    time.Time
 	// notBefore is when to try again after having let go.
 	notBefore time.Time
-	// isStarted means that the tasks were started together; isBroken that the
+	// isStarted means that the tasks were started together; isRestarting that the
 	// rest is being stopped, to be started together again.
-	isStarted, isBroken bool
+	isStarted, isRestarting bool
 }
 
-func (g *gang) total() int {
+func (g *gang) reservedTotal() int {
 	n := 0
-	for _, c := range g.counts {
+	for _, c := range g.reserved {
 		n += c
 	}
 	return n
 }
 
-// open counts a job's tasks that are not over.
-func (j *job) open() int {
+// unfinishedTasks counts a job's tasks that are not over.
+func (j *job) unfinishedTasks() int {
 	n := 0
 	for i := range j.tasks {
 		if j.tasks[i].phase != phaseFinal {
@@ -63,38 +63,38 @@
 	return n
 }
 
-func (h *Home) tryGang(s *scanner, j *job, allowed int) queue.Result {
+func (h *Shard) tryGang(s *scanner, j *job, allowed int) queue.Result {
 	g := &j.gang
-	need := j.open()
+	need := j.unfinishedTasks()
 	switch {
-	case g.id != 0 || s.now.Before(g.notBefore):
+	case g.reservationID != 0 || s.now.Before(g.notBefore):
 		return queue.Skipped
 	case j.waiting < need:
-		j.why = "the rest of it is being stopped, to be started together again"
+		j.waitReason = "the rest of it is being stopped, to be started together again"
 		return queue.Skipped
 	case allowed < need:
-		j.why = whyQuota
+		j.waitReason = reasonQuotaUsed
 		return queue.Skipped
 	}
-	if j.spec.IsOnce && h.intendAll(j) {
+	if j.spec.IsOnce && h.recordIntents(j) {
 		return queue.Started
 	}
-	racks := h.gangRacks(s, j, need)
+	racks := h.chooseGangRacks(s, j, need)
 	if len(racks) == 0 {
-		j.why = whyNoRoom
+		j.waitReason = reasonNoCapacity
 		return queue.Blocked
 	}
-	g.isBroken = false
-	h.counter++
-	g.id = h.Epoch<<attemptBits | h.counter
-	g.need, g.racks, g.at, g.counts = need, racks, 0, map[state.ShardID]int{}
-	h.sendHold(s.now, j)
-	j.why = "places for all its tasks are being held"
+	g.isRestarting = false
+	h.attemptCounter++
+	g.reservationID = h.Epoch<<attemptBits | h.attemptCounter
+	g.taskCount, g.racks, g.rackIndex, g.reserved = need, racks, 0, map[state.ShardID]int{}
+	h.sendReserveRequest(s.now, j)
+	j.waitReason = "places for all its tasks are being held"
 	return queue.Started
 }
 
-// intendAll writes the intents that are lacking, and reports whether any were.
-func (h *Home) intendAll(j *job) bool {
+// recordIntents writes the intents that are lacking, and reports whether any were.
+func (h *Shard) recordIntents(j *job) bool {
 	in := &intent{job: j.id}
 	for i := range j.tasks {
 		if j.tasks[i].phase == phaseWaiting && !j.tasks[i].isIntended {
@@ -105,164 +105,164 @@
 	if len(in.tasks) == 0 {
 		return false
 	}
-	j.why = whyIntent
-	h.record(recording{intent: in}, state.Record{Intent: &state.Intent{Job: j.id, Tasks: in.tasks}})
+	j.waitReason = reasonIntentUnrecorded
+	h.writeRecord(inFlightRecord{intent: in}, state.Record{Intent: &state.Intent{Job: j.id, Tasks: in.tasks}})
 	return true
 }
 
-// gangRacks chooses the racks to hold places in, the fewest that seem to have
+// chooseGangRacks chooses the racks to hold places in, the fewest that seem to have
 // room, in the order of their names; nil means that there is not enough.
-func (h *Home) gangRacks(s *scanner, j *job, need int) []state.ShardID {
-	type option struct {
+func (h *Shard) chooseGangRacks(s *scanner, j *job, need int) []state.ShardID {
+	type candidate struct {
 		id    state.ShardID
 		count int
 	}
-	options := []option{}
+	candidates := []candidate{}
 	total := 0
-	for i, id := range h.order {
-		if s.views[i].IsShut && s.now.Sub(j.since) < persistAge {
+	for i, id := range h.rackOrder {
+		if s.views[i].IsShut && s.now.Sub(j.addedAt) < requestAllRacksAge {
 			continue
 		}
 		n := int(j.spec.Each.Count(s.views[i].Free))
 		if n > 0 {
-			options = append(options, option{id, n})
+			candidates = append(candidates, candidate{id, n})
 			total += n
 		}
 	}
 	if total < need {
-		if s.now.Sub(j.since) < persistAge {
+		if s.now.Sub(j.addedAt) < requestAllRacksAge {
 			return nil
 		}
-		return h.order
+		return h.rackOrder
 	}
-	slices.SortStableFunc(options, func(a, b option) int { return b.count - a.count })
+	slices.SortStableFunc(candidates, func(a, b candidate) int { return b.count - a.count })
 	racks := []state.ShardID{}
 	// One spare place in eight, since summaries are old.
-	for sum := 0; len(options) > 0 && sum < need+need/8; options = options[1:] {
-		racks = append(racks, options[0].id)
-		sum += options[0].count
+	for sum := 0; len(candidates) > 0 && sum < need+need/8; candidates = candidates[1:] {
+		racks = append(racks, candidates[0].id)
+		sum += candidates[0].count
 	}
 	slices.Sort(racks)
 	return racks
 }
 
-func (h *Home) sendHold(now time.Time, j *job) {
+func (h *Shard) sendReserveRequest(now time.Time, j *job) {
 	g := &j.gang
-	rack := g.racks[g.at]
+	rack := g.racks[g.rackIndex]
 	g.sentAt = now
-	h.toRack(rack, node.Message{ReserveRequest: &node.ReserveRequest{
-		JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, RackEpoch: h.racks[rack].epoch, ID: g.id, Each: j.spec.Each,
-		Count: g.need - g.total(), Class: j.spec.Class, Age: now.Sub(j.since), Expiry: holdExpiry,
+	h.sendToRack(rack, node.Message{ReserveRequest: &node.ReserveRequest{
+		JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, RackEpoch: h.racks[rack].epoch, ID: g.reservationID, Each: j.spec.Each,
+		Count: g.taskCount - g.reservedTotal(), Class: j.spec.Class, Age: now.Sub(j.addedAt), Expiry: reservationExpiry,
 	}})
 }
 
-// OnHoldReply takes a rack's word on held places.
-func (h *Home) OnHoldReply(now time.Time, r *node.ReserveReply) {
+// OnReserveReply takes a rack's word on held places.
+func (h *Shard) OnReserveReply(now time.Time, r *node.ReserveReply) {
 	if r.Summary != nil {
-		h.OnRoom(r.Summary)
+		h.OnRackSummary(r.Summary)
 	}
-	j := h.gangByHold(r.ID)
+	j := h.jobByReservation(r.ID)
 	if j == nil {
 		if r.Count > 0 {
-			h.toRack(r.Rack, node.Message{ReservationRelease: &node.ReservationRelease{JobShard: h.ID, Rack: r.Rack, ID: r.ID}})
+			h.sendToRack(r.Rack, node.Message{ReservationRelease: &node.ReservationRelease{JobShard: h.ID, Rack: r.Rack, ID: r.ID}})
 		}
 		return
 	}
 	g := &j.gang
-	if g.at >= len(g.racks) || g.racks[g.at] != r.Rack {
+	if g.rackIndex >= len(g.racks) || g.racks[g.rackIndex] != r.Rack {
 		return
 	}
-	g.counts[r.Rack] = r.Count
-	g.at++
+	g.reserved[r.Rack] = r.Count
+	g.rackIndex++
 	switch {
-	case g.total() >= g.need:
-		h.commit(now, j)
-	case g.at < len(g.racks):
-		h.sendHold(now, j)
+	case g.reservedTotal() >= g.taskCount:
+		h.startReserved(now, j)
+	case g.rackIndex < len(g.racks):
+		h.sendReserveRequest(now, j)
 	default:
-		j.why = "not all of its tasks find a place at the same time"
-		h.letGo(now, j)
+		j.waitReason = "not all of its tasks find a place at the same time"
+		h.abandonReservation(now, j)
 	}
 }
 
-func (h *Home) gangByHold(id uint64) *job {
-	for _, j := range h.list {
-		if id != 0 && j.gang.id == id {
+func (h *Shard) jobByReservation(id uint64) *job {
+	for _, j := range h.jobList {
+		if id != 0 && j.gang.reservationID == id {
 			return j
 		}
 	}
 	return nil
 }
 
-// commit asks for the held places.
-func (h *Home) commit(now time.Time, j *job) {
+// startReserved asks for the held places.
+func (h *Shard) startReserved(now time.Time, j *job) {
 	g := &j.gang
-	s := &scanner{now: now, asks: map[state.ShardID]*node.StartRequest{}}
+	s := &scanner{now: now, requests: map[state.ShardID]*node.StartRequest{}}
 	next := 0
 	for _, rack := range g.racks {
-		for n := g.counts[rack]; n > 0 && next < len(j.tasks); next++ {
+		for n := g.reserved[rack]; n > 0 && next < len(j.tasks); next++ {
 			if j.tasks[next].phase == phaseWaiting {
-				h.ask(s, j, next, rack, g.id)
+				h.requestStart(s, j, next, rack, g.reservationID)
 				n--
 			}
 		}
 	}
-	h.sendAsks(s.asks)
-	g.id = 0
+	h.sendStartRequests(s.requests)
+	g.reservationID = 0
 	g.isStarted = true
-	h.requeue(j)
+	h.updateQueue(j)
 }
 
-// letGo gives all held places back and tries again later; the wait hangs on
+// abandonReservation gives all held places back and tries again later; the wait hangs on
 // the job, so that two jobs do not meet again.
-func (h *Home) letGo(now time.Time, j *job) {
-	h.releaseGang(j)
-	j.gang.notBefore = now.Add(backoff(leverdyke.TaskID{Job: j.id}, 1) * gangRetry / firstBackoff)
+func (h *Shard) abandonReservation(now time.Time, j *job) {
+	h.releaseReservation(j)
+	j.gang.notBefore = now.Add(backoff(leverdyke.TaskID{Job: j.id}, 1) * gangRetry / initialBackoff)
 }
 
-func (h *Home) releaseGang(j *job) {
+func (h *Shard) releaseReservation(j *job) {
 	g := &j.gang
-	if g.id == 0 {
+	if g.reservationID == 0 {
 		return
 	}
 	for i, rack := range g.racks {
-		if i <= g.at {
-			h.toRack(rack, node.Message{ReservationRelease: &node.ReservationRelease{JobShard: h.ID, Rack: rack, ID: g.id}})
+		if i <= g.rackIndex {
+			h.sendToRack(rack, node.Message{ReservationRelease: &node.ReservationRelease{JobShard: h.ID, Rack: rack, ID: g.reservationID}})
 		}
 	}
-	g.id = 0
+	g.reservationID = 0
 }
 
-// expireGangs lets go where a rack does not answer.
-func (h *Home) expireGangs(now time.Time) {
-	for _, j := range h.list {
-		if j.gang.id != 0 && now.Sub(j.gang.sentAt) > holdPatience {
-			j.why = "a rack did not answer in time"
-			h.letGo(now, j)
+// expireReservations lets go where a rack does not answer.
+func (h *Shard) expireReservations(now time.Time) {
+	for _, j := range h.jobList {
+		if j.gang.reservationID != 0 && now.Sub(j.gang.sentAt) > reservationTimeout {
+			j.waitReason = "a rack did not answer in time"
+			h.abandonReservation(now, j)
 		}
 	}
 }
 
-// brokenBy breaks an all-at-once job of which an attempt has ended early.
-func (h *Home) brokenBy(j *job, k worker.Key) {
+// restartIfGang breaks an all-at-once job of which an attempt has ended early.
+func (h *Shard) restartIfGang(j *job, k worker.Key) {
 	if j.spec.Kind == leverdyke.KindGang {
-		h.breakGang(j, k.String())
+		h.restartGang(j, k.String())
 	}
 }
 
-// breakGang stops what runs of an all-at-once job, so that all of it starts
+// restartGang stops what runs of an all-at-once job, so that all of it starts
 // together again.
-func (h *Home) breakGang(j *job, why string) {
-	if j.gang.isBroken || !j.gang.isStarted {
+func (h *Shard) restartGang(j *job, why string) {
+	if j.gang.isRestarting || !j.gang.isStarted {
 		return
 	}
-	j.gang.isBroken, j.gang.isStarted = true, false
-	h.event(EventGangBroken, j.id, why)
+	j.gang.isRestarting, j.gang.isStarted = true, false
+	h.emitEvent(EventGangRestart, j.id, why)
 	stops := map[state.ShardID][]worker.Key{}
 	for i := range j.tasks {
-		if t := &j.tasks[i]; t.phase == phaseAsked || t.phase == phaseRunning {
+		if t := &j.tasks[i]; t.phase == phaseRequested || t.phase == phaseRunning {
 			stops[t.rack] = append(stops[t.rack], j.key(i))
 		}
 	}
-	h.sendStops(stops)
+	h.orderStops(stops)
 }
--- a/internal/jobshard/loss_test.go
+++ b/internal/jobshard/loss_test.go
@@ -16,18 +16,18 @@
 
 // loseAll loses each attempt of the job's task with its worker as soon as it is asked for,
 // for an hour at most, and returns how many there were.
-func loseAll(h *jobshard.Home) int {
+func loseEveryAttempt(h *jobshard.Shard) int {
 	n := 0
 	for now := begin; now.Before(begin.Add(time.Hour)); now = now.Add(100 * time.Millisecond) {
 		h.Tick(now)
-		for _, m := range h.Take().ToRack {
+		for _, m := range h.TakeOutput().ToRack {
 			if m.Message.StartRequest == nil {
 				continue
 			}
 			for _, item := range m.Message.StartRequest.Items {
 				n++
 				lost := node.AttemptStatus{Key: item.Task.Key, State: worker.StateStopped, Worker: "w1", IsLost: true}
-				h.OnNews(now, &node.AttemptReport{JobShard: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.AttemptStatus{lost}})
+				h.OnAttemptReport(now, &node.AttemptReport{JobShard: shardID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.AttemptStatus{lost}})
 			}
 		}
 	}
@@ -36,25 +36,25 @@
 
 // A task that crashes its worker was started on the next one at once, for ever: a worker
 // that dies tells no failure, and only those counted.
-func TestATaskThatIsLostWithEachWorkerIsGivenUp(t *testing.T) {
+func TestTaskLostWithEveryWorkerIsAbandoned(t *testing.T) {
 	for kind, want := range map[leverdyke.Kind]struct{ least, most int }{
 		leverdyke.KindBatch: {10, 10},
 		// A service is never given up; it starts every other minute in the end.
 		leverdyke.KindService: {20, 60},
 	} {
-		h := jobshard.NewHome(begin, homeID, homeEpoch, openPolicies{}, jobshard.NewHomeOptions{})
+		h := jobshard.NewShard(begin, shardID, shardEpoch, oneVMQuota{}, jobshard.NewShardOptions{})
 		infos := []jobshard.RackInfo{}
 		for _, id := range racks {
 			infos = append(infos, jobshard.RackInfo{ID: id, Epoch: rackEpoch})
 		}
 		h.SetRacks(begin, infos)
 		for _, id := range racks {
-			h.OnRoom(roomOf(id))
-			h.OnNews(begin, whole(id))
+			h.OnRackSummary(emptyRackSummary(id))
+			h.OnAttemptReport(begin, fullReport(id))
 		}
 		spec := jobSpec(kind)
 		h.AddJob(begin, spec.ID, &state.Job{Spec: spec, Number: 1, Marks: make([]state.Mark, spec.Tasks)}, true)
-		if got := loseAll(h); got < want.least || got > want.most {
+		if got := loseEveryAttempt(h); got < want.least || got > want.most {
 			t.Errorf("%s: starts in an hour: got: %d, want: %d to %d", kind, got, want.least, want.most)
 		}
 	}
--- a/internal/jobshard/records.go
+++ b/internal/jobshard/records.go
@@ -14,23 +14,23 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// maxUnrecorded is how many ends may wait for the log before no further task
+// maxUnrecordedEnds is how many ends may wait for the log before no further task
 // that ends is started: each is kept here, at its rack's owner and on its
 // worker. 18 minutes without the log at 20 starts a second took a node to 31 MB.
-const maxUnrecorded = 1000
+const maxUnrecordedEnds = 1000
 
-// isFullOfEnds reports whether too many ends wait for the log.
-func (h *Home) isFullOfEnds() bool {
+// hasTooManyUnrecordedEnds reports whether too many ends wait for the log.
+func (h *Shard) hasTooManyUnrecordedEnds() bool {
 	count := 0
 	for _, b := range h.finals {
 		count += len(b.tasks)
 	}
-	for _, r := range h.recorded {
+	for _, r := range h.recordsInFlight {
 		if r.final != nil {
 			count += len(r.final.tasks)
 		}
 	}
-	return count >= maxUnrecorded
+	return count >= maxUnrecordedEnds
 }
 
 // finalKey joins ends that go into one record.
@@ -41,13 +41,13 @@
 }
 
 type finalBatch struct {
-	tasks    []int
-	failures int
-	acks     map[state.ShardID][]worker.Key
+	tasks     []int
+	failures  int
+	endsToAck map[state.ShardID][]worker.Key
 }
 
-// recording is a record that has been handed to the log's writer.
-type recording struct {
+// inFlightRecord is a record that has been handed to the log's writer.
+type inFlightRecord struct {
 	final  *finalBatch
 	key    finalKey
 	intent *intent
@@ -58,29 +58,29 @@
 	tasks []int
 }
 
-// final notes the final state of a task; the rack may forget the attempt with
+// queueFinal notes the queueFinal state of a task; the rack may forget the attempt with
 // key only when the log has it.
-func (h *Home) final(j *job, i int, s leverdyke.TaskState, key *worker.Key, failures int, reason string) {
-	j.tasks[i].final = s
-	b := h.batchOf(finalKey{j.number, s, reason})
+func (h *Shard) queueFinal(j *job, i int, s leverdyke.TaskState, key *worker.Key, failures int, reason string) {
+	j.tasks[i].finalState = s
+	b := h.finalBatchFor(finalKey{j.number, s, reason})
 	b.tasks = append(b.tasks, i)
 	b.failures += failures
 	if key != nil {
 		rack := j.tasks[i].rack
-		b.acks[rack] = append(b.acks[rack], *key)
+		b.endsToAck[rack] = append(b.endsToAck[rack], *key)
 	}
 }
 
 // flushFinals hands the ends to the log's writer; while the log is out they
 // wait here.
-func (h *Home) flushFinals(now time.Time) {
+func (h *Shard) flushFinals(now time.Time) {
 	if now.Before(h.finalsNotBefore) || len(h.finalOrder) == 0 {
 		return
 	}
-	h.finalsNotBefore = now.Add(finalsPeriod)
+	h.finalsNotBefore = now.Add(finalsFlushPeriod)
 	for _, fk := range h.finalOrder {
 		b := h.finals[fk]
-		h.record(recording{final: b, key: fk}, state.Record{Finals: &state.Finals{
+		h.writeRecord(inFlightRecord{final: b, key: fk}, state.Record{Finals: &state.Finals{
 			Number: fk.number, Tasks: b.tasks, State: fk.state, Failures: b.failures, Reason: fk.reason,
 		}})
 	}
@@ -88,37 +88,37 @@
 	h.finalOrder = h.finalOrder[:0]
 }
 
-// restore takes ends back that were not recorded.
-func (h *Home) restore(now time.Time, r recording) {
+// requeueFinals takes ends back that were not recorded.
+func (h *Shard) requeueFinals(now time.Time, r inFlightRecord) {
 	h.finalsNotBefore = now.Add(finalsRetry)
-	b := h.batchOf(r.key)
+	b := h.finalBatchFor(r.key)
 	b.tasks = append(b.tasks, r.final.tasks...)
 	b.failures += r.final.failures
-	for rack, keys := range r.final.acks {
-		b.acks[rack] = append(b.acks[rack], keys...)
+	for rack, keys := range r.final.endsToAck {
+		b.endsToAck[rack] = append(b.endsToAck[rack], keys...)
 	}
 }
 
-func (h *Home) batchOf(fk finalKey) *finalBatch {
+func (h *Shard) finalBatchFor(fk finalKey) *finalBatch {
 	b := h.finals[fk]
 	if b == nil {
-		b = &finalBatch{acks: map[state.ShardID][]worker.Key{}}
+		b = &finalBatch{endsToAck: map[state.ShardID][]worker.Key{}}
 		h.finals[fk] = b
 		h.finalOrder = append(h.finalOrder, fk)
 	}
 	return b
 }
 
-func (h *Home) record(r recording, rec state.Record) {
-	h.token++
-	h.recorded[h.token] = r
-	h.out.Records = append(h.out.Records, PendingRecord{h.token, rec})
+func (h *Shard) writeRecord(r inFlightRecord, rec state.Record) {
+	h.lastRecordToken++
+	h.recordsInFlight[h.lastRecordToken] = r
+	h.output.Records = append(h.output.Records, PendingRecord{h.lastRecordToken, rec})
 }
 
-// isRecording reports whether the end of an attempt is about to be recorded.
-func (h *Home) isRecording(k worker.Key) bool {
+// isEndUnrecorded reports whether the end of an attempt is about to be recorded.
+func (h *Shard) isEndUnrecorded(k worker.Key) bool {
 	has := func(b *finalBatch) bool {
-		for _, keys := range b.acks {
+		for _, keys := range b.endsToAck {
 			if slices.Contains(keys, k) {
 				return true
 			}
@@ -130,7 +130,7 @@
 			return true
 		}
 	}
-	for _, r := range h.recorded {
+	for _, r := range h.recordsInFlight {
 		if r.final != nil && has(r.final) {
 			return true
 		}
@@ -138,37 +138,37 @@
 	return false
 }
 
-// intend writes that a task that may not be repeated is about to start.
-func (h *Home) intend(j *job, i int) {
+// recordIntent writes that a task that may not be repeated is about to start.
+func (h *Shard) recordIntent(j *job, i int) {
 	h.setPhase(j, i, phaseIntending)
-	j.why = whyIntent
-	h.record(recording{intent: &intent{j.id, []int{i}}}, state.Record{Intent: &state.Intent{Job: j.id, Tasks: []int{i}}})
+	j.waitReason = reasonIntentUnrecorded
+	h.writeRecord(inFlightRecord{intent: &intent{j.id, []int{i}}}, state.Record{Intent: &state.Intent{Job: j.id, Tasks: []int{i}}})
 }
 
-// OnRecorded takes the fate of a record. A nil error means that it took
+// OnRecordResult takes the fate of a record. A nil error means that it took
 // effect; an error of the fold that it never will; state.ErrNotTaken that it was not
 // appended and will not be.
-func (h *Home) OnRecorded(now time.Time, token uint64, err error) {
-	r, ok := h.recorded[token]
+func (h *Shard) OnRecordResult(now time.Time, token uint64, err error) {
+	r, ok := h.recordsInFlight[token]
 	if !ok {
 		return
 	}
-	delete(h.recorded, token)
+	delete(h.recordsInFlight, token)
 	if r.intent != nil {
-		h.onIntended(now, r.intent, err)
+		h.onIntentResult(now, r.intent, err)
 		return
 	}
 	if errors.Is(err, state.ErrNotTaken) {
 		// The end has to be recorded all the same.
-		h.restore(now, r)
+		h.requeueFinals(now, r)
 		return
 	}
-	for _, rack := range h.order {
-		h.ack(rack, r.final.acks[rack])
+	for _, rack := range h.rackOrder {
+		h.ackAttempts(rack, r.final.endsToAck[rack])
 	}
 }
 
-func (h *Home) onIntended(now time.Time, in *intent, err error) {
+func (h *Shard) onIntentResult(now time.Time, in *intent, err error) {
 	j := h.jobs[in.job]
 	if j == nil {
 		return
@@ -183,15 +183,15 @@
 			t.isIntended = true
 			h.setPhase(j, i, phaseWaiting)
 		case errors.Is(err, state.ErrNotTaken):
-			t.notBefore = now.Add(firstBackoff)
+			t.notBefore = now.Add(initialBackoff)
 			h.setPhase(j, i, phaseWaiting)
 		default:
 			// Another home intended it first, whose it is to start; or the record
 			// came with a peer's state, and nobody can tell whether it did.
 			h.setPhase(j, i, phaseFinal)
-			h.event(EventUnknownFate, j.id, fmt.Sprintf("task %d", i))
-			h.final(j, i, leverdyke.TaskUnknown, nil, 0, "")
+			h.emitEvent(EventUnknownOutcome, j.id, fmt.Sprintf("task %d", i))
+			h.queueFinal(j, i, leverdyke.TaskUnknown, nil, 0, "")
 		}
 	}
-	h.requeue(j)
+	h.updateQueue(j)
 }
--- a/internal/jobshard/report.go
+++ b/internal/jobshard/report.go
@@ -14,32 +14,32 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// OnAnswer takes a rack owner's word on asked attempts.
-func (h *Home) OnAnswer(now time.Time, a *node.StartReply) {
-	v := h.racks[a.Rack]
-	if v == nil || a.JobShard != h.ID {
+// OnStartReply takes a rack owner's word on asked attempts.
+func (h *Shard) OnStartReply(now time.Time, reply *node.StartReply) {
+	v := h.racks[reply.Rack]
+	if v == nil || reply.JobShard != h.ID {
 		return
 	}
-	for _, r := range a.Results {
-		h.onResult(now, v, a, &r)
+	for _, r := range reply.Results {
+		h.onStartResult(now, v, reply, &r)
 	}
-	if a.Summary != nil {
-		h.OnRoom(a.Summary)
+	if reply.Summary != nil {
+		h.OnRackSummary(reply.Summary)
 	}
 }
 
-func (h *Home) onResult(now time.Time, v *rackView, a *node.StartReply, r *node.StartResult) {
+func (h *Shard) onStartResult(now time.Time, v *rackView, reply *node.StartReply, r *node.StartResult) {
 	j := h.jobs[r.Key.Task.Job]
-	isOurs := j != nil && r.Key.Task.Index >= 0 && r.Key.Task.Index < len(j.tasks) && j.tasks[r.Key.Task.Index].attempt == r.Key.Attempt
-	if !isOurs {
+	isCurrent := j != nil && r.Key.Task.Index >= 0 && r.Key.Task.Index < len(j.tasks) && j.tasks[r.Key.Task.Index].attempt == r.Key.Attempt
+	if !isCurrent {
 		if r.Worker != "" {
 			// Its job has ended, or another attempt is the task's current one.
-			h.stop(a.Rack, r.Key)
+			h.orderStop(reply.Rack, r.Key)
 		}
 		return
 	}
 	t := &j.tasks[r.Key.Task.Index]
-	if t.phase != phaseAsked || t.rack != a.Rack || t.rackEpoch != a.RackEpoch {
+	if t.phase != phaseRequested || t.rack != reply.Rack || t.rackEpoch != reply.RackEpoch {
 		return
 	}
 	if r.Worker != "" {
@@ -47,31 +47,31 @@
 		return
 	}
 	// The home keeps to its own order of racks, so that homes keep out of each
-	// other's way, and goes on in it after a refusal (docs/MEASUREMENTS.md).
+	// other's way, and goes on in it after reply refusal (docs/MEASUREMENTS.md).
 	switch {
 	case r.ExpectedUsage != nil:
 		// The rack has room, but not for what the task will take.
-		j.expected = j.expected.Max(*r.ExpectedUsage)
-	case !h.isStarvedAsk(j):
-		h.offset = slices.Index(h.order, a.Rack) + 1
-		v.shutUntil = now.Add(refusedShut)
+		j.expectedUsage = j.expectedUsage.Max(*r.ExpectedUsage)
+	case !h.isStarved(j):
+		h.rackOffset = slices.Index(h.rackOrder, reply.Rack) + 1
+		v.backoffUntil = now.Add(refusalBackoff)
 	}
 	v.pending = v.pending.Sub(j.spec.Each)
 	h.setPhase(j, r.Key.Task.Index, phaseWaiting)
-	j.why = "a rack refused it: " + r.RefusalReason
-	h.requeue(j)
+	j.waitReason = "a rack refused it: " + r.RefusalReason
+	h.updateQueue(j)
 	if j.spec.Kind == leverdyke.KindGang {
-		h.breakGang(j, "a held place was refused")
+		h.restartGang(j, "a held place was refused")
 	}
 }
 
-func (h *Home) markRunning(now time.Time, j *job, i int, w worker.ID) {
+func (h *Shard) markRunning(now time.Time, j *job, i int, w worker.ID) {
 	t := &j.tasks[i]
 	h.setPhase(j, i, phaseRunning)
 	t.worker = w
 	j.hasStarted = true
-	h.endStarved(j)
-	h.out.Starts = append(h.out.Starts, StartNote{j.key(i), j.spec.Class, now.Sub(later(j.since, t.notBefore)), w})
+	h.endStarvation(j)
+	h.output.Starts = append(h.output.Starts, TaskStart{j.key(i), j.spec.Class, now.Sub(later(j.addedAt, t.notBefore)), w})
 }
 
 func later(a, b time.Time) time.Time {
@@ -81,143 +81,143 @@
 	return b
 }
 
-// OnNews takes a rack owner's word on the home's attempts.
-func (h *Home) OnNews(now time.Time, n *node.AttemptReport) {
-	v := h.racks[n.Rack]
-	if v == nil || n.JobShard != h.ID || n.RackEpoch != v.epoch {
+// OnAttemptReport takes a rack owner's word on the home's attempts.
+func (h *Shard) OnAttemptReport(now time.Time, report *node.AttemptReport) {
+	v := h.racks[report.Rack]
+	if v == nil || report.JobShard != h.ID || report.RackEpoch != v.epoch {
 		return
 	}
 	listed := map[worker.Key]bool{}
 	acks := []worker.Key{}
-	for i := range n.Items {
-		item := &n.Items[i]
+	for i := range report.Items {
+		item := &report.Items[i]
 		listed[item.Key] = true
-		if h.onItem(now, n, item) {
+		if h.onAttemptStatus(now, report, item) {
 			acks = append(acks, item.Key)
 		}
 	}
-	h.ack(n.Rack, acks)
-	if n.IsFullReport && n.IsInventoryComplete && !v.isSynced {
+	h.ackAttempts(report.Rack, acks)
+	if report.IsFullReport && report.IsInventoryComplete && !v.isSynced {
 		v.isSynced = true
-		h.dropMissing(now, n.Rack, listed)
-		h.resolveUnsure(now)
+		h.endMissingAttempts(now, report.Rack, listed)
+		h.resolveUncertainTasks(now)
 	}
 }
 
-func (h *Home) ack(rack state.ShardID, keys []worker.Key) {
+func (h *Shard) ackAttempts(rack state.ShardID, keys []worker.Key) {
 	if len(keys) > 0 {
-		h.toRack(rack, node.Message{AttemptReportAck: &node.AttemptReportAck{JobShard: h.ID, Rack: rack, Keys: keys}})
+		h.sendToRack(rack, node.Message{AttemptReportAck: &node.AttemptReportAck{JobShard: h.ID, Rack: rack, Keys: keys}})
 	}
 }
 
-// onItem takes the state of one attempt. It reports whether the rack may
+// onAttemptStatus takes the state of one attempt. It reports whether the rack may
 // forget it at once.
-func (h *Home) onItem(now time.Time, n *node.AttemptReport, item *node.AttemptStatus) bool {
-	isOver := item.State != worker.StateRunning
+func (h *Shard) onAttemptStatus(now time.Time, report *node.AttemptReport, item *node.AttemptStatus) bool {
+	hasEnded := item.State != worker.StateRunning
 	j := h.jobs[item.Key.Task.Job]
 	i := item.Key.Task.Index
 	if j == nil || i < 0 || i >= len(j.tasks) || j.tasks[i].phase == phaseFinal {
-		if !isOver {
-			h.stop(n.Rack, item.Key)
+		if !hasEnded {
+			h.orderStop(report.Rack, item.Key)
 		}
 		// An end that is waiting to be recorded is acknowledged after that.
-		return isOver && !h.isRecording(item.Key)
+		return hasEnded && !h.isEndUnrecorded(item.Key)
 	}
 	t := &j.tasks[i]
 	switch {
-	case t.phase == phaseUnsure && isOver && mayBeFollowed(j, item):
-		return h.keepEnd(t, n, item)
-	case t.phase == phaseUnsure:
-		h.unsure--
-		h.ackKept(t)
-		h.take(j, i, n.Rack, n.RackEpoch, item)
-	case t.attempt == item.Key.Attempt && t.rack == n.Rack:
-		if t.rackEpoch != n.RackEpoch {
-			h.take(j, i, n.Rack, n.RackEpoch, item)
+	case t.phase == phaseUncertain && hasEnded && mayHaveSuccessor(j, item):
+		return h.deferEnd(t, report, item)
+	case t.phase == phaseUncertain:
+		h.uncertainTasks--
+		h.ackDeferredEnd(t)
+		h.adoptAttempt(j, i, report.Rack, report.RackEpoch, item)
+	case t.attempt == item.Key.Attempt && t.rack == report.Rack:
+		if t.rackEpoch != report.RackEpoch {
+			h.adoptAttempt(j, i, report.Rack, report.RackEpoch, item)
 		}
 	default:
-		if !isOver {
-			h.event(EventTwoAttempts, j.id, item.Key.String())
-			h.stop(n.Rack, item.Key)
+		if !hasEnded {
+			h.emitEvent(EventDuplicateAttempt, j.id, item.Key.String())
+			h.orderStop(report.Rack, item.Key)
 		}
-		return isOver
+		return hasEnded
 	}
-	if !isOver {
-		if t.phase == phaseAsked {
+	if !hasEnded {
+		if t.phase == phaseRequested {
 			h.markRunning(now, j, i, item.Worker)
 		}
 		return false
 	}
-	return h.onEnd(now, j, i, item)
+	return h.onAttemptEnd(now, j, i, item)
 }
 
-// take makes an attempt that a rack tells of the task's current one.
-func (h *Home) take(j *job, i int, rack state.ShardID, epoch worker.Epoch, item *node.AttemptStatus) {
+// adoptAttempt makes an attempt that a rack tells of the task's current one.
+func (h *Shard) adoptAttempt(j *job, i int, rack state.ShardID, epoch worker.Epoch, item *node.AttemptStatus) {
 	t := &j.tasks[i]
 	// Out of all counts while the fields change on which they hang.
-	h.count(j, t, -1)
+	h.countPhase(j, t, -1)
 	t.phase = phaseRunning
 	t.attempt, t.rack, t.rackEpoch, t.worker = item.Key.Attempt, rack, epoch, item.Worker
-	h.count(j, t, +1)
+	h.countPhase(j, t, +1)
 	j.hasStarted = true
 	if j.spec.Kind == leverdyke.KindGang {
 		j.gang.isStarted = true
 	}
 }
 
-func (h *Home) stop(rack state.ShardID, k worker.Key) {
-	h.toRack(rack, node.Message{AttemptOrder: &node.AttemptOrder{
-		JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, Effect: worker.DeedStop, Keys: []worker.Key{k},
+func (h *Shard) orderStop(rack state.ShardID, k worker.Key) {
+	h.sendToRack(rack, node.Message{AttemptOrder: &node.AttemptOrder{
+		JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, Action: worker.DeedStop, Keys: []worker.Key{k},
 	}})
 }
 
-// onEnd decides what follows the end of an attempt. It reports whether the
+// onAttemptEnd decides what follows the end of an attempt. It reports whether the
 // rack may forget it at once; a final end is kept there until it is recorded.
-func (h *Home) onEnd(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
+func (h *Shard) onAttemptEnd(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
 	t := &j.tasks[i]
-	h.noteFreed(j, t.rack)
+	h.addFreedCapacity(j, t.rack)
 	isService := j.spec.Kind == leverdyke.KindService
 	switch {
 	case item.State == worker.StateDone && !isService:
 		h.setPhase(j, i, phaseFinal)
-		h.final(j, i, leverdyke.TaskDone, &item.Key, 0, "")
+		h.queueFinal(j, i, leverdyke.TaskDone, &item.Key, 0, "")
 		return false
 	case item.State == worker.StateDone || item.State == worker.StateFailed:
 		return h.onFailure(now, j, i, item)
 	case j.spec.IsOnce:
 		h.setPhase(j, i, phaseFinal)
-		h.event(EventUnknownFate, j.id, item.Key.String())
-		h.final(j, i, leverdyke.TaskUnknown, &item.Key, 0, "")
+		h.emitEvent(EventUnknownOutcome, j.id, item.Key.String())
+		h.queueFinal(j, i, leverdyke.TaskUnknown, &item.Key, 0, "")
 		return false
 	}
 	if item.IsLost && item.Worker != "" {
-		return h.onLoss(now, j, i, item)
+		return h.onWorkerLoss(now, j, i, item)
 	}
 	// Stopped or checkpointed: it runs again, and nobody is to blame.
 	t.notBefore = now
 	h.setPhase(j, i, phaseWaiting)
-	h.requeue(j)
-	h.brokenBy(j, item.Key)
+	h.updateQueue(j)
+	h.restartIfGang(j, item.Key)
 	return true
 }
 
-// noteFreed corrects the summary of a rack in which a task has ended: the rack
+// addFreedCapacity corrects the summary of a rack in which a task has ended: the rack
 // tells small changes late.
-func (h *Home) noteFreed(j *job, rack state.ShardID) {
+func (h *Shard) addFreedCapacity(j *job, rack state.ShardID) {
 	v := h.racks[rack]
-	if v == nil || !v.hasRoom {
+	if v == nil || !v.hasSummary {
 		return
 	}
 	v.pending = v.pending.Sub(j.spec.Each)
-	v.room.Largest = v.room.Largest.Max(j.spec.Each)
-	h.isDirty = true
+	v.summary.Largest = v.summary.Largest.Max(j.spec.Each)
+	h.isScanDue = true
 }
 
-func (h *Home) onFailure(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
+func (h *Shard) onFailure(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
 	t := &j.tasks[i]
 	if j.spec.IsOnce {
 		h.setPhase(j, i, phaseFinal)
-		h.final(j, i, leverdyke.TaskFailed, &item.Key, 1, "")
+		h.queueFinal(j, i, leverdyke.TaskFailed, &item.Key, 1, "")
 		return false
 	}
 	if !item.IsWorkerAtFault {
@@ -226,57 +226,57 @@
 	}
 	t.notBefore = now.Add(backoff(item.Key.Task, max(t.failures, 1)))
 	h.setPhase(j, i, phaseWaiting)
-	if j.failures >= h.budget(j) && j.spec.Kind != leverdyke.KindService {
+	if j.failures >= h.failureBudget(j) && j.spec.Kind != leverdyke.KindService {
 		h.failJob(j, fmt.Sprintf("%d attempts failed, which is its budget", j.failures))
 		return true
 	}
-	h.requeue(j)
-	h.brokenBy(j, item.Key)
+	h.updateQueue(j)
+	h.restartIfGang(j, item.Key)
 	return true
 }
 
-// freeLosses is how many times a task that was lost with its worker starts again at once.
-const freeLosses = 2
+// lossesWithoutBackoff is how many times a task that was lost with its worker starts again at once.
+const lossesWithoutBackoff = 2
 
-// onLoss takes that an attempt was lost with its worker. It may be what crashed the worker,
+// onWorkerLoss takes that an attempt was lost with its worker. It may be what crashed the worker,
 // which tells no end: without a bound such a task takes one worker after the other, for
 // ever. The budget is that of failures, for each task: most losses have another cause.
-func (h *Home) onLoss(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
+func (h *Shard) onWorkerLoss(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
 	t := &j.tasks[i]
-	t.losses++
+	t.workerLosses++
 	t.notBefore = now
-	if t.losses > freeLosses {
-		t.notBefore = now.Add(backoff(item.Key.Task, t.losses-freeLosses))
+	if t.workerLosses > lossesWithoutBackoff {
+		t.notBefore = now.Add(backoff(item.Key.Task, t.workerLosses-lossesWithoutBackoff))
 	}
 	h.setPhase(j, i, phaseWaiting)
-	if t.losses >= h.budget(j) && j.spec.Kind != leverdyke.KindService {
-		h.failJob(j, fmt.Sprintf("a task was lost with its worker %d times, which is its budget", t.losses))
+	if t.workerLosses >= h.failureBudget(j) && j.spec.Kind != leverdyke.KindService {
+		h.failJob(j, fmt.Sprintf("a task was lost with its worker %d times, which is its budget", t.workerLosses))
 		return true
 	}
-	h.requeue(j)
-	h.brokenBy(j, item.Key)
+	h.updateQueue(j)
+	h.restartIfGang(j, item.Key)
 	return true
 }
 
-func (h *Home) budget(j *job) int {
+func (h *Shard) failureBudget(j *job) int {
 	if j.spec.MaxFailures > 0 {
 		return j.spec.MaxFailures
 	}
 	return h.options.MaxFailures
 }
 
-// dropMissing takes the attempts that a rack's new owner does not know: they
+// endMissingAttempts takes the attempts that a rack's new owner does not know: they
 // have ended, or were never started and never will be.
-func (h *Home) dropMissing(now time.Time, rack state.ShardID, listed map[worker.Key]bool) {
-	for _, j := range h.list {
+func (h *Shard) endMissingAttempts(now time.Time, rack state.ShardID, listed map[worker.Key]bool) {
+	for _, j := range h.jobList {
 		for i := range j.tasks {
 			t := &j.tasks[i]
-			isHere := t.rack == rack && (t.phase == phaseAsked || t.phase == phaseRunning)
-			if !isHere || listed[j.key(i)] || t.rackEpoch == h.racks[rack].epoch {
+			isOnRack := t.rack == rack && (t.phase == phaseRequested || t.phase == phaseRunning)
+			if !isOnRack || listed[j.key(i)] || t.rackEpoch == h.racks[rack].epoch {
 				continue
 			}
 			key := j.key(i)
-			h.onEnd(now, j, i, &node.AttemptStatus{Key: key, State: worker.StateStopped, IsLost: true})
+			h.onAttemptEnd(now, j, i, &node.AttemptStatus{Key: key, State: worker.StateStopped, IsLost: true})
 		}
 	}
 }
--- a/internal/jobshard/scan.go
+++ b/internal/jobshard/scan.go
@@ -15,77 +15,77 @@
 )
 
 const (
-	// maxAsksPerScan bounds one scan, so that the node's other duties go on.
-	maxAsksPerScan = 256
-	// maxAsksPerEntry lets other teams have their turn.
-	maxAsksPerEntry = 32
+	// maxStartsPerScan bounds one scan, so that the node's other duties go on.
+	maxStartsPerScan = 256
+	// maxStartsPerJob lets other teams have their turn.
+	maxStartsPerJob = 32
 )
 
 // The reasons why a job waits, for operators.
 const (
-	whyNoTeam   = "its team has no quota: publish a document for the team"
-	whyQuota    = "its team's quota is used up"
-	whyNoRoom   = "no worker has room for it at the moment"
-	whyDelay    = "its tasks failed and are tried again after a delay"
-	whyTurn     = "more urgent or older work goes first"
-	whyStarting = "its tasks are being started"
-	whyIntent   = "its tasks may run once only, and the log has not taken their intent yet"
-	whyEnds     = "too many ended tasks wait for the log to take their ends"
-	whyRooms    = "a rack has a new owner and has not told its room yet"
-	whyNoRacks  = "no rack of the region has an owner that this node knows"
+	reasonNoQuota          = "its team has no quota: publish a document for the team"
+	reasonQuotaUsed        = "its team's quota is used up"
+	reasonNoCapacity       = "no worker has room for it at the moment"
+	reasonBackoff          = "its tasks failed and are tried again after a delay"
+	reasonLowerPriority    = "more urgent or older work goes first"
+	reasonStarting         = "its tasks are being started"
+	reasonIntentUnrecorded = "its tasks may run once only, and the log has not taken their intent yet"
+	reasonEndsUnrecorded   = "too many ended tasks wait for the log to take their ends"
+	reasonSummaryMissing   = "a rack has a new owner and has not told its room yet"
+	reasonNoRacks          = "no rack of the region has an owner that this node knows"
 )
 
 // scanner is the state of one scan.
 type scanner struct {
-	now   time.Time
-	views []placement.RackView
-	asks  map[state.ShardID]*node.StartRequest
-	count int
-	// isFullOfEnds means that only services are started.
-	isFullOfEnds bool
-	// failed has the needs for which there was no room in this scan.
-	failed map[leverdyke.Resources]bool
-	// pushed counts the urgent asks by rack that will have to push others aside.
-	pushed map[state.ShardID]int
+	now        time.Time
+	views      []placement.RackView
+	requests   map[state.ShardID]*node.StartRequest
+	startCount int
+	// isServicesOnly means that only services are started.
+	isServicesOnly bool
+	// unplaceable has the needs for which there was no room in this scan.
+	unplaceable map[leverdyke.Resources]bool
+	// preemptions counts the urgent asks by rack that will have to push others aside.
+	preemptions map[state.ShardID]int
 }
 
 // scan offers the waiting work to the racks.
-func (h *Home) scan(now time.Time) {
-	h.isDirty = false
-	h.scanned = now
+func (h *Shard) scan(now time.Time) {
+	h.isScanDue = false
+	h.scannedAt = now
 	if h.queue.Len() == 0 {
 		return
 	}
 	s := &scanner{
-		now: now, asks: map[state.ShardID]*node.StartRequest{}, failed: map[leverdyke.Resources]bool{},
-		pushed: map[state.ShardID]int{}, isFullOfEnds: h.isFullOfEnds(),
+		now: now, requests: map[state.ShardID]*node.StartRequest{}, unplaceable: map[leverdyke.Resources]bool{},
+		preemptions: map[state.ShardID]int{}, isServicesOnly: h.hasTooManyUnrecordedEnds(),
 	}
-	for _, id := range h.order {
-		s.views = append(s.views, h.rackView(now, id))
+	for _, id := range h.rackOrder {
+		s.views = append(s.views, h.placementView(now, id))
 	}
-	h.queue.Scan(h.Share, func(e *queue.Entry) queue.Result { return h.try(s, e) })
-	h.sendAsks(s.asks)
+	h.queue.Scan(h.DominantShare, func(e *queue.Entry) queue.Result { return h.tryJob(s, e) })
+	h.sendStartRequests(s.requests)
 }
 
-// sendAsks sends the asks, each with the lowest attempt that the home still
+// sendStartRequests sends the asks, each with the lowest attempt that the home still
 // waits for at the rack.
-func (h *Home) sendAsks(asks map[state.ShardID]*node.StartRequest) {
-	for _, id := range h.order {
-		if ask := asks[id]; ask != nil {
-			ask.MinAttempt = h.floor(id)
-			h.toRack(id, node.Message{StartRequest: ask})
+func (h *Shard) sendStartRequests(requests map[state.ShardID]*node.StartRequest) {
+	for _, id := range h.rackOrder {
+		if request := requests[id]; request != nil {
+			request.MinAttempt = h.minAttempt(id)
+			h.sendToRack(id, node.Message{StartRequest: request})
 		}
 	}
 }
 
-func (h *Home) floor(rack state.ShardID) uint64 {
-	floor := h.Epoch<<attemptBits | (h.counter + 1)
-	for _, j := range h.list {
-		if j.asked[rack] == 0 {
+func (h *Shard) minAttempt(rack state.ShardID) uint64 {
+	floor := h.Epoch<<attemptBits | (h.attemptCounter + 1)
+	for _, j := range h.jobList {
+		if j.requested[rack] == 0 {
 			continue
 		}
 		for i := range j.tasks {
-			if t := &j.tasks[i]; t.phase == phaseAsked && t.rack == rack {
+			if t := &j.tasks[i]; t.phase == phaseRequested && t.rack == rack {
 				floor = min(floor, t.attempt)
 			}
 		}
@@ -93,64 +93,64 @@
 	return floor
 }
 
-func (h *Home) rackView(now time.Time, id state.ShardID) placement.RackView {
+func (h *Shard) placementView(now time.Time, id state.ShardID) placement.RackView {
 	v := h.racks[id]
-	if !v.hasRoom || now.Before(v.shutUntil) {
+	if !v.hasSummary || now.Before(v.backoffUntil) {
 		return placement.RackView{IsShut: true}
 	}
 	return placement.RackView{
-		Free: v.room.Free.Sub(v.pending), Largest: v.room.Largest, Capacity: v.room.Capacity,
+		Free: v.summary.Free.Sub(v.pending), Largest: v.summary.Largest, Capacity: v.summary.Capacity,
 	}
 }
 
-// try starts what it can of one entry.
-func (h *Home) try(s *scanner, e *queue.Entry) queue.Result {
+// tryJob starts what it can of one entry.
+func (h *Shard) tryJob(s *scanner, e *queue.Entry) queue.Result {
 	j := h.jobs[e.Job]
-	if h.isNever(j) {
+	if h.isUnschedulable(j) {
 		return queue.Skipped
 	}
-	if s.count >= maxAsksPerScan {
-		h.isDirty = true
-		j.why = whyTurn
+	if s.startCount >= maxStartsPerScan {
+		h.isScanDue = true
+		j.waitReason = reasonLowerPriority
 		return queue.Skipped
 	}
-	if s.isFullOfEnds && j.spec.Kind != leverdyke.KindService {
-		j.why = whyEnds
+	if s.isServicesOnly && j.spec.Kind != leverdyke.KindService {
+		j.waitReason = reasonEndsUnrecorded
 		return queue.Skipped
 	}
-	allowed := h.allowed(j)
+	allowed := h.tasksWithinQuota(j)
 	if allowed == 0 {
 		return queue.Skipped
 	}
 	if j.spec.Kind == leverdyke.KindGang {
 		return h.tryGang(s, j, allowed)
 	}
-	return h.trySingles(s, j, min(allowed, maxAsksPerEntry))
+	return h.tryIndependentTasks(s, j, min(allowed, maxStartsPerJob))
 }
 
-// allowed is how many more tasks the team's quota lets start.
-func (h *Home) allowed(j *job) int {
+// tasksWithinQuota is how many more tasks the team's quota lets start.
+func (h *Shard) tasksWithinQuota(j *job) int {
 	quota, ok := h.policies.Quota(j.spec.Team)
 	if !ok {
-		j.why = whyNoTeam
+		j.waitReason = reasonNoQuota
 		return 0
 	}
-	n := j.spec.Each.Count(quota.Sub(h.used[j.spec.Team]))
+	n := j.spec.Each.Count(quota.Sub(h.usage[j.spec.Team]))
 	if n == 0 {
-		j.why = whyQuota
+		j.waitReason = reasonQuotaUsed
 	}
 	return int(n)
 }
 
-// trySingles asks for up to limit tasks, each on its own.
-func (h *Home) trySingles(s *scanner, j *job, limit int) queue.Result {
+// tryIndependentTasks asks for up to limit tasks, each on its own.
+func (h *Shard) tryIndependentTasks(s *scanner, j *job, limit int) queue.Result {
 	isUrgent := j.spec.Class == leverdyke.ClassUrgent
-	if j.spec.Kind == leverdyke.KindService && !isUrgent && h.isRoomAwaited(s.now) {
-		j.why = whyRooms
+	if j.spec.Kind == leverdyke.KindService && !isUrgent && h.isSummaryAwaited(s.now) {
+		j.waitReason = reasonSummaryMissing
 		return queue.Skipped
 	}
 	started := 0
-	j.why = whyDelay
+	j.waitReason = reasonBackoff
 	isBlocked := false
 	for i := range j.tasks {
 		t := &j.tasks[i]
@@ -158,26 +158,26 @@
 			continue
 		}
 		if j.spec.IsOnce && !t.isIntended {
-			h.intend(j, i)
+			h.recordIntent(j, i)
 			started++
 			continue
 		}
 		rack := h.chooseRack(s, j)
 		if rack < 0 && started == 0 {
-			rack = h.noteBlocked(s, j)
+			rack = h.chooseStarvedRack(s, j)
 		}
 		if rack < 0 {
-			j.why = whyNoRoom
+			j.waitReason = reasonNoCapacity
 			isBlocked = true
 			break
 		}
-		h.ask(s, j, i, h.order[rack], 0)
+		h.requestStart(s, j, i, h.rackOrder[rack], 0)
 		started++
 	}
-	h.requeueQuietly(j)
+	h.updateQueueWithoutScan(j)
 	if started >= limit && j.waiting > 0 {
 		// It was its turn's bound that stopped it: go on at the next tick.
-		h.isDirty = true
+		h.isScanDue = true
 	}
 	switch {
 	case started > 0:
@@ -188,44 +188,44 @@
 	return queue.Skipped
 }
 
-// requeueQuietly is requeue without making another scan due.
-func (h *Home) requeueQuietly(j *job) {
-	isDirty := h.isDirty
-	h.requeue(j)
-	h.isDirty = isDirty
+// updateQueueWithoutScan is requeue without making another scan due.
+func (h *Shard) updateQueueWithoutScan(j *job) {
+	isDirty := h.isScanDue
+	h.updateQueue(j)
+	h.isScanDue = isDirty
 }
 
 // chooseRack returns the index of the rack to ask, or -1.
-func (h *Home) chooseRack(s *scanner, j *job) int {
-	need := j.need()
-	if s.failed[need] {
-		return h.chooseYield(s, j)
+func (h *Shard) chooseRack(s *scanner, j *job) int {
+	need := j.neededCapacity()
+	if s.unplaceable[need] {
+		return h.choosePreemptionRack(s, j)
 	}
-	tries := h.options.Tries
+	tries := h.options.RackCandidates
 	if j.spec.Kind == leverdyke.KindService {
 		// All racks are compared: the one that spreads best may be the last.
 		tries = 0
 		h.countSiblings(s, j)
 		defer clearSiblings(s)
 	}
-	best := placement.BestRack(h.policy(j), need, s.views, h.offset, tries)
+	best := placement.BestRack(h.placementPolicy(j), need, s.views, h.rackOffset, tries)
 	if best < 0 {
-		s.failed[need] = true
-		return h.chooseYield(s, j)
+		s.unplaceable[need] = true
+		return h.choosePreemptionRack(s, j)
 	}
 	return best
 }
 
 // countSiblings notes where the service's tasks are or are asked for.
-func (h *Home) countSiblings(s *scanner, j *job) {
+func (h *Shard) countSiblings(s *scanner, j *job) {
 	zones := map[string]int{}
-	for i, id := range h.order {
-		n := j.running[id] + j.asked[id]
+	for i, id := range h.rackOrder {
+		n := j.running[id] + j.requested[id]
 		s.views[i].Siblings = n
-		zones[h.racks[id].room.Zone] += n
+		zones[h.racks[id].summary.Zone] += n
 	}
-	for i, id := range h.order {
-		s.views[i].ZoneSiblings = zones[h.racks[id].room.Zone]
+	for i, id := range h.rackOrder {
+		s.views[i].ZoneSiblings = zones[h.racks[id].summary.Zone]
 	}
 }
 
@@ -235,120 +235,120 @@
 	}
 }
 
-// policy returns how the job's tasks are placed: services by the weights of the
+// placementPolicy returns how the job's tasks are placed: services by the weights of the
 // team's office, all else by filling VMs up.
-func (h *Home) policy(j *job) placement.Policy {
+func (h *Shard) placementPolicy(j *job) placement.Policy {
 	if j.spec.Kind == leverdyke.KindService {
 		return h.policies.Weights(j.spec.Team)
 	}
 	return placement.Fill
 }
 
-// chooseYield returns a rack that could push others aside for urgent work.
-func (h *Home) chooseYield(s *scanner, j *job) int {
+// choosePreemptionRack returns a rack that could push others aside for urgent work.
+func (h *Shard) choosePreemptionRack(s *scanner, j *job) int {
 	if j.spec.Class != leverdyke.ClassUrgent {
 		return -1
 	}
-	for i := range h.order {
-		at := (i + h.offset) % len(h.order)
-		v := h.racks[h.order[at]]
-		if s.views[at].IsShut || s.pushed[h.order[at]] >= v.room.Workers || !j.spec.Each.FitsIn(v.room.Preemptible) {
+	for i := range h.rackOrder {
+		index := (i + h.rackOffset) % len(h.rackOrder)
+		v := h.racks[h.rackOrder[index]]
+		if s.views[index].IsShut || s.preemptions[h.rackOrder[index]] >= v.summary.Workers || !j.spec.Each.FitsIn(v.summary.Preemptible) {
 			continue
 		}
-		s.pushed[h.order[at]]++
-		h.offset = at + 1
-		return at
+		s.preemptions[h.rackOrder[index]]++
+		h.rackOffset = index + 1
+		return index
 	}
 	return -1
 }
 
-// ask asks a rack for one attempt of a task.
-func (h *Home) ask(s *scanner, j *job, i int, rack state.ShardID, holdID uint64) {
+// requestStart asks a rack for one attempt of a task.
+func (h *Shard) requestStart(s *scanner, j *job, i int, rack state.ShardID, holdID uint64) {
 	t := &j.tasks[i]
 	v := h.racks[rack]
-	h.counter++
-	t.attempt = h.Epoch<<attemptBits | h.counter
-	t.rack, t.rackEpoch, t.worker, t.sentAt, t.holdID = rack, v.epoch, "", s.now, holdID
-	h.setPhase(j, i, phaseAsked)
+	h.attemptCounter++
+	t.attempt = h.Epoch<<attemptBits | h.attemptCounter
+	t.rack, t.rackEpoch, t.worker, t.sentAt, t.reservationID = rack, v.epoch, "", s.now, holdID
+	h.setPhase(j, i, phaseRequested)
 	v.pending = v.pending.Add(j.spec.Each)
-	for n, id := range h.order {
+	for n, id := range h.rackOrder {
 		if id == rack && n < len(s.views) {
 			s.views[n].Free = s.views[n].Free.Sub(j.spec.Each)
 		}
 	}
-	j.why = whyStarting
-	s.count++
-	ask := s.asks[rack]
-	if ask == nil {
-		ask = &node.StartRequest{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, RackEpoch: v.epoch}
-		s.asks[rack] = ask
+	j.waitReason = reasonStarting
+	s.startCount++
+	request := s.requests[rack]
+	if request == nil {
+		request = &node.StartRequest{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, RackEpoch: v.epoch}
+		s.requests[rack] = request
 	}
-	ask.Items = append(ask.Items, h.askItem(s.now, j, i))
-	h.out.Decisions = append(h.out.Decisions, Decision{j.key(i), rack, "most fitting of the racks with room"})
+	request.Items = append(request.Items, h.startItem(s.now, j, i))
+	h.output.Decisions = append(h.output.Decisions, Decision{j.key(i), rack, "most fitting of the racks with room"})
 }
 
-func (h *Home) askItem(now time.Time, j *job, i int) node.StartItem {
-	w := h.policy(j)
+func (h *Shard) startItem(now time.Time, j *job, i int) node.StartItem {
+	w := h.placementPolicy(j)
 	t := worker.Task{
 		Key: j.key(i), Home: string(h.ID), Each: j.spec.Each, Class: j.spec.Class, IsOnce: j.spec.IsOnce,
 		Service: j.spec.Service, Request: j.spec.Request, IsRequestOnce: j.spec.IsRequestOnce, RunTime: j.spec.RunTime,
 	}
 	return node.StartItem{
-		Task: t, Share: h.Share(j.spec.Team), Age: now.Sub(j.since), WaitingWeight: w.Waiting, PackingWeight: w.Packing,
-		ReservationID: j.tasks[i].holdID, IsStarved: h.isStarvedAsk(j),
+		Task: t, Share: h.DominantShare(j.spec.Team), Age: now.Sub(j.addedAt), WaitingWeight: w.Waiting, PackingWeight: w.Packing,
+		ReservationID: j.tasks[i].reservationID, IsStarved: h.isStarved(j),
 	}
 }
 
-// resendAsks sends again what a rack's owner has not answered, as long as the
+// resendStartRequests sends again what a rack's owner has not answered, as long as the
 // rack has the epoch that was asked.
-func (h *Home) resendAsks(now time.Time) {
-	asks := map[state.ShardID]*node.StartRequest{}
-	for _, j := range h.list {
-		if len(j.asked) == 0 {
+func (h *Shard) resendStartRequests(now time.Time) {
+	requests := map[state.ShardID]*node.StartRequest{}
+	for _, j := range h.jobList {
+		if len(j.requested) == 0 {
 			continue
 		}
 		for i := range j.tasks {
 			t := &j.tasks[i]
-			if t.phase != phaseAsked || now.Sub(t.sentAt) < askRetry || h.racks[t.rack].epoch != t.rackEpoch {
+			if t.phase != phaseRequested || now.Sub(t.sentAt) < startRetry || h.racks[t.rack].epoch != t.rackEpoch {
 				continue
 			}
 			t.sentAt = now
-			ask := asks[t.rack]
-			if ask == nil {
-				ask = &node.StartRequest{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: t.rack, RackEpoch: t.rackEpoch}
-				asks[t.rack] = ask
+			request := requests[t.rack]
+			if request == nil {
+				request = &node.StartRequest{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: t.rack, RackEpoch: t.rackEpoch}
+				requests[t.rack] = request
 			}
-			ask.Items = append(ask.Items, h.askItem(now, j, i))
+			request.Items = append(request.Items, h.startItem(now, j, i))
 		}
 	}
-	h.sendAsks(asks)
+	h.sendStartRequests(requests)
 }
 
-// isNever finds out whether no worker of the region is large enough.
-func (h *Home) isNever(j *job) bool {
+// isUnschedulable finds out whether no worker of the region is large enough.
+func (h *Shard) isUnschedulable(j *job) bool {
 	capacities := []leverdyke.Resources{}
-	for _, id := range h.order {
+	for _, id := range h.rackOrder {
 		v := h.racks[id]
 		if v.capacity == (leverdyke.Resources{}) {
 			// A rack that has told nothing yet may have a larger worker.
-			j.why = whyNoRacks
-			j.never = ""
+			j.waitReason = reasonNoRacks
+			j.lackingResource = ""
 			return false
 		}
 		capacities = append(capacities, v.capacity)
 	}
 	if len(capacities) == 0 {
-		j.why = whyNoRacks
+		j.waitReason = reasonNoRacks
 		return false
 	}
-	lacks, ok := placement.CanEverFit(j.spec.Each, capacities)
+	lacking, ok := placement.CanEverFit(j.spec.Each, capacities)
 	if ok {
-		j.never = ""
+		j.lackingResource = ""
 		return false
 	}
-	if j.never == "" {
-		h.event(EventNever, j.id, "no worker of the region has enough "+lacks)
+	if j.lackingResource == "" {
+		h.emitEvent(EventUnschedulable, j.id, "no worker of the region has enough "+lacking)
 	}
-	j.never = lacks
+	j.lackingResource = lacking
 	return true
 }
--- a/internal/jobshard/shard.go
+++ b/internal/jobshard/shard.go
@@ -29,85 +29,85 @@
 	Weights(team string) placement.Policy
 }
 
-// NewHomeOptions sets the bounds. Zero values mean the defaults.
-type NewHomeOptions struct {
+// NewShardOptions sets the bounds. Zero values mean the defaults.
+type NewShardOptions struct {
 	Queue queue.NewQueueOptions
-	// Tries is how many racks with room are compared; 0 means 8.
-	Tries int
+	// RackCandidates is how many racks with room are compared; 0 means 8.
+	RackCandidates int
 	// MaxFailures is the default failure budget of a job; 0 means 10.
 	MaxFailures int
 }
 
 const (
-	defaultTries       = 8
-	defaultMaxFailures = 10
-	attemptBits        = 24
-	maxOffset          = 1 << 16
-	askRetry           = time.Second
-	syncRetry          = time.Second
-	scanPeriod         = 250 * time.Millisecond
-	// roomPatience is how long services wait for racks to tell their room; they
+	defaultRackCandidates = 8
+	defaultMaxFailures    = 10
+	attemptBits           = 24
+	maxRackOffset         = 1 << 16
+	startRetry            = time.Second
+	syncRetry             = time.Second
+	scanPeriod            = 250 * time.Millisecond
+	// summaryTimeout is how long services wait for racks to tell their room; they
 	// do so once a second at least when it is new.
-	roomPatience = 2 * time.Second
-	refusedShut  = 300 * time.Millisecond
-	firstBackoff = time.Second
-	maxBackoff   = 2 * time.Minute
-	finalsRetry  = time.Second
-	// finalsPeriod joins ends into few records: nobody waits for them.
-	finalsPeriod = time.Second
+	summaryTimeout = 2 * time.Second
+	refusalBackoff = 300 * time.Millisecond
+	initialBackoff = time.Second
+	maxBackoff     = 2 * time.Minute
+	finalsRetry    = time.Second
+	// finalsFlushPeriod joins ends into few records: nobody waits for them.
+	finalsFlushPeriod = time.Second
 )
 
-// Home is the owner's view of its teams. It belongs to one goroutine.
-type Home struct {
+// Shard is the owner's view of its teams. It belongs to one goroutine.
+type Shard struct {
 	// ID and Epoch never change; a new epoch is a new Home.
-	ID       state.ShardID
-	Epoch    uint64
-	options  NewHomeOptions
-	policies Policies
-	began    time.Time
+	ID        state.ShardID
+	Epoch     uint64
+	options   NewShardOptions
+	policies  Policies
+	createdAt time.Time
 
 	jobs map[string]*job
-	// list has the jobs in the order in which they came.
-	list  []*job
-	queue *queue.Queue
-	racks map[state.ShardID]*rackView
-	order []state.ShardID
-	// used is what each team's asked and running attempts take.
-	used map[string]leverdyke.Resources
-	// starved is the job for which racks are asked to keep a VM; nil for none.
-	starved *job
-	// unsure counts the tasks that an earlier owner may have started.
-	unsure  int
-	counter uint64
-	offset  int
-	isDirty bool
-	scanned time.Time
-	finals  map[finalKey]*finalBatch
+	// jobList has the jobs in the order in which they came.
+	jobList   []*job
+	queue     *queue.Queue
+	racks     map[state.ShardID]*rackView
+	rackOrder []state.ShardID
+	// usage is what each team's asked and running attempts take.
+	usage map[string]leverdyke.Resources
+	// starvedJob is the job for which racks are asked to keep a VM; nil for none.
+	starvedJob *job
+	// uncertainTasks counts the tasks that an earlier owner may have started.
+	uncertainTasks int
+	attemptCounter uint64
+	rackOffset     int
+	isScanDue      bool
+	scannedAt      time.Time
+	finals         map[finalKey]*finalBatch
 	// finalOrder has the keys of finals in the order in which they came.
 	finalOrder []finalKey
 	// finalsNotBefore is when to try the log again.
 	finalsNotBefore time.Time
-	recorded        map[uint64]recording
-	token           uint64
-	out             Output
+	recordsInFlight map[uint64]inFlightRecord
+	lastRecordToken uint64
+	output          Output
 }
 
 // rackView is what the home knows of a rack.
 type rackView struct {
 	epoch worker.Epoch
-	// since is when the home heard of the epoch.
-	since time.Time
+	// epochSince is when the home heard of the epoch.
+	epochSince time.Time
 	// isSynced means that the rack's owner of this epoch has told all that runs
 	// there, and that nothing else may.
-	isSynced bool
-	syncedAt time.Time
-	room     node.RackSummary
-	hasRoom  bool
+	isSynced   bool
+	syncSentAt time.Time
+	summary    node.RackSummary
+	hasSummary bool
 	// pending is what was asked for since the room was told.
 	pending leverdyke.Resources
-	// shutUntil is until when nothing is asked after a refusal.
-	shutUntil time.Time
-	capacity  leverdyke.Resources
+	// backoffUntil is until when nothing is asked after a refusal.
+	backoffUntil time.Time
+	capacity     leverdyke.Resources
 }
 
 // Output is what the home wants done.
@@ -116,7 +116,7 @@
 	Records   []PendingRecord
 	Events    []Event
 	Decisions []Decision
-	Starts    []StartNote
+	Starts    []TaskStart
 }
 
 // RackMessage goes to whichever node owns the rack.
@@ -133,13 +133,13 @@
 
 // Decision is a routing decision for the log.
 type Decision struct {
-	Key  worker.Key
-	Rack state.ShardID
-	Why  string
+	Key    worker.Key
+	Rack   state.ShardID
+	Reason string
 }
 
-// StartNote says how long a task waited for its start.
-type StartNote struct {
+// TaskStart says how long a task waited for its start.
+type TaskStart struct {
 	Key    worker.Key
 	Class  leverdyke.Class
 	Waited time.Duration
@@ -158,35 +158,35 @@
 
 // The events of a home.
 const (
-	EventNever       EventKind = "job-can-never-run"
-	EventUnknownFate EventKind = "task-fate-unknown"
-	EventJobFailed   EventKind = "job-failed"
-	EventGangBroken  EventKind = "gang-broken"
-	EventSynced      EventKind = "home-synced"
-	EventTwoAttempts EventKind = "two-attempts"
+	EventUnschedulable    EventKind = "job-can-never-run"
+	EventUnknownOutcome   EventKind = "task-fate-unknown"
+	EventJobFailed        EventKind = "job-failed"
+	EventGangRestart      EventKind = "gang-broken"
+	EventSynced           EventKind = "home-synced"
+	EventDuplicateAttempt EventKind = "two-attempts"
 )
 
-// NewHome takes ownership of a home.
-func NewHome(now time.Time, id state.ShardID, epoch uint64, p Policies, options NewHomeOptions) *Home {
-	if options.Tries == 0 {
-		options.Tries = defaultTries
+// NewShard takes ownership of a home.
+func NewShard(now time.Time, id state.ShardID, epoch uint64, p Policies, options NewShardOptions) *Shard {
+	if options.RackCandidates == 0 {
+		options.RackCandidates = defaultRackCandidates
 	}
 	if options.MaxFailures == 0 {
 		options.MaxFailures = defaultMaxFailures
 	}
-	return &Home{
-		ID: id, Epoch: epoch, options: options, policies: p, began: now,
+	return &Shard{
+		ID: id, Epoch: epoch, options: options, policies: p, createdAt: now,
 		// Each home begins elsewhere in the order of the racks.
-		offset: int(xxhash.Sum64String(string(id)) % maxOffset),
-		jobs:   map[string]*job{}, queue: queue.NewQueue(options.Queue), racks: map[state.ShardID]*rackView{},
-		used: map[string]leverdyke.Resources{}, finals: map[finalKey]*finalBatch{}, recorded: map[uint64]recording{},
+		rackOffset: int(xxhash.Sum64String(string(id)) % maxRackOffset),
+		jobs:       map[string]*job{}, queue: queue.NewQueue(options.Queue), racks: map[state.ShardID]*rackView{},
+		usage: map[string]leverdyke.Resources{}, finals: map[finalKey]*finalBatch{}, recordsInFlight: map[uint64]inFlightRecord{},
 	}
 }
 
-// Take returns what was ordered since the last call.
-func (h *Home) Take() Output {
-	out := h.out
-	h.out = Output{}
+// TakeOutput returns what was ordered since the last call.
+func (h *Shard) TakeOutput() Output {
+	out := h.output
+	h.output = Output{}
 	return out
 }
 
@@ -198,88 +198,88 @@
 
 // SetRacks tells the home which racks there are and under which epochs. A new
 // epoch has to tell everything before the home decides about what ran there.
-func (h *Home) SetRacks(now time.Time, racks []RackInfo) {
+func (h *Shard) SetRacks(now time.Time, racks []RackInfo) {
 	for _, info := range racks {
 		v := h.racks[info.ID]
 		if v == nil {
 			v = &rackView{}
 			h.racks[info.ID] = v
-			h.order = append(h.order, info.ID)
-			slices.Sort(h.order)
+			h.rackOrder = append(h.rackOrder, info.ID)
+			slices.Sort(h.rackOrder)
 		}
 		if info.Epoch > v.epoch {
-			*v = rackView{epoch: info.Epoch, since: now, capacity: v.capacity}
-			h.isDirty = true
+			*v = rackView{epoch: info.Epoch, epochSince: now, capacity: v.capacity}
+			h.isScanDue = true
 		}
 	}
 }
 
-// OnRoom takes a rack's summary.
-func (h *Home) OnRoom(room *node.RackSummary) {
-	v := h.racks[room.Rack]
-	if v == nil || v.epoch != room.Epoch {
+// OnRackSummary takes a rack's summary.
+func (h *Shard) OnRackSummary(summary *node.RackSummary) {
+	v := h.racks[summary.Rack]
+	if v == nil || v.epoch != summary.Epoch {
 		return
 	}
-	if !v.hasRoom || !room.Free.FitsIn(v.room.Free) {
+	if !v.hasSummary || !summary.Free.FitsIn(v.summary.Free) {
 		// More room than before: what was refused may fit now.
-		v.shutUntil = time.Time{}
-		h.isDirty = true
+		v.backoffUntil = time.Time{}
+		h.isScanDue = true
 	}
-	v.room = *room
-	v.hasRoom = true
-	v.pending = h.askedAt(room.Rack)
-	v.capacity = v.capacity.Max(room.Capacity)
+	v.summary = *summary
+	v.hasSummary = true
+	v.pending = h.requestedFrom(summary.Rack)
+	v.capacity = v.capacity.Max(summary.Capacity)
 }
 
-// isRoomAwaited reports whether a rack has not told its room and may do so at
+// isSummaryAwaited reports whether a rack has not told its room and may do so at
 // any moment: a service that is placed now could not be spread over it, and
 // stays where it is.
-func (h *Home) isRoomAwaited(now time.Time) bool {
+func (h *Shard) isSummaryAwaited(now time.Time) bool {
 	for _, v := range h.racks {
-		if !v.hasRoom && now.Sub(v.since) < roomPatience {
+		if !v.hasSummary && now.Sub(v.epochSince) < summaryTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// askedAt is what is asked for at a rack and not answered.
-func (h *Home) askedAt(rack state.ShardID) leverdyke.Resources {
+// requestedFrom is what is asked for at a rack and not answered.
+func (h *Shard) requestedFrom(rack state.ShardID) leverdyke.Resources {
 	sum := leverdyke.Resources{}
-	for _, j := range h.list {
-		sum = sum.Add(j.spec.Each.Times(int64(j.asked[rack])))
+	for _, j := range h.jobList {
+		sum = sum.Add(j.spec.Each.Times(int64(j.requested[rack])))
 	}
 	return sum
 }
 
 // Tick does what is due: syncs with racks, asks that were not answered, starts,
 // records.
-func (h *Home) Tick(now time.Time) {
+func (h *Shard) Tick(now time.Time) {
 	h.syncRacks(now)
-	h.resendAsks(now)
-	h.expireGangs(now)
+	h.resendStartRequests(now)
+	h.expireReservations(now)
 	h.wakeDelayed(now)
-	h.missDeadlines(now)
-	if h.isDirty || now.Sub(h.scanned) >= scanPeriod {
+	h.failMissedDeadlines(now)
+	if h.isScanDue || now.Sub(h.scannedAt) >= scanPeriod {
 		h.scan(now)
 	}
 	h.flushFinals(now)
 }
 
 // syncRacks asks every rack of whose epoch the home has not heard all.
-func (h *Home) syncRacks(now time.Time) {
-	for _, id := range h.order {
+func (h *Shard) syncRacks(now time.Time) {
+	for _, id := range h.rackOrder {
 		v := h.racks[id]
-		if v.isSynced || now.Sub(v.syncedAt) < syncRetry {
+		if v.isSynced || now.Sub(v.syncSentAt) < syncRetry {
 			continue
 		}
-		v.syncedAt = now
-		h.toRack(id, node.Message{JobShardSync: &node.JobShardSync{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: id}})
+		v.syncSentAt = now
+		h.sendToRack(id, node.Message{JobShardSync: &node.JobShardSync{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: id}})
 	}
 }
 
 // isAllSynced reports whether every rack has told all.
-func (h *Home) isAllSynced() bool {
+func (h *Shard) isAllSynced() bool {
 	for _, v := range h.racks {
 		if !v.isSynced {
 			return false
@@ -288,22 +288,22 @@
 	return len(h.racks) > 0
 }
 
-func (h *Home) toRack(rack state.ShardID, m node.Message) {
-	h.out.ToRack = append(h.out.ToRack, RackMessage{rack, m})
+func (h *Shard) sendToRack(rack state.ShardID, m node.Message) {
+	h.output.ToRack = append(h.output.ToRack, RackMessage{rack, m})
 }
 
-func (h *Home) event(kind EventKind, job, detail string) {
-	h.out.Events = append(h.out.Events, Event{kind, job, detail})
+func (h *Shard) emitEvent(kind EventKind, job, detail string) {
+	h.output.Events = append(h.output.Events, Event{kind, job, detail})
 }
 
-// Share returns the part of its quota that a team uses, by its fullest
+// DominantShare returns the part of its quota that a team uses, by its fullest
 // dimension; a team without a quota comes last.
-func (h *Home) Share(team string) float64 {
+func (h *Shard) DominantShare(team string) float64 {
 	quota, ok := h.policies.Quota(team)
 	if !ok {
 		return 2
 	}
-	used := h.used[team]
+	used := h.usage[team]
 	share := 0.0
 	for _, d := range [...][2]int64{
 		{used.MilliCPU, quota.MilliCPU},
@@ -318,11 +318,11 @@
 	return share
 }
 
-// Used returns what a team's asked and running attempts take.
-func (h *Home) Used(team string) leverdyke.Resources { return h.used[team] }
+// Usage returns what a team's asked and running attempts take.
+func (h *Shard) Usage(team string) leverdyke.Resources { return h.usage[team] }
 
-// Waiting returns how many jobs have tasks that wait.
-func (h *Home) Waiting() int { return h.queue.Len() }
+// WaitingJobs returns how many jobs have tasks that wait.
+func (h *Shard) WaitingJobs() int { return h.queue.Len() }
 
-// IsFull reports whether no further job may wait.
-func (h *Home) IsFull() bool { return h.queue.IsFull() }
+// IsQueueFull reports whether no further job may wait.
+func (h *Shard) IsQueueFull() bool { return h.queue.IsFull() }
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -179,7 +179,7 @@
 	JobShard      state.ShardID `msgpack:"h"`
 	JobShardEpoch uint64        `msgpack:"e"`
 	Rack          state.ShardID `msgpack:"r"`
-	Effect        worker.Deed   `msgpack:"d"`
+	Action        worker.Deed   `msgpack:"d"`
 	Keys          []worker.Key  `msgpack:"k"`
 }
 
@@ -311,7 +311,7 @@
 // It is empty if the peer no longer has them.
 type LogReply struct {
 	After   int64      `msgpack:"a"`
-	Entries []LogBatch `msgpack:"e"`
+	Batches []LogBatch `msgpack:"e"`
 }
 
 // LogBatch is one batch, encoded as in the log.
--- a/internal/rack/asks.go
+++ b/internal/rack/asks.go
@@ -267,13 +267,13 @@
 		if h == nil || h.phase == phaseEnded {
 			continue
 		}
-		h.deed = d.Effect
+		h.deed = d.Action
 		h.told = now
 		orders[h.vm.id] = append(orders[h.vm.id], k)
 	}
 	for _, id := range r.order {
 		if keys := orders[id]; len(keys) > 0 {
-			r.out.Acts = append(r.out.Acts, ActOrder{id, d.Effect, keys})
+			r.out.Acts = append(r.out.Acts, ActOrder{id, d.Action, keys})
 		}
 	}
 }
