--- a/internal/jobshard/gang.go
+++ b/internal/jobshard/gang.go
@@ -252,12 +252,12 @@
 
 // restartGang stops what runs of an all-at-once job, so that all of it starts
 // together again.
-func (h *Shard) restartGang(j *job, why string) {
+func (h *Shard) restartGang(j *job, reason string) {
 	if j.gang.isRestarting || !j.gang.isStarted {
 		return
 	}
 	j.gang.isRestarting, j.gang.isStarted = true, false
-	h.emitEvent(EventGangRestart, j.id, why)
+	h.emitEvent(EventGangRestart, j.id, reason)
 	stops := map[state.ShardID][]worker.Key{}
 	for i := range j.tasks {
 		if t := &j.tasks[i]; t.phase == phaseRequested || t.phase == phaseRunning {
--- a/internal/jobshard/records.go
+++ b/internal/jobshard/records.go
@@ -78,10 +78,10 @@
 		return
 	}
 	h.finalsNotBefore = now.Add(finalsFlushPeriod)
-	for _, fk := range h.finalOrder {
-		b := h.finals[fk]
-		h.writeRecord(inFlightRecord{final: b, key: fk}, state.Record{Finals: &state.Finals{
-			Number: fk.number, Tasks: b.tasks, State: fk.state, Failures: b.failures, Reason: fk.reason,
+	for _, key := range h.finalOrder {
+		b := h.finals[key]
+		h.writeRecord(inFlightRecord{final: b, key: key}, state.Record{Finals: &state.Finals{
+			Number: key.number, Tasks: b.tasks, State: key.state, Failures: b.failures, Reason: key.reason,
 		}})
 	}
 	clear(h.finals)
@@ -99,12 +99,12 @@
 	}
 }
 
-func (h *Shard) finalBatchFor(fk finalKey) *finalBatch {
-	b := h.finals[fk]
+func (h *Shard) finalBatchFor(key finalKey) *finalBatch {
+	b := h.finals[key]
 	if b == nil {
 		b = &finalBatch{endsToAck: map[state.ShardID][]worker.Key{}}
-		h.finals[fk] = b
-		h.finalOrder = append(h.finalOrder, fk)
+		h.finals[key] = b
+		h.finalOrder = append(h.finalOrder, key)
 	}
 	return b
 }
@@ -117,7 +117,7 @@
 
 // isEndUnrecorded reports whether the end of an attempt is about to be recorded.
 func (h *Shard) isEndUnrecorded(k worker.Key) bool {
-	has := func(b *finalBatch) bool {
+	contains := func(b *finalBatch) bool {
 		for _, keys := range b.endsToAck {
 			if slices.Contains(keys, k) {
 				return true
@@ -126,12 +126,12 @@
 		return false
 	}
 	for _, b := range h.finals {
-		if has(b) {
+		if contains(b) {
 			return true
 		}
 	}
 	for _, r := range h.recordsInFlight {
-		if r.final != nil && has(r.final) {
+		if r.final != nil && contains(r.final) {
 			return true
 		}
 	}
--- a/internal/jobshard/report.go
+++ b/internal/jobshard/report.go
@@ -88,15 +88,15 @@
 		return
 	}
 	listed := map[worker.Key]bool{}
-	acks := []worker.Key{}
+	ended := []worker.Key{}
 	for i := range report.Items {
 		item := &report.Items[i]
 		listed[item.Key] = true
 		if h.onAttemptStatus(now, report, item) {
-			acks = append(acks, item.Key)
+			ended = append(ended, item.Key)
 		}
 	}
-	h.ackAttempts(report.Rack, acks)
+	h.ackAttempts(report.Rack, ended)
 	if report.IsFullReport && report.IsInventoryComplete && !v.isSynced {
 		v.isSynced = true
 		h.endMissingAttempts(now, report.Rack, listed)
--- a/internal/jobshard/scan.go
+++ b/internal/jobshard/scan.go
@@ -79,18 +79,18 @@
 }
 
 func (h *Shard) minAttempt(rack state.ShardID) uint64 {
-	floor := h.Epoch<<attemptBits | (h.attemptCounter + 1)
+	lowest := h.Epoch<<attemptBits | (h.attemptCounter + 1)
 	for _, j := range h.jobList {
 		if j.requested[rack] == 0 {
 			continue
 		}
 		for i := range j.tasks {
 			if t := &j.tasks[i]; t.phase == phaseRequested && t.rack == rack {
-				floor = min(floor, t.attempt)
+				lowest = min(lowest, t.attempt)
 			}
 		}
 	}
-	return floor
+	return lowest
 }
 
 func (h *Shard) placementView(now time.Time, id state.ShardID) placement.RackView {
@@ -190,9 +190,9 @@
 
 // updateQueueWithoutScan is requeue without making another scan due.
 func (h *Shard) updateQueueWithoutScan(j *job) {
-	isDirty := h.isScanDue
+	wasScanDue := h.isScanDue
 	h.updateQueue(j)
-	h.isScanDue = isDirty
+	h.isScanDue = wasScanDue
 }
 
 // chooseRack returns the index of the rack to ask, or -1.
@@ -201,14 +201,14 @@
 	if s.unplaceable[need] {
 		return h.choosePreemptionRack(s, j)
 	}
-	tries := h.options.RackCandidates
+	candidates := h.options.RackCandidates
 	if j.spec.Kind == leverdyke.KindService {
 		// All racks are compared: the one that spreads best may be the last.
-		tries = 0
+		candidates = 0
 		h.countSiblings(s, j)
 		defer clearSiblings(s)
 	}
-	best := placement.BestRack(h.placementPolicy(j), need, s.views, h.rackOffset, tries)
+	best := placement.BestRack(h.placementPolicy(j), need, s.views, h.rackOffset, candidates)
 	if best < 0 {
 		s.unplaceable[need] = true
 		return h.choosePreemptionRack(s, j)
@@ -263,12 +263,12 @@
 }
 
 // requestStart asks a rack for one attempt of a task.
-func (h *Shard) requestStart(s *scanner, j *job, i int, rack state.ShardID, holdID uint64) {
+func (h *Shard) requestStart(s *scanner, j *job, i int, rack state.ShardID, reservationID uint64) {
 	t := &j.tasks[i]
 	v := h.racks[rack]
 	h.attemptCounter++
 	t.attempt = h.Epoch<<attemptBits | h.attemptCounter
-	t.rack, t.rackEpoch, t.worker, t.sentAt, t.reservationID = rack, v.epoch, "", s.now, holdID
+	t.rack, t.rackEpoch, t.worker, t.sentAt, t.reservationID = rack, v.epoch, "", s.now, reservationID
 	h.setPhase(j, i, phaseRequested)
 	v.pending = v.pending.Add(j.spec.Each)
 	for n, id := range h.rackOrder {
