--- a/internal/jobshard/gang.go
+++ b/internal/jobshard/gang.go
@@ -15,35 +15,40 @@
 )
 
 const (
-	// reservationExpiry is how long a rack keeps held places; holdPatience how long the
-	// home waits for a rack's word before it lets go of all.
+	// reservationExpiry is how long a rack keeps a reservation; reservationTimeout
+	// is how long the shard waits for a rack's reply before it releases the
+	// reservations in all racks.
 	reservationExpiry  = 10 * time.Second
 	reservationTimeout = 3 * time.Second
 	gangRetry          = 500 * time.Millisecond
-	// requestAllRacksAge is from when on an all-at-once job asks every rack, even if the
-	// summaries say that there is no room, so that the racks keep room for it.
+	// requestAllRacksAge is the age from which an all-at-once job requests
+	// reservations from every rack, even if the summaries say that there is too
+	// little free capacity, so that the racks keep free for it what they have.
 	requestAllRacksAge = 10 * time.Second
 )
 
-// gang is an all-at-once job's way to its places. Holds are taken rack by rack
-// in the order of the racks' names, which every home follows, so that no two
-// jobs wait for each other; whoever cannot get all lets go of all.
+// gang is the state of an all-at-once job's placement. Capacity is reserved
+// rack by rack, in the order of the racks' names. All shards follow this order,
+// so that no two jobs wait for each other. A job that does not get capacity for
+// all its tasks releases all reservations.
 type gang struct {
-	// reservationID is the hold in progress; 0 means none.
+	// reservationID is the number of the reservation in progress; 0 means none.
 	reservationID uint64
 	taskCount     int
 	racks         []state.ShardID
-	// reserved has the places held so far, at names the rack that was asked last.
+	// reserved has the number of tasks by rack for which capacity is reserved;
+	// rackIndex is the index in racks of the rack that was asked last.
 	reserved  map[state.ShardID]int
 	rackIndex int
 	sentAt    time.Time
-	// notBefore is when to try again after having let go.
+	// notBefore is when to try again after the reservations were released.
 	notBefore time.Time
 	// isStarted means that the tasks were started together; isRestarting that the
-	// rest is being stopped, to be started together again.
+	// running ones are being stopped, so that all start together again.
 	isStarted, isRestarting bool
 }
 
+// reservedTotal returns for how many tasks capacity is reserved in all racks.
 func (g *gang) reservedTotal() int {
 	n := 0
 	for _, c := range g.reserved {
@@ -52,7 +57,7 @@
 	return n
 }
 
-// unfinishedTasks counts a job's tasks that are not over.
+// unfinishedTasks counts the job's tasks that have not ended.
 func (j *job) unfinishedTasks() int {
 	n := 0
 	for i := range j.tasks {
@@ -63,6 +68,8 @@
 	return n
 }
 
+// tryGang begins to reserve capacity for all tasks of an all-at-once job,
+// unless a reservation is in progress or some of its attempts still run.
 func (h *Shard) tryGang(s *scanner, j *job, allowed int) queue.Result {
 	g := &j.gang
 	need := j.unfinishedTasks()
@@ -89,11 +96,12 @@
 	g.reservationID = h.Epoch<<attemptBits | h.attemptCounter
 	g.taskCount, g.racks, g.rackIndex, g.reserved = need, racks, 0, map[state.ShardID]int{}
 	h.sendReserveRequest(s.now, j)
-	j.waitReason = "places for all its tasks are being held"
+	j.waitReason = "capacity for all its tasks is being reserved"
 	return queue.Started
 }
 
-// recordIntents writes the intents that are lacking, and reports whether any were.
+// recordIntents writes the missing intents of the job's tasks, and reports
+// whether any were missing.
 func (h *Shard) recordIntents(j *job) bool {
 	in := &intent{job: j.id}
 	for i := range j.tasks {
@@ -110,8 +118,9 @@
 	return true
 }
 
-// chooseGangRacks chooses the racks to hold places in, the fewest that seem to have
-// room, in the order of their names; nil means that there is not enough.
+// chooseGangRacks chooses the racks in which to reserve capacity, sorted by
+// name: as few racks as seem to have enough. It returns nil if there is not
+// enough.
 func (h *Shard) chooseGangRacks(s *scanner, j *job, need int) []state.ShardID {
 	type candidate struct {
 		id    state.ShardID
@@ -137,7 +146,7 @@
 	}
 	slices.SortStableFunc(candidates, func(a, b candidate) int { return b.count - a.count })
 	racks := []state.ShardID{}
-	// One spare place in eight, since summaries are old.
+	// One eighth more than is needed, since summaries may be out of date.
 	for sum := 0; len(candidates) > 0 && sum < need+need/8; candidates = candidates[1:] {
 		racks = append(racks, candidates[0].id)
 		sum += candidates[0].count
@@ -146,6 +155,8 @@
 	return racks
 }
 
+// sendReserveRequest asks the next rack to reserve capacity for the tasks that
+// still lack it.
 func (h *Shard) sendReserveRequest(now time.Time, j *job) {
 	g := &j.gang
 	rack := g.racks[g.rackIndex]
@@ -156,7 +167,9 @@
 	}})
 }
 
-// OnReserveReply takes a rack's word on held places.
+// OnReserveReply handles a rack's reply to a reservation request. When the last
+// rack needed has replied, the tasks are started; if capacity is still lacking
+// after all racks, everything is released.
 func (h *Shard) OnReserveReply(now time.Time, r *node.ReserveReply) {
 	if r.Summary != nil {
 		h.OnRackSummary(r.Summary)
@@ -180,11 +193,12 @@
 	case g.rackIndex < len(g.racks):
 		h.sendReserveRequest(now, j)
 	default:
-		j.waitReason = "not all of its tasks find a place at the same time"
+		j.waitReason = "there is not enough free capacity for all its tasks at the same time"
 		h.abandonReservation(now, j)
 	}
 }
 
+// jobByReservation returns the job with the reservation in progress, or nil.
 func (h *Shard) jobByReservation(id uint64) *job {
 	for _, j := range h.jobList {
 		if id != 0 && j.gang.reservationID == id {
@@ -194,7 +208,7 @@
 	return nil
 }
 
-// startReserved asks for the held places.
+// startReserved requests the start of the tasks in the reserved capacity.
 func (h *Shard) startReserved(now time.Time, j *job) {
 	g := &j.gang
 	s := &scanner{now: now, requests: map[state.ShardID]*node.StartRequest{}}
@@ -213,13 +227,15 @@
 	h.updateQueue(j)
 }
 
-// abandonReservation gives all held places back and tries again later; the wait hangs on
-// the job, so that two jobs do not meet again.
+// abandonReservation releases the reservations and delays the next try. The
+// delay depends on the job's ID, so that two jobs do not collide again.
 func (h *Shard) abandonReservation(now time.Time, j *job) {
 	h.releaseReservation(j)
 	j.gang.notBefore = now.Add(backoff(leverdyke.TaskID{Job: j.id}, 1) * gangRetry / initialBackoff)
 }
 
+// releaseReservation releases the capacity in all racks that were asked, also
+// in the one that has not replied.
 func (h *Shard) releaseReservation(j *job) {
 	g := &j.gang
 	if g.reservationID == 0 {
@@ -233,7 +249,8 @@
 	g.reservationID = 0
 }
 
-// expireReservations lets go where a rack does not answer.
+// expireReservations abandons the reservations for which a rack has not replied
+// in time.
 func (h *Shard) expireReservations(now time.Time) {
 	for _, j := range h.jobList {
 		if j.gang.reservationID != 0 && now.Sub(j.gang.sentAt) > reservationTimeout {
@@ -243,15 +260,16 @@
 	}
 }
 
-// restartIfGang breaks an all-at-once job of which an attempt has ended early.
+// restartIfGang restarts an all-at-once job of which an attempt has ended
+// early.
 func (h *Shard) restartIfGang(j *job, k worker.Key) {
 	if j.spec.Kind == leverdyke.KindGang {
 		h.restartGang(j, k.String())
 	}
 }
 
-// restartGang stops what runs of an all-at-once job, so that all of it starts
-// together again.
+// restartGang stops the running attempts of an all-at-once job, so that all its
+// tasks start together again.
 func (h *Shard) restartGang(j *job, reason string) {
 	if j.gang.isRestarting || !j.gang.isStarted {
 		return
--- a/internal/jobshard/job.go
+++ b/internal/jobshard/job.go
@@ -17,43 +17,47 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// phase is where a task is in the home's eyes.
+// phase is the state of a task as the shard knows it.
 type phase string
 
 const (
-	// phaseUncertain may have been started by an earlier owner of the home.
+	// phaseUncertain: a previous owner of the shard may have started the task, and
+	// not every rack has reported yet.
 	phaseUncertain phase = "unsure"
-	// phaseWaiting has no attempt that runs or may yet start.
+	// phaseWaiting: no attempt runs or may still start.
 	phaseWaiting phase = "waiting"
-	// phaseIntending waits for its intent to be in the log.
+	// phaseIntending: the task may not be repeated, and the record that it is about
+	// to start is being written to the log.
 	phaseIntending phase = "intending"
-	// phaseRequested has been asked for; it may start at any moment.
+	// phaseRequested: a rack was asked to start an attempt and has not replied; the
+	// attempt may start at any moment.
 	phaseRequested phase = "asked"
-	// phaseRunning runs.
+	// phaseRunning: an attempt runs.
 	phaseRunning phase = "running"
-	// phaseFinal is over for good.
+	// phaseFinal: the task has ended and never starts again.
 	phaseFinal phase = "final"
 )
 
-// task is one task of a job.
 type task struct {
 	phase phase
-	// attempt, rack and rackEpoch say where the last attempt was asked for.
+	// attempt is the number of the last attempt; rack and rackEpoch are where its
+	// start was requested, worker is where it runs.
 	attempt   uint64
 	rack      state.ShardID
 	rackEpoch worker.Epoch
 	worker    worker.ID
-	// sentAt is when the ask was last sent; notBefore when to try again.
+	// sentAt is when the start request was last sent; notBefore is the earliest time
+	// of the next attempt.
 	sentAt, notBefore time.Time
 	failures          int
 	// workerLosses counts the attempts that were lost with their worker.
 	workerLosses  int
 	reservationID uint64
-	// isIntended means that the log has the intent to start it, which may be
-	// acted on once, by the home that wrote it.
+	// isIntended means that the log has a record that the task is about to start.
+	// Only the owner that wrote the record may start the task, and only once.
 	isIntended bool
-	// deferred is the newest end that was told while the phase is phaseUnsure; nil
-	// for none.
+	// deferred is the newest reported end of an attempt while the task is in
+	// phaseUncertain; nil if none.
 	deferred   *deferredEnd
 	finalState leverdyke.TaskState
 }
@@ -61,35 +65,39 @@
 // job is a job that has not ended.
 type job struct {
 	id string
-	// number names the job in the log.
+	// number identifies the job in log records.
 	number  uint64
 	spec    leverdyke.JobSpec
 	addedAt time.Time
 	tasks   []task
-	// requested counts the unanswered asks by rack, running the running tasks.
+	// requested counts the unanswered start requests by rack, running the running
+	// tasks.
 	requested, running map[state.ShardID]int
 	waiting            int
 	failures           int
 	hasStarted         bool
-	// isEnding means that no task starts any more.
+	// isEnding means that the job has failed and its tasks are being ended: none
+	// starts any more.
 	isEnding bool
 	gang     gang
-	// expectedUsage is the most that a rack has told its tasks to take; zero while
-	// that is what they declare.
+	// expectedUsage is the largest usage of a task that a rack has told the shard to
+	// expect; zero as long as no rack has reported more than the tasks declare.
 	expectedUsage leverdyke.Resources
-	// blockedSince is since when there is no room for any of its tasks; zero
-	// while there is. starvedRequestAt and starvedRack are the last ask of a starved
-	// job, and the place of the rack in the order.
+	// blockedSince is since when no rack has had free capacity for any task of the
+	// job; zero if one has. starvedRequestAt is when a rack was last asked to keep a
+	// VM free for the job, starvedRackIndex that rack's index in the order of racks.
 	blockedSince, starvedRequestAt time.Time
 	starvedRackIndex               int
-	// waitReason says waitReason the job's tasks wait, for an operator.
+	// waitReason says why the job's tasks wait, for operators.
 	waitReason string
-	// lackingResource names what no worker has enough of; empty if the job can run.
+	// lackingResource names the resource of which no worker has enough for a task;
+	// empty if the job can run.
 	lackingResource string
 }
 
-// AddJob takes a job from the fold. isFresh means that it was accepted after
-// this home's claim, so that no earlier owner can have started anything of it.
+// AddJob adds a job from the replicated state. isFresh means that the job was
+// accepted after this owner's claim to the shard, so that no previous owner can
+// have started any of its tasks.
 func (h *Shard) AddJob(now time.Time, id string, s *state.Job, isFresh bool) {
 	if h.jobs[id] != nil || s.IsEnded {
 		return
@@ -117,8 +125,8 @@
 	h.updateQueue(j)
 }
 
-// EndJobs takes jobs out that the fold has ended: what runs of them is stopped,
-// in one message a rack however many they are.
+// EndJobs removes jobs that have ended in the replicated state and stops their
+// attempts, with one message to each rack however many jobs there are.
 func (h *Shard) EndJobs(ids []string) {
 	stops := map[state.ShardID][]worker.Key{}
 	for _, id := range ids {
@@ -139,6 +147,8 @@
 	h.isScanDue = true
 }
 
+// collectStop adds the task's attempt to stops, by rack, if it runs or may
+// start.
 func (h *Shard) collectStop(j *job, i int, stops map[state.ShardID][]worker.Key) {
 	t := &j.tasks[i]
 	switch t.phase {
@@ -150,6 +160,7 @@
 	}
 }
 
+// orderStops sends each rack the order to stop its attempts.
 func (h *Shard) orderStops(stops map[state.ShardID][]worker.Key) {
 	for _, rack := range h.rackOrder {
 		if keys := stops[rack]; len(keys) > 0 {
@@ -162,11 +173,12 @@
 	return worker.Key{Task: leverdyke.TaskID{Job: j.id, Index: i}, Attempt: j.tasks[i].attempt}
 }
 
-// neededCapacity is what a rack must have for one more task.
+// neededCapacity is the capacity that a rack must have free for one more task.
 func (j *job) neededCapacity() leverdyke.Resources { return j.spec.Each.Max(j.expectedUsage) }
 
-// setPhase moves a task and keeps the counts that hang on it: what the team
-// uses, what is asked for and runs by rack, how many tasks wait.
+// setPhase changes the phase of a task together with the counts that depend on
+// it: the team's usage, the requested and running tasks by rack, and the number
+// of waiting tasks.
 func (h *Shard) setPhase(j *job, i int, p phase) {
 	t := &j.tasks[i]
 	h.countPhase(j, t, -1)
@@ -174,6 +186,7 @@
 	h.countPhase(j, t, +1)
 }
 
+// countPhase adds by to the counts to which the task's phase belongs.
 func (h *Shard) countPhase(j *job, t *task, by int) {
 	switch t.phase {
 	case phaseWaiting:
@@ -189,7 +202,8 @@
 	}
 }
 
-// addCount keeps no zero counts, so that an empty map means none.
+// addCount deletes counts that become 0, so that an empty map means that there
+// are none.
 func addCount(counts map[state.ShardID]int, rack state.ShardID, by int) {
 	counts[rack] += by
 	if counts[rack] == 0 {
@@ -197,11 +211,12 @@
 	}
 }
 
+// addUsage adds the capacity of by tasks to the usage of the job's team.
 func (h *Shard) addUsage(j *job, by int) {
 	h.usage[j.spec.Team] = h.usage[j.spec.Team].Add(j.spec.Each.Times(int64(by)))
 }
 
-// updateQueue brings the queue's entry up to the job's waiting tasks.
+// updateQueue updates the job's queue entry to its number of waiting tasks.
 func (h *Shard) updateQueue(j *job) {
 	h.isScanDue = true
 	if j.waiting == 0 || j.isEnding {
@@ -213,22 +228,25 @@
 	})
 }
 
-// backoff returns how long a task waits after its n-th failure: doubling, with
-// a jitter that hangs on the task alone, so that the same input gives the same
-// decision.
+// backoff returns the delay before a task starts again after its n-th failure.
+// It doubles with each failure. The jitter is a hash of the task and n, so that
+// the same input always gives the same decision.
 func backoff(id leverdyke.TaskID, n int) time.Duration {
 	d := min(initialBackoff<<min(max(n-1, 0), 10), maxBackoff)
 	jitter := xxhash.Sum64String(fmt.Sprintf("%s/%d/%d", id.Job, id.Index, n)) % 512
 	return d/2 + time.Duration(jitter)*d/1024
 }
 
-// wakeDelayed makes the scan look again at tasks whose delay is over.
+// wakeDelayed makes a scan due every scanPeriod, which finds the tasks whose
+// delay has ended.
 func (h *Shard) wakeDelayed(now time.Time) {
 	if now.Sub(h.scannedAt) >= scanPeriod {
 		h.isScanDue = true
 	}
 }
 
+// failMissedDeadlines fails the jobs of which no task has started within the
+// deadline.
 func (h *Shard) failMissedDeadlines(now time.Time) {
 	for _, j := range h.jobList {
 		if j.spec.Deadline > 0 && !j.hasStarted && !j.isEnding && now.Sub(j.addedAt) > j.spec.Deadline && j.waiting == len(j.tasks) {
@@ -237,7 +255,8 @@
 	}
 }
 
-// failJob ends a job for good: what waits never starts, what runs is stopped.
+// failJob ends a job: waiting tasks never start, and running ones are stopped.
+// Tasks whose intent is being written stay until the log has answered.
 func (h *Shard) failJob(j *job, reason string) {
 	if j.isEnding {
 		return
@@ -265,7 +284,7 @@
 	h.updateQueue(j)
 }
 
-// TaskStatus is what an operator sees of a task.
+// TaskStatus is a task as shown to operators.
 type TaskStatus struct {
 	Index   int                 `json:"index"`
 	State   leverdyke.TaskState `json:"state"`
@@ -273,7 +292,7 @@
 	Attempt uint64              `json:"attempt,omitempty"`
 }
 
-// JobStatus is what an operator sees of a job that has not ended.
+// JobStatus is a job that has not ended, as shown to operators.
 type JobStatus struct {
 	ID       string       `json:"id"`
 	Why      string       `json:"why"`
@@ -281,7 +300,8 @@
 	Tasks    []TaskStatus `json:"tasks"`
 }
 
-// Status returns what the home knows of a job, or nil.
+// Status returns what the shard knows about a job, or nil if it does not have
+// the job.
 func (h *Shard) Status(id string) *JobStatus {
 	j := h.jobs[id]
 	if j == nil {
@@ -295,6 +315,7 @@
 	return s
 }
 
+// publicState returns the state of the task in the terms of the API.
 func (t *task) publicState() leverdyke.TaskState {
 	switch t.phase {
 	case phaseRunning:
@@ -310,12 +331,13 @@
 	return leverdyke.TaskWaiting
 }
 
+// explain returns why tasks of the job do not run, or an empty string.
 func (h *Shard) explain(j *job) string {
 	switch {
 	case j.lackingResource != "":
 		return "it can never run: no worker of the region has enough " + j.lackingResource
 	case j.waiting == 0 && h.hasUncertainTasks(j):
-		return "its home has moved, and not every rack has said yet whether tasks of it run"
+		return "its job shard has a new owner, and not every rack has reported yet whether tasks of it run"
 	case j.waiting == 0:
 		return ""
 	}
--- a/internal/jobshard/loss_test.go
+++ b/internal/jobshard/loss_test.go
@@ -14,8 +14,9 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// loseAll loses each attempt of the job's task with its worker as soon as it is asked for,
-// for an hour at most, and returns how many there were.
+// loseEveryAttempt reports each attempt of the job's task as lost with its
+// worker as soon as its start is requested, for one hour, and returns how many
+// attempts there were.
 func loseEveryAttempt(h *jobshard.Shard) int {
 	n := 0
 	for now := begin; now.Before(begin.Add(time.Hour)); now = now.Add(100 * time.Millisecond) {
@@ -34,12 +35,13 @@
 	return n
 }
 
-// A task that crashes its worker was started on the next one at once, for ever: a worker
-// that dies tells no failure, and only those counted.
+// A task that crashes its worker must not be started on one worker after the
+// other for ever. A crashed worker reports no failure, so that losses have to
+// count too.
 func TestTaskLostWithEveryWorkerIsAbandoned(t *testing.T) {
 	for kind, want := range map[leverdyke.Kind]struct{ least, most int }{
 		leverdyke.KindBatch: {10, 10},
-		// A service is never given up; it starts every other minute in the end.
+		// A service is never abandoned; in the end it starts every other minute.
 		leverdyke.KindService: {20, 60},
 	} {
 		h := jobshard.NewShard(begin, shardID, shardEpoch, oneVMQuota{}, jobshard.NewShardOptions{})
--- a/internal/jobshard/records.go
+++ b/internal/jobshard/records.go
@@ -14,12 +14,13 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// maxUnrecordedEnds is how many ends may wait for the log before no further task
-// that ends is started: each is kept here, at its rack's owner and on its
-// worker. 18 minutes without the log at 20 starts a second took a node to 31 MB.
+// maxUnrecordedEnds is how many ends may wait for the log. From then on only
+// services are started, because each end is kept in memory here, by the owner
+// of its rack and by its worker. In 18 minutes without the log at 20 starts per
+// second a node grew to 31 MB.
 const maxUnrecordedEnds = 1000
 
-// hasTooManyUnrecordedEnds reports whether too many ends wait for the log.
+// hasTooManyUnrecordedEnds reports whether maxUnrecordedEnds is reached.
 func (h *Shard) hasTooManyUnrecordedEnds() bool {
 	count := 0
 	for _, b := range h.finals {
@@ -33,33 +34,37 @@
 	return count >= maxUnrecordedEnds
 }
 
-// finalKey joins ends that go into one record.
+// finalKey identifies ends that are written in one record.
 type finalKey struct {
 	number uint64
 	state  leverdyke.TaskState
 	reason string
 }
 
+// finalBatch is the ends of one record. endsToAck has the attempts, by rack,
+// that may be forgotten once the record is in the log.
 type finalBatch struct {
 	tasks     []int
 	failures  int
 	endsToAck map[state.ShardID][]worker.Key
 }
 
-// inFlightRecord is a record that has been handed to the log's writer.
+// inFlightRecord is a record that was handed over to be written to the log.
 type inFlightRecord struct {
 	final  *finalBatch
 	key    finalKey
 	intent *intent
 }
 
+// intent is the tasks of a job that may not be repeated and are about to start.
 type intent struct {
 	job   string
 	tasks []int
 }
 
-// queueFinal notes the queueFinal state of a task; the rack may forget the attempt with
-// key only when the log has it.
+// queueFinal sets the final state of a task and queues it to be written to the
+// log. The rack may forget the attempt with this key only when the log has the
+// record.
 func (h *Shard) queueFinal(j *job, i int, s leverdyke.TaskState, key *worker.Key, failures int, reason string) {
 	j.tasks[i].finalState = s
 	b := h.finalBatchFor(finalKey{j.number, s, reason})
@@ -71,8 +76,8 @@
 	}
 }
 
-// flushFinals hands the ends to the log's writer; while the log is out they
-// wait here.
+// flushFinals writes the queued ends to the log; as long as the log is not
+// available they are queued again.
 func (h *Shard) flushFinals(now time.Time) {
 	if now.Before(h.finalsNotBefore) || len(h.finalOrder) == 0 {
 		return
@@ -88,7 +93,7 @@
 	h.finalOrder = h.finalOrder[:0]
 }
 
-// requeueFinals takes ends back that were not recorded.
+// requeueFinals queues ends again that could not be recorded.
 func (h *Shard) requeueFinals(now time.Time, r inFlightRecord) {
 	h.finalsNotBefore = now.Add(finalsRetry)
 	b := h.finalBatchFor(r.key)
@@ -99,6 +104,8 @@
 	}
 }
 
+// finalBatchFor returns the queued batch with this key and creates it if there
+// is none.
 func (h *Shard) finalBatchFor(key finalKey) *finalBatch {
 	b := h.finals[key]
 	if b == nil {
@@ -109,13 +116,16 @@
 	return b
 }
 
+// writeRecord hands a record over to be written and remembers it until the
+// result is known.
 func (h *Shard) writeRecord(r inFlightRecord, rec state.Record) {
 	h.lastRecordToken++
 	h.recordsInFlight[h.lastRecordToken] = r
 	h.output.Records = append(h.output.Records, PendingRecord{h.lastRecordToken, rec})
 }
 
-// isEndUnrecorded reports whether the end of an attempt is about to be recorded.
+// isEndUnrecorded reports whether the end of an attempt is queued or being
+// written to the log.
 func (h *Shard) isEndUnrecorded(k worker.Key) bool {
 	contains := func(b *finalBatch) bool {
 		for _, keys := range b.endsToAck {
@@ -138,16 +148,18 @@
 	return false
 }
 
-// recordIntent writes that a task that may not be repeated is about to start.
+// recordIntent writes to the log that a task that may not be repeated is about
+// to start.
 func (h *Shard) recordIntent(j *job, i int) {
 	h.setPhase(j, i, phaseIntending)
 	j.waitReason = reasonIntentUnrecorded
 	h.writeRecord(inFlightRecord{intent: &intent{j.id, []int{i}}}, state.Record{Intent: &state.Intent{Job: j.id, Tasks: []int{i}}})
 }
 
-// OnRecordResult takes the fate of a record. A nil error means that it took
-// effect; an error of the fold that it never will; state.ErrNotTaken that it was not
-// appended and will not be.
+// OnRecordResult handles the result of writing a record. A nil error means that
+// the record took effect; state.ErrNotTaken that it was not appended to the log
+// and will not be. Any other error means that the record was appended but took
+// no effect, or that its effect is unknown.
 func (h *Shard) OnRecordResult(now time.Time, token uint64, err error) {
 	r, ok := h.recordsInFlight[token]
 	if !ok {
@@ -159,7 +171,7 @@
 		return
 	}
 	if errors.Is(err, state.ErrNotTaken) {
-		// The end has to be recorded all the same.
+		// The end still has to be recorded.
 		h.requeueFinals(now, r)
 		return
 	}
@@ -168,6 +180,8 @@
 	}
 }
 
+// onIntentResult handles the result of writing an intent: if the log has it,
+// the tasks may start.
 func (h *Shard) onIntentResult(now time.Time, in *intent, err error) {
 	j := h.jobs[in.job]
 	if j == nil {
@@ -186,8 +200,9 @@
 			t.notBefore = now.Add(initialBackoff)
 			h.setPhase(j, i, phaseWaiting)
 		default:
-			// Another home intended it first, whose it is to start; or the record
-			// came with a peer's state, and nobody can tell whether it did.
+			// Another owner of the shard recorded its intent first and may start the
+			// task. Or this node received the record as part of a peer's state, which
+			// does not show whether the record took effect.
 			h.setPhase(j, i, phaseFinal)
 			h.emitEvent(EventUnknownOutcome, j.id, fmt.Sprintf("task %d", i))
 			h.queueFinal(j, i, leverdyke.TaskUnknown, nil, 0, "")
--- a/internal/jobshard/report.go
+++ b/internal/jobshard/report.go
@@ -14,7 +14,7 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// OnStartReply takes a rack owner's word on asked attempts.
+// OnStartReply handles a rack owner's reply to start requests.
 func (h *Shard) OnStartReply(now time.Time, reply *node.StartReply) {
 	v := h.racks[reply.Rack]
 	if v == nil || reply.JobShard != h.ID {
@@ -28,12 +28,14 @@
 	}
 }
 
+// onStartResult handles the reply for one attempt: it runs, or the rack refused
+// it.
 func (h *Shard) onStartResult(now time.Time, v *rackView, reply *node.StartReply, r *node.StartResult) {
 	j := h.jobs[r.Key.Task.Job]
 	isCurrent := j != nil && r.Key.Task.Index >= 0 && r.Key.Task.Index < len(j.tasks) && j.tasks[r.Key.Task.Index].attempt == r.Key.Attempt
 	if !isCurrent {
 		if r.Worker != "" {
-			// Its job has ended, or another attempt is the task's current one.
+			// The job has ended, or the task has another current attempt.
 			h.orderStop(reply.Rack, r.Key)
 		}
 		return
@@ -46,11 +48,13 @@
 		h.markRunning(now, j, r.Key.Task.Index, r.Worker)
 		return
 	}
-	// The home keeps to its own order of racks, so that homes keep out of each
-	// other's way, and goes on in it after reply refusal (docs/MEASUREMENTS.md).
+	// Each shard goes through the racks in the same order but starts at another
+	// one, and continues after the rack that refused. This keeps the shards from
+	// requesting the same racks at the same time (docs/MEASUREMENTS.md).
 	switch {
 	case r.ExpectedUsage != nil:
-		// The rack has room, but not for what the task will take.
+		// The rack has capacity for what the task declares, but not for what it will
+		// use.
 		j.expectedUsage = j.expectedUsage.Max(*r.ExpectedUsage)
 	case !h.isStarved(j):
 		h.rackOffset = slices.Index(h.rackOrder, reply.Rack) + 1
@@ -65,6 +69,7 @@
 	}
 }
 
+// markRunning handles that the requested attempt of a task has started.
 func (h *Shard) markRunning(now time.Time, j *job, i int, w worker.ID) {
 	t := &j.tasks[i]
 	h.setPhase(j, i, phaseRunning)
@@ -81,7 +86,9 @@
 	return b
 }
 
-// OnAttemptReport takes a rack owner's word on the home's attempts.
+// OnAttemptReport handles a rack owner's report on the attempts of the shard.
+// The first full report of an epoch with a complete inventory also ends the
+// attempts that the rack's owner does not know.
 func (h *Shard) OnAttemptReport(now time.Time, report *node.AttemptReport) {
 	v := h.racks[report.Rack]
 	if v == nil || report.JobShard != h.ID || report.RackEpoch != v.epoch {
@@ -104,14 +111,15 @@
 	}
 }
 
+// ackAttempts allows a rack's owner to forget ended attempts.
 func (h *Shard) ackAttempts(rack state.ShardID, keys []worker.Key) {
 	if len(keys) > 0 {
 		h.sendToRack(rack, node.Message{AttemptReportAck: &node.AttemptReportAck{JobShard: h.ID, Rack: rack, Keys: keys}})
 	}
 }
 
-// onAttemptStatus takes the state of one attempt. It reports whether the rack may
-// forget it at once.
+// onAttemptStatus handles the reported state of one attempt. It reports whether
+// the rack may forget the attempt at once.
 func (h *Shard) onAttemptStatus(now time.Time, report *node.AttemptReport, item *node.AttemptStatus) bool {
 	hasEnded := item.State != worker.StateRunning
 	j := h.jobs[item.Key.Task.Job]
@@ -120,7 +128,7 @@
 		if !hasEnded {
 			h.orderStop(report.Rack, item.Key)
 		}
-		// An end that is waiting to be recorded is acknowledged after that.
+		// An end that waits to be recorded is acknowledged only after that.
 		return hasEnded && !h.isEndUnrecorded(item.Key)
 	}
 	t := &j.tasks[i]
@@ -151,10 +159,10 @@
 	return h.onAttemptEnd(now, j, i, item)
 }
 
-// adoptAttempt makes an attempt that a rack tells of the task's current one.
+// adoptAttempt makes a reported attempt the current attempt of its task.
 func (h *Shard) adoptAttempt(j *job, i int, rack state.ShardID, epoch worker.Epoch, item *node.AttemptStatus) {
 	t := &j.tasks[i]
-	// Out of all counts while the fields change on which they hang.
+	// Take the task out of the counts first: they depend on the fields that change.
 	h.countPhase(j, t, -1)
 	t.phase = phaseRunning
 	t.attempt, t.rack, t.rackEpoch, t.worker = item.Key.Attempt, rack, epoch, item.Worker
@@ -165,14 +173,16 @@
 	}
 }
 
+// orderStop sends a rack the order to stop one attempt.
 func (h *Shard) orderStop(rack state.ShardID, k worker.Key) {
 	h.sendToRack(rack, node.Message{AttemptOrder: &node.AttemptOrder{
 		JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, Action: worker.DeedStop, Keys: []worker.Key{k},
 	}})
 }
 
-// onAttemptEnd decides what follows the end of an attempt. It reports whether the
-// rack may forget it at once; a final end is kept there until it is recorded.
+// onAttemptEnd decides what follows the end of an attempt. It reports whether
+// the rack may forget the attempt at once; the rack keeps a final end until the
+// log has it.
 func (h *Shard) onAttemptEnd(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
 	t := &j.tasks[i]
 	h.addFreedCapacity(j, t.rack)
@@ -193,7 +203,8 @@
 	if item.IsLost && item.Worker != "" {
 		return h.onWorkerLoss(now, j, i, item)
 	}
-	// Stopped or checkpointed: it runs again, and nobody is to blame.
+	// The attempt was stopped or checkpointed, which is no failure: the task runs
+	// again.
 	t.notBefore = now
 	h.setPhase(j, i, phaseWaiting)
 	h.updateQueue(j)
@@ -201,8 +212,8 @@
 	return true
 }
 
-// addFreedCapacity corrects the summary of a rack in which a task has ended: the rack
-// tells small changes late.
+// addFreedCapacity corrects the summary of a rack in which a task has ended,
+// since racks report small changes with a delay.
 func (h *Shard) addFreedCapacity(j *job, rack state.ShardID) {
 	v := h.racks[rack]
 	if v == nil || !v.hasSummary {
@@ -213,6 +224,8 @@
 	h.isScanDue = true
 }
 
+// onFailure handles a failed attempt: the task starts again after a delay,
+// unless it may not be repeated or the job's failure budget is used up.
 func (h *Shard) onFailure(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
 	t := &j.tasks[i]
 	if j.spec.IsOnce {
@@ -235,12 +248,15 @@
 	return true
 }
 
-// lossesWithoutBackoff is how many times a task that was lost with its worker starts again at once.
+// lossesWithoutBackoff is how many times a task that was lost with its worker
+// starts again without a delay.
 const lossesWithoutBackoff = 2
 
-// onWorkerLoss takes that an attempt was lost with its worker. It may be what crashed the worker,
-// which tells no end: without a bound such a task takes one worker after the other, for
-// ever. The budget is that of failures, for each task: most losses have another cause.
+// onWorkerLoss handles an attempt that was lost with its worker. The task
+// itself may have crashed the worker, which cannot report a failure; without a
+// limit such a task would crash one worker after the other for ever. The
+// failure budget is applied to the losses of each task alone, since most losses
+// have another cause.
 func (h *Shard) onWorkerLoss(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
 	t := &j.tasks[i]
 	t.workerLosses++
@@ -258,6 +274,7 @@
 	return true
 }
 
+// failureBudget returns after how many failures the job fails.
 func (h *Shard) failureBudget(j *job) int {
 	if j.spec.MaxFailures > 0 {
 		return j.spec.MaxFailures
@@ -265,8 +282,8 @@
 	return h.options.MaxFailures
 }
 
-// endMissingAttempts takes the attempts that a rack's new owner does not know: they
-// have ended, or were never started and never will be.
+// endMissingAttempts ends the attempts that the new owner of a rack does not
+// know: they have ended, or were never started and never will be.
 func (h *Shard) endMissingAttempts(now time.Time, rack state.ShardID, listed map[worker.Key]bool) {
 	for _, j := range h.jobList {
 		for i := range j.tasks {
--- a/internal/jobshard/scan.go
+++ b/internal/jobshard/scan.go
@@ -15,9 +15,11 @@
 )
 
 const (
-	// maxStartsPerScan bounds one scan, so that the node's other duties go on.
+	// maxStartsPerScan limits one scan, so that it does not delay the node's other
+	// work.
 	maxStartsPerScan = 256
-	// maxStartsPerJob lets other teams have their turn.
+	// maxStartsPerJob limits the starts of a job in one scan, so that jobs of other
+	// teams are served too.
 	maxStartsPerJob = 32
 )
 
@@ -35,21 +37,23 @@
 	reasonNoRacks          = "no rack of the region has an owner that this node knows"
 )
 
-// scanner is the state of one scan.
+// scanner is the state of one scan of the queue.
 type scanner struct {
 	now        time.Time
 	views      []placement.RackView
 	requests   map[state.ShardID]*node.StartRequest
 	startCount int
-	// isServicesOnly means that only services are started.
+	// isServicesOnly means that only services are started, because too many ends
+	// wait for the log.
 	isServicesOnly bool
-	// unplaceable has the needs for which there was no room in this scan.
+	// unplaceable has the capacities for which no rack has been found in this scan.
 	unplaceable map[leverdyke.Resources]bool
-	// preemptions counts the urgent asks by rack that will have to push others aside.
+	// preemptions counts, by rack, the urgent starts for which the rack will have to
+	// preempt other tasks.
 	preemptions map[state.ShardID]int
 }
 
-// scan offers the waiting work to the racks.
+// scan requests the start of waiting tasks, in the order of the queue.
 func (h *Shard) scan(now time.Time) {
 	h.isScanDue = false
 	h.scannedAt = now
@@ -67,8 +71,8 @@
 	h.sendStartRequests(s.requests)
 }
 
-// sendStartRequests sends the asks, each with the lowest attempt that the home still
-// waits for at the rack.
+// sendStartRequests sends the requests, each with the lowest attempt for which
+// the shard still waits for the rack's reply.
 func (h *Shard) sendStartRequests(requests map[state.ShardID]*node.StartRequest) {
 	for _, id := range h.rackOrder {
 		if request := requests[id]; request != nil {
@@ -78,6 +82,8 @@
 	}
 }
 
+// minAttempt returns the lowest unanswered attempt at a rack, or the next one
+// to be numbered if there is none.
 func (h *Shard) minAttempt(rack state.ShardID) uint64 {
 	lowest := h.Epoch<<attemptBits | (h.attemptCounter + 1)
 	for _, j := range h.jobList {
@@ -93,6 +99,8 @@
 	return lowest
 }
 
+// placementView returns a rack as the placement policy sees it; a rack without
+// a summary, or in backoff after a refusal, is closed.
 func (h *Shard) placementView(now time.Time, id state.ShardID) placement.RackView {
 	v := h.racks[id]
 	if !v.hasSummary || now.Before(v.backoffUntil) {
@@ -103,7 +111,7 @@
 	}
 }
 
-// tryJob starts what it can of one entry.
+// tryJob requests the start of as many tasks of one queue entry as possible.
 func (h *Shard) tryJob(s *scanner, e *queue.Entry) queue.Result {
 	j := h.jobs[e.Job]
 	if h.isUnschedulable(j) {
@@ -128,7 +136,7 @@
 	return h.tryIndependentTasks(s, j, min(allowed, maxStartsPerJob))
 }
 
-// tasksWithinQuota is how many more tasks the team's quota lets start.
+// tasksWithinQuota returns how many more tasks the team's quota allows.
 func (h *Shard) tasksWithinQuota(j *job) int {
 	quota, ok := h.policies.Quota(j.spec.Team)
 	if !ok {
@@ -142,7 +150,8 @@
 	return int(n)
 }
 
-// tryIndependentTasks asks for up to limit tasks, each on its own.
+// tryIndependentTasks requests the start of up to limit tasks, each placed by
+// itself.
 func (h *Shard) tryIndependentTasks(s *scanner, j *job, limit int) queue.Result {
 	isUrgent := j.spec.Class == leverdyke.ClassUrgent
 	if j.spec.Kind == leverdyke.KindService && !isUrgent && h.isSummaryAwaited(s.now) {
@@ -176,7 +185,7 @@
 	}
 	h.updateQueueWithoutScan(j)
 	if started >= limit && j.waiting > 0 {
-		// It was its turn's bound that stopped it: go on at the next tick.
+		// Only the limit per job and scan was reached: continue at the next Tick.
 		h.isScanDue = true
 	}
 	switch {
@@ -188,14 +197,14 @@
 	return queue.Skipped
 }
 
-// updateQueueWithoutScan is requeue without making another scan due.
+// updateQueueWithoutScan is updateQueue without making another scan due.
 func (h *Shard) updateQueueWithoutScan(j *job) {
 	wasScanDue := h.isScanDue
 	h.updateQueue(j)
 	h.isScanDue = wasScanDue
 }
 
-// chooseRack returns the index of the rack to ask, or -1.
+// chooseRack returns the index of the best rack for one task, or -1.
 func (h *Shard) chooseRack(s *scanner, j *job) int {
 	need := j.neededCapacity()
 	if s.unplaceable[need] {
@@ -203,7 +212,7 @@
 	}
 	candidates := h.options.RackCandidates
 	if j.spec.Kind == leverdyke.KindService {
-		// All racks are compared: the one that spreads best may be the last.
+		// All racks are compared: the last one may be the one that spreads best.
 		candidates = 0
 		h.countSiblings(s, j)
 		defer clearSiblings(s)
@@ -216,7 +225,8 @@
 	return best
 }
 
-// countSiblings notes where the service's tasks are or are asked for.
+// countSiblings sets in the views how many of the service's tasks run or are
+// requested in each rack and in its zone.
 func (h *Shard) countSiblings(s *scanner, j *job) {
 	zones := map[string]int{}
 	for i, id := range h.rackOrder {
@@ -235,8 +245,8 @@
 	}
 }
 
-// placementPolicy returns how the job's tasks are placed: services by the weights of the
-// team's office, all else by filling VMs up.
+// placementPolicy returns the placement policy for the job's tasks: the weights
+// of its team for services; all other tasks fill up VMs.
 func (h *Shard) placementPolicy(j *job) placement.Policy {
 	if j.spec.Kind == leverdyke.KindService {
 		return h.policies.Weights(j.spec.Team)
@@ -244,7 +254,8 @@
 	return placement.Fill
 }
 
-// choosePreemptionRack returns a rack that could push others aside for urgent work.
+// choosePreemptionRack returns the index of a rack that could preempt other
+// tasks for an urgent one, or -1.
 func (h *Shard) choosePreemptionRack(s *scanner, j *job) int {
 	if j.spec.Class != leverdyke.ClassUrgent {
 		return -1
@@ -262,7 +273,8 @@
 	return -1
 }
 
-// requestStart asks a rack for one attempt of a task.
+// requestStart numbers a new attempt of a task and adds it to the start request
+// for the rack.
 func (h *Shard) requestStart(s *scanner, j *job, i int, rack state.ShardID, reservationID uint64) {
 	t := &j.tasks[i]
 	v := h.racks[rack]
@@ -287,6 +299,8 @@
 	h.output.Decisions = append(h.output.Decisions, Decision{j.key(i), rack, "most fitting of the racks with room"})
 }
 
+// startItem returns the current attempt of a task as an item of a start
+// request.
 func (h *Shard) startItem(now time.Time, j *job, i int) node.StartItem {
 	w := h.placementPolicy(j)
 	t := worker.Task{
@@ -299,8 +313,8 @@
 	}
 }
 
-// resendStartRequests sends again what a rack's owner has not answered, as long as the
-// rack has the epoch that was asked.
+// resendStartRequests sends requests again that a rack's owner has not
+// answered, as long as the rack has the epoch in which they were made.
 func (h *Shard) resendStartRequests(now time.Time) {
 	requests := map[state.ShardID]*node.StartRequest{}
 	for _, j := range h.jobList {
@@ -324,13 +338,14 @@
 	h.sendStartRequests(requests)
 }
 
-// isUnschedulable finds out whether no worker of the region is large enough.
+// isUnschedulable reports whether no worker of the region is large enough for a
+// task of the job, and records an event when this is first found.
 func (h *Shard) isUnschedulable(j *job) bool {
 	capacities := []leverdyke.Resources{}
 	for _, id := range h.rackOrder {
 		v := h.racks[id]
 		if v.capacity == (leverdyke.Resources{}) {
-			// A rack that has told nothing yet may have a larger worker.
+			// A rack that has not reported yet may have a larger worker.
 			j.waitReason = reasonNoRacks
 			j.lackingResource = ""
 			return false
--- a/internal/jobshard/shard_test.go
+++ b/internal/jobshard/shard_test.go
@@ -28,14 +28,14 @@
 	racks = []state.ShardID{"rack/r1/k1", "rack/r1/k2"}
 )
 
-// openPolicies lets every team use as much as one VM has.
+// oneVMQuota gives every team the capacity of one VM as its quota.
 type oneVMQuota struct{}
 
 func (oneVMQuota) Quota(string) (leverdyke.Resources, bool) { return large, true }
 func (oneVMQuota) Weights(string) placement.Policy          { return placement.Policy{Waiting: 1} }
 
-// newMovedHome returns a home that has just moved, with a job of one task that
-// its earlier owner may have started.
+// newShardAfterTakeover returns a shard that has just got a new owner, with a
+// job of which the previous owner may have started tasks.
 func newShardAfterTakeover(spec leverdyke.JobSpec) *jobshard.Shard {
 	h := jobshard.NewShard(begin, shardID, shardEpoch, oneVMQuota{}, jobshard.NewShardOptions{})
 	infos := []jobshard.RackInfo{}
@@ -50,7 +50,8 @@
 	return h
 }
 
-// roomOf is the summary of a rack with one empty worker.
+// emptyRackSummary returns the summary of a rack with one worker that runs
+// nothing.
 func emptyRackSummary(rack state.ShardID) *node.RackSummary {
 	return &node.RackSummary{Rack: rack, Epoch: rackEpoch, Workers: 1, Free: large, Largest: large, Capacity: large}
 }
@@ -66,7 +67,7 @@
 	return worker.Key{Task: leverdyke.TaskID{Job: "deeds"}, Attempt: attempt}
 }
 
-// whole is a rack's whole word on the home's attempts.
+// fullReport returns a rack's full report on the shard's attempts.
 func fullReport(rack state.ShardID, items ...node.AttemptStatus) *node.AttemptReport {
 	return &node.AttemptReport{JobShard: shardID, Rack: rack, RackEpoch: rackEpoch, IsFullReport: true, IsInventoryComplete: true, Items: items}
 }
@@ -75,12 +76,13 @@
 	return node.AttemptStatus{Key: key(attempt), State: s, Worker: "w1"}
 }
 
-// sent is what a home has sent to the racks.
+// sentToRacks is what a shard has sent to the racks: the attempts requested and
+// the ends acknowledged.
 type sentToRacks struct {
 	requested, acked []worker.Key
 }
 
-// drain lets the home decide for some seconds and returns what it sent.
+// runTicks calls Tick for four seconds and returns what the shard sent.
 func runTicks(h *jobshard.Shard) sentToRacks {
 	s := sentToRacks{}
 	for i := range 40 {
@@ -99,9 +101,9 @@
 	return s
 }
 
-// A worker keeps an ended attempt until it is told to forget it, and the word to
-// forget may be lost with whoever had to give it. The end of an old attempt says
-// nothing of the attempt that followed it on another rack.
+// A worker lists an ended attempt until it receives the order to forget it, and
+// that order is lost if its sender fails. The end of an old attempt must
+// therefore not start a task of which a later attempt runs on another rack.
 func TestEndOfOldAttemptDoesNotStartAnotherAttempt(t *testing.T) {
 	old, current := endedAttempt(3, worker.StateStopped), node.AttemptStatus{Key: key(9), State: worker.StateRunning, Worker: "w2"}
 	for name, order := range map[string][]*node.AttemptReport{
@@ -135,6 +137,8 @@
 	}
 }
 
+// A task that starts before the last rack has reported could run twice, since
+// that rack may run a later attempt of it.
 func TestUncertainTaskStartsOnlyAfterAllRacksReported(t *testing.T) {
 	h := newShardAfterTakeover(jobSpec(leverdyke.KindService))
 	h.OnAttemptReport(begin, fullReport(racks[0], endedAttempt(3, worker.StateStopped)))
@@ -152,7 +156,8 @@
 	}
 }
 
-// An end that nothing can follow is taken from whichever rack tells it first.
+// An end after which no other attempt can have started is applied when the
+// first rack reports it, without waiting for the other racks.
 func TestFinalEndIsAppliedOnFirstReport(t *testing.T) {
 	done := jobSpec(leverdyke.KindBatch)
 	once := jobSpec(leverdyke.KindBatch)
@@ -176,8 +181,9 @@
 	}
 }
 
-// A rack that refuses a task because its job uses more than it declares is not
-// full: it is asked for other jobs at once, and for this one when it has more.
+// A rack that refuses a task because the job's tasks use more than they declare
+// may still have capacity for others. It must be asked for other jobs at once,
+// and for this job when it reports more free capacity.
 func TestRefusalForExpectedUsageDoesNotBlockOtherJobs(t *testing.T) {
 	h := newShardAfterTakeover(jobSpec(leverdyke.KindBatch))
 	h.EndJobs([]string{"deeds"})
@@ -220,13 +226,14 @@
 	}
 }
 
-// A service stays where it is placed: it waits for the racks over which it could
-// be spread to tell their room, but not for ever. Tasks that end do not wait.
+// A service stays where it is placed. Placed too early, it would not be spread
+// over racks whose summaries are still missing; so it waits for them, up to a
+// limit. Tasks of batch jobs do not wait, since they end.
 func TestServiceWaitsForSummariesOfAllRacks(t *testing.T) {
 	const tasks = 2
 	for name, c := range map[string]struct {
 		kind leverdyke.Kind
-		// toldAt is when the second rack tells its room; 0 means never.
+		// reportedAt is when the second rack sends its summary; 0 means never.
 		reportedAt, want time.Duration
 		isSpread         bool
 	}{
@@ -239,7 +246,8 @@
 			h.SetRacks(begin, []jobshard.RackInfo{{ID: racks[0], Epoch: rackEpoch}, {ID: racks[1], Epoch: rackEpoch}})
 			h.OnRackSummary(emptyRackSummary(racks[0]))
 			if c.reportedAt == 0 {
-				// Known from an earlier owner, so that the job is not held back by that.
+				// Its capacity is known from a previous owner, so that the job does not wait
+				// for that.
 				h.OnRackSummary(&node.RackSummary{Rack: racks[1], Epoch: rackEpoch, Capacity: large})
 				h.SetRacks(begin, []jobshard.RackInfo{{ID: racks[1], Epoch: rackEpoch + 1}})
 			}
@@ -262,7 +270,7 @@
 					requested[m.Rack]++
 				}
 			}
-			// A home scans four times a second.
+			// A shard scans its queue four times a second.
 			if late := first - c.want; late < 0 || late > 250*time.Millisecond {
 				t.Errorf("got: first asked after %v, want: %v", first, c.want)
 			}
@@ -273,8 +281,9 @@
 	}
 }
 
-// While the log takes no ends, only so many tasks are started whose ends have
-// to be kept; when it takes them again, the rest follows.
+// Ends that the log does not accept are kept in memory. Without a limit on
+// starts they would grow until the node runs out of memory. When the log
+// accepts ends again, the remaining tasks have to start.
 func TestUnrecordedEndsAreBounded(t *testing.T) {
 	const tasks, bound = 2000, 1000
 	h := newShardAfterTakeover(jobSpec(leverdyke.KindService))
--- a/internal/jobshard/starve.go
+++ b/internal/jobshard/starve.go
@@ -6,21 +6,23 @@
 import "time"
 
 const (
-	// starvedAfter is how long a job must have found no room, without any of its
-	// tasks starting, before racks are asked to keep a VM for it.
+	// starvedAfter is how long a job must have found no free capacity, without any
+	// of its tasks starting, before racks are asked to keep a VM free for it.
 	starvedAfter = 10 * time.Second
-	// starvedRequestPeriod is how often a rack is asked for it; a rack keeps a VM for
-	// some times as long.
+	// starvedRequestPeriod is how often a rack is asked for this. Each request makes
+	// the rack keep a VM free for several such periods.
 	starvedRequestPeriod = time.Second
-	// starvedTimeout is after how long without an ask, such as for want of
-	// quota, a job's right goes to another one.
+	// starvedTimeout is after how long without a request, for example because the
+	// quota is used up, another job may take this job's place.
 	starvedTimeout = 5 * time.Second
 )
 
-// chooseStarvedRack notes since when a job finds no room, and returns the rack to ask
-// all the same, or -1: the summaries tell of no VM with room for it, and while
-// smaller tasks take whatever becomes free there will be none. One job of a home
-// at a time has this right (decision 0012).
+// chooseStarvedRack records that the job finds no free capacity. If this has
+// lasted for starvedAfter, it returns the index of a rack to send the task to
+// all the same, so that the rack keeps a VM free for it; otherwise -1. No
+// summary shows a VM with enough free capacity, and there would never be one as
+// long as smaller tasks use whatever becomes free. Only one job of a shard at a
+// time gets this (decision 0012).
 func (h *Shard) chooseStarvedRack(s *scanner, j *job) int {
 	if j.blockedSince.IsZero() {
 		j.blockedSince = s.now
@@ -40,7 +42,7 @@
 		index := (i + j.starvedRackIndex) % len(h.rackOrder)
 		v := h.racks[h.rackOrder[index]]
 		if v.hasSummary && j.spec.Each.FitsIn(v.summary.Capacity) {
-			// The same rack each time, so that it keeps the same VM.
+			// The same rack each time, so that it keeps the same VM free.
 			j.starvedRackIndex = index
 			return index
 		}
@@ -48,10 +50,11 @@
 	return -1
 }
 
-// isStarved reports whether the job asks for a VM to be kept.
+// isStarved reports whether the job is the one for which racks keep a VM free.
 func (h *Shard) isStarved(j *job) bool { return h.starvedJob == j }
 
-// endStarvation ends a job's right when it has found room, or is no more.
+// endStarvation is called when a task of the job has started or the job has
+// ended.
 func (h *Shard) endStarvation(j *job) {
 	j.blockedSince = time.Time{}
 	if h.starvedJob == j {
--- a/internal/jobshard/uncertain.go
+++ b/internal/jobshard/uncertain.go
@@ -13,17 +13,18 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// deferredEnd is the end of an attempt that another one, on another rack, may have
-// followed.
+// deferredEnd is the reported end of an attempt while a later attempt may exist
+// on another rack.
 type deferredEnd struct {
 	rack  state.ShardID
 	epoch worker.Epoch
 	item  node.AttemptStatus
 }
 
-// mayHaveSuccessor reports whether an earlier home may have started the task again
-// after this end. A worker lists an ended attempt until it is told to forget it,
-// and that word may have been lost.
+// mayHaveSuccessor reports whether a previous owner of the shard may have
+// started another attempt of the task after this end. A worker lists an ended
+// attempt until it receives the order to forget it, and that order may have
+// been lost.
 func mayHaveSuccessor(j *job, item *node.AttemptStatus) bool {
 	if j.spec.IsOnce {
 		return false
@@ -31,8 +32,8 @@
 	return item.State != worker.StateDone || j.spec.Kind == leverdyke.KindService
 }
 
-// deferEnd keeps the end of the newest attempt until every rack has told what
-// runs. It reports whether the rack may forget the one that was told.
+// deferEnd keeps the end of the newest attempt until every rack has reported
+// its attempts. It reports whether the rack may forget the end in item.
 func (h *Shard) deferEnd(t *task, report *node.AttemptReport, item *node.AttemptStatus) bool {
 	if t.deferred != nil && t.deferred.item.Key.Attempt > item.Key.Attempt {
 		return true
@@ -44,7 +45,8 @@
 	return false
 }
 
-// ackDeferredEnd lets the rack forget a kept end that a later attempt has followed.
+// ackDeferredEnd allows the rack to forget a deferred end after which a later
+// attempt was started.
 func (h *Shard) ackDeferredEnd(t *task) {
 	if t.deferred == nil {
 		return
@@ -53,7 +55,8 @@
 	t.deferred = nil
 }
 
-// applyDeferredEnd makes the kept end the task's own: no rack has a later attempt.
+// applyDeferredEnd handles a deferred end as that of the task's current
+// attempt: no rack has a later one.
 func (h *Shard) applyDeferredEnd(now time.Time, j *job, i int) {
 	end := j.tasks[i].deferred
 	j.tasks[i].deferred = nil
@@ -63,7 +66,8 @@
 	}
 }
 
-// resolveUncertainTasks lets tasks start that no rack knows, once every rack has told.
+// resolveUncertainTasks resolves the uncertain tasks once every rack has
+// reported its attempts: tasks that no rack knows may start.
 func (h *Shard) resolveUncertainTasks(now time.Time) {
 	if !h.isAllSynced() {
 		return
@@ -80,6 +84,7 @@
 	h.isScanDue = true
 }
 
+// resolveJob resolves the uncertain tasks of one job.
 func (h *Shard) resolveJob(now time.Time, j *job) {
 	for i := range j.tasks {
 		t := &j.tasks[i]
@@ -92,7 +97,8 @@
 			continue
 		}
 		if t.isIntended {
-			// An earlier home meant to start it, and nobody knows whether it did.
+			// A previous owner was about to start the task, and it is not known whether it
+			// did.
 			h.setPhase(j, i, phaseFinal)
 			h.emitEvent(EventUnknownOutcome, j.id, fmt.Sprintf("task %d", i))
 			h.queueFinal(j, i, leverdyke.TaskUnknown, nil, 0, "")
