--- a/internal/jobshard/shard_test.go
+++ b/internal/jobshard/shard_test.go
@@ -125,7 +125,7 @@
 				}
 			}
 			if len(requested) > 0 {
-				t.Errorf("got: %v asked for, want: nothing while attempt 9 runs", requested)
+				t.Errorf("got: %v requested, want: nothing while attempt 9 runs", requested)
 			}
 			if !acked[key(3)] {
 				t.Errorf("got: %v acknowledged, want: %v", acked, key(3))
@@ -143,7 +143,7 @@
 	h := newShardAfterTakeover(jobSpec(leverdyke.KindService))
 	h.OnAttemptReport(begin, fullReport(racks[0], endedAttempt(3, worker.StateStopped)))
 	if got := runTicks(h).requested; len(got) > 0 {
-		t.Errorf("got: %v asked for, want: nothing before the other rack has told", got)
+		t.Errorf("got: %v requested, want: nothing before the other rack has reported", got)
 	}
 	h.OnAttemptReport(begin, fullReport(racks[1], endedAttempt(5, worker.StateStopped)))
 	s := runTicks(h)
@@ -213,16 +213,16 @@
 	}
 	add("hungry")
 	if got := requestsAt(0); got["hungry"] == "" {
-		t.Fatalf("got: %v, want: it is asked for", got)
+		t.Fatalf("got: %v, want: its start is requested", got)
 	}
 	add("modest")
 	if got := requestsAt(10 * time.Millisecond); got["modest"] == "" || got["hungry"] != "" {
-		t.Errorf("got: %v, want: the modest one alone, at once", got)
+		t.Errorf("got: %v, want: the start of modest alone, at once", got)
 	}
 	more := leverdyke.Resources{MilliCPU: 64000, MemoryMiB: 64000, Slots: 64}
 	h.OnRackSummary(&node.RackSummary{Rack: racks[1], Epoch: rackEpoch, Workers: 1, Free: more, Largest: more, Capacity: more})
 	if got := requestsAt(20 * time.Millisecond); got["hungry"] != racks[1] {
-		t.Errorf("got: %v, want: asked for where there is room for it", got)
+		t.Errorf("got: %v, want: requested from the rack with more free capacity", got)
 	}
 }
 
@@ -272,10 +272,10 @@
 			}
 			// A shard scans its queue four times a second.
 			if late := first - c.want; late < 0 || late > 250*time.Millisecond {
-				t.Errorf("got: first asked after %v, want: %v", first, c.want)
+				t.Errorf("got: first requested after %v, want: %v", first, c.want)
 			}
 			if got := len(requested) == len(racks); got != c.isSpread {
-				t.Errorf("got: asked at %v, want: spread %v", requested, c.isSpread)
+				t.Errorf("got: requested from %v, want: spread %v", requested, c.isSpread)
 			}
 		})
 	}
@@ -321,7 +321,7 @@
 	}
 	run(120, state.ErrNotTaken)
 	if started < bound || started > bound+64 {
-		t.Errorf("without the log: got: %d started, want: %d and what was asked for at once", started, bound)
+		t.Errorf("without the log: got: %d started, want: %d and the starts already requested", started, bound)
 	}
 	run(120, nil)
 	if started != tasks {
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -54,11 +54,12 @@
 // Hello is the first message on a connection and identifies the node that
 // dialed it. A connection carries messages from the dialing node only.
 type Hello struct {
-	Version     int          `msgpack:"v"`
-	Node        state.NodeID `msgpack:"n"`
-	Incarnation uint64       `msgpack:"i"`
-	Zone        string       `msgpack:"z"`
-	Region      string       `msgpack:"r"`
+	Version int          `msgpack:"v"`
+	Node    state.NodeID `msgpack:"n"`
+	// Incarnation is higher for each later process that runs as this node.
+	Incarnation uint64 `msgpack:"i"`
+	Zone        string `msgpack:"z"`
+	Region      string `msgpack:"r"`
 }
 
 // Heartbeat is sent periodically: it shows that the sender is alive and carries
@@ -125,8 +126,8 @@
 	RackEpoch     worker.Epoch  `msgpack:"k"`
 	// MinAttempt is the lowest attempt number for which the job shard still waits
 	// for this rack's reply; it never decreases within an epoch of the job shard.
-	// The rack's owner ignores requests for lower attempts: they are late
-	// duplicates.
+	// The rack's owner starts no lower attempt: a request for one is a late
+	// duplicate.
 	MinAttempt uint64      `msgpack:"f"`
 	Items      []StartItem `msgpack:"i"`
 }
@@ -183,9 +184,9 @@
 	Keys          []worker.Key  `msgpack:"k"`
 }
 
-// JobShardSync asks a rack's owner for all attempts of a job shard there. From
-// then on the rack's owner accepts the job shard's requests from this epoch on
-// only, so the sender is its only owner there.
+// JobShardSync asks a rack's owner for all attempts of a job shard there. Once the
+// rack's owner has received it, it rejects requests of earlier epochs of the job
+// shard, so that a previous owner can no longer act there.
 type JobShardSync struct {
 	JobShard      state.ShardID `msgpack:"h"`
 	JobShardEpoch uint64        `msgpack:"e"`
@@ -270,15 +271,17 @@
 // Grant gives its holder slots of one worker. It is valid until the holder returns
 // it or the worker refuses a request under it.
 type Grant struct {
-	Rack      state.ShardID  `msgpack:"r"`
-	RackEpoch worker.Epoch   `msgpack:"e"`
-	Key       worker.Key     `msgpack:"k"`
-	Service   string         `msgpack:"s"`
-	Worker    worker.ID      `msgpack:"w"`
-	Addr      netip.AddrPort `msgpack:"a"`
-	Zone      string         `msgpack:"z"`
-	Slots     int            `msgpack:"n"`
-	IsOnce    bool           `msgpack:"o,omitempty"`
+	Rack      state.ShardID `msgpack:"r"`
+	RackEpoch worker.Epoch  `msgpack:"e"`
+	// Key identifies the grant when it is checked, recalled or returned.
+	Key     worker.Key     `msgpack:"k"`
+	Service string         `msgpack:"s"`
+	Worker  worker.ID      `msgpack:"w"`
+	Addr    netip.AddrPort `msgpack:"a"`
+	Zone    string         `msgpack:"z"`
+	Slots   int            `msgpack:"n"`
+	// IsOnce means that requests that change something may not be repeated.
+	IsOnce bool `msgpack:"o,omitempty"`
 	// RefusalReason is set if no slot was granted.
 	RefusalReason string `msgpack:"x,omitempty"`
 }
