--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -20,7 +20,7 @@
 // answerQuery is a query to one or several peers for the answer that was given
 // to an idempotency key, while replies are outstanding.
 type answerQuery struct {
-	reply chan node.OnceReply
+	reply chan node.SavedAnswerReply
 	// keyOwner is the node that has the key according to the log. Only from this
 	// node is the answer accepted that nothing ran: another node may have refused
 	// a retry with the same key while the first request ran.
@@ -34,7 +34,7 @@
 // process is draining, is not heard or has ended, all live nodes of the region
 // are asked, since it may have handed its answers over to one of them. The
 // returned ID is for AbandonQuery.
-func (c *Core) QueryAnswer(keyOwner state.NodeID, key once.Key, reply chan node.OnceReply) uint64 {
+func (c *Core) QueryAnswer(keyOwner state.NodeID, key once.Key, reply chan node.SavedAnswerReply) uint64 {
 	c.lastQueryID++
 	id := c.lastQueryID
 	peers := []state.NodeID{keyOwner}
@@ -49,7 +49,7 @@
 	q := &answerQuery{reply: reply, keyOwner: keyOwner}
 	c.answerQueries[id] = q
 	for _, peer := range peers {
-		if c.env.Send(peer, &node.Message{OnceAsk: &node.OnceAsk{ID: id, Key: key}}) {
+		if c.env.Send(peer, &node.Message{SavedAnswerRequest: &node.SavedAnswerRequest{ID: id, Key: key}}) {
 			q.missingReplies++
 		}
 	}
@@ -61,9 +61,9 @@
 
 // AbandonQuery ends a query whose answer has not arrived; its result is that the
 // answer is unknown.
-func (c *Core) AbandonQuery(id uint64) { c.resolveQuery(&node.OnceReply{ID: id}) }
+func (c *Core) AbandonQuery(id uint64) { c.resolveQuery(&node.SavedAnswerReply{ID: id}) }
 
-func (c *Core) onAnswerReply(from state.NodeID, m *node.OnceReply) {
+func (c *Core) onAnswerReply(from state.NodeID, m *node.SavedAnswerReply) {
 	q := c.answerQueries[m.ID]
 	if q == nil {
 		return
@@ -78,7 +78,7 @@
 	}
 }
 
-func (c *Core) resolveQuery(m *node.OnceReply) {
+func (c *Core) resolveQuery(m *node.SavedAnswerReply) {
 	if q := c.answerQueries[m.ID]; q != nil {
 		delete(c.answerQueries, m.ID)
 		q.reply <- *m
@@ -89,7 +89,7 @@
 // to a peer. It calls done when the peer has acknowledged all of them, or at
 // once if there are no answers or no peer. Answers that do not arrive are lost:
 // a retry is then answered that its request may have run.
-func (c *Core) HandOverAnswers(answers []node.KeptAnswer, done func()) {
+func (c *Core) HandOverAnswers(answers []node.KeyedAnswer, done func()) {
 	successors := c.members.Alive(c.now(), c.options.Region, false)
 	if len(answers) == 0 || len(successors) == 0 {
 		done()
@@ -99,12 +99,12 @@
 	c.unacknowledgedMessages, c.handoverDone = len(chunks), done
 	events.Log(events.AnswersGiven, "peer", successors[0], "answers", len(answers))
 	for _, chunk := range chunks {
-		c.env.Send(successors[0], &node.Message{OnceKept: &node.OnceKept{Answers: chunk}})
+		c.env.Send(successors[0], &node.Message{SavedAnswerTransfer: &node.SavedAnswerTransfer{Answers: chunk}})
 	}
 }
 
-func splitAnswers(answers []node.KeptAnswer) [][]node.KeptAnswer {
-	chunks := [][]node.KeptAnswer{}
+func splitAnswers(answers []node.KeyedAnswer) [][]node.KeyedAnswer {
+	chunks := [][]node.KeyedAnswer{}
 	from, size := 0, 0
 	for i := range answers {
 		if size > maxMessageBytes {
@@ -116,9 +116,9 @@
 	return append(chunks, answers[from:])
 }
 
-func (c *Core) onHandedOverAnswers(from state.NodeID, m *node.OnceKept) {
+func (c *Core) onHandedOverAnswers(from state.NodeID, m *node.SavedAnswerTransfer) {
 	c.env.StoreAnswers(m.Answers)
-	c.env.Send(from, &node.Message{OnceTaken: &node.OnceTaken{}})
+	c.env.Send(from, &node.Message{SavedAnswerTransferAck: &node.SavedAnswerTransferAck{}})
 }
 
 func (c *Core) onHandoverAcknowledged() {
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -27,10 +27,10 @@
 		"another node: not run":    {other, leverdyke.VerdictNotRun, false},
 		"another node: ran":        {other, leverdyke.VerdictRan, true},
 	} {
-		reply := make(chan node.OnceReply, 1)
+		reply := make(chan node.SavedAnswerReply, 1)
 		id := requester.core.QueryAnswer(keyOwner.id(), once.Key{1}, reply)
 		requester.core.OnMessage(&node.Envelope{From: c.from.hello(), Message: node.Message{
-			OnceReply: &node.OnceReply{ID: id, IsKnown: true, Answer: node.SavedAnswer{Verdict: c.verdict}},
+			SavedAnswerReply: &node.SavedAnswerReply{ID: id, IsKnown: true, Answer: node.SavedAnswer{Verdict: c.verdict}},
 		}})
 		if got := <-reply; got.IsKnown != c.isKnown {
 			t.Errorf("%s: got: known %v, want: %v", name, got.IsKnown, c.isKnown)
@@ -45,11 +45,11 @@
 	requester, keyOwner, successor := cl.nodes[0], cl.nodes[1], cl.nodes[2]
 	keyOwner.core.Drain()
 	cl.run(20 * step)
-	reply := make(chan node.OnceReply, 1)
+	reply := make(chan node.SavedAnswerReply, 1)
 	id := requester.core.QueryAnswer(keyOwner.id(), once.Key{1}, reply)
 	isQueried := false
 	for i := range successor.inbox {
-		isQueried = isQueried || successor.inbox[i].OnceAsk != nil
+		isQueried = isQueried || successor.inbox[i].SavedAnswerRequest != nil
 	}
 	if !isQueried {
 		t.Error("got: no query to the successor, want: one")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -18,7 +18,7 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/front"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/logbuffer"
 	"github.com/leverdyke/leverdyke/internal/membership"
 	"github.com/leverdyke/leverdyke/internal/node"
@@ -88,10 +88,10 @@
 	OpenWorker(rack state.ShardID, epoch worker.Epoch, id worker.ID, addr netip.AddrPort) WorkerLink
 	// StoreAnswers stores the answers of a peer that is about to stop, so that
 	// this node can answer retries of the callers' requests.
-	StoreAnswers(list []node.KeptAnswer)
+	StoreAnswers(list []node.KeyedAnswer)
 	// AnswerKeyQuery replies to a peer that asks for the answer that was given to
 	// an idempotency key.
-	AnswerKeyQuery(from state.NodeID, m *node.OnceAsk)
+	AnswerKeyQuery(from state.NodeID, m *node.SavedAnswerRequest)
 }
 
 // WorkerLink sends one worker its orders, in the epoch for which it was opened,
@@ -153,7 +153,7 @@
 	// racks and jobShards are the shards that this node owns according to state,
 	// and the racks for which it is the deputy.
 	racks     map[state.ShardID]*ownedRack
-	jobShards map[state.ShardID]*home.Home
+	jobShards map[state.ShardID]*jobshard.Shard
 	// fenced has the racks whose workers refused an order of this node because
 	// they obey a later owner, with that owner's epoch.
 	fenced map[state.ShardID]worker.Epoch
@@ -165,7 +165,7 @@
 	// rackSummaries has the newest summary of each rack of the region, for job
 	// shards that this node opens later. The summaries are shared, and must not
 	// be modified.
-	rackSummaries map[state.ShardID]*node.Room
+	rackSummaries map[state.ShardID]*node.RackSummary
 	// rackCapacity has the capacity of the largest VM that each rack has reported.
 	rackCapacity map[state.ShardID]leverdyke.Resources
 
@@ -212,7 +212,7 @@
 	rack  *rack.Rack
 	links map[worker.ID]WorkerLink
 	// summary is the rack's current summary, reported the one last sent to peers.
-	summary, reported node.Room
+	summary, reported node.RackSummary
 	// reportedAt is when the summary was last sent to peers.
 	reportedAt time.Time
 	// isReported means that the current summary need not be sent, apart from the
@@ -235,9 +235,9 @@
 	c := &Core{
 		options: options, env: env, state: state.NewState(),
 		members:  membership.NewTable(options.Self.Node, membership.NewTableOptions{}),
-		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, jobShards: map[state.ShardID]*home.Home{},
+		policies: policy.NewSet(), racks: map[state.ShardID]*ownedRack{}, jobShards: map[state.ShardID]*jobshard.Shard{},
 		fenced: map[state.ShardID]worker.Epoch{}, deputies: map[state.ShardID]deputy{}, pendingClaims: map[state.ShardID]uint64{},
-		rackSummaries: map[state.ShardID]*node.Room{},
+		rackSummaries: map[state.ShardID]*node.RackSummary{},
 		rackCapacity:  map[state.ShardID]leverdyke.Resources{}, startedAt: env.Now(), recentBatches: logbuffer.NewBuffer(-1), silentSince: map[state.NodeID]time.Time{},
 		answerQueries: map[uint64]*answerQuery{}, livenessChecks: livenessChecks{pending: map[state.NodeID]livenessCheck{}},
 	}
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/node"
 	"github.com/leverdyke/leverdyke/internal/rack"
 	"github.com/leverdyke/leverdyke/internal/state"
@@ -107,10 +107,10 @@
 	c.OnMessage(&node.Envelope{From: node.Hello{Node: to, Incarnation: c.options.Self.Incarnation}, Message: *m})
 }
 
-func (c *Core) processJobShard(id state.ShardID, h *home.Home) bool {
-	out := h.Take()
+func (c *Core) processJobShard(id state.ShardID, h *jobshard.Shard) bool {
+	out := h.TakeOutput()
 	for _, d := range out.Decisions {
-		events.Log(events.TaskRouted, "task", d.Key.String(), "rack", d.Rack, "why", d.Why)
+		events.Log(events.TaskRouted, "task", d.Key.String(), "rack", d.Rack, "why", d.Reason)
 	}
 	for _, s := range out.Starts {
 		events.Log(events.TaskStarted, "task", s.Key.String(), "worker", s.Worker, "class", s.Class, "waited", s.Waited)
@@ -142,10 +142,10 @@
 
 // appendForJobShard appends a job shard's record. The result is dropped if this
 // node has closed the job shard meanwhile, even if it has opened it again.
-func (c *Core) appendForJobShard(id state.ShardID, h *home.Home, p home.PendingRecord) {
+func (c *Core) appendForJobShard(id state.ShardID, h *jobshard.Shard, p jobshard.PendingRecord) {
 	c.Append(p.Record, func(err error) {
 		if c.jobShards[id] == h {
-			h.OnRecorded(c.now(), p.Token, err)
+			h.OnRecordResult(c.now(), p.Token, err)
 		}
 	})
 }
@@ -175,10 +175,10 @@
 func (c *Core) RequestGrants() {
 	p := c.options.Router.Plan()
 	for i := range p.Asks {
-		c.sendToRack(p.Asks[i].Rack, &node.Message{GrantAsk: &p.Asks[i]})
+		c.sendToRack(p.Asks[i].Rack, &node.Message{GrantRequest: &p.Asks[i]})
 	}
 	for i := range p.Done {
-		c.sendToRack(p.Done[i].Rack, &node.Message{GrantDone: &p.Done[i]})
+		c.sendToRack(p.Done[i].Rack, &node.Message{GrantReturn: &p.Done[i]})
 	}
 }
 
@@ -209,15 +209,15 @@
 	events.Log(rackEvents[e.Kind], kv...)
 }
 
-var jobShardEvents = map[home.EventKind]events.Event{
-	home.EventNever:       events.JobNever,
-	home.EventUnknownFate: events.TaskFateUnknown,
-	home.EventJobFailed:   events.JobFailed,
-	home.EventGangBroken:  events.GangBroken,
-	home.EventSynced:      events.HomeSynced,
-	home.EventTwoAttempts: events.TaskTwice,
+var jobShardEvents = map[jobshard.EventKind]events.Event{
+	jobshard.EventUnschedulable:    events.JobNever,
+	jobshard.EventUnknownOutcome:   events.TaskFateUnknown,
+	jobshard.EventJobFailed:        events.JobFailed,
+	jobshard.EventGangRestart:      events.GangBroken,
+	jobshard.EventSynced:           events.HomeSynced,
+	jobshard.EventDuplicateAttempt: events.TaskTwice,
 }
 
-func (c *Core) logJobShardEvent(id state.ShardID, e *home.Event) {
+func (c *Core) logJobShardEvent(id state.ShardID, e *jobshard.Event) {
 	events.Log(jobShardEvents[e.Kind], "home", id, "job", e.Job, "detail", e.Detail)
 }
--- a/internal/core/fakenode_test.go
+++ b/internal/core/fakenode_test.go
@@ -334,9 +334,9 @@
 
 func (n *fakeNode) SkipTo(offset int64) { n.next = max(n.next, offset+1) }
 
-func (n *fakeNode) AnswerKeyQuery(state.NodeID, *node.OnceAsk) {}
+func (n *fakeNode) AnswerKeyQuery(state.NodeID, *node.SavedAnswerRequest) {}
 
-func (n *fakeNode) StoreAnswers([]node.KeptAnswer) {}
+func (n *fakeNode) StoreAnswers([]node.KeyedAnswer) {}
 
 func (n *fakeNode) OpenWorker(rack state.ShardID, epoch worker.Epoch, id worker.ID, _ netip.AddrPort) core.WorkerLink {
 	l := &fakeLink{node: n, rack: rack, epoch: epoch, id: id}
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -36,9 +36,9 @@
 	switch {
 	case m.Heartbeat != nil:
 		c.onHeartbeat(now, &e.From, m.Heartbeat)
-	case m.Ask != nil, m.Deed != nil, m.HomeSync != nil, m.NewsAck != nil, m.Hold != nil, m.Release != nil, m.GrantAsk != nil, m.GrantDone != nil:
+	case m.StartRequest != nil, m.AttemptOrder != nil, m.JobShardSync != nil, m.AttemptReportAck != nil, m.ReserveRequest != nil, m.ReservationRelease != nil, m.GrantRequest != nil, m.GrantReturn != nil:
 		c.deliverToRack(now, e.From.Node, m)
-	case m.Answer != nil, m.News != nil, m.HoldReply != nil:
+	case m.StartReply != nil, m.AttemptReport != nil, m.ReserveReply != nil:
 		c.deliverToJobShard(now, m)
 	case m.Grant != nil:
 		c.options.Router.OnGrant(m.Grant)
@@ -46,21 +46,21 @@
 		c.options.Router.OnRecall(m.GrantRecall.Key)
 	case m.GrantCheck != nil:
 		c.onGrantCheck(m.GrantCheck)
-	case m.TailAsk != nil:
-		c.onBatchesRequest(e.From.Node, m.TailAsk)
-	case m.Tail != nil:
-		c.onBatches(e.From.Node, m.Tail)
-	case m.StateAsk != nil:
+	case m.LogRequest != nil:
+		c.onBatchesRequest(e.From.Node, m.LogRequest)
+	case m.LogReply != nil:
+		c.onBatches(e.From.Node, m.LogReply)
+	case m.StateRequest != nil:
 		c.onStateRequest(e.From.Node)
-	case m.State != nil:
-		c.onState(e.From.Node, m.State)
-	case m.OnceAsk != nil:
-		c.env.AnswerKeyQuery(e.From.Node, m.OnceAsk)
-	case m.OnceReply != nil:
-		c.onAnswerReply(e.From.Node, m.OnceReply)
-	case m.OnceKept != nil:
-		c.onHandedOverAnswers(e.From.Node, m.OnceKept)
-	case m.OnceTaken != nil:
+	case m.StateReply != nil:
+		c.onState(e.From.Node, m.StateReply)
+	case m.SavedAnswerRequest != nil:
+		c.env.AnswerKeyQuery(e.From.Node, m.SavedAnswerRequest)
+	case m.SavedAnswerReply != nil:
+		c.onAnswerReply(e.From.Node, m.SavedAnswerReply)
+	case m.SavedAnswerTransfer != nil:
+		c.onHandedOverAnswers(e.From.Node, m.SavedAnswerTransfer)
+	case m.SavedAnswerTransferAck != nil:
 		c.onHandoverAcknowledged()
 	}
 }
@@ -69,7 +69,7 @@
 // it returns those that it does not hold, so that their slots become free.
 func (c *Core) onGrantCheck(m *node.GrantCheck) {
 	for _, k := range c.options.Router.Lacking(m.Keys) {
-		c.sendToRack(m.Rack, &node.Message{GrantDone: &node.GrantDone{Rack: m.Rack, Key: k}})
+		c.sendToRack(m.Rack, &node.Message{GrantReturn: &node.GrantReturn{Rack: m.Rack, Key: k}})
 	}
 }
 
@@ -81,60 +81,60 @@
 	}
 	r := o.rack
 	switch {
-	case m.Ask != nil:
-		r.OnStartRequest(m.Ask)
-	case m.Deed != nil:
-		r.OnAction(now, m.Deed)
-	case m.HomeSync != nil:
-		r.OnShardSync(m.HomeSync)
-	case m.NewsAck != nil:
-		r.OnUpdateAck(m.NewsAck)
-	case m.Hold != nil:
-		r.OnReserve(now, m.Hold)
-	case m.Release != nil:
-		r.OnRelease(m.Release)
-	case m.GrantAsk != nil:
-		r.OnGrantRequest(now, from, m.GrantAsk)
-	case m.GrantDone != nil:
-		r.OnGrantDone(now, from, m.GrantDone)
+	case m.StartRequest != nil:
+		r.OnStartRequest(m.StartRequest)
+	case m.AttemptOrder != nil:
+		r.OnAction(now, m.AttemptOrder)
+	case m.JobShardSync != nil:
+		r.OnShardSync(m.JobShardSync)
+	case m.AttemptReportAck != nil:
+		r.OnUpdateAck(m.AttemptReportAck)
+	case m.ReserveRequest != nil:
+		r.OnReserve(now, m.ReserveRequest)
+	case m.ReservationRelease != nil:
+		r.OnRelease(m.ReservationRelease)
+	case m.GrantRequest != nil:
+		r.OnGrantRequest(now, from, m.GrantRequest)
+	case m.GrantReturn != nil:
+		r.OnGrantDone(now, from, m.GrantReturn)
 	}
 }
 
 func rackOf(m *node.Message) state.ShardID {
 	switch {
-	case m.Ask != nil:
-		return m.Ask.Rack
-	case m.Deed != nil:
-		return m.Deed.Rack
-	case m.HomeSync != nil:
-		return m.HomeSync.Rack
-	case m.NewsAck != nil:
-		return m.NewsAck.Rack
-	case m.Hold != nil:
-		return m.Hold.Rack
-	case m.Release != nil:
-		return m.Release.Rack
-	case m.GrantAsk != nil:
-		return m.GrantAsk.Rack
-	case m.GrantDone != nil:
-		return m.GrantDone.Rack
+	case m.StartRequest != nil:
+		return m.StartRequest.Rack
+	case m.AttemptOrder != nil:
+		return m.AttemptOrder.Rack
+	case m.JobShardSync != nil:
+		return m.JobShardSync.Rack
+	case m.AttemptReportAck != nil:
+		return m.AttemptReportAck.Rack
+	case m.ReserveRequest != nil:
+		return m.ReserveRequest.Rack
+	case m.ReservationRelease != nil:
+		return m.ReservationRelease.Rack
+	case m.GrantRequest != nil:
+		return m.GrantRequest.Rack
+	case m.GrantReturn != nil:
+		return m.GrantReturn.Rack
 	}
 	return ""
 }
 
 func (c *Core) deliverToJobShard(now time.Time, m *node.Message) {
 	switch {
-	case m.Answer != nil:
-		if h := c.jobShards[m.Answer.Home]; h != nil {
-			h.OnAnswer(now, m.Answer)
+	case m.StartReply != nil:
+		if h := c.jobShards[m.StartReply.JobShard]; h != nil {
+			h.OnStartReply(now, m.StartReply)
 		}
-	case m.News != nil:
-		if h := c.jobShards[m.News.Home]; h != nil {
-			h.OnNews(now, m.News)
+	case m.AttemptReport != nil:
+		if h := c.jobShards[m.AttemptReport.JobShard]; h != nil {
+			h.OnAttemptReport(now, m.AttemptReport)
 		}
-	case m.HoldReply != nil:
-		if h := c.jobShards[m.HoldReply.Home]; h != nil {
-			h.OnHoldReply(now, m.HoldReply)
+	case m.ReserveReply != nil:
+		if h := c.jobShards[m.ReserveReply.JobShard]; h != nil {
+			h.OnReserveReply(now, m.ReserveReply)
 		}
 	}
 }
@@ -149,18 +149,18 @@
 	c.heartbeatAt = now
 	summaries := c.summariesToSend(now)
 	hb := &node.Heartbeat{
-		Applied: c.state.Applied, IsLogOut: c.isLogUnavailable(now), IsDraining: c.isDraining, Suspects: c.members.Suspects(now), Rooms: summaries,
+		Applied: c.state.Applied, IsLogOut: c.isLogUnavailable(now), IsDraining: c.isDraining, Suspects: c.members.Suspects(now), Summaries: summaries,
 	}
 	for _, id := range sorted(c.deputies) {
 		d := c.deputies[id]
 		if d.node == c.options.Self.Node {
-			hb.Deputised = append(hb.Deputised, node.Deputised{Rack: id, Epoch: d.epoch})
+			hb.DeputyRacks = append(hb.DeputyRacks, node.DeputyRack{Rack: id, Epoch: d.epoch})
 		}
 	}
 	m := &node.Message{Heartbeat: hb}
 	// Only nodes of the same region place tasks or route requests to its racks.
 	withoutSummaries := *hb
-	withoutSummaries.Rooms = nil
+	withoutSummaries.Summaries = nil
 	for _, id := range sorted(c.state.Members) {
 		member := c.state.Members[id]
 		switch {
@@ -181,8 +181,8 @@
 
 // summariesToSend returns the summaries of which peers need an update, and every
 // summary once in each summaryRefreshPeriod.
-func (c *Core) summariesToSend(now time.Time) []node.Room {
-	summaries := []node.Room{}
+func (c *Core) summariesToSend(now time.Time) []node.RackSummary {
+	summaries := []node.RackSummary{}
 	for _, id := range sorted(c.racks) {
 		o := c.racks[id]
 		isDue := now.Sub(o.reportedAt) >= summaryRefreshPeriod
@@ -202,21 +202,21 @@
 		Node: from.Node, Incarnation: from.Incarnation, Region: from.Region, Applied: hb.Applied,
 		IsLogUnavailable: hb.IsLogOut, IsDraining: hb.IsDraining, Suspects: hb.Suspects,
 	})
-	for i := range hb.Rooms {
-		rackSummary := hb.Rooms[i]
+	for i := range hb.Summaries {
+		rackSummary := hb.Summaries[i]
 		c.onSummary(&rackSummary)
 	}
-	c.onDeputyReport(from.Node, hb.Deputised)
+	c.onDeputyReport(from.Node, hb.DeputyRacks)
 }
 
-func (c *Core) onSummary(rackSummary *node.Room) {
+func (c *Core) onSummary(rackSummary *node.RackSummary) {
 	if rackSummary.Workers > 0 {
 		c.rackCapacity[rackSummary.Rack] = c.rackCapacity[rackSummary.Rack].Max(rackSummary.Capacity)
 	}
 	c.rackSummaries[rackSummary.Rack] = rackSummary
 	c.options.Router.OnRoom(rackSummary)
 	for _, id := range sorted(c.jobShards) {
-		c.jobShards[id].OnRoom(rackSummary)
+		c.jobShards[id].OnRackSummary(rackSummary)
 	}
 }
 
@@ -262,31 +262,31 @@
 	}
 	if c.state.Applied < 0 && now.Sub(c.startedAt) > stateRequestDelay && now.Sub(c.stateRequestedAt) > stateRetryDelay {
 		c.stateRequestedAt = now
-		c.env.Send(peer, &node.Message{StateAsk: &node.StateAsk{}})
+		c.env.Send(peer, &node.Message{StateRequest: &node.StateRequest{}})
 		return
 	}
 	if c.state.Applied >= 0 && mostApplied > c.state.Applied && now.Sub(c.batchesRequestedAt) > batchesRetryDelay {
 		c.batchesRequestedAt = now
-		c.env.Send(peer, &node.Message{TailAsk: &node.TailAsk{After: c.state.Applied}})
+		c.env.Send(peer, &node.Message{LogRequest: &node.LogRequest{After: c.state.Applied}})
 	}
 }
 
-func (c *Core) onBatchesRequest(from state.NodeID, m *node.TailAsk) {
-	c.env.Send(from, &node.Message{Tail: &node.Tail{After: m.After, Entries: c.recentBatches.After(m.After)}})
+func (c *Core) onBatchesRequest(from state.NodeID, m *node.LogRequest) {
+	c.env.Send(from, &node.Message{LogReply: &node.LogReply{After: m.After, Batches: c.recentBatches.After(m.After)}})
 }
 
-func (c *Core) onBatches(from state.NodeID, m *node.Tail) {
-	if len(m.Entries) == 0 {
+func (c *Core) onBatches(from state.NodeID, m *node.LogReply) {
+	if len(m.Batches) == 0 {
 		// The peer no longer has the batch that comes next, but its state includes
 		// it.
-		c.env.Send(from, &node.Message{StateAsk: &node.StateAsk{}})
+		c.env.Send(from, &node.Message{StateRequest: &node.StateRequest{}})
 		return
 	}
 	if m.After > c.state.Applied {
 		return
 	}
-	events.Log(events.TailFromPeer, "peer", from, "batches", len(m.Entries))
-	for _, e := range m.Entries {
+	events.Log(events.TailFromPeer, "peer", from, "batches", len(m.Batches))
+	for _, e := range m.Batches {
 		c.applyBatch(e.Offset, e.Data)
 		c.env.SkipTo(e.Offset)
 	}
@@ -302,10 +302,10 @@
 		events.Log(events.BadRecord, "err", err.Error())
 		return
 	}
-	c.env.Send(from, &node.Message{State: &node.StateSet{Data: data}})
+	c.env.Send(from, &node.Message{StateReply: &node.StateReply{Data: data}})
 }
 
-func (c *Core) onState(from state.NodeID, m *node.StateSet) {
+func (c *Core) onState(from state.NodeID, m *node.StateReply) {
 	s, err := state.Unmarshal(m.Data)
 	if err != nil {
 		events.Log(events.BadRecord, "peer", from, "err", err.Error())
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/node"
 	"github.com/leverdyke/leverdyke/internal/ownership"
 	"github.com/leverdyke/leverdyke/internal/rack"
@@ -113,12 +113,12 @@
 
 func (c *Core) openJobShard(id state.ShardID, current *state.Shard) {
 	now := c.now()
-	h := home.NewHome(now, id, current.Epoch, c, home.NewHomeOptions{})
+	h := jobshard.NewShard(now, id, current.Epoch, c, jobshard.NewShardOptions{})
 	c.jobShards[id] = h
 	c.logOwnerChange(events.ShardOwned, id, current.Epoch)
 	h.SetRacks(now, c.rackInfos())
 	for _, rack := range sorted(c.rackSummaries) {
-		h.OnRoom(c.rackSummaries[rack])
+		h.OnRackSummary(c.rackSummaries[rack])
 	}
 	for _, job := range sorted(c.state.Jobs) {
 		j := c.state.Jobs[job]
@@ -130,8 +130,8 @@
 
 // rackInfos lists the region's racks with the epochs that their workers obey:
 // that of the owner, or that of a deputy.
-func (c *Core) rackInfos() []home.RackInfo {
-	infos := []home.RackInfo{}
+func (c *Core) rackInfos() []jobshard.RackInfo {
+	infos := []jobshard.RackInfo{}
 	for _, id := range sorted(c.state.Shards) {
 		s := c.state.Shards[id]
 		if !ownership.IsRack(id) || ownership.Region(id) != c.options.Region {
@@ -141,7 +141,7 @@
 		if d, ok := c.deputies[id]; ok {
 			epoch = max(epoch, d.epoch)
 		}
-		infos = append(infos, home.RackInfo{ID: id, Epoch: epoch})
+		infos = append(infos, jobshard.RackInfo{ID: id, Epoch: epoch})
 	}
 	return infos
 }
@@ -263,7 +263,7 @@
 // onDeputyReport handles a peer's report of the racks for which it is the
 // deputy. If this node owns such a rack and is alive after all, it closes the
 // rack, because the workers obey the deputy's higher epoch.
-func (c *Core) onDeputyReport(from state.NodeID, list []node.Deputised) {
+func (c *Core) onDeputyReport(from state.NodeID, list []node.DeputyRack) {
 	for _, d := range list {
 		s := c.state.Shards[d.Rack]
 		if s == nil || d.Epoch.Claim() != s.Epoch || c.deputies[d.Rack].epoch >= d.Epoch {
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -9,7 +9,7 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/document"
-	"github.com/leverdyke/leverdyke/internal/home"
+	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/ownership"
 	"github.com/leverdyke/leverdyke/internal/placement"
 	"github.com/leverdyke/leverdyke/internal/policy"
@@ -53,7 +53,7 @@
 	}
 	for id, h := range c.jobShards {
 		v.JobShards = append(v.JobShards, string(id))
-		v.Waiting += h.Waiting()
+		v.Waiting += h.WaitingJobs()
 	}
 	for _, p := range c.members.Suspects(now) {
 		v.Suspects = append(v.Suspects, string(p))
@@ -71,7 +71,7 @@
 func (c *Core) Policies() *policy.Set { return c.policies }
 
 // JobShard returns a job shard if this node owns it, or nil.
-func (c *Core) JobShard(id state.ShardID) *home.Home { return c.jobShards[id] }
+func (c *Core) JobShard(id state.ShardID) *jobshard.Shard { return c.jobShards[id] }
 
 // IsLogUnavailable reports whether this node cannot read the log or append to
 // it.
@@ -123,7 +123,7 @@
 	if lacks := together.Lacks(team.Quota); lacks != "" {
 		return &document.FieldError{File: file, Key: "each", Problem: "it can never run: it needs more " + lacks + " than its team's quota", Allowed: team.Quota.String()}
 	}
-	if h := c.jobShards[ownership.JobShard(spec.Region, spec.Team)]; h != nil && h.IsFull() {
+	if h := c.jobShards[ownership.JobShard(spec.Region, spec.Team)]; h != nil && h.IsQueueFull() {
 		return leverdyke.NotRun("too many jobs wait", queueFullRetrySeconds)
 	}
 	capacities := c.capacities(spec.Region)
--- a/internal/rack/bench_test.go
+++ b/internal/rack/bench_test.go
@@ -39,7 +39,7 @@
 		startTime := time.Now()
 		at := placement.BestRack(placement.BestFit, each, views, i, 8)
 		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, Home: string(jobShard), Each: each}
-		racks[at].OnStartRequest(&node.Ask{Home: jobShard, HomeEpoch: 1, RackEpoch: epoch, Items: []node.AskItem{{Task: task, Packing: 1}}})
+		racks[at].OnStartRequest(&node.StartRequest{JobShard: jobShard, JobShardEpoch: 1, RackEpoch: epoch, Items: []node.StartItem{{Task: task, PackingWeight: 1}}})
 		racks[at].Flush(now)
 		_ = latencies.RecordValue(time.Since(startTime).Nanoseconds())
 		out := racks[at].TakeOutput()
--- a/internal/rack/grantpreemption.go
+++ b/internal/rack/grantpreemption.go
@@ -21,7 +21,7 @@
 // keeps other tasks from using the capacity that becomes free.
 type preemptingGrant struct {
 	from        state.NodeID
-	request     *node.GrantAsk
+	request     *node.GrantRequest
 	vm          *vm
 	replica     worker.Task
 	slots       int64
@@ -33,7 +33,7 @@
 // free capacity for one request, and reports whether the grant will be answered
 // later. Only tasks less urgent than the requests are preempted, and none that
 // must not run twice.
-func (r *Rack) preemptForGrant(now time.Time, from state.NodeID, m *node.GrantAsk) bool {
+func (r *Rack) preemptForGrant(now time.Time, from state.NodeID, m *node.GrantRequest) bool {
 	if r.isPreemptingFor(from, m.Service) {
 		// This is a repeated request: the answer to the first one serves both.
 		return true
@@ -61,7 +61,7 @@
 
 // cheapestReplicaPreemption returns the worker, among those with a replica of
 // the service, on which the cheapest preemption frees capacity for one request.
-func (r *Rack) cheapestReplicaPreemption(now time.Time, m *node.GrantAsk) (best *vm, replica *assignment, preemptions []placement.Preemption) {
+func (r *Rack) cheapestReplicaPreemption(now time.Time, m *node.GrantRequest) (best *vm, replica *assignment, preemptions []placement.Preemption) {
 	for _, id := range r.sortedIDs {
 		v := r.vms[id]
 		if !r.isUsable(now, v) || r.health.IsEjected(now, v.id) {
--- a/internal/rack/grantpreemption_test.go
+++ b/internal/rack/grantpreemption_test.go
@@ -19,12 +19,12 @@
 	h := newHarness(t, 1, vmCapacity)
 	replica := h.newTask("service", small, leverdyke.ClassNormal)
 	replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
-	h.requestStarts(node.AskItem{Task: replica})
+	h.requestStarts(node.StartItem{Task: replica})
 	for range 3 {
 		task := h.newTask("fill", small, class)
 		task.IsOnce = isOnce
 		task.RunTime = time.Hour
-		h.requestStarts(node.AskItem{Task: task})
+		h.requestStarts(node.StartItem{Task: task})
 	}
 	h.advanceSeconds(1)
 	if got := h.rack.Summary(h.clock.Now()).Free.Slots; got != 0 {
@@ -52,14 +52,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newFullHarness(t, c.class, c.isOnce)
-			h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.requestClass})
+			h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 3, Class: c.requestClass})
 			h.executeOrders()
-			h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 3, Class: c.requestClass})
+			h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 3, Class: c.requestClass})
 			h.executeOrders()
 			h.advanceSeconds(2)
 			granted, refused := 0, 0
 			for i := range h.toNode {
-				if g := h.toNode[i].Grant; g != nil && g.Refused == "" {
+				if g := h.toNode[i].Grant; g != nil && g.RefusalReason == "" {
 					granted++
 				} else if g != nil {
 					refused++
@@ -91,7 +91,7 @@
 // node to request one from another rack.
 func TestGrantIsRefusedWhenPreemptionTimesOut(t *testing.T) {
 	h := newFullHarness(t, leverdyke.ClassBatch, false)
-	h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 1, Class: leverdyke.ClassNormal})
+	h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 1, Class: leverdyke.ClassNormal})
 	// The worker becomes unresponsive before it gets the orders, so none is
 	// carried out.
 	h.rack.TakeOutput()
@@ -99,7 +99,7 @@
 	h.rack.OnUnresponsive("w0")
 	h.rack.Tick(h.clock.Now())
 	h.executeOrders()
-	if len(h.toNode) != 1 || h.toNode[0].Grant == nil || h.toNode[0].Grant.Refused == "" {
+	if len(h.toNode) != 1 || h.toNode[0].Grant == nil || h.toNode[0].Grant.RefusalReason == "" {
 		t.Errorf("got: %+v, want: one refusal", h.toNode)
 	}
 }
@@ -110,7 +110,7 @@
 	for class, want := range map[leverdyke.Class]int{leverdyke.ClassBatch: 3, leverdyke.ClassNormal: 0} {
 		h := newFullHarness(t, class, false)
 		summary := h.rack.Summary(h.clock.Now())
-		if got := summary.Services[0]; got.Slots != 0 || got.Yield != want {
+		if got := summary.Services[0]; got.Slots != 0 || got.PreemptibleSlots != want {
 			t.Errorf("%s: got: %+v, want: 0 free slots and %d by preemption", class, got, want)
 		}
 	}
--- a/internal/rack/grants.go
+++ b/internal/rack/grants.go
@@ -25,7 +25,7 @@
 
 // OnGrantRequest grants a node slots on a worker that runs a replica of the
 // service. Without free capacity it preempts less urgent tasks, or refuses.
-func (r *Rack) OnGrantRequest(now time.Time, from state.NodeID, m *node.GrantAsk) {
+func (r *Rack) OnGrantRequest(now time.Time, from state.NodeID, m *node.GrantRequest) {
 	v, replica := r.bestReplica(now, m.Service)
 	switch {
 	case v != nil:
@@ -35,15 +35,15 @@
 	}
 }
 
-func (r *Rack) refuseGrantRequest(to state.NodeID, m *node.GrantAsk) {
-	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: m.Service, Refused: refusedNoCapacity}
+func (r *Rack) refuseGrantRequest(to state.NodeID, m *node.GrantRequest) {
+	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: m.Service, RefusalReason: refusedNoCapacity}
 	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{to, node.Message{Grant: g}})
 }
 
 // startGrant starts a grant of up to maxGrantSlots slots on a worker that has
 // capacity for at least one. The node gets the grant when the worker has
 // accepted it.
-func (r *Rack) startGrant(now time.Time, to state.NodeID, m *node.GrantAsk, v *vm, replica *worker.Task) {
+func (r *Rack) startGrant(now time.Time, to state.NodeID, m *node.GrantRequest, v *vm, replica *worker.Task) {
 	slots := min(replica.Request.Count(r.free(v)), int64(max(m.Slots, 1)), maxGrantSlots)
 	r.lastGrant++
 	key := worker.Key{Attempt: r.lastGrant}
@@ -101,7 +101,7 @@
 }
 
 func (r *Rack) refuseGrant(a *assignment, reason string) {
-	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: a.task.Service, Refused: reason}
+	g := &node.Grant{Rack: r.ID, RackEpoch: r.Epoch, Service: a.task.Service, RefusalReason: reason}
 	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{state.NodeID(a.task.Holder), node.Message{Grant: g}})
 }
 
@@ -122,7 +122,7 @@
 
 // OnGrantDone stops a grant that its holder has returned. Its capacity becomes
 // free when the worker reports the end.
-func (r *Rack) OnGrantDone(now time.Time, from state.NodeID, m *node.GrantDone) {
+func (r *Rack) OnGrantDone(now time.Time, from state.NodeID, m *node.GrantReturn) {
 	a := r.assignments[m.Key]
 	if a != nil && a.task.Holder == string(from) {
 		r.stopGrant(now, a)
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -158,7 +158,7 @@
 	pendingAction worker.Deed
 	// request is the job shard's request that is answered once the attempt has
 	// started; nil if there is none.
-	request *node.Ask
+	request *node.StartRequest
 }
 
 // Output is what the caller has to send, carry out or log for the rack's owner.
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -38,8 +38,8 @@
 	names   []worker.ID
 	reports map[worker.ID]*worker.Report
 	// answers and updates are what the job shard has received.
-	answers map[worker.Key]node.AnswerResult
-	updates map[worker.Key]node.NewsItem
+	answers map[worker.Key]node.StartResult
+	updates map[worker.Key]node.AttemptStatus
 	toNode  []node.Message
 	events  []rack.Event
 	// forgets is what each worker is allowed to forget with its next sync.
@@ -55,7 +55,7 @@
 	t.Helper()
 	h := &harness{
 		t: t, clock: clock.NewFake(), oracle: native.NewOracle(), workers: map[worker.ID]*native.Worker{},
-		reports: map[worker.ID]*worker.Report{}, answers: map[worker.Key]node.AnswerResult{}, updates: map[worker.Key]node.NewsItem{},
+		reports: map[worker.ID]*worker.Report{}, answers: map[worker.Key]node.StartResult{}, updates: map[worker.Key]node.AttemptStatus{},
 		forgets: map[worker.ID][]worker.Key{},
 	}
 	h.rack = rack.NewRack(h.clock.Now(), "rack/r1/k", epoch, rack.NewRackOptions{})
@@ -130,13 +130,13 @@
 }
 
 func (h *harness) recordMessages(m *node.Message) {
-	if m.Answer != nil {
-		for _, r := range m.Answer.Results {
+	if m.StartReply != nil {
+		for _, r := range m.StartReply.Results {
 			h.answers[r.Key] = r
 		}
 	}
-	if m.News != nil {
-		for _, n := range m.News.Items {
+	if m.AttemptReport != nil {
+		for _, n := range m.AttemptReport.Items {
 			h.updates[n.Key] = n
 		}
 	}
@@ -167,9 +167,9 @@
 
 // requestStarts requests attempts for the job shard and carries out the
 // decisions.
-func (h *harness) requestStarts(items ...node.AskItem) {
+func (h *harness) requestStarts(items ...node.StartItem) {
 	h.t.Helper()
-	h.rack.OnStartRequest(&node.Ask{Home: jobShard, HomeEpoch: 1, RackEpoch: epoch, Items: items})
+	h.rack.OnStartRequest(&node.StartRequest{JobShard: jobShard, JobShardEpoch: 1, RackEpoch: epoch, Items: items})
 	h.rack.Flush(h.clock.Now())
 	h.executeOrders()
 }
@@ -186,7 +186,7 @@
 	h := newHarness(t, 1, vmCapacity)
 	h.isDroppingStarts = true
 	task := h.newTask("j", small, leverdyke.ClassNormal)
-	h.requestStarts(node.AskItem{Task: task})
+	h.requestStarts(node.StartItem{Task: task})
 	h.advanceSeconds(3)
 	if h.startOrders != 1 {
 		t.Errorf("got: %d starts, want: 1 until the first is known to have failed", h.startOrders)
@@ -203,10 +203,10 @@
 func TestStartRequestForAnotherRackEpochIsRefused(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	task := h.newTask("j", small, leverdyke.ClassNormal)
-	h.rack.OnStartRequest(&node.Ask{Home: jobShard, HomeEpoch: 1, RackEpoch: epoch - 1, Items: []node.AskItem{{Task: task}}})
+	h.rack.OnStartRequest(&node.StartRequest{JobShard: jobShard, JobShardEpoch: 1, RackEpoch: epoch - 1, Items: []node.StartItem{{Task: task}}})
 	h.rack.Flush(h.clock.Now())
 	h.executeOrders()
-	if got := h.answers[task.Key]; got.Refused == "" || h.startOrders != 0 {
+	if got := h.answers[task.Key]; got.RefusalReason == "" || h.startOrders != 0 {
 		t.Errorf("got: %+v and %d starts, want: refused and none", got, h.startOrders)
 	}
 }
@@ -215,10 +215,10 @@
 // owner must not start an attempt.
 func TestStartRequestOfPreviousJobShardOwnerIsRefused(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
-	h.rack.OnShardSync(&node.HomeSync{Home: jobShard, HomeEpoch: 2, Rack: "rack/r1/k"})
+	h.rack.OnShardSync(&node.JobShardSync{JobShard: jobShard, JobShardEpoch: 2, Rack: "rack/r1/k"})
 	task := h.newTask("j", small, leverdyke.ClassNormal)
-	h.requestStarts(node.AskItem{Task: task})
-	if got := h.answers[task.Key]; got.Refused == "" || h.startOrders != 0 {
+	h.requestStarts(node.StartItem{Task: task})
+	if got := h.answers[task.Key]; got.RefusalReason == "" || h.startOrders != 0 {
 		t.Errorf("got: %+v and %d starts, want: refused and none", got, h.startOrders)
 	}
 }
@@ -228,12 +228,12 @@
 func TestRepeatedRequestDoesNotStartRefusedAttempt(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	big := h.newTask("big", leverdyke.Resources{MilliCPU: 5000, Slots: 1}, leverdyke.ClassNormal)
-	h.requestStarts(node.AskItem{Task: big})
-	if got := h.answers[big.Key]; got.Refused == "" {
+	h.requestStarts(node.StartItem{Task: big})
+	if got := h.answers[big.Key]; got.RefusalReason == "" {
 		t.Fatalf("got: %+v, want: refused", got)
 	}
 	big.Each = small
-	h.requestStarts(node.AskItem{Task: big})
+	h.requestStarts(node.StartItem{Task: big})
 	if h.startOrders != 0 {
 		t.Errorf("got: %d starts, want: 0", h.startOrders)
 	}
@@ -244,11 +244,11 @@
 func TestReportedUsageRaisesTheCharge(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	h.workers["w0"].SetFaults(native.WorkerFaults{UsageFactor: 3})
-	h.requestStarts(node.AskItem{Task: h.newTask("j", small, leverdyke.ClassNormal)})
+	h.requestStarts(node.StartItem{Task: h.newTask("j", small, leverdyke.ClassNormal)})
 	h.advanceSeconds(4)
 	// The worker reports usage with its next change, which this start brings
 	// about.
-	h.requestStarts(node.AskItem{Task: h.newTask("other", leverdyke.Resources{MilliCPU: 1, MemoryMiB: 1, Slots: 1}, leverdyke.ClassNormal)})
+	h.requestStarts(node.StartItem{Task: h.newTask("other", leverdyke.Resources{MilliCPU: 1, MemoryMiB: 1, Slots: 1}, leverdyke.ClassNormal)})
 	h.reports["w0"].Rev = 0
 	h.sync()
 	summary := h.rack.Summary(h.clock.Now())
@@ -264,18 +264,18 @@
 	for i := range 4 {
 		task := h.newTask("batch", small, leverdyke.ClassBatch)
 		task.IsOnce = i < 3
-		h.requestStarts(node.AskItem{Task: task})
+		h.requestStarts(node.StartItem{Task: task})
 	}
 	urgent := h.newTask("urgent", leverdyke.Resources{MilliCPU: 500, MemoryMiB: 500, Slots: 1}, leverdyke.ClassUrgent)
-	h.requestStarts(node.AskItem{Task: urgent})
+	h.requestStarts(node.StartItem{Task: urgent})
 	h.advanceSeconds(1)
 	if got := h.answers[urgent.Key]; got.Worker == "" {
 		t.Errorf("got: %+v, want: started", got)
 	}
 	second := h.newTask("urgent", small, leverdyke.ClassUrgent)
-	h.requestStarts(node.AskItem{Task: second})
+	h.requestStarts(node.StartItem{Task: second})
 	h.advanceSeconds(3)
-	if got := h.answers[second.Key]; got.Refused == "" {
+	if got := h.answers[second.Key]; got.RefusalReason == "" {
 		t.Errorf("got: %+v, want: refused, since what is left may not be repeated", got)
 	}
 	if got := h.oracle.Report(); got.OverCommits != 0 {
@@ -288,10 +288,10 @@
 func TestPreemptionThrottlesBeforeStoppingAndUnthrottlesLater(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	batch := h.newTask("batch", leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 100, Slots: 1}, leverdyke.ClassBatch)
-	h.requestStarts(node.AskItem{Task: batch})
+	h.requestStarts(node.StartItem{Task: batch})
 	urgent := h.newTask("urgent", small, leverdyke.ClassUrgent)
 	urgent.RunTime = 3 * time.Second
-	h.requestStarts(node.AskItem{Task: urgent})
+	h.requestStarts(node.StartItem{Task: urgent})
 	h.advanceSeconds(1)
 	if got := h.answers[urgent.Key]; got.Worker == "" {
 		t.Fatalf("got: %+v, want: started", got)
@@ -317,7 +317,7 @@
 		for i := range seconds {
 			task := h.newTask(fmt.Sprintf("job-%d-%d", h.attempt, i), small, leverdyke.ClassNormal)
 			task.RunTime = time.Second
-			h.requestStarts(node.AskItem{Task: task, Waiting: 1})
+			h.requestStarts(node.StartItem{Task: task, WaitingWeight: 1})
 			h.advanceSeconds(1)
 		}
 		return h.workers["w0"].Starts()
@@ -341,7 +341,7 @@
 		for i := range n {
 			task := h.newTask(fmt.Sprintf("%s-%d", prefix, i), small, leverdyke.ClassNormal)
 			task.RunTime = runTime
-			h.requestStarts(node.AskItem{Task: task, Waiting: 1})
+			h.requestStarts(node.StartItem{Task: task, WaitingWeight: 1})
 			h.advanceSeconds(1)
 		}
 	}
@@ -363,14 +363,14 @@
 func TestLostAttemptIsForgottenWhenItsWorkerReconnects(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	task := h.newTask("j", small, leverdyke.ClassNormal)
-	h.requestStarts(node.AskItem{Task: task})
+	h.requestStarts(node.StartItem{Task: task})
 	h.advanceSeconds(1)
 	h.workers["w0"].SetFaults(native.WorkerFaults{Mode: native.ModeCut})
 	h.advanceSeconds(30)
 	if got := h.updates[task.Key]; !got.IsLost {
 		t.Fatalf("got: %+v, want: lost", got)
 	}
-	h.rack.OnUpdateAck(&node.NewsAck{Home: jobShard, Keys: []worker.Key{task.Key}})
+	h.rack.OnUpdateAck(&node.AttemptReportAck{JobShard: jobShard, Keys: []worker.Key{task.Key}})
 	// The order to forget is lost, as when the owner is replaced.
 	h.rack.TakeOutput()
 	h.workers["w0"].SetFaults(native.WorkerFaults{})
@@ -388,26 +388,26 @@
 // other tasks out, and expires.
 func TestReservationTakesAvailablePlacesAndExpires(t *testing.T) {
 	h := newHarness(t, 2, vmCapacity)
-	request := &node.Hold{Home: jobShard, HomeEpoch: 1, Rack: "rack/r1/k", RackEpoch: epoch, ID: 9, Each: small, Count: 20, Expiry: 5 * time.Second}
+	request := &node.ReserveRequest{JobShard: jobShard, JobShardEpoch: 1, Rack: "rack/r1/k", RackEpoch: epoch, ID: 9, Each: small, Count: 20, Expiry: 5 * time.Second}
 	h.rack.OnReserve(h.clock.Now(), request)
 	out := h.rack.TakeOutput()
-	if got := out.ToJobShards[0].Message.HoldReply.Count; got != 8 {
+	if got := out.ToJobShards[0].Message.ReserveReply.Count; got != 8 {
 		t.Fatalf("got: %d places, want: 8", got)
 	}
 	task := h.newTask("small", small, leverdyke.ClassNormal)
-	h.requestStarts(node.AskItem{Task: task})
-	if got := h.answers[task.Key]; got.Refused == "" {
+	h.requestStarts(node.StartItem{Task: task})
+	if got := h.answers[task.Key]; got.RefusalReason == "" {
 		t.Errorf("got: %+v, want: refused while all places are reserved", got)
 	}
 	gang := h.newTask("gang", small, leverdyke.ClassNormal)
-	h.requestStarts(node.AskItem{Task: gang, HoldID: 9})
+	h.requestStarts(node.StartItem{Task: gang, ReservationID: 9})
 	if got := h.answers[gang.Key]; got.Worker == "" {
 		t.Errorf("got: %+v, want: started on a reserved place", got)
 	}
 	h.advanceSeconds(6)
 	late := h.newTask("gang", small, leverdyke.ClassNormal)
-	h.requestStarts(node.AskItem{Task: late, HoldID: 9})
-	if got := h.answers[late.Key]; got.Refused == "" {
+	h.requestStarts(node.StartItem{Task: late, ReservationID: 9})
+	if got := h.answers[late.Key]; got.RefusalReason == "" {
 		t.Errorf("got: %+v, want: refused after the reservation has expired", got)
 	}
 }
@@ -418,16 +418,16 @@
 	h := newHarness(t, 2, vmCapacity)
 	replica := h.newTask("service", small, leverdyke.ClassNormal)
 	replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
-	h.requestStarts(node.AskItem{Task: replica})
-	h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 9})
+	h.requestStarts(node.StartItem{Task: replica})
+	h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 9})
 	h.executeOrders()
 	h.advanceSeconds(1)
 	if len(h.toNode) != 1 || h.toNode[0].Grant.Slots != 3 {
 		t.Fatalf("got: %+v, want: one grant of 3 slots", h.toNode)
 	}
-	h.rack.OnGrantRequest(h.clock.Now(), "n2", &node.GrantAsk{Service: "s", Slots: 1})
+	h.rack.OnGrantRequest(h.clock.Now(), "n2", &node.GrantRequest{Service: "s", Slots: 1})
 	h.executeOrders()
-	if got := h.toNode[1].Grant.Refused; got == "" {
+	if got := h.toNode[1].Grant.RefusalReason; got == "" {
 		t.Error("got: a grant, want: refused, since no slot is left")
 	}
 	h.rack.StopGrantsOf(h.clock.Now(), func(n state.NodeID) bool { return n == "n1" })
@@ -444,8 +444,8 @@
 	h := newHarness(t, 1, vmCapacity)
 	replica := h.newTask("service", small, leverdyke.ClassNormal)
 	replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
-	h.requestStarts(node.AskItem{Task: replica})
-	h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 2})
+	h.requestStarts(node.StartItem{Task: replica})
+	h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 2})
 	h.executeOrders()
 	h.advanceSeconds(1)
 	grant := h.toNode[0].Grant.Key
@@ -454,7 +454,7 @@
 	if len(h.toNode) != 2 || h.toNode[0].GrantCheck == nil || h.toNode[0].GrantCheck.Keys[0] != grant {
 		t.Fatalf("got: %+v, want: two checks of the grant in 11 s", h.toNode)
 	}
-	h.rack.OnGrantDone(h.clock.Now(), "n1", &node.GrantDone{Key: grant})
+	h.rack.OnGrantDone(h.clock.Now(), "n1", &node.GrantReturn{Key: grant})
 	h.executeOrders()
 	h.advanceSeconds(2)
 	if got := h.rack.Summary(h.clock.Now()).Free.Slots; got != 3 {
@@ -476,8 +476,8 @@
 		h := newHarness(t, 1, vmCapacity)
 		replica := h.newTask("service", small, leverdyke.ClassNormal)
 		replica.Service, replica.Request = "s", leverdyke.Resources{MilliCPU: 100, Slots: 1}
-		h.requestStarts(node.AskItem{Task: replica})
-		h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantAsk{Service: "s", Slots: 2})
+		h.requestStarts(node.StartItem{Task: replica})
+		h.rack.OnGrantRequest(h.clock.Now(), "n1", &node.GrantRequest{Service: "s", Slots: 2})
 		h.executeOrders()
 		h.advanceSeconds(1)
 		grant := h.toNode[0].Grant.Key
@@ -515,7 +515,7 @@
 			task := h.newTask(fmt.Sprint("j", r.Intn(5)), each, classes[r.Intn(3)])
 			task.RunTime = time.Duration(r.Intn(5)+1) * time.Second
 			task.IsOnce = r.Intn(4) == 0
-			h.requestStarts(node.AskItem{Task: task, Waiting: r.Float64(), Packing: r.Float64()})
+			h.requestStarts(node.StartItem{Task: task, WaitingWeight: r.Float64(), PackingWeight: r.Float64()})
 			h.advanceSeconds(r.Intn(2))
 		}
 		return h.oracle.Report().OverCommits == 0
--- a/internal/rack/requests.go
+++ b/internal/rack/requests.go
@@ -17,8 +17,8 @@
 
 // pendingStart is one requested attempt that waits for the next Flush.
 type pendingStart struct {
-	request *node.Ask
-	item    *node.AskItem
+	request *node.StartRequest
+	item    *node.StartItem
 }
 
 // The reasons for refusing an attempt. They are final: a refused attempt is
@@ -80,18 +80,18 @@
 
 // OnStartRequest queues a job shard's request to start attempts. The next Flush
 // decides on it together with the other queued ones.
-func (r *Rack) OnStartRequest(request *node.Ask) {
+func (r *Rack) OnStartRequest(request *node.StartRequest) {
 	reason := ""
 	switch {
 	case request.RackEpoch != r.Epoch:
 		reason = refusedWrongEpoch
-	case !r.acceptShardEpoch(request.Home, request.HomeEpoch):
+	case !r.acceptShardEpoch(request.JobShard, request.JobShardEpoch):
 		reason = refusedOldShardOwner
 	case r.options.IsDeputy:
 		reason = refusedByDeputy
 	}
 	if reason == "" {
-		r.closedAttemptsOf(request.Home).raiseFloor(request.Floor)
+		r.closedAttemptsOf(request.JobShard).raiseFloor(request.MinAttempt)
 	}
 	for i := range request.Items {
 		if reason != "" {
@@ -129,7 +129,7 @@
 // answer is its current state, so that a request may safely be repeated.
 func (r *Rack) decide(now time.Time, p pendingStart) {
 	key := p.item.Task.Key
-	s := r.closedAttemptsOf(p.request.Home)
+	s := r.closedAttemptsOf(p.request.JobShard)
 	if reason, ok := s.reasons[key.Attempt]; ok || key.Attempt < s.floor {
 		if reason != "" {
 			r.answerRefused(p.request, key, reason)
@@ -150,7 +150,7 @@
 		r.answerRefused(p.request, key, refusedOtherAttempt)
 		return
 	}
-	if p.item.HoldID != 0 {
+	if p.item.ReservationID != 0 {
 		r.startReserved(now, p)
 		return
 	}
@@ -169,7 +169,7 @@
 
 // chooseWorker returns the best worker for an attempt and the runner-up; either
 // is nil if there is none.
-func (r *Rack) chooseWorker(now time.Time, item *node.AskItem) (best, runnerUp *vm) {
+func (r *Rack) chooseWorker(now time.Time, item *node.StartItem) (best, runnerUp *vm) {
 	candidates := make([]placement.Candidate, len(r.sortedIDs))
 	for i, id := range r.sortedIDs {
 		v := r.vms[id]
@@ -182,7 +182,7 @@
 			candidates[i].Siblings = siblings(v, item.Task.Key.Task.Job)
 		}
 	}
-	b, s := placement.Best(placement.Policy{Waiting: item.Waiting, Packing: item.Packing}, r.expected(&item.Task), candidates)
+	b, s := placement.Best(placement.Policy{Waiting: item.WaitingWeight, Packing: item.PackingWeight}, r.expected(&item.Task), candidates)
 	if b >= 0 {
 		best = r.vms[r.sortedIDs[b]]
 	}
@@ -232,52 +232,52 @@
 	if a.request == nil {
 		return
 	}
-	r.answer(a.request, node.AnswerResult{Key: a.task.Key, Worker: a.vm.id})
+	r.answer(a.request, node.StartResult{Key: a.task.Key, Worker: a.vm.id})
 	a.request = nil
 }
 
-func (r *Rack) answerRefused(request *node.Ask, key worker.Key, reason string) {
-	r.refuseAttempt(request, node.AnswerResult{Key: key, Refused: reason})
+func (r *Rack) answerRefused(request *node.StartRequest, key worker.Key, reason string) {
+	r.refuseAttempt(request, node.StartResult{Key: key, RefusalReason: reason})
 }
 
 // refuseAttempt answers that an attempt is refused, and closes the attempt.
-func (r *Rack) refuseAttempt(request *node.Ask, result node.AnswerResult) {
+func (r *Rack) refuseAttempt(request *node.StartRequest, result node.StartResult) {
 	if request == nil {
 		return
 	}
-	r.closedAttemptsOf(request.Home).reasons[result.Key.Attempt] = result.Refused
+	r.closedAttemptsOf(request.JobShard).reasons[result.Key.Attempt] = result.RefusalReason
 	r.answer(request, result)
 }
 
 // refuseForCapacity refuses a request for lack of capacity. If the expected
 // usage exceeds the declared size, the answer includes it.
 func (r *Rack) refuseForCapacity(p pendingStart) {
-	result := node.AnswerResult{Key: p.item.Task.Key, Refused: refusedNoCapacity}
+	result := node.StartResult{Key: p.item.Task.Key, RefusalReason: refusedNoCapacity}
 	if need := r.expected(&p.item.Task); need != p.item.Task.Each {
-		result.Expected = &need
+		result.ExpectedUsage = &need
 	}
 	r.refuseAttempt(p.request, result)
 }
 
 // answer adds a result to the output, merged into the answer to the same job
 // shard if there is one.
-func (r *Rack) answer(request *node.Ask, result node.AnswerResult) {
+func (r *Rack) answer(request *node.StartRequest, result node.StartResult) {
 	for i := range r.output.ToJobShards {
 		m := &r.output.ToJobShards[i]
-		if m.JobShard == request.Home && m.Message.Answer != nil {
-			m.Message.Answer.Results = append(m.Message.Answer.Results, result)
+		if m.JobShard == request.JobShard && m.Message.StartReply != nil {
+			m.Message.StartReply.Results = append(m.Message.StartReply.Results, result)
 			return
 		}
 	}
-	a := &node.Answer{Home: request.Home, Rack: r.ID, RackEpoch: request.RackEpoch, Results: []node.AnswerResult{result}}
-	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{request.Home, node.Message{Answer: a}})
+	a := &node.StartReply{JobShard: request.JobShard, Rack: r.ID, RackEpoch: request.RackEpoch, Results: []node.StartResult{result}}
+	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{request.JobShard, node.Message{StartReply: a}})
 }
 
 // OnAction orders the workers to carry out a job shard's action on its
 // attempts. Attempts that are not here are ignored: updates inform the job
 // shard about them.
-func (r *Rack) OnAction(now time.Time, d *node.Deed) {
-	if !r.acceptShardEpoch(d.Home, d.HomeEpoch) {
+func (r *Rack) OnAction(now time.Time, d *node.AttemptOrder) {
+	if !r.acceptShardEpoch(d.JobShard, d.JobShardEpoch) {
 		return
 	}
 	orders := map[worker.ID][]worker.Key{}
@@ -287,13 +287,13 @@
 		if a == nil || a.phase == phaseEnded {
 			continue
 		}
-		a.pendingAction = d.Deed
+		a.pendingAction = d.Action
 		a.lastSentAt = now
 		orders[a.vm.id] = append(orders[a.vm.id], k)
 	}
 	for _, id := range r.sortedIDs {
 		if keys := orders[id]; len(keys) > 0 {
-			r.output.Acts = append(r.output.Acts, ActOrder{id, d.Deed, keys})
+			r.output.Acts = append(r.output.Acts, ActOrder{id, d.Action, keys})
 		}
 	}
 }
--- a/internal/rack/reservations.go
+++ b/internal/rack/reservations.go
@@ -54,21 +54,21 @@
 
 // OnReserve reserves as many of the requested places as there is capacity for,
 // and answers with their number.
-func (r *Rack) OnReserve(now time.Time, m *node.Hold) {
-	id := reservationID{m.Home, m.ID}
-	reply := &node.HoldReply{Home: m.Home, Rack: r.ID, ID: m.ID}
-	isRefused := m.RackEpoch != r.Epoch || !r.acceptShardEpoch(m.Home, m.HomeEpoch) || r.options.IsDeputy
+func (r *Rack) OnReserve(now time.Time, m *node.ReserveRequest) {
+	id := reservationID{m.JobShard, m.ID}
+	reply := &node.ReserveReply{JobShard: m.JobShard, Rack: r.ID, ID: m.ID}
+	isRefused := m.RackEpoch != r.Epoch || !r.acceptShardEpoch(m.JobShard, m.JobShardEpoch) || r.options.IsDeputy
 	if !isRefused {
 		reply.Count = r.reserve(now, id, m)
 		r.updateGangPriority(now, id, m, reply.Count)
 		r.isSummaryChanged = true
 	}
-	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{m.Home, node.Message{HoldReply: reply}})
+	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{m.JobShard, node.Message{ReserveReply: reply}})
 }
 
 // reserve returns the number of places reserved under the ID. A repeated
 // request extends the expiry of what is reserved.
-func (r *Rack) reserve(now time.Time, id reservationID, m *node.Hold) int {
+func (r *Rack) reserve(now time.Time, id reservationID, m *node.ReserveRequest) int {
 	if res := r.reservations[id]; res != nil {
 		res.expiresAt = now.Add(min(m.Expiry, maxReservationTime))
 		return res.count()
@@ -104,14 +104,14 @@
 func (r *Rack) bestWorkerFor(now time.Time, need leverdyke.Resources) *vm {
 	// RunTime must not be 0: it would mark the task as a service, and services
 	// may use a VM that is reserved for a starved task.
-	item := &node.AskItem{Task: worker.Task{Each: need, Class: leverdyke.ClassBatch, RunTime: 1}, Packing: 1}
+	item := &node.StartItem{Task: worker.Task{Each: need, Class: leverdyke.ClassBatch, RunTime: 1}, PackingWeight: 1}
 	best, _ := r.chooseWorker(now, item)
 	return best
 }
 
 // updateGangPriority gives priority to a job that has waited long and got fewer
 // places than requested, unless a job that has waited longer has it.
-func (r *Rack) updateGangPriority(now time.Time, id reservationID, m *node.Hold, count int) {
+func (r *Rack) updateGangPriority(now time.Time, id reservationID, m *node.ReserveRequest, count int) {
 	if count >= m.Count || m.Age < gangPriorityMinWait {
 		return
 	}
@@ -126,7 +126,7 @@
 // isBlockedByGang reports whether a task has to leave the free capacity to the
 // all-at-once job that has priority. More urgent tasks and services need not
 // wait.
-func (r *Rack) isBlockedByGang(now time.Time, item *node.AskItem) bool {
+func (r *Rack) isBlockedByGang(now time.Time, item *node.StartItem) bool {
 	current := r.gangPriority
 	if current == nil || !now.Before(current.expiresAt) || item.Task.RunTime == 0 {
 		return false
@@ -136,7 +136,7 @@
 
 // startReserved starts an attempt on a place that its job has reserved.
 func (r *Rack) startReserved(now time.Time, p pendingStart) {
-	id := reservationID{p.request.Home, p.item.HoldID}
+	id := reservationID{p.request.JobShard, p.item.ReservationID}
 	res := r.reservations[id]
 	if res == nil {
 		r.answerRefused(p.request, p.item.Task.Key, refusedNoReservation)
@@ -161,8 +161,8 @@
 }
 
 // OnRelease cancels a reservation.
-func (r *Rack) OnRelease(m *node.Release) {
-	id := reservationID{m.Home, m.ID}
+func (r *Rack) OnRelease(m *node.ReservationRelease) {
+	id := reservationID{m.JobShard, m.ID}
 	if r.reservations[id] != nil {
 		delete(r.reservations, id)
 		r.isSummaryChanged = true
--- a/internal/rack/summary.go
+++ b/internal/rack/summary.go
@@ -14,9 +14,9 @@
 )
 
 // Summary returns the capacity summary that other nodes use to choose a rack.
-func (r *Rack) Summary(now time.Time) node.Room {
-	summary := node.Room{Rack: r.ID, Epoch: r.Epoch}
-	services := map[string]*node.ServiceRoom{}
+func (r *Rack) Summary(now time.Time) node.RackSummary {
+	summary := node.RackSummary{Rack: r.ID, Epoch: r.Epoch}
+	services := map[string]*node.ServiceCapacity{}
 	for _, id := range r.sortedIDs {
 		v := r.vms[id]
 		summary.Zone = v.zone
@@ -30,13 +30,13 @@
 			summary.Largest = summary.Largest.Max(free)
 		}
 		summary.Capacity = summary.Capacity.Max(v.capacity)
-		summary.Yield = summary.Yield.Max(r.freeAfterPreemption(v))
+		summary.Preemptible = summary.Preemptible.Max(r.freeAfterPreemption(v))
 		addServiceCapacity(v, free, services)
 	}
 	for _, s := range services {
 		summary.Services = append(summary.Services, *s)
 	}
-	slices.SortFunc(summary.Services, func(a, b node.ServiceRoom) int {
+	slices.SortFunc(summary.Services, func(a, b node.ServiceCapacity) int {
 		if a.Service < b.Service {
 			return -1
 		}
@@ -47,20 +47,20 @@
 
 // addServiceCapacity adds the worker's replicas, and the requests that it has
 // capacity for, to the totals per service.
-func addServiceCapacity(v *vm, free leverdyke.Resources, services map[string]*node.ServiceRoom) {
+func addServiceCapacity(v *vm, free leverdyke.Resources, services map[string]*node.ServiceCapacity) {
 	for _, a := range v.assignments {
 		if a.phase != phaseRunning || a.task.Service == "" || a.task.Holder != "" {
 			continue
 		}
 		s := services[a.task.Service]
 		if s == nil {
-			s = &node.ServiceRoom{Service: a.task.Service}
+			s = &node.ServiceCapacity{Service: a.task.Service}
 			services[a.task.Service] = s
 		}
 		s.Replicas++
 		slots := a.task.Request.Count(free)
 		s.Slots += int(slots)
-		s.Yield += int(a.task.Request.Count(freeWithoutBatches(v, free)) - slots)
+		s.PreemptibleSlots += int(a.task.Request.Count(freeWithoutBatches(v, free)) - slots)
 	}
 }
 
--- a/internal/rack/updates.go
+++ b/internal/rack/updates.go
@@ -18,13 +18,13 @@
 // OnShardSync makes the sender the job shard's owner in this rack, unless a
 // later epoch was seen, and sends it an update with all the shard's attempts,
 // now and again when the rack is complete.
-func (r *Rack) OnShardSync(m *node.HomeSync) {
-	if !r.acceptShardEpoch(m.Home, m.HomeEpoch) {
+func (r *Rack) OnShardSync(m *node.JobShardSync) {
+	if !r.acceptShardEpoch(m.JobShard, m.JobShardEpoch) {
 		return
 	}
-	r.syncedShards[m.Home] = true
-	r.dropSupersededStarts(m.Home, m.HomeEpoch)
-	r.sendFullUpdate(m.Home)
+	r.syncedShards[m.JobShard] = true
+	r.dropSupersededStarts(m.JobShard, m.JobShardEpoch)
+	r.sendFullUpdate(m.JobShard)
 }
 
 // dropSupersededStarts drops the requests of a job shard's previous owners that
@@ -32,7 +32,7 @@
 func (r *Rack) dropSupersededStarts(jobShard state.ShardID, epoch uint64) {
 	remaining := r.pendingStarts[:0]
 	for _, p := range r.pendingStarts {
-		if p.request.Home != jobShard || p.request.HomeEpoch >= epoch {
+		if p.request.JobShard != jobShard || p.request.JobShardEpoch >= epoch {
 			remaining = append(remaining, p)
 		}
 	}
@@ -42,21 +42,21 @@
 
 // sendFullUpdate sends a job shard the state of all its attempts in the rack.
 func (r *Rack) sendFullUpdate(jobShard state.ShardID) {
-	n := &node.News{Home: jobShard, Rack: r.ID, RackEpoch: r.Epoch, IsWhole: true, IsComplete: r.IsComplete()}
+	n := &node.AttemptReport{JobShard: jobShard, Rack: r.ID, RackEpoch: r.Epoch, IsFullReport: true, IsInventoryComplete: r.IsComplete()}
 	for _, a := range sortedAssignments(r.assignments) {
 		if a.task.Home == string(jobShard) {
 			n.Items = append(n.Items, updateItem(a))
 		}
 	}
-	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{jobShard, node.Message{News: n}})
+	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{jobShard, node.Message{AttemptReport: n}})
 }
 
-func updateItem(a *assignment) node.NewsItem {
+func updateItem(a *assignment) node.AttemptStatus {
 	s := a.task.State
 	if a.phase != phaseEnded {
 		s = worker.StateRunning
 	}
-	return node.NewsItem{Key: a.task.Key, State: s, Worker: a.vm.id, IsLost: a.isLost, IsBlamed: a.isWorkerAtFault}
+	return node.AttemptStatus{Key: a.task.Key, State: s, Worker: a.vm.id, IsLost: a.isLost, IsWorkerAtFault: a.isWorkerAtFault}
 }
 
 // sendUpdate sends a job shard the state of one attempt, merged into the update
@@ -65,13 +65,13 @@
 	jobShard := state.ShardID(a.task.Home)
 	for i := range r.output.ToJobShards {
 		m := &r.output.ToJobShards[i]
-		if m.JobShard == jobShard && m.Message.News != nil && !m.Message.News.IsWhole {
-			m.Message.News.Items = append(m.Message.News.Items, updateItem(a))
+		if m.JobShard == jobShard && m.Message.AttemptReport != nil && !m.Message.AttemptReport.IsFullReport {
+			m.Message.AttemptReport.Items = append(m.Message.AttemptReport.Items, updateItem(a))
 			return
 		}
 	}
-	n := &node.News{Home: jobShard, Rack: r.ID, RackEpoch: r.Epoch, IsComplete: r.IsComplete(), Items: []node.NewsItem{updateItem(a)}}
-	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{jobShard, node.Message{News: n}})
+	n := &node.AttemptReport{JobShard: jobShard, Rack: r.ID, RackEpoch: r.Epoch, IsInventoryComplete: r.IsComplete(), Items: []node.AttemptStatus{updateItem(a)}}
+	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{jobShard, node.Message{AttemptReport: n}})
 }
 
 // resendUpdates sends the ends of attempts again that the job shard has not
@@ -88,7 +88,7 @@
 
 // OnUpdateAck removes the attempts whose end the job shard has recorded, and
 // allows their workers to forget them.
-func (r *Rack) OnUpdateAck(m *node.NewsAck) {
+func (r *Rack) OnUpdateAck(m *node.AttemptReportAck) {
 	forgets := map[worker.ID][]worker.Key{}
 	for _, k := range m.Keys {
 		a := r.assignments[k]
@@ -96,7 +96,7 @@
 			continue
 		}
 		r.removeAssignment(a)
-		r.closedAttemptsOf(m.Home).reasons[k.Attempt] = ""
+		r.closedAttemptsOf(m.JobShard).reasons[k.Attempt] = ""
 		forgets[a.vm.id] = append(forgets[a.vm.id], k)
 	}
 	for _, id := range r.sortedIDs {
--- a/internal/rack/urgent.go
+++ b/internal/rack/urgent.go
@@ -55,7 +55,7 @@
 
 // cheapestPreemption returns the worker on which the cheapest preemption frees
 // enough capacity, and the preemption; nil if there is none.
-func (r *Rack) cheapestPreemption(now time.Time, item *node.AskItem) (*vm, []placement.Preemption) {
+func (r *Rack) cheapestPreemption(now time.Time, item *node.StartItem) (*vm, []placement.Preemption) {
 	var best *vm
 	var bestPreemptions []placement.Preemption
 	bestCost := 0
@@ -143,7 +143,7 @@
 
 func (r *Rack) dropSupersededUrgents(jobShard state.ShardID, epoch uint64) {
 	r.dropUrgentStarts(func(u *urgentStart) bool {
-		return u.start.request.Home == jobShard && u.start.request.HomeEpoch < epoch
+		return u.start.request.JobShard == jobShard && u.start.request.JobShardEpoch < epoch
 	})
 }
 
--- a/internal/rack/usage_test.go
+++ b/internal/rack/usage_test.go
@@ -60,11 +60,11 @@
 	result := simulationResult{}
 	ended := 0
 	for second := 1; second <= maxSeconds && result.finishedAt == 0; second++ {
-		items := []node.AskItem{}
+		items := []node.StartItem{}
 		for i := range waiting {
 			h.attempt++
 			waiting[i].Key.Attempt = h.attempt
-			items = append(items, node.AskItem{Task: waiting[i], Packing: 1})
+			items = append(items, node.StartItem{Task: waiting[i], PackingWeight: 1})
 		}
 		h.requestStarts(items...)
 		h.advanceSeconds(1)
@@ -83,7 +83,7 @@
 				continue
 			}
 			delete(running, key)
-			h.rack.OnUpdateAck(&node.NewsAck{Home: jobShard, Keys: []worker.Key{key}})
+			h.rack.OnUpdateAck(&node.AttemptReportAck{JobShard: jobShard, Keys: []worker.Key{key}})
 			if update.State == worker.StateDone {
 				ended++
 				continue
@@ -143,7 +143,7 @@
 		if change != nil {
 			change(&task)
 		}
-		h.requestStarts(node.AskItem{Task: task})
+		h.requestStarts(node.StartItem{Task: task})
 	}
 	h.advanceSeconds(6)
 }
@@ -206,7 +206,7 @@
 				t.Errorf("got: %d throttled, want some: %v", throttled, want)
 			}
 			for key, n := range h.updates {
-				if n.State != worker.StateCheckpointed || n.IsBlamed {
+				if n.State != worker.StateCheckpointed || n.IsWorkerAtFault {
 					t.Errorf("%s: got: %+v, want: checkpointed and the worker not at fault", key, n)
 				}
 			}
@@ -249,7 +249,7 @@
 		for i := range 40 {
 			task := h.newTask(fmt.Sprint("j", i%5), leverdyke.Resources{MilliCPU: int64(300 + 97*i%1500), MemoryMiB: int64(200 + 61*i%900), Slots: 1}, leverdyke.ClassNormal)
 			task.RunTime = time.Minute * factor / 10
-			h.requestStarts(node.AskItem{Task: task, Packing: 1})
+			h.requestStarts(node.StartItem{Task: task, PackingWeight: 1})
 		}
 		return fmt.Sprint(h.decisions)
 	}
--- a/internal/rack/vmreservation.go
+++ b/internal/rack/vmreservation.go
@@ -27,7 +27,7 @@
 // reserveVMFor reserves a VM for a starved task that found no capacity, or
 // extends its job's reservation. A rack has one such reservation; a task that
 // has waited longer keeps it.
-func (r *Rack) reserveVMFor(now time.Time, item *node.AskItem) {
+func (r *Rack) reserveVMFor(now time.Time, item *node.StartItem) {
 	if !item.IsStarved {
 		return
 	}
@@ -88,7 +88,7 @@
 
 // isReservedAgainst reports whether a task must not use the VM because it is
 // reserved for a starved task. More urgent tasks and services may still use it.
-func (r *Rack) isReservedAgainst(now time.Time, v *vm, item *node.AskItem) bool {
+func (r *Rack) isReservedAgainst(now time.Time, v *vm, item *node.StartItem) bool {
 	if !r.isReserved(now, v) || item.Task.Key.Task.Job == r.reservedVM.job || item.Task.RunTime == 0 {
 		return false
 	}
--- a/internal/rack/vmreservation_test.go
+++ b/internal/rack/vmreservation_test.go
@@ -25,7 +25,7 @@
 func (h *harness) requestStarvedTask(job string, class leverdyke.Class, age time.Duration) worker.Task {
 	h.t.Helper()
 	t := h.newBatchTask(job, leverdyke.Resources{MilliCPU: 4000, MemoryMiB: 1000, Slots: 1}, class, time.Hour)
-	h.requestStarts(node.AskItem{Task: t, Age: age, IsStarved: true})
+	h.requestStarts(node.StartItem{Task: t, Age: age, IsStarved: true})
 	return t
 }
 
@@ -48,14 +48,14 @@
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 1, vmCapacity)
 			for range 4 {
-				h.requestStarts(node.AskItem{Task: h.newBatchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
+				h.requestStarts(node.StartItem{Task: h.newBatchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
 			}
 			if c.hasStarvedTask {
 				h.requestStarvedTask("large", leverdyke.ClassNormal, 20*time.Second)
 			}
 			h.advanceSeconds(4)
 			other := h.newBatchTask("other", small, c.class, c.runTime)
-			h.requestStarts(node.AskItem{Task: other})
+			h.requestStarts(node.StartItem{Task: other})
 			if got := h.answers[other.Key].Worker != ""; got != c.isPlaced {
 				t.Errorf("got: %+v, want: placed %v", h.answers[other.Key], c.isPlaced)
 			}
@@ -72,7 +72,7 @@
 func TestStarvedTaskStartsOnItsReservedVM(t *testing.T) {
 	h := newHarness(t, 2, vmCapacity)
 	for range 8 {
-		h.requestStarts(node.AskItem{Task: h.newBatchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
+		h.requestStarts(node.StartItem{Task: h.newBatchTask("small", small, leverdyke.ClassNormal, 3*time.Second)})
 	}
 	h.requestStarvedTask("large", leverdyke.ClassNormal, 20*time.Second)
 	// This task has waited less, so it does not get the reservation.
@@ -92,12 +92,12 @@
 func TestVMReservationExpiresWithoutFurtherRequests(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
 	for range 4 {
-		h.requestStarts(node.AskItem{Task: h.newBatchTask("small", small, leverdyke.ClassNormal, 2*time.Second)})
+		h.requestStarts(node.StartItem{Task: h.newBatchTask("small", small, leverdyke.ClassNormal, 2*time.Second)})
 	}
 	h.requestStarvedTask("large", leverdyke.ClassNormal, 20*time.Second)
 	h.advanceSeconds(6)
 	other := h.newBatchTask("other", small, leverdyke.ClassNormal, time.Hour)
-	h.requestStarts(node.AskItem{Task: other})
+	h.requestStarts(node.StartItem{Task: other})
 	if got := h.answers[other.Key]; got.Worker == "" {
 		t.Errorf("got: %+v, want: started, since the starved task was not requested again", got)
 	}
--- a/internal/summary/summary.go
+++ b/internal/summary/summary.go
@@ -14,8 +14,8 @@
 )
 
 // IsEqual reports whether two summaries of a rack have the same content.
-func IsEqual(a, b *node.Room) bool {
-	return a.Epoch == b.Epoch && a.Free == b.Free && a.Largest == b.Largest && a.Yield == b.Yield && a.Workers == b.Workers &&
+func IsEqual(a, b *node.RackSummary) bool {
+	return a.Epoch == b.Epoch && a.Free == b.Free && a.Largest == b.Largest && a.Preemptible == b.Preemptible && a.Workers == b.Workers &&
 		slices.Equal(a.Services, b.Services)
 }
 
@@ -23,7 +23,7 @@
 // one last sent to peers that they would decide differently by it: another
 // owner's epoch, other workers or services, or a capacity that has doubled or
 // halved.
-func IsUpdateNeeded(reported, current *node.Room) bool {
+func IsUpdateNeeded(reported, current *node.RackSummary) bool {
 	if reported.Epoch != current.Epoch || reported.Workers != current.Workers || len(reported.Services) != len(current.Services) {
 		return true
 	}
@@ -35,9 +35,9 @@
 	return hasDoubledOrHalved(reported.Free, current.Free) || hasDoubledOrHalved(reported.Largest, current.Largest)
 }
 
-func isServiceChanged(reported, current *node.ServiceRoom) bool {
+func isServiceChanged(reported, current *node.ServiceCapacity) bool {
 	haveSlotsDoubledOrHalved := reported.Slots > 2*current.Slots || current.Slots > 2*reported.Slots
-	return reported.Service != current.Service || haveSlotsDoubledOrHalved || (reported.Yield > 0) != (current.Yield > 0)
+	return reported.Service != current.Service || haveSlotsDoubledOrHalved || (reported.PreemptibleSlots > 0) != (current.PreemptibleSlots > 0)
 }
 
 // hasDoubledOrHalved reports whether an amount has more than doubled or halved
