--- a/cmd/leverdyke-emulator/hunt.go
+++ b/cmd/leverdyke-emulator/hunt.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"github.com/leverdyke/leverdyke/internal/command"
-	"github.com/leverdyke/leverdyke/internal/emulator/play"
+	"github.com/leverdyke/leverdyke/internal/emulator/runner"
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
@@ -103,7 +103,7 @@
 	return h.next - 1, true
 }
 
-func (h *hunt) note(r *play.Result, err error) {
+func (h *hunt) note(r *runner.Result, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
--- a/cmd/leverdyke-emulator/main.go
+++ b/cmd/leverdyke-emulator/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/command"
-	"github.com/leverdyke/leverdyke/internal/emulator/play"
+	"github.com/leverdyke/leverdyke/internal/emulator/runner"
 )
 
 func main() {
@@ -34,7 +34,7 @@
 	second := make(chan os.Signal, 1)
 	signal.Notify(second, os.Interrupt, syscall.SIGTERM)
 	<-second
-	play.KillAll()
+	runner.KillAll()
 	os.Exit(exitSignalled)
 }
 
--- a/cmd/leverdyke-emulator/run.go
+++ b/cmd/leverdyke-emulator/run.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"github.com/leverdyke/leverdyke/internal/emulator/play"
 	"github.com/leverdyke/leverdyke/internal/emulator/report"
+	"github.com/leverdyke/leverdyke/internal/emulator/runner"
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
@@ -63,7 +63,7 @@
 }
 
 // play plays one day. The logs of one that breaks a rule stay where they are to be kept.
-func (o *playOptions) play(ctx context.Context, deployment *scenario.Deployment, day *scenario.Day, seed uint64, progress io.Writer) (*play.Result, error) {
+func (o *playOptions) play(ctx context.Context, deployment *scenario.Deployment, day *scenario.Day, seed uint64, progress io.Writer) (*runner.Result, error) {
 	dir, err := os.MkdirTemp(o.keep, "emulator-")
 	if err != nil {
 		return nil, fmt.Errorf("emulator: %w", err)
@@ -74,7 +74,7 @@
 			_ = os.RemoveAll(dir)
 		}
 	}()
-	p, err := play.New(ctx, play.Options{Deployment: deployment, Day: day, Seed: seed, Binary: o.binary, Dir: dir, Progress: progress})
+	p, err := runner.New(ctx, runner.Options{Deployment: deployment, Day: day, Seed: seed, Binary: o.binary, Dir: dir, Progress: progress})
 	if err != nil {
 		return nil, err
 	}
@@ -92,7 +92,7 @@
 }
 
 // tell prints a result. The error says that a rule was broken.
-func (o *playOptions) tell(w io.Writer, r *play.Result) error {
+func (o *playOptions) tell(w io.Writer, r *runner.Result) error {
 	write := report.Screen
 	if o.isJSON {
 		write = report.JSON
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -11,15 +11,15 @@
 	"strings"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/emulator/play"
 	"github.com/leverdyke/leverdyke/internal/emulator/rules"
+	"github.com/leverdyke/leverdyke/internal/emulator/runner"
 )
 
 // maxTold bounds the violations that a screen tells of each rule.
 const maxTold = 3
 
 // JSON writes a result as one line.
-func JSON(w io.Writer, r *play.Result) error {
+func JSON(w io.Writer, r *runner.Result) error {
 	if err := json.NewEncoder(w).Encode(r); err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
@@ -27,7 +27,7 @@
 }
 
 // Screen writes a result for people.
-func Screen(w io.Writer, r *play.Result) error {
+func Screen(w io.Writer, r *runner.Result) error {
 	b := &strings.Builder{}
 	partial := ""
 	if r.IsPartial {
@@ -50,7 +50,7 @@
 }
 
 // writeRules tells of each rule whether it held, and the first violations.
-func writeRules(b *strings.Builder, r *play.Result) {
+func writeRules(b *strings.Builder, r *runner.Result) {
 	for _, rule := range rules.All {
 		found := []string{}
 		for _, v := range r.Violations {
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -9,15 +9,15 @@
 	"testing"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/emulator/play"
 	"github.com/leverdyke/leverdyke/internal/emulator/report"
 	"github.com/leverdyke/leverdyke/internal/emulator/rules"
+	"github.com/leverdyke/leverdyke/internal/emulator/runner"
 )
 
-func result() *play.Result {
-	return &play.Result{
+func result() *runner.Result {
+	return &runner.Result{
 		Deployment: "small", Day: "calm", Seed: 3, Length: time.Minute,
-		Kinds:      []play.KindResult{{Name: "check", Came: 7, Accepted: 6, Refused: 1, Succeeded: 6, Answers: play.Times{Most: 12 * time.Millisecond}}},
+		Kinds:      []runner.KindResult{{Name: "check", Came: 7, Accepted: 6, Refused: 1, Succeeded: 6, Answers: runner.Times{Most: 12 * time.Millisecond}}},
 		Violations: []rules.Violation{{Rule: rules.Ends, At: 2 * time.Second, What: "job 1 has not ended"}},
 	}
 }
@@ -39,7 +39,7 @@
 	if err := report.JSON(b, result()); err != nil {
 		t.Fatal(err)
 	}
-	got := play.Result{}
+	got := runner.Result{}
 	if err := json.Unmarshal([]byte(b.String()), &got); err != nil || strings.Count(b.String(), "\n") != 1 {
 		t.Fatalf("got: %q, %v, want: one line of JSON", b, err)
 	}
--- a/internal/emulator/play/play.go
+++ b/internal/emulator/runner/runner.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package play plays a day on a deployment: the nodes are processes of the product, all else is the
+// Package runner plays a day on a deployment: the nodes are processes of the product, all else is the
 // emulator's.
-package play
+package runner
 
 import (
 	"context"
--- a/internal/integration/emulator_test.go
+++ b/internal/integration/emulator_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/emulator/play"
+	"github.com/leverdyke/leverdyke/internal/emulator/runner"
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := play.New(t.Context(), play.Options{Deployment: deployment, Day: shortDay(), Seed: 1, Binary: binary, Dir: t.TempDir()})
+	p, err := runner.New(t.Context(), runner.Options{Deployment: deployment, Day: shortDay(), Seed: 1, Binary: binary, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,14 +59,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := play.Options{Deployment: deployment, Day: shortDay(), Binary: filepath.Join(t.TempDir(), "nothing"), Dir: t.TempDir()}
-	if _, err := play.New(t.Context(), o); !errors.Is(err, fs.ErrNotExist) {
+	o := runner.Options{Deployment: deployment, Day: shortDay(), Binary: filepath.Join(t.TempDir(), "nothing"), Dir: t.TempDir()}
+	if _, err := runner.New(t.Context(), o); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("without a program: got: %v, want: %v", err, fs.ErrNotExist)
 	}
 	if err := os.WriteFile(o.Binary, []byte("#!/bin/sh\necho no licence today\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := play.New(t.Context(), o); err == nil || !strings.Contains(err.Error(), "ended by itself: no licence today") {
+	if _, err := runner.New(t.Context(), o); err == nil || !strings.Contains(err.Error(), "ended by itself: no licence today") {
 		t.Errorf("a node that ends at once: got: %v, want: an error with its last line", err)
 	}
 }
