--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -55,7 +55,7 @@
 		found := []string{}
 		for _, v := range r.Violations {
 			if v.Rule == rule {
-				found = append(found, fmt.Sprintf("%10s  %s", short(v.At), v.What))
+				found = append(found, fmt.Sprintf("%10s  %s", short(v.At), v.Description))
 			}
 		}
 		verdict := "held"
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -18,7 +18,7 @@
 	return &runner.Result{
 		Deployment: "small", Day: "calm", Seed: 3, Length: time.Minute,
 		Kinds:      []runner.KindResult{{Name: "check", Came: 7, Accepted: 6, Refused: 1, Succeeded: 6, Answers: runner.Times{Most: 12 * time.Millisecond}}},
-		Violations: []rules.Violation{{Rule: rules.Ends, At: 2 * time.Second, What: "job 1 has not ended"}},
+		Violations: []rules.Violation{{Rule: rules.JobsEnd, At: 2 * time.Second, Description: "job 1 has not ended"}},
 	}
 }
 
--- a/internal/emulator/rules/rules.go
+++ b/internal/emulator/rules/rules.go
@@ -13,24 +13,24 @@
 // The rules. docs/EMULATOR.md tells each in full.
 const (
 	// Promises are those that the workers see: one run at a time, room, once only, states that stay.
-	Promises Rule = "promises"
+	WorkerInvariants Rule = "promises"
 	// Ends: each accepted job that does not last ends well once the day is over.
-	Ends Rule = "ends"
+	JobsEnd Rule = "ends"
 	// Lasting: each task that lasts runs again in time while there is room.
-	Lasting Rule = "lasting"
+	LongRunning Rule = "lasting"
 	// NotRun: a job of which each answer was a refusal never runs.
-	NotRun Rule = "not-run"
+	RefusedNotRun Rule = "not-run"
 	// Cancelled: nothing of a job runs for long after its cancelling was answered.
-	Cancelled Rule = "cancelled"
+	CancelledStops Rule = "cancelled"
 )
 
 // All are the rules, in the order in which they are told.
-var All = []Rule{Promises, Ends, Lasting, NotRun, Cancelled}
+var All = []Rule{WorkerInvariants, JobsEnd, LongRunning, RefusedNotRun, CancelledStops}
 
 // Violation is a rule that was broken.
 type Violation struct {
 	Rule Rule `json:"rule"`
 	// At is the time since the begin of the day.
-	At   time.Duration `json:"at"`
-	What string        `json:"what"`
+	At          time.Duration `json:"at"`
+	Description string        `json:"what"`
 }
--- a/internal/emulator/runner/callers.go
+++ b/internal/emulator/runner/callers.go
@@ -170,7 +170,7 @@
 		return
 	}
 	name := fmt.Sprintf("%s.0.%d", job, i)
-	p.watch.Add(rules.LastingStep{Name: name, Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB}, p.now())
+	p.watch.Add(rules.LongRunningStep{Name: name, Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB}, p.now())
 }
 
 // cancel cancels a job, trying again until a node answers.
@@ -242,6 +242,6 @@
 		t.note(func(r *KindResult) { r.Cancelled++ })
 	default:
 		t.note(func(r *KindResult) { r.Failed++ })
-		p.found = append(p.found, rules.Violation{Rule: rules.Ends, At: p.now(), What: fmt.Sprintf("job %s of %s is shown as %s, and none of its tasks failed", j.id, j.kind.Name, state)})
+		p.found = append(p.found, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s is shown as %s, and none of its tasks failed", j.id, j.kind.Name, state)})
 	}
 }
--- a/internal/emulator/runner/faults.go
+++ b/internal/emulator/runner/faults.go
@@ -45,7 +45,7 @@
 func (p *Player) begin(f *scenario.Fault) {
 	p.mu.Lock()
 	p.faults++
-	p.calm.Disturb(p.now(), p.now()+f.For+aftermath)
+	p.calm.Add(p.now(), p.now()+f.For+aftermath)
 	p.mu.Unlock()
 	count := max(f.Count, 1)
 	switch f.Kind {
@@ -175,6 +175,6 @@
 		p.endDue(time.Duration(1<<62 - 1))
 	}
 	p.mu.Lock()
-	p.calm.Disturb(p.now(), p.now())
+	p.calm.Add(p.now(), p.now())
 	p.mu.Unlock()
 }
--- a/internal/emulator/runner/monitor.go
+++ b/internal/emulator/runner/monitor.go
@@ -32,18 +32,18 @@
 	workers := []rules.Worker{}
 	for _, s := range p.site.Snapshot() {
 		workers = append(workers, rules.Worker{
-			ID: s.ID, IsTaking: s.IsTaking, FreeMilliCPU: s.FreeMilliCPU, FreeMemoryMiB: s.FreeMemoryMiB, Running: s.Running,
+			ID: s.ID, IsAccepting: s.IsTaking, FreeMilliCPU: s.FreeMilliCPU, FreeMemoryMiB: s.FreeMemoryMiB, Running: s.Running,
 		})
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.found = append(p.found, p.watch.Look(p.now(), workers, &p.calm)...)
-	p.found = append(p.found, p.stopped.Look(p.now(), workers, &p.calm)...)
+	p.found = append(p.found, p.watch.Check(p.now(), workers, &p.calm)...)
+	p.found = append(p.found, p.stopped.Check(p.now(), workers, &p.calm)...)
 	for _, n := range p.nodes {
 		// One that is down may be starting again.
 		if !n.isDown && n.HasEnded() {
 			n.isDown = true
-			p.found = append(p.found, rules.Violation{Rule: rules.Promises, At: p.now(), What: n.Name + " ended by itself: " + lastLine(n.Log())})
+			p.found = append(p.found, rules.Violation{Rule: rules.WorkerInvariants, At: p.now(), Description: n.Name + " ended by itself: " + lastLine(n.Log())})
 		}
 	}
 }
--- a/internal/emulator/runner/runner.go
+++ b/internal/emulator/runner/runner.go
@@ -44,9 +44,9 @@
 	mu sync.Mutex
 	// rng is used by the callers and by the faults, each under the lock.
 	rng     *rand.Rand
-	calm    rules.Calm
-	watch   *rules.LastingWatch
-	stopped rules.CancelledWatch
+	calm    rules.FaultWindows
+	watch   *rules.LongRunningChecker
+	stopped rules.CancelledChecker
 	found   []rules.Violation
 	open    []*openJob
 	refused []string
@@ -84,7 +84,7 @@
 		return nil, fmt.Errorf("play: %w", err)
 	}
 	p := &Player{
-		options: o, site: s, rng: rand.New(rand.NewPCG(o.Seed, 1)), watch: rules.NewLastingWatch(s.Permits), tallies: map[string]*tally{}, version: 1,
+		options: o, site: s, rng: rand.New(rand.NewPCG(o.Seed, 1)), watch: rules.NewLongRunningChecker(s.Permits), tallies: map[string]*tally{}, version: 1,
 		born: d.Workers.Count,
 	}
 	for i := range d.Jobs {
@@ -216,24 +216,24 @@
 	d := p.options
 	r := &Result{
 		Deployment: d.Deployment.Name, Day: d.Day.Name, Seed: d.Seed, Length: p.now(), Faults: p.faults, Starts: p.site.Starts(),
-		LongestAway: p.watch.Longest(), Violations: slices.Clone(p.found), IsPartial: errors.Is(ctx.Err(), context.Canceled),
+		LongestAway: p.watch.LongestOutage(), Violations: slices.Clone(p.found), IsPartial: errors.Is(ctx.Err(), context.Canceled),
 	}
 	for i := range d.Deployment.Jobs {
 		r.Kinds = append(r.Kinds, p.tallies[d.Deployment.Jobs[i].Name].take())
 	}
 	for _, what := range p.site.Broken() {
-		r.Violations = append(r.Violations, rules.Violation{Rule: rules.Promises, At: p.now(), What: what})
+		r.Violations = append(r.Violations, rules.Violation{Rule: rules.WorkerInvariants, At: p.now(), Description: what})
 	}
 	for _, id := range p.refused {
 		if p.site.HasRun(id) {
-			r.Violations = append(r.Violations, rules.Violation{Rule: rules.NotRun, At: p.now(), What: "job " + id + " ran though each answer said that it was not taken"})
+			r.Violations = append(r.Violations, rules.Violation{Rule: rules.RefusedNotRun, At: p.now(), Description: "job " + id + " ran though each answer said that it was not taken"})
 		}
 	}
 	if r.IsPartial {
 		return r
 	}
 	for _, j := range p.open {
-		r.Violations = append(r.Violations, rules.Violation{Rule: rules.Ends, At: p.now(), What: fmt.Sprintf("job %s of %s has not ended %v after the day", j.id, j.kind.Name, endPatience)})
+		r.Violations = append(r.Violations, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s has not ended %v after the day", j.id, j.kind.Name, endPatience)})
 	}
 	return r
 }
--- a/internal/integration/emulator_test.go
+++ b/internal/integration/emulator_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	for _, v := range r.Violations {
-		t.Errorf("rule %s is broken at %v: %s", v.Rule, v.At, v.What)
+		t.Errorf("rule %s is broken at %v: %s", v.Rule, v.At, v.Description)
 	}
 	for _, k := range r.Kinds {
 		if k.Came != k.Accepted+k.Refused+k.Unknown || k.Accepted == 0 {
