--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -37,10 +37,10 @@
 	fmt.Fprintf(b, "%-14s %6s %9s %8s %8s %10s %7s %10s %10s %10s %10s\n", "jobs", "came", "accepted", "refused", "unknown", "succeeded", "failed", "cancelled", "answer p50", "answer p99", "end p99")
 	for i := range r.Kinds {
 		k := &r.Kinds[i]
-		fmt.Fprintf(b, "%-14s %6d %9d %8d %8d %10d %7d %10d %10s %10s %10s\n", k.Name, k.Came, k.Accepted, k.Refused, k.Unknown, k.Succeeded, k.Failed, k.Cancelled,
-			short(k.Answers.Half), short(k.Answers.Most), short(k.Ends.Most))
+		fmt.Fprintf(b, "%-14s %6d %9d %8d %8d %10d %7d %10d %10s %10s %10s\n", k.Name, k.Arrived, k.Accepted, k.Refused, k.Unknown, k.Succeeded, k.Failed, k.Cancelled,
+			short(k.SubmitLatency.P50), short(k.SubmitLatency.P99), short(k.CompletionTime.P99))
 	}
-	fmt.Fprintf(b, "\ntasks that last: away for %s at most\n", short(r.LongestAway))
+	fmt.Fprintf(b, "\ntasks that last: away for %s at most\n", short(r.LongestOutage))
 	writeRules(b, r)
 	_, err := io.WriteString(w, b.String())
 	if err != nil {
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -17,7 +17,7 @@
 func result() *runner.Result {
 	return &runner.Result{
 		Deployment: "small", Day: "calm", Seed: 3, Length: time.Minute,
-		Kinds:      []runner.KindResult{{Name: "check", Came: 7, Accepted: 6, Refused: 1, Succeeded: 6, Answers: runner.Times{Most: 12 * time.Millisecond}}},
+		Kinds:      []runner.KindResult{{Name: "check", Arrived: 7, Accepted: 6, Refused: 1, Succeeded: 6, SubmitLatency: runner.Quantiles{P99: 12 * time.Millisecond}}},
 		Violations: []rules.Violation{{Rule: rules.JobsEnd, At: 2 * time.Second, Description: "job 1 has not ended"}},
 	}
 }
@@ -43,7 +43,7 @@
 	if err := json.Unmarshal([]byte(b.String()), &got); err != nil || strings.Count(b.String(), "\n") != 1 {
 		t.Fatalf("got: %q, %v, want: one line of JSON", b, err)
 	}
-	if got.Seed != 3 || len(got.Violations) != 1 || got.Kinds[0].Came != 7 {
+	if got.Seed != 3 || len(got.Violations) != 1 || got.Kinds[0].Arrived != 7 {
 		t.Errorf("got: %+v, want: the result", got)
 	}
 }
--- a/internal/emulator/runner/callers.go
+++ b/internal/emulator/runner/callers.go
@@ -18,32 +18,32 @@
 const (
 	// callerPatience is how long a caller tries to hand in a job, tryPause the pause between two
 	// tries, and tryTime how long one may take.
-	callerPatience = 3 * time.Second
-	tryPause       = 300 * time.Millisecond
-	tryTime        = time.Second
+	submitTimeout  = 3 * time.Second
+	retryInterval  = 300 * time.Millisecond
+	requestTimeout = time.Second
 	// askPause is the time between two rounds in which callers ask for their jobs, askers how many
 	// ask at once.
-	askPause = 60 * time.Millisecond
-	askers   = 8
+	jobPollInterval = 60 * time.Millisecond
+	pollConcurrency = 8
 	// cancelPause is how long after a job was taken its caller cancels it.
-	cancelPause = 400 * time.Millisecond
+	cancelDelay = 400 * time.Millisecond
 )
 
 // openJob is an accepted job that was not shown as over yet.
 type openJob struct {
-	id     string
-	kind   *scenario.JobKind
-	cameAt time.Duration
+	id        string
+	kind      *scenario.JobKind
+	arrivedAt time.Duration
 	// isLasting means that it does not end by itself.
-	isLasting bool
+	isLongRunning bool
 }
 
 // handInFirst hands in the jobs that are there before the day.
-func (p *Player) handInFirst(ctx context.Context) error {
+func (p *Runner) submitInitial(ctx context.Context) error {
 	for i := range p.options.Deployment.Jobs {
 		k := &p.options.Deployment.Jobs[i]
 		for range k.AtStart {
-			if !p.handIn(ctx, k) {
+			if !p.submitWithRetry(ctx, k) {
 				return fmt.Errorf("play: no node takes a job of %s before the day", k.Name)
 			}
 		}
@@ -52,81 +52,81 @@
 }
 
 // runArrivals lets jobs of a kind come while the day lasts, whether earlier ones are answered or not.
-func (p *Player) runArrivals(day, ctx context.Context, k *scenario.JobKind) {
+func (p *Runner) runArrivals(arrivals, ctx context.Context, k *scenario.JobKind) {
 	wg := sync.WaitGroup{}
 	defer wg.Wait()
 	if k.PerSecond <= 0 {
 		return
 	}
-	for pause(day, p.drawPause(k.PerSecond)) {
-		wg.Go(func() { p.handIn(ctx, k) })
+	for sleep(arrivals, p.drawInterarrivalTime(k.PerSecond)) {
+		wg.Go(func() { p.submitWithRetry(ctx, k) })
 	}
 }
 
-func (p *Player) drawPause(perSecond float64) time.Duration {
+func (p *Runner) drawInterarrivalTime(perSecond float64) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Duration(p.rng.ExpFloat64() / perSecond * float64(time.Second))
 }
 
 // handIn hands in a job of a kind at one node after the other, and reports whether it was taken.
-func (p *Player) handIn(ctx context.Context, k *scenario.JobKind) bool {
-	came := p.now()
-	t := p.tallies[k.Name]
-	job, isCancelled := p.draw(k)
-	t.note(func(r *KindResult) { r.Came++ })
+func (p *Runner) submitWithRetry(ctx context.Context, k *scenario.JobKind) bool {
+	arrivedAt := p.now()
+	counter := p.counters[k.Name]
+	job, isCancelled := p.drawJob(k)
+	counter.update(func(r *KindResult) { r.Arrived++ })
 	isRefused := true
-	for p.now()-came < callerPatience {
-		outcome := p.try(ctx, job)
+	for p.now()-arrivedAt < submitTimeout {
+		outcome := p.submitOnce(ctx, job)
 		if outcome == site.OutcomeAccepted {
-			t.note(func(r *KindResult) { r.Accepted++ })
-			t.took(t.answers, p.now()-came)
-			p.accepted(ctx, k, job, came, isCancelled)
+			counter.update(func(r *KindResult) { r.Accepted++ })
+			counter.record(counter.submitLatency, p.now()-arrivedAt)
+			p.handleAccepted(ctx, k, job, arrivedAt, isCancelled)
 			return true
 		}
 		isRefused = isRefused && outcome == site.OutcomeRefused
-		if !pause(ctx, tryPause) {
+		if !sleep(ctx, retryInterval) {
 			break
 		}
 	}
 	if isRefused {
-		t.note(func(r *KindResult) { r.Refused++ })
+		counter.update(func(r *KindResult) { r.Refused++ })
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.refused = append(p.refused, job.ID)
+		p.refusedJobs = append(p.refusedJobs, job.ID)
 		return false
 	}
-	t.note(func(r *KindResult) { r.Unknown++ })
+	counter.update(func(r *KindResult) { r.Unknown++ })
 	return false
 }
 
-func (p *Player) try(ctx context.Context, job *site.Job) site.Outcome {
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+func (p *Runner) submitOnce(ctx context.Context, job *site.Job) site.Outcome {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	outcome, err := p.site.Submit(ctx, p.anyNode(), job)
+	outcome, err := p.site.Submit(ctx, p.randomNode(), job)
 	if err != nil {
 		return site.OutcomeUnknown
 	}
 	return outcome
 }
 
-func (p *Player) anyNode() *site.Node {
+func (p *Runner) randomNode() *site.Node {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.nodes[p.rng.IntN(len(p.nodes))].Node
 }
 
 // draw draws a job of a kind, and whether its caller will cancel it.
-func (p *Player) draw(k *scenario.JobKind) (*site.Job, bool) {
+func (p *Runner) drawJob(k *scenario.JobKind) (*site.Job, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.nextID++
-	job := &site.Job{ID: fmt.Sprintf("%016x", p.nextID)}
+	p.lastJobID++
+	job := &site.Job{ID: fmt.Sprintf("%016x", p.lastJobID)}
 	for i := range k.Steps {
 		s := &k.Steps[i]
 		step := site.Step{Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB, Takes: s.Takes, Lasts: s.Lasts}
 		if s.Varies {
-			step.Tasks = p.drawCount(s.Tasks)
+			step.Tasks = p.drawTaskCount(s.Tasks)
 		}
 		if i > 0 {
 			step.After = []int{i - 1}
@@ -137,7 +137,7 @@
 }
 
 // drawCount draws from a geometric distribution, of four times its mean at most.
-func (p *Player) drawCount(mean int) int {
+func (p *Runner) drawTaskCount(mean int) int {
 	if mean <= 1 {
 		return 1
 	}
@@ -146,102 +146,102 @@
 }
 
 // accepted takes a job that was taken.
-func (p *Player) accepted(ctx context.Context, k *scenario.JobKind, job *site.Job, came time.Duration, isCancelled bool) {
-	open := &openJob{id: job.ID, kind: k, cameAt: came}
+func (p *Runner) handleAccepted(ctx context.Context, k *scenario.JobKind, job *site.Job, arrivedAt time.Duration, isCancelled bool) {
+	open := &openJob{id: job.ID, kind: k, arrivedAt: arrivedAt}
 	p.mu.Lock()
 	for i := range job.Steps {
 		if s := &job.Steps[i]; s.Lasts {
-			open.isLasting = true
-			p.watchStep(job.ID, i, s, isCancelled)
+			open.isLongRunning = true
+			p.monitorStep(job.ID, i, s, isCancelled)
 		}
 	}
-	if !open.isLasting || isCancelled {
-		p.open = append(p.open, open)
+	if !open.isLongRunning || isCancelled {
+		p.openJobs = append(p.openJobs, open)
 	}
 	p.mu.Unlock()
-	if isCancelled && pause(ctx, cancelPause) {
+	if isCancelled && sleep(ctx, cancelDelay) {
 		p.cancel(ctx, open)
 	}
 }
 
 // watchStep watches a step of tasks that last, unless its job is about to be cancelled.
-func (p *Player) watchStep(job string, i int, s *site.Step, isCancelled bool) {
+func (p *Runner) monitorStep(job string, i int, s *site.Step, isCancelled bool) {
 	if isCancelled {
 		return
 	}
 	name := fmt.Sprintf("%s.0.%d", job, i)
-	p.watch.Add(rules.LongRunningStep{Name: name, Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB}, p.now())
+	p.longRunning.Add(rules.LongRunningStep{Name: name, Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB}, p.now())
 }
 
 // cancel cancels a job, trying again until a node answers.
-func (p *Player) cancel(ctx context.Context, j *openJob) {
+func (p *Runner) cancel(ctx context.Context, j *openJob) {
 	for {
-		try, done := context.WithTimeout(ctx, tryTime)
-		outcome := p.anyNode().Cancel(try, j.id)
-		done()
+		attempt, cancelAttempt := context.WithTimeout(ctx, requestTimeout)
+		outcome := p.randomNode().Cancel(attempt, j.id)
+		cancelAttempt()
 		if outcome == site.OutcomeAccepted {
 			break
 		}
-		if !pause(ctx, tryPause) {
+		if !sleep(ctx, retryInterval) {
 			return
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stopped.Add(j.id, p.now())
+	p.cancelled.Add(j.id, p.now())
 }
 
 // runAsks asks for the states of open jobs.
-func (p *Player) runAsks(ctx context.Context) {
-	for pause(ctx, askPause) {
-		p.askAll(ctx)
+func (p *Runner) pollJobs(ctx context.Context) {
+	for sleep(ctx, jobPollInterval) {
+		p.pollOpenJobs(ctx)
 	}
 }
 
-func (p *Player) askAll(ctx context.Context) {
+func (p *Runner) pollOpenJobs(ctx context.Context) {
 	p.mu.Lock()
-	jobs := append([]*openJob{}, p.open...)
+	jobs := append([]*openJob{}, p.openJobs...)
 	p.mu.Unlock()
 	wg := sync.WaitGroup{}
-	for k := range askers {
+	for k := range pollConcurrency {
 		wg.Go(func() {
-			for i := k; i < len(jobs); i += askers {
-				p.ask(ctx, jobs[i])
+			for i := k; i < len(jobs); i += pollConcurrency {
+				p.pollJob(ctx, jobs[i])
 			}
 		})
 	}
 	wg.Wait()
 }
 
-func (p *Player) ask(ctx context.Context, j *openJob) {
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+func (p *Runner) pollJob(ctx context.Context, j *openJob) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	state, ok := p.site.StateOf(ctx, p.anyNode(), j.id)
+	state, ok := p.site.StateOf(ctx, p.randomNode(), j.id)
 	if !ok || !site.IsFinal(state) {
 		return
 	}
-	p.ended(j, state)
+	p.handleEnded(j, state)
 }
 
 // ended takes that a job was shown as over.
-func (p *Player) ended(j *openJob, state string) {
+func (p *Runner) handleEnded(j *openJob, state string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for i, o := range p.open {
-		if o == j {
-			p.open = append(p.open[:i:i], p.open[i+1:]...)
+	for i, open := range p.openJobs {
+		if open == j {
+			p.openJobs = append(p.openJobs[:i:i], p.openJobs[i+1:]...)
 			break
 		}
 	}
-	t := p.tallies[j.kind.Name]
+	counter := p.counters[j.kind.Name]
 	switch state {
 	case site.Succeeded:
-		t.note(func(r *KindResult) { r.Succeeded++ })
-		t.took(t.ends, p.now()-j.cameAt)
+		counter.update(func(r *KindResult) { r.Succeeded++ })
+		counter.record(counter.completionTime, p.now()-j.arrivedAt)
 	case "cancelled":
-		t.note(func(r *KindResult) { r.Cancelled++ })
+		counter.update(func(r *KindResult) { r.Cancelled++ })
 	default:
-		t.note(func(r *KindResult) { r.Failed++ })
-		p.found = append(p.found, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s is shown as %s, and none of its tasks failed", j.id, j.kind.Name, state)})
+		counter.update(func(r *KindResult) { r.Failed++ })
+		p.violations = append(p.violations, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s is shown as %s, and none of its tasks failed", j.id, j.kind.Name, state)})
 	}
 }
--- a/internal/emulator/runner/monitor.go
+++ b/internal/emulator/runner/monitor.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	watchPause    = 100 * time.Millisecond
-	progressPause = 5 * time.Second
+	checkInterval    = 100 * time.Millisecond
+	progressInterval = 5 * time.Second
 )
 
 // runWatch looks at the workers and the nodes, and tells how far the play is.
-func (p *Player) runWatch(ctx context.Context) {
-	told := time.Now()
-	for pause(ctx, watchPause) {
-		p.look()
-		if time.Since(told) >= progressPause {
-			told = time.Now()
-			p.tellProgress()
+func (p *Runner) runMonitor(ctx context.Context) {
+	printedAt := time.Now()
+	for sleep(ctx, checkInterval) {
+		p.checkRules()
+		if time.Since(printedAt) >= progressInterval {
+			printedAt = time.Now()
+			p.printProgress()
 		}
 	}
 }
 
-func (p *Player) look() {
+func (p *Runner) checkRules() {
 	workers := []rules.Worker{}
 	for _, s := range p.site.Snapshot() {
 		workers = append(workers, rules.Worker{
@@ -37,21 +37,21 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.found = append(p.found, p.watch.Check(p.now(), workers, &p.calm)...)
-	p.found = append(p.found, p.stopped.Check(p.now(), workers, &p.calm)...)
+	p.violations = append(p.violations, p.longRunning.Check(p.now(), workers, &p.faultWindows)...)
+	p.violations = append(p.violations, p.cancelled.Check(p.now(), workers, &p.faultWindows)...)
 	for _, n := range p.nodes {
 		// One that is down may be starting again.
 		if !n.isDown && n.HasEnded() {
 			n.isDown = true
-			p.found = append(p.found, rules.Violation{Rule: rules.WorkerInvariants, At: p.now(), Description: n.Name + " ended by itself: " + lastLine(n.Log())})
+			p.violations = append(p.violations, rules.Violation{Rule: rules.WorkerInvariants, At: p.now(), Description: n.Name + " ended by itself: " + lastLine(n.Log())})
 		}
 	}
 }
 
-func (p *Player) tellProgress() {
+func (p *Runner) printProgress() {
 	p.mu.Lock()
-	open, faults, broken := len(p.open), p.faults, len(p.found)
+	open, faults, violations := len(p.openJobs), p.faultCount, len(p.violations)
 	p.mu.Unlock()
 	_, _ = fmt.Fprintf(p.options.Progress, "%6v  %d faults played, %d jobs open, %d starts, %d rules broken\n",
-		p.now().Round(time.Second), faults, open, p.site.Starts(), broken)
+		p.now().Round(time.Second), faults, open, p.site.Starts(), violations)
 }
--- a/internal/emulator/runner/result.go
+++ b/internal/emulator/runner/result.go
@@ -23,8 +23,8 @@
 	Starts int          `json:"starts"`
 	Kinds  []KindResult `json:"kinds"`
 	// LongestAway is the longest time for which nothing of a task that lasts ran.
-	LongestAway time.Duration     `json:"longestAway"`
-	Violations  []rules.Violation `json:"violations"`
+	LongestOutage time.Duration     `json:"longestAway"`
+	Violations    []rules.Violation `json:"violations"`
 	// IsPartial means that the play was ended before its time.
 	IsPartial bool `json:"isPartial"`
 }
@@ -34,7 +34,7 @@
 	Name string `json:"name"`
 	// Came is how many jobs came. Accepted, Refused and Unknown are what became of handing them in:
 	// Refused only where each answer was a refusal.
-	Came     int `json:"came"`
+	Arrived  int `json:"came"`
 	Accepted int `json:"accepted"`
 	Refused  int `json:"refused"`
 	Unknown  int `json:"unknown"`
@@ -44,53 +44,53 @@
 	Cancelled int `json:"cancelled"`
 	// Answers are the times to the answer that took the job, Ends those until it was shown as
 	// succeeded, both from when it came.
-	Answers Times `json:"answers"`
-	Ends    Times `json:"ends"`
+	SubmitLatency  Quantiles `json:"answers"`
+	CompletionTime Quantiles `json:"ends"`
 }
 
 // Times are quantiles.
-type Times struct {
-	Half time.Duration `json:"p50"`
-	Most time.Duration `json:"p99"`
-	Max  time.Duration `json:"max"`
+type Quantiles struct {
+	P50 time.Duration `json:"p50"`
+	P99 time.Duration `json:"p99"`
+	Max time.Duration `json:"max"`
 }
 
 // tally counts one kind while jobs come. It is safe for concurrent use.
-type tally struct {
-	mu            sync.Mutex
-	result        KindResult
-	answers, ends *hdrhistogram.Histogram
+type kindCounter struct {
+	mu                            sync.Mutex
+	result                        KindResult
+	submitLatency, completionTime *hdrhistogram.Histogram
 }
 
 // longestTime is the longest that a histogram tells apart.
-const longestTime = 10 * time.Minute
+const maxRecordedTime = 10 * time.Minute
 
-func newTally(name string) *tally {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, longestTime.Microseconds(), 3) }
-	return &tally{result: KindResult{Name: name}, answers: h(), ends: h()}
+func newKindCounter(name string) *kindCounter {
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxRecordedTime.Microseconds(), 3) }
+	return &kindCounter{result: KindResult{Name: name}, submitLatency: newHistogram(), completionTime: newHistogram()}
 }
 
-func (t *tally) note(change func(*KindResult)) {
+func (t *kindCounter) update(change func(*KindResult)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	change(&t.result)
 }
 
-func (t *tally) took(h *hdrhistogram.Histogram, d time.Duration) {
+func (t *kindCounter) record(h *hdrhistogram.Histogram, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	_ = h.RecordValue(min(d, longestTime).Microseconds())
+	_ = h.RecordValue(min(d, maxRecordedTime).Microseconds())
 }
 
-func (t *tally) take() KindResult {
+func (t *kindCounter) snapshot() KindResult {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.result
-	r.Answers, r.Ends = timesOf(t.answers), timesOf(t.ends)
+	r.SubmitLatency, r.CompletionTime = quantilesOf(t.submitLatency), quantilesOf(t.completionTime)
 	return r
 }
 
-func timesOf(h *hdrhistogram.Histogram) Times {
+func quantilesOf(h *hdrhistogram.Histogram) Quantiles {
 	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
-	return Times{at(50), at(99), time.Duration(h.Max()) * time.Microsecond}
+	return Quantiles{at(50), at(99), time.Duration(h.Max()) * time.Microsecond}
 }
--- a/internal/emulator/runner/runner.go
+++ b/internal/emulator/runner/runner.go
@@ -34,42 +34,42 @@
 }
 
 // Player plays one day. It is used once.
-type Player struct {
-	options Options
-	site    *site.Site
-	nodes   []*node
-	tallies map[string]*tally
-	began   time.Time
+type Runner struct {
+	options   Options
+	site      *site.Site
+	nodes     []*node
+	counters  map[string]*kindCounter
+	startedAt time.Time
 
 	mu sync.Mutex
 	// rng is used by the callers and by the faults, each under the lock.
-	rng     *rand.Rand
-	calm    rules.FaultWindows
-	watch   *rules.LongRunningChecker
-	stopped rules.CancelledChecker
-	found   []rules.Violation
-	open    []*openJob
-	refused []string
-	nextID  int
+	rng          *rand.Rand
+	faultWindows rules.FaultWindows
+	longRunning  *rules.LongRunningChecker
+	cancelled    rules.CancelledChecker
+	violations   []rules.Violation
+	openJobs     []*openJob
+	refusedJobs  []string
+	lastJobID    int
 	// faults counts those that were played.
-	faults  int
-	version int
-	born    int
-	ends    []end
+	faultCount    int
+	configVersion int
+	lastWorker    int
+	faultEnds     []faultEnd
 }
 
 const (
 	// readyPatience is how long nodes may take until all are ready.
-	readyPatience = 30 * time.Second
-	pollPause     = 50 * time.Millisecond
+	readyTimeout = 30 * time.Second
+	pollInterval = 50 * time.Millisecond
 	// endPatience is how long jobs may take to end once all is healed.
-	endPatience = 40 * time.Second
+	jobEndTimeout = 40 * time.Second
 	// settleTime is how long tasks that last are watched once all is healed.
-	settleTime = 17 * time.Second
+	observationTime = 17 * time.Second
 )
 
 // New starts the stand-ins and the nodes of a deployment. Close must be called.
-func New(ctx context.Context, o Options) (*Player, error) {
+func New(ctx context.Context, o Options) (*Runner, error) {
 	if o.Progress == nil {
 		o.Progress = io.Discard
 	}
@@ -83,12 +83,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("play: %w", err)
 	}
-	p := &Player{
-		options: o, site: s, rng: rand.New(rand.NewPCG(o.Seed, 1)), watch: rules.NewLongRunningChecker(s.Permits), tallies: map[string]*tally{}, version: 1,
-		born: d.Workers.Count,
+	p := &Runner{
+		options: o, site: s, rng: rand.New(rand.NewPCG(o.Seed, 1)), longRunning: rules.NewLongRunningChecker(s.Permits), counters: map[string]*kindCounter{}, configVersion: 1,
+		lastWorker: d.Workers.Count,
 	}
 	for i := range d.Jobs {
-		p.tallies[d.Jobs[i].Name] = newTally(d.Jobs[i].Name)
+		p.counters[d.Jobs[i].Name] = newKindCounter(d.Jobs[i].Name)
 	}
 	if err := p.startNodes(ctx); err != nil {
 		p.Close()
@@ -98,7 +98,7 @@
 }
 
 // Close ends the nodes and the stand-ins.
-func (p *Player) Close() {
+func (p *Runner) Close() {
 	for _, n := range p.nodes {
 		n.Kill()
 	}
@@ -108,8 +108,8 @@
 // KillAll ends the nodes of all plays at once.
 func KillAll() { site.KillAll() }
 
-func (p *Player) startNodes(ctx context.Context) error {
-	p.site.Configure(p.version)
+func (p *Runner) startNodes(ctx context.Context) error {
+	p.site.Configure(p.configVersion)
 	for i := range p.options.Deployment.Nodes.Count {
 		n, err := p.site.NewNode(p.options.Binary, p.options.Dir, i)
 		if err != nil {
@@ -133,13 +133,13 @@
 }
 
 func (n *node) awaitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyPatience)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for !n.IsReady(ctx) {
 		if n.HasEnded() {
 			return fmt.Errorf("play: %s ended by itself: %s", n.Name, lastLine(n.Log()))
 		}
-		if !pause(ctx, pollPause) {
+		if !sleep(ctx, pollInterval) {
 			return fmt.Errorf("play: %s is not ready: %w", n.Name, ctx.Err())
 		}
 	}
@@ -152,7 +152,7 @@
 }
 
 // pause waits, and reports false when the context was over before.
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -165,66 +165,66 @@
 
 // Run plays the day and returns what it showed. When the context ends before, the result is
 // partial.
-func (p *Player) Run(ctx context.Context) (*Result, error) {
-	p.began = time.Now()
-	if err := p.handInFirst(ctx); err != nil {
+func (p *Runner) Run(ctx context.Context) (*Result, error) {
+	p.startedAt = time.Now()
+	if err := p.submitInitial(ctx); err != nil {
 		return nil, err
 	}
-	p.began = time.Now()
-	day, cancel := context.WithTimeout(ctx, p.options.Day.Length)
+	p.startedAt = time.Now()
+	arrivals, cancel := context.WithTimeout(ctx, p.options.Day.Length)
 	defer cancel()
-	watched, stopWatch := context.WithCancel(ctx)
-	defer stopWatch()
+	monitoring, stopMonitoring := context.WithCancel(ctx)
+	defer stopMonitoring()
 	wg := sync.WaitGroup{}
-	wg.Go(func() { p.runWatch(watched) })
-	wg.Go(func() { p.runAsks(watched) })
+	wg.Go(func() { p.runMonitor(monitoring) })
+	wg.Go(func() { p.pollJobs(monitoring) })
 	callers := sync.WaitGroup{}
 	for i := range p.options.Deployment.Jobs {
-		callers.Go(func() { p.runArrivals(day, ctx, &p.options.Deployment.Jobs[i]) })
+		callers.Go(func() { p.runArrivals(arrivals, ctx, &p.options.Deployment.Jobs[i]) })
 	}
-	p.runFaults(day)
+	p.runFaults(arrivals)
 	callers.Wait()
-	p.heal(ctx)
-	p.settle(ctx)
-	stopWatch()
+	p.endAllFaults(ctx)
+	p.awaitJobEnds(ctx)
+	stopMonitoring()
 	wg.Wait()
 	return p.result(ctx), nil
 }
 
-func (p *Player) now() time.Duration { return time.Since(p.began) }
+func (p *Runner) now() time.Duration { return time.Since(p.startedAt) }
 
 // settle waits until accepted jobs have ended, and tasks that last had time to come back.
-func (p *Player) settle(ctx context.Context) {
-	healed := p.now()
-	for p.now()-healed < endPatience && pause(ctx, pollPause) {
-		if p.now()-healed >= settleTime && p.openCount() == 0 {
+func (p *Runner) awaitJobEnds(ctx context.Context) {
+	start := p.now()
+	for p.now()-start < jobEndTimeout && sleep(ctx, pollInterval) {
+		if p.now()-start >= observationTime && p.openJobCount() == 0 {
 			return
 		}
 	}
 }
 
-func (p *Player) openCount() int {
+func (p *Runner) openJobCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.open)
+	return len(p.openJobs)
 }
 
 // result puts together what the play showed.
-func (p *Player) result(ctx context.Context) *Result {
+func (p *Runner) result(ctx context.Context) *Result {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := p.options
 	r := &Result{
-		Deployment: d.Deployment.Name, Day: d.Day.Name, Seed: d.Seed, Length: p.now(), Faults: p.faults, Starts: p.site.Starts(),
-		LongestAway: p.watch.LongestOutage(), Violations: slices.Clone(p.found), IsPartial: errors.Is(ctx.Err(), context.Canceled),
+		Deployment: d.Deployment.Name, Day: d.Day.Name, Seed: d.Seed, Length: p.now(), Faults: p.faultCount, Starts: p.site.Starts(),
+		LongestOutage: p.longRunning.LongestOutage(), Violations: slices.Clone(p.violations), IsPartial: errors.Is(ctx.Err(), context.Canceled),
 	}
 	for i := range d.Deployment.Jobs {
-		r.Kinds = append(r.Kinds, p.tallies[d.Deployment.Jobs[i].Name].take())
+		r.Kinds = append(r.Kinds, p.counters[d.Deployment.Jobs[i].Name].snapshot())
 	}
-	for _, what := range p.site.Broken() {
-		r.Violations = append(r.Violations, rules.Violation{Rule: rules.WorkerInvariants, At: p.now(), Description: what})
+	for _, violation := range p.site.Broken() {
+		r.Violations = append(r.Violations, rules.Violation{Rule: rules.WorkerInvariants, At: p.now(), Description: violation})
 	}
-	for _, id := range p.refused {
+	for _, id := range p.refusedJobs {
 		if p.site.HasRun(id) {
 			r.Violations = append(r.Violations, rules.Violation{Rule: rules.RefusedNotRun, At: p.now(), Description: "job " + id + " ran though each answer said that it was not taken"})
 		}
@@ -232,8 +232,8 @@
 	if r.IsPartial {
 		return r
 	}
-	for _, j := range p.open {
-		r.Violations = append(r.Violations, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s has not ended %v after the day", j.id, j.kind.Name, endPatience)})
+	for _, j := range p.openJobs {
+		r.Violations = append(r.Violations, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s has not ended %v after the day", j.id, j.kind.Name, jobEndTimeout)})
 	}
 	return r
 }
--- a/internal/integration/emulator_test.go
+++ b/internal/integration/emulator_test.go
@@ -44,7 +44,7 @@
 		t.Errorf("rule %s is broken at %v: %s", v.Rule, v.At, v.Description)
 	}
 	for _, k := range r.Kinds {
-		if k.Came != k.Accepted+k.Refused+k.Unknown || k.Accepted == 0 {
+		if k.Arrived != k.Accepted+k.Refused+k.Unknown || k.Accepted == 0 {
 			t.Errorf("%s: got: %+v, want: jobs that were taken, and what became of each", k.Name, k)
 		}
 	}
