--- a/cmd/leverdyke-emulator/check.go
+++ b/cmd/leverdyke-emulator/check.go
@@ -20,7 +20,7 @@
 				return err
 			}
 			for _, path := range args[1:] {
-				if _, err := scenario.LoadDay(path); err != nil {
+				if _, err := scenario.LoadFaultSchedule(path); err != nil {
 					return err
 				}
 			}
--- a/cmd/leverdyke-emulator/hunt.go
+++ b/cmd/leverdyke-emulator/hunt.go
@@ -83,7 +83,7 @@
 func (h *hunt) loop(ctx context.Context) {
 	for i, ok := h.take(ctx); ok; i, ok = h.take(ctx) {
 		seed := h.seed + uint64(i)
-		day := scenario.Draw(fmt.Sprintf("drawn-%d", seed), h.length, rand.New(rand.NewPCG(seed, 2)))
+		day := scenario.RandomFaultSchedule(fmt.Sprintf("drawn-%d", seed), h.length, rand.New(rand.NewPCG(seed, 2)))
 		r, err := h.play(ctx, h.deployment, day, seed, io.Discard)
 		h.note(r, err)
 		if err == nil && len(r.Violations) > 0 && h.isShrunk {
@@ -120,14 +120,14 @@
 		_ = h.tell(h.out, r)
 		return
 	}
-	_, _ = fmt.Fprintf(h.progress, "%s: %d faults, all rules held\n", r.Day, r.Faults)
+	_, _ = fmt.Fprintf(h.progress, "%s: %d faults, all rules held\n", r.Schedule, r.Faults)
 }
 
 // shrink plays a day again without one fault after the other, and tells the least that still breaks a
 // rule.
-func (h *hunt) shrink(ctx context.Context, day *scenario.Day, seed uint64) {
+func (h *hunt) shrink(ctx context.Context, day *scenario.FaultSchedule, seed uint64) {
 	for i := 0; i < len(day.Faults) && ctx.Err() == nil; {
-		less := day.Without(i)
+		less := day.WithoutFault(i)
 		r, err := h.play(ctx, h.deployment, less, seed, io.Discard)
 		if err == nil && len(r.Violations) > 0 {
 			day = less
@@ -139,6 +139,6 @@
 	defer h.mu.Unlock()
 	_, _ = fmt.Fprintf(h.out, "%s, shrunk to %d faults:\n", day.Name, len(day.Faults))
 	for _, f := range day.Faults {
-		_, _ = fmt.Fprintf(h.out, "  - {at: %v, kind: %s, for: %v, count: %d}\n", f.At, f.Kind, f.For, f.Count)
+		_, _ = fmt.Fprintf(h.out, "  - {at: %v, kind: %s, for: %v, count: %d}\n", f.At, f.Kind, f.Duration, f.Count)
 	}
 }
--- a/cmd/leverdyke-emulator/run.go
+++ b/cmd/leverdyke-emulator/run.go
@@ -43,12 +43,12 @@
 			if err != nil {
 				return err
 			}
-			day, err := scenario.LoadDay(args[1])
+			day, err := scenario.LoadFaultSchedule(args[1])
 			if err != nil {
 				return err
 			}
 			if isVaried {
-				day = day.Vary(rand.New(rand.NewPCG(o.seed, 3)))
+				day = day.WithVariedTimes(rand.New(rand.NewPCG(o.seed, 3)))
 			}
 			r, err := o.play(cmd.Context(), deployment, day, o.seed, cmd.ErrOrStderr())
 			if err != nil {
@@ -63,7 +63,7 @@
 }
 
 // play plays one day. The logs of one that breaks a rule stay where they are to be kept.
-func (o *playOptions) play(ctx context.Context, deployment *scenario.Deployment, day *scenario.Day, seed uint64, progress io.Writer) (*runner.Result, error) {
+func (o *playOptions) play(ctx context.Context, deployment *scenario.Deployment, day *scenario.FaultSchedule, seed uint64, progress io.Writer) (*runner.Result, error) {
 	dir, err := os.MkdirTemp(o.keep, "emulator-")
 	if err != nil {
 		return nil, fmt.Errorf("emulator: %w", err)
@@ -74,7 +74,7 @@
 			_ = os.RemoveAll(dir)
 		}
 	}()
-	p, err := runner.New(ctx, runner.Options{Deployment: deployment, Day: day, Seed: seed, Binary: o.binary, Dir: dir, Progress: progress})
+	p, err := runner.New(ctx, runner.Options{Deployment: deployment, Schedule: day, Seed: seed, Binary: o.binary, Dir: dir, Progress: progress})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -33,7 +33,7 @@
 	if r.IsPartial {
 		partial = ", ended early"
 	}
-	fmt.Fprintf(b, "%s on %s, seed %d: %v, %d faults, %d runs of tasks%s\n\n", r.Day, r.Deployment, r.Seed, r.Length.Round(time.Second), r.Faults, r.Starts, partial)
+	fmt.Fprintf(b, "%s on %s, seed %d: %v, %d faults, %d runs of tasks%s\n\n", r.Schedule, r.Deployment, r.Seed, r.Length.Round(time.Second), r.Faults, r.Starts, partial)
 	fmt.Fprintf(b, "%-14s %6s %9s %8s %8s %10s %7s %10s %10s %10s %10s\n", "jobs", "came", "accepted", "refused", "unknown", "succeeded", "failed", "cancelled", "answer p50", "answer p99", "end p99")
 	for i := range r.Kinds {
 		k := &r.Kinds[i]
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -16,7 +16,7 @@
 
 func result() *runner.Result {
 	return &runner.Result{
-		Deployment: "small", Day: "calm", Seed: 3, Length: time.Minute,
+		Deployment: "small", Schedule: "calm", Seed: 3, Length: time.Minute,
 		Kinds:      []runner.KindResult{{Name: "check", Arrived: 7, Accepted: 6, Refused: 1, Succeeded: 6, SubmitLatency: runner.Quantiles{P99: 12 * time.Millisecond}}},
 		Violations: []rules.Violation{{Rule: rules.JobsEnd, At: 2 * time.Second, Description: "job 1 has not ended"}},
 	}
--- a/internal/emulator/runner/callers.go
+++ b/internal/emulator/runner/callers.go
@@ -42,7 +42,7 @@
 func (p *Runner) submitInitial(ctx context.Context) error {
 	for i := range p.options.Deployment.Jobs {
 		k := &p.options.Deployment.Jobs[i]
-		for range k.AtStart {
+		for range k.InitialCount {
 			if !p.submitWithRetry(ctx, k) {
 				return fmt.Errorf("play: no node takes a job of %s before the day", k.Name)
 			}
@@ -124,8 +124,8 @@
 	job := &site.Job{ID: fmt.Sprintf("%016x", p.lastJobID)}
 	for i := range k.Steps {
 		s := &k.Steps[i]
-		step := site.Step{Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB, Takes: s.Takes, Lasts: s.Lasts}
-		if s.Varies {
+		step := site.Step{Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB, Takes: s.Duration, Lasts: s.IsLongRunning}
+		if s.IsTaskCountRandom {
 			step.Tasks = p.drawTaskCount(s.Tasks)
 		}
 		if i > 0 {
--- a/internal/emulator/runner/faults.go
+++ b/internal/emulator/runner/faults.go
@@ -35,8 +35,8 @@
 	next := 0
 	for sleep(arrivals, faultPollInterval) {
 		p.endDueFaults(p.now())
-		for ; next < len(p.options.Day.Faults) && p.options.Day.Faults[next].At <= p.now(); next++ {
-			p.startFault(&p.options.Day.Faults[next])
+		for ; next < len(p.options.Schedule.Faults) && p.options.Schedule.Faults[next].At <= p.now(); next++ {
+			p.startFault(&p.options.Schedule.Faults[next])
 		}
 	}
 }
@@ -45,25 +45,25 @@
 func (p *Runner) startFault(f *scenario.Fault) {
 	p.mu.Lock()
 	p.faultCount++
-	p.faultWindows.Add(p.now(), p.now()+f.For+recoveryTime)
+	p.faultWindows.Add(p.now(), p.now()+f.Duration+recoveryTime)
 	p.mu.Unlock()
 	count := max(f.Count, 1)
 	switch f.Kind {
 	case scenario.NodeKill:
-		p.forRandomNodes(count, func(n *node) { p.signalNode(n, syscall.SIGKILL, f.For) })
+		p.forRandomNodes(count, func(n *node) { p.signalNode(n, syscall.SIGKILL, f.Duration) })
 	case scenario.NodeStop:
-		p.forRandomNodes(count, func(n *node) { p.signalNode(n, syscall.SIGTERM, f.For) })
+		p.forRandomNodes(count, func(n *node) { p.signalNode(n, syscall.SIGTERM, f.Duration) })
 	case scenario.PowerLoss:
-		p.forRandomNodes(len(p.nodes), func(n *node) { p.signalNode(n, syscall.SIGKILL, f.For) })
+		p.forRandomNodes(len(p.nodes), func(n *node) { p.signalNode(n, syscall.SIGKILL, f.Duration) })
 	case scenario.NodePause:
-		p.forRandomNodes(count, func(n *node) { p.pauseNode(n, f.For) })
+		p.forRandomNodes(count, func(n *node) { p.pauseNode(n, f.Duration) })
 	case scenario.StoreBusy:
-		p.setStoreMode(site.StoreBusy, f.For)
+		p.setStoreMode(site.StoreBusy, f.Duration)
 	case scenario.StoreSilent:
-		p.setStoreMode(site.StoreSilent, f.For)
+		p.setStoreMode(site.StoreSilent, f.Duration)
 	case scenario.StoreSlow:
-		p.setStoreMode(site.StoreSlow, f.For)
-	case scenario.StoreLosesAnswers:
+		p.setStoreMode(site.StoreSlow, f.Duration)
+	case scenario.StoreLosesReplies:
 		p.site.Store.LoseAnswers(count)
 	case scenario.ConfigChange:
 		p.configVersion++
@@ -81,15 +81,15 @@
 		p.lastWorker++
 		_, _ = p.site.AddWorker(p.lastWorker)
 	case scenario.WorkerRestart:
-		w.Restart(f.For, restartedWorkerClock)
-	case scenario.WorkerFailsLasting:
+		w.Restart(f.Duration, restartedWorkerClock)
+	case scenario.WorkerFailsLongRunning:
 		w.SetFailsLasting(true)
 		w.FailLasting()
-		p.scheduleEnd(f.For, func() { w.SetFailsLasting(false) })
-	case scenario.WorkerMute:
+		p.scheduleEnd(f.Duration, func() { w.SetFailsLasting(false) })
+	case scenario.WorkerDropsReplies:
 		w.MuteStarts(affectedStarts)
-	case scenario.WorkerHoldsUp:
-		w.HoldUpStarts(affectedStarts, f.For)
+	case scenario.WorkerDelaysStarts:
+		w.HoldUpStarts(affectedStarts, f.Duration)
 	}
 }
 
--- a/internal/emulator/runner/result.go
+++ b/internal/emulator/runner/result.go
@@ -15,7 +15,7 @@
 // Result is what a play showed.
 type Result struct {
 	Deployment string        `json:"deployment"`
-	Day        string        `json:"day"`
+	Schedule   string        `json:"day"`
 	Seed       uint64        `json:"seed"`
 	Length     time.Duration `json:"length"`
 	// Faults is how many were played, Starts how many runs of tasks began.
--- a/internal/emulator/runner/runner.go
+++ b/internal/emulator/runner/runner.go
@@ -25,7 +25,7 @@
 // Options says what is played. Deployment, Day, Binary and Dir must be set.
 type Options struct {
 	Deployment *scenario.Deployment
-	Day        *scenario.Day
+	Schedule   *scenario.FaultSchedule
 	Seed       uint64
 	// Binary is the node's program; Dir is where settings and logs of the nodes go.
 	Binary, Dir string
@@ -78,7 +78,7 @@
 	}
 	d := o.Deployment
 	s, err := site.New(site.Options{
-		Workers: d.Workers.Count, MilliCPU: d.Workers.MilliCPU, MemoryMiB: d.Workers.MemoryMiB, CPUShare: d.Nodes.CPUShare, HasAdvice: d.AsksPermission, HasOwnGroup: true,
+		Workers: d.Workers.Count, MilliCPU: d.Workers.MilliCPU, MemoryMiB: d.Workers.MemoryMiB, CPUShare: d.Nodes.CPUShare, HasAdvice: d.UsesPermissionService, HasOwnGroup: true,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("play: %w", err)
@@ -171,7 +171,7 @@
 		return nil, err
 	}
 	p.startedAt = time.Now()
-	arrivals, cancel := context.WithTimeout(ctx, p.options.Day.Length)
+	arrivals, cancel := context.WithTimeout(ctx, p.options.Schedule.Length)
 	defer cancel()
 	monitoring, stopMonitoring := context.WithCancel(ctx)
 	defer stopMonitoring()
@@ -215,7 +215,7 @@
 	defer p.mu.Unlock()
 	d := p.options
 	r := &Result{
-		Deployment: d.Deployment.Name, Day: d.Day.Name, Seed: d.Seed, Length: p.now(), Faults: p.faultCount, Starts: p.site.Starts(),
+		Deployment: d.Deployment.Name, Schedule: d.Schedule.Name, Seed: d.Seed, Length: p.now(), Faults: p.faultCount, Starts: p.site.Starts(),
 		LongestOutage: p.longRunning.LongestOutage(), Violations: slices.Clone(p.violations), IsPartial: errors.Is(ctx.Err(), context.Canceled),
 	}
 	for i := range d.Deployment.Jobs {
--- a/internal/emulator/scenario/deployment.go
+++ b/internal/emulator/scenario/deployment.go
@@ -25,8 +25,8 @@
 	Nodes   Nodes   `yaml:"nodes"`
 	Workers Workers `yaml:"workers"`
 	// AsksPermission means that each step may run on some workers only, which a service tells.
-	AsksPermission bool      `yaml:"asksPermission"`
-	Jobs           []JobKind `yaml:"jobs"`
+	UsesPermissionService bool      `yaml:"asksPermission"`
+	Jobs                  []JobKind `yaml:"jobs"`
 }
 
 // Nodes are the entry VMs.
@@ -47,8 +47,8 @@
 type JobKind struct {
 	Name string `yaml:"name"`
 	// AtStart is how many come before the day begins, PerSecond how many on average while it lasts.
-	AtStart   int     `yaml:"atStart"`
-	PerSecond float64 `yaml:"perSecond"`
+	InitialCount int     `yaml:"atStart"`
+	PerSecond    float64 `yaml:"perSecond"`
 	// CancelShare of them are cancelled by their callers a moment after they were accepted.
 	CancelShare float64 `yaml:"cancelShare"`
 	// Steps follow each other.
@@ -58,13 +58,13 @@
 // Step is a step of a kind of job.
 type Step struct {
 	// Tasks is the mean of a geometric distribution where it varies, else the number.
-	Tasks     int           `yaml:"tasks"`
-	Varies    bool          `yaml:"varies"`
-	MilliCPU  int64         `yaml:"milliCPU"`
-	MemoryMiB int64         `yaml:"memoryMiB"`
-	Takes     time.Duration `yaml:"takes"`
+	Tasks             int           `yaml:"tasks"`
+	IsTaskCountRandom bool          `yaml:"varies"`
+	MilliCPU          int64         `yaml:"milliCPU"`
+	MemoryMiB         int64         `yaml:"memoryMiB"`
+	Duration          time.Duration `yaml:"takes"`
 	// Lasts means that its tasks run until the job is cancelled.
-	Lasts bool `yaml:"lasts"`
+	IsLongRunning bool `yaml:"lasts"`
 }
 
 // LoadDeployment reads a file. The error is a *document.FieldError where the file is at fault.
@@ -108,8 +108,8 @@
 	switch {
 	case k.Name == "":
 		return f.Errorf("jobs", "a name for each", "a kind of job has none")
-	case k.AtStart < 0:
-		return f.Errorf("atStart", "0 or more", "%s: atStart is %d", k.Name, k.AtStart)
+	case k.InitialCount < 0:
+		return f.Errorf("atStart", "0 or more", "%s: atStart is %d", k.Name, k.InitialCount)
 	case k.PerSecond < 0:
 		return f.Errorf("perSecond", "0 or more", "%s: perSecond is %g", k.Name, k.PerSecond)
 	case k.CancelShare < 0 || k.CancelShare > 1:
@@ -133,10 +133,10 @@
 		return f.Errorf("milliCPU", fmt.Sprintf("0 to %d, what a worker has", d.Workers.MilliCPU), "%s: milliCPU is %d", kind, s.MilliCPU)
 	case s.MemoryMiB < 0 || s.MemoryMiB > d.Workers.MemoryMiB:
 		return f.Errorf("memoryMiB", fmt.Sprintf("0 to %d, what a worker has", d.Workers.MemoryMiB), "%s: memoryMiB is %d", kind, s.MemoryMiB)
-	case !s.Lasts && s.Takes <= 0:
-		return f.Errorf("takes", "a duration over 0, as 800ms", "%s: takes is %v", kind, s.Takes)
-	case s.Lasts && s.Takes != 0:
-		return f.Errorf("takes", "none where lasts is true", "%s: takes is %v", kind, s.Takes)
+	case !s.IsLongRunning && s.Duration <= 0:
+		return f.Errorf("takes", "a duration over 0, as 800ms", "%s: takes is %v", kind, s.Duration)
+	case s.IsLongRunning && s.Duration != 0:
+		return f.Errorf("takes", "none where lasts is true", "%s: takes is %v", kind, s.Duration)
 	}
 	return nil
 }
--- a/internal/emulator/scenario/scenario_test.go
+++ b/internal/emulator/scenario/scenario_test.go
@@ -17,27 +17,27 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
-const files = "../../../deploy/emulator"
+const shippedFiles = "../../../deploy/emulator"
 
-func TestTheFilesThatShipAreValid(t *testing.T) {
-	deployments, _ := filepath.Glob(files + "/*.yaml")
-	days, _ := filepath.Glob(files + "/days/*.yaml")
-	if len(deployments) == 0 || len(days) == 0 {
-		t.Fatalf("files: got: %d and %d, want: some of each", len(deployments), len(days))
+func TestShippedFilesAreValid(t *testing.T) {
+	deployments, _ := filepath.Glob(shippedFiles + "/*.yaml")
+	schedules, _ := filepath.Glob(shippedFiles + "/days/*.yaml")
+	if len(deployments) == 0 || len(schedules) == 0 {
+		t.Fatalf("files: got: %d and %d, want: some of each", len(deployments), len(schedules))
 	}
 	for _, path := range deployments {
 		if _, err := scenario.LoadDeployment(path); err != nil {
 			t.Error(err)
 		}
 	}
-	for _, path := range days {
-		if _, err := scenario.LoadDay(path); err != nil {
+	for _, path := range schedules {
+		if _, err := scenario.LoadFaultSchedule(path); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-const valid = `name: d
+const validDeployment = `name: d
 nodes: {count: 1}
 workers: {count: 1, milliCPU: 1000, memoryMiB: 1000}
 jobs:
@@ -47,7 +47,7 @@
       - {tasks: 1, milliCPU: 100, memoryMiB: 100, takes: 1s}
 `
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -56,7 +56,7 @@
 	return path
 }
 
-func expectField(t *testing.T, name string, err error, wants ...string) {
+func expectFieldError(t *testing.T, name string, err error, wants ...string) {
 	t.Helper()
 	field := &document.FieldError{}
 	if !errors.As(err, &field) {
@@ -70,8 +70,8 @@
 	}
 }
 
-func TestABadDeploymentIsRefused(t *testing.T) {
-	if _, err := scenario.LoadDeployment(write(t, valid)); err != nil {
+func TestInvalidDeploymentIsRefused(t *testing.T) {
+	if _, err := scenario.LoadDeployment(writeFile(t, validDeployment)); err != nil {
 		t.Fatal(err)
 	}
 	for name, c := range map[string]struct{ from, to, want string }{
@@ -84,12 +84,12 @@
 		"both":               {"takes: 1s}", "takes: 1s, lasts: true}", "takes"},
 		"negative rate":      {"perSecond: 1", "perSecond: -1", "perSecond"},
 	} {
-		_, err := scenario.LoadDeployment(write(t, strings.Replace(valid, c.from, c.to, 1)))
-		expectField(t, name, err, c.want, "file.yaml")
+		_, err := scenario.LoadDeployment(writeFile(t, strings.Replace(validDeployment, c.from, c.to, 1)))
+		expectFieldError(t, name, err, c.want, "file.yaml")
 	}
 }
 
-func TestABadDayIsRefused(t *testing.T) {
+func TestInvalidFaultScheduleIsRefused(t *testing.T) {
 	for name, c := range map[string]struct{ fault, want string }{
 		"unknown kind":   {"{at: 1s, kind: earthquake}", "node-kill"},
 		"after the end":  {"{at: 11s, kind: worker-crash}", "at"},
@@ -99,30 +99,30 @@
 		"unknown field":  {"{at: 1s, kind: worker-crash, size: 1}", "size"},
 		"not a duration": {"{at: soon, kind: worker-crash}", "at"},
 	} {
-		_, err := scenario.LoadDay(write(t, "name: d\nlength: 10s\nfaults:\n  - "+c.fault+"\n"))
-		expectField(t, name, err, c.want)
+		_, err := scenario.LoadFaultSchedule(writeFile(t, "name: d\nlength: 10s\nfaults:\n  - "+c.fault+"\n"))
+		expectFieldError(t, name, err, c.want)
 	}
-	_, err := scenario.LoadDay(write(t, "name: d\nlength: 0s\n"))
-	expectField(t, "no time", err, "length")
+	_, err := scenario.LoadFaultSchedule(writeFile(t, "name: d\nlength: 0s\n"))
+	expectFieldError(t, "no time", err, "length")
 }
 
-func TestADayIsDrawnAndSaved(t *testing.T) {
-	draw := func(seed uint64) *scenario.Day {
-		return scenario.Draw("d", 30*time.Second, rand.New(rand.NewPCG(seed, 2)))
+func TestRandomFaultScheduleIsReproducibleAndReloadable(t *testing.T) {
+	draw := func(seed uint64) *scenario.FaultSchedule {
+		return scenario.RandomFaultSchedule("d", 30*time.Second, rand.New(rand.NewPCG(seed, 2)))
 	}
-	day := draw(7)
-	if len(day.Faults) < 5 || !reflect.DeepEqual(day, draw(7)) || reflect.DeepEqual(day, draw(8)) {
-		t.Errorf("drawn: got: %d faults, want: 5 or more, the same by the same seed only", len(day.Faults))
+	schedule := draw(7)
+	if len(schedule.Faults) < 5 || !reflect.DeepEqual(schedule, draw(7)) || reflect.DeepEqual(schedule, draw(8)) {
+		t.Errorf("drawn: got: %d faults, want: 5 or more, the same by the same seed only", len(schedule.Faults))
 	}
 	path := filepath.Join(t.TempDir(), "day.yaml")
-	if err := day.Save(path); err != nil {
+	if err := schedule.Save(path); err != nil {
 		t.Fatal(err)
 	}
-	got, err := scenario.LoadDay(path)
-	if err != nil || !reflect.DeepEqual(got, day) {
-		t.Errorf("read again: got: %+v, %v, want: %+v", got, err, day)
+	got, err := scenario.LoadFaultSchedule(path)
+	if err != nil || !reflect.DeepEqual(got, schedule) {
+		t.Errorf("read again: got: %+v, %v, want: %+v", got, err, schedule)
 	}
-	if less := day.Without(0); len(less.Faults) != len(day.Faults)-1 || less.Faults[0] != day.Faults[1] {
-		t.Errorf("without the first fault: got: %v, want: the others", less.Faults)
+	if reduced := schedule.WithoutFault(0); len(reduced.Faults) != len(schedule.Faults)-1 || reduced.Faults[0] != schedule.Faults[1] {
+		t.Errorf("without the first fault: got: %v, want: the others", reduced.Faults)
 	}
 }
--- a/internal/integration/emulator_test.go
+++ b/internal/integration/emulator_test.go
@@ -17,10 +17,10 @@
 )
 
 // shortDay is a day of faults that are over before it ends.
-func shortDay() *scenario.Day {
-	return &scenario.Day{Name: "short", Length: 4 * time.Second, Faults: []scenario.Fault{
-		{At: 500 * time.Millisecond, Kind: scenario.NodeKill, For: 300 * time.Millisecond},
-		{At: time.Second, Kind: scenario.WorkerFailsLasting, For: time.Second, Count: 2},
+func shortDay() *scenario.FaultSchedule {
+	return &scenario.FaultSchedule{Name: "short", Length: 4 * time.Second, Faults: []scenario.Fault{
+		{At: 500 * time.Millisecond, Kind: scenario.NodeKill, Duration: 300 * time.Millisecond},
+		{At: time.Second, Kind: scenario.WorkerFailsLongRunning, Duration: time.Second, Count: 2},
 		{At: 2 * time.Second, Kind: scenario.WorkerCrash},
 	}}
 }
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := runner.New(t.Context(), runner.Options{Deployment: deployment, Day: shortDay(), Seed: 1, Binary: binary, Dir: t.TempDir()})
+	p, err := runner.New(t.Context(), runner.Options{Deployment: deployment, Schedule: shortDay(), Seed: 1, Binary: binary, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := runner.Options{Deployment: deployment, Day: shortDay(), Binary: filepath.Join(t.TempDir(), "nothing"), Dir: t.TempDir()}
+	o := runner.Options{Deployment: deployment, Schedule: shortDay(), Binary: filepath.Join(t.TempDir(), "nothing"), Dir: t.TempDir()}
 	if _, err := runner.New(t.Context(), o); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("without a program: got: %v, want: %v", err, fs.ErrNotExist)
 	}
