--- a/internal/await/await.go
+++ b/internal/await/await.go
@@ -11,22 +11,22 @@
 
 const (
 	// pause is the time between two looks.
-	pause = 5 * time.Millisecond
+	pollInterval = 5 * time.Millisecond
 	// patience is how long a busy machine may take.
-	patience = 30 * time.Second
+	timeout = 30 * time.Second
 )
 
 // True polls until the condition holds, and ends the test when it never does.
-func True(t testing.TB, what string, holds func() bool) {
+func True(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	ticker := time.NewTicker(pause)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	tooLate := time.After(patience)
-	for !holds() {
+	deadline := time.After(timeout)
+	for !condition() {
 		select {
 		case <-ticker.C:
-		case <-tooLate:
-			t.Fatal("not in time: " + what)
+		case <-deadline:
+			t.Fatal("not in time: " + description)
 		}
 	}
 }
--- a/internal/compare/bench_test.go
+++ b/internal/compare/bench_test.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	vms      = 48
-	meanRun  = 30.0
-	jobCount = 6000
+	vmCount        = 48
+	meanRunSeconds = 30.0
+	jobCount       = 6000
 )
 
 // chooser picks a VM for a need, or -1.
-type chooser func(r *rand.Rand, need leverdyke.Resources, vms []placement.Candidate) int
+type placer func(r *rand.Rand, need leverdyke.Resources, vms []placement.Candidate) int
 
-func byPolicy(p placement.Policy) chooser {
+func byPolicy(p placement.Policy) placer {
 	return func(_ *rand.Rand, need leverdyke.Resources, vms []placement.Candidate) int {
-		best, _ := placement.Best(p, need, vms)
-		return best
+		chosen, _ := placement.Best(p, need, vms)
+		return chosen
 	}
 }
 
@@ -45,7 +45,7 @@
 	return firstFrom(r.Intn(len(vms)), need, vms)
 }
 
-func newRoundRobin() chooser {
+func newRoundRobin() placer {
 	next := 0
 	return func(_ *rand.Rand, need leverdyke.Resources, vms []placement.Candidate) int {
 		next++
@@ -64,37 +64,37 @@
 
 // arrival is a job of one task.
 type arrival struct {
-	at, run float64
-	class   leverdyke.Class
-	need    leverdyke.Resources
+	at, runSeconds float64
+	class          leverdyke.Class
+	need           leverdyke.Resources
 }
 
 // ending is when a running task gives its VM back.
-type ending struct {
+type completion struct {
 	at   float64
 	vm   int
 	need leverdyke.Resources
 }
 
-type endings []ending
+type completions []completion
 
-func (e endings) Len() int           { return len(e) }
-func (e endings) Less(i, j int) bool { return e[i].at < e[j].at }
-func (e endings) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *endings) Push(x any)        { *e = append(*e, x.(ending)) }
-func (e *endings) Pop() any {
-	old := *e
+func (c completions) Len() int           { return len(c) }
+func (c completions) Less(i, j int) bool { return c[i].at < c[j].at }
+func (c completions) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
+func (c *completions) Push(x any)        { *c = append(*c, x.(completion)) }
+func (c *completions) Pop() any {
+	old := *c
 	last := old[len(old)-1]
-	*e = old[:len(old)-1]
+	*c = old[:len(old)-1]
 	return last
 }
 
 // mix makes arrivals whose processors add up to load times what there is.
-func mix(r *rand.Rand, load float64, accelerated float64) []arrival {
-	list := []arrival{}
-	perJob := 0.0
+func generateArrivals(r *rand.Rand, load float64, acceleratedShare float64) []arrival {
+	arrivals := []arrival{}
+	meanMilliCPU := 0.0
 	for range jobCount {
-		a := arrival{class: leverdyke.ClassNormal, run: r.ExpFloat64() * meanRun}
+		a := arrival{class: leverdyke.ClassNormal, runSeconds: r.ExpFloat64() * meanRunSeconds}
 		switch x := r.Float64(); {
 		case x < 0.1:
 			a.class = leverdyke.ClassUrgent
@@ -105,135 +105,135 @@
 			a.class = leverdyke.ClassBatch
 			a.need = leverdyke.Resources{MilliCPU: int64(4000 + r.Intn(8000)), MemoryMiB: int64(2048 + r.Intn(8192)), Slots: 1}
 		}
-		if r.Float64() < accelerated {
+		if r.Float64() < acceleratedShare {
 			a.need.Accelerators = 1
 		}
-		perJob += float64(a.need.MilliCPU) / jobCount
-		list = append(list, a)
+		meanMilliCPU += float64(a.need.MilliCPU) / jobCount
+		arrivals = append(arrivals, a)
 	}
-	rate := load * vms * 16000 / (perJob * meanRun)
+	rate := load * vmCount * 16000 / (meanMilliCPU * meanRunSeconds)
 	now := 0.0
-	for i := range list {
+	for i := range arrivals {
 		now += r.ExpFloat64() / rate
-		list[i].at = now
+		arrivals[i].at = now
 	}
-	return list
+	return arrivals
 }
 
 // outcome is what a run came to.
-type outcome struct {
+type simulationResult struct {
 	waits map[leverdyke.Class][]float64
 	// full is the used part of the processors, memory and slots when the first
 	// task had to wait; used the mean part of the processors.
-	full [3]float64
-	used float64
+	usedAtFirstWait [3]float64
+	meanUsed        float64
 }
 
 // play runs the arrivals to the end of the last start.
-func play(list []arrival, mode queue.Mode, choose chooser, accelerators int) outcome {
+func simulate(arrivals []arrival, mode queue.Mode, place placer, acceleratedVMs int) simulationResult {
 	r := rand.New(rand.NewSource(7))
-	hosts := make([]placement.Candidate, vms)
+	hosts := make([]placement.Candidate, vmCount)
 	for i := range hosts {
 		hosts[i].Capacity = leverdyke.Resources{MilliCPU: 16000, MemoryMiB: 32768, Slots: 8}
-		if i < accelerators {
+		if i < acceleratedVMs {
 			hosts[i].Capacity.Accelerators = 1
 		}
 		hosts[i].Free = hosts[i].Capacity
 	}
 	q := queue.NewQueue(queue.NewQueueOptions{Mode: mode})
-	o := outcome{waits: map[leverdyke.Class][]float64{}}
-	running := &endings{}
+	result := simulationResult{waits: map[leverdyke.Class][]float64{}}
+	running := &completions{}
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	busy, last := 0.0, 0.0
-	isFull := false
-	for next := 0; next < len(list) || q.Len() > 0; {
+	usedTime, last := 0.0, 0.0
+	hasWaited := false
+	for next := 0; next < len(arrivals) || q.Len() > 0; {
 		now := 0.0
-		if running.Len() > 0 && (next >= len(list) || (*running)[0].at < list[next].at) {
-			e, _ := heap.Pop(running).(ending)
+		if running.Len() > 0 && (next >= len(arrivals) || (*running)[0].at < arrivals[next].at) {
+			e, _ := heap.Pop(running).(completion)
 			now = e.at
 			hosts[e.vm].Free = hosts[e.vm].Free.Add(e.need)
 		} else {
-			a := &list[next]
+			a := &arrivals[next]
 			now = a.at
 			q.Put(queue.Entry{Job: fmt.Sprintf("%05d", next), Team: "t", Class: a.class, Need: a.need, Waiting: 1, Since: start.Add(time.Duration(a.at * 1e9))})
 			next++
 		}
-		if next < len(list) {
-			busy += usedPart(hosts)[0] * (now - last)
+		if next < len(arrivals) {
+			usedTime += usedShares(hosts)[0] * (now - last)
 			last = now
 		}
 		started := []string{}
 		q.Scan(func(string) float64 { return 0 }, func(e *queue.Entry) queue.Result {
-			i := choose(r, e.Need, hosts)
+			i := place(r, e.Need, hosts)
 			if i < 0 {
-				if !isFull {
-					isFull, o.full = true, usedPart(hosts)
+				if !hasWaited {
+					hasWaited, result.usedAtFirstWait = true, usedShares(hosts)
 				}
 				return queue.Blocked
 			}
 			index := 0
 			_, _ = fmt.Sscanf(e.Job, "%d", &index)
-			a := &list[index]
+			a := &arrivals[index]
 			hosts[i].Free = hosts[i].Free.Sub(e.Need)
-			heap.Push(running, ending{now + a.run, i, e.Need})
-			o.waits[e.Class] = append(o.waits[e.Class], now-a.at)
+			heap.Push(running, completion{now + a.runSeconds, i, e.Need})
+			result.waits[e.Class] = append(result.waits[e.Class], now-a.at)
 			started = append(started, e.Job)
 			return queue.Started
 		})
 		q.RemoveAll(started)
 	}
-	o.used = busy / last
-	return o
+	result.meanUsed = usedTime / last
+	return result
 }
 
-func usedPart(hosts []placement.Candidate) [3]float64 {
-	var used, all leverdyke.Resources
+func usedShares(hosts []placement.Candidate) [3]float64 {
+	var used, capacity leverdyke.Resources
 	for i := range hosts {
-		all = all.Add(hosts[i].Capacity)
+		capacity = capacity.Add(hosts[i].Capacity)
 		used = used.Add(hosts[i].Capacity.Sub(hosts[i].Free))
 	}
 	return [3]float64{
-		float64(used.MilliCPU) / float64(all.MilliCPU), float64(used.MemoryMiB) / float64(all.MemoryMiB), float64(used.Slots) / float64(all.Slots),
+		float64(used.MilliCPU) / float64(capacity.MilliCPU), float64(used.MemoryMiB) / float64(capacity.MemoryMiB), float64(used.Slots) / float64(capacity.Slots),
 	}
 }
 
-func quantile(list []float64, q float64) float64 {
-	if len(list) == 0 {
+func quantile(values []float64, q float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	sorted := append([]float64{}, list...)
+	sorted := append([]float64{}, values...)
 	sort.Float64s(sorted)
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-func (o *outcome) row(name string) string {
+func (o *simulationResult) row(name string) string {
 	text := fmt.Sprintf("| %s |", name)
 	for _, c := range []leverdyke.Class{leverdyke.ClassUrgent, leverdyke.ClassNormal, leverdyke.ClassBatch} {
 		text += fmt.Sprintf(" %.1f / %.1f |", quantile(o.waits[c], 0.5), quantile(o.waits[c], 0.99))
 	}
-	return text + fmt.Sprintf(" %.0f / %.0f / %.0f | %.0f |", 100*o.full[0], 100*o.full[1], 100*o.full[2], 100*o.used)
+	return text + fmt.Sprintf(" %.0f / %.0f / %.0f | %.0f |", 100*o.usedAtFirstWait[0], 100*o.usedAtFirstWait[1], 100*o.usedAtFirstWait[2], 100*o.meanUsed)
 }
 
-const head = "| | urgent p50 / p99 (s) | normal | batch | used when the first waits: cpu / memory / slots (%) | mean cpu (%) |\n|---|---|---|---|---|---|"
+const tableHeader = "| | urgent p50 / p99 (s) | normal | batch | used when the first waits: cpu / memory / slots (%) | mean cpu (%) |\n|---|---|---|---|---|---|"
 
 // TestComparePlacement prints how the offices' weights do against baselines.
 func TestComparePlacement(t *testing.T) {
 	policies := []struct {
 		name string
-		new  func() chooser
+		new  func() placer
 	}{
-		{"tasks that end (fill)", func() chooser { return byPolicy(placement.Fill) }},
-		{"head office's services (0.8, 0.2)", func() chooser { return byPolicy(placement.Policy{Waiting: 0.8, Packing: 0.2}) }},
-		{"Brescia's services (0.3, 0.7)", func() chooser { return byPolicy(placement.Policy{Waiting: 0.3, Packing: 0.7}) }},
-		{"first fit", func() chooser { return firstFit }},
-		{"random", func() chooser { return randomFit }},
+		{"tasks that end (fill)", func() placer { return byPolicy(placement.Fill) }},
+		{"head office's services (0.8, 0.2)", func() placer { return byPolicy(placement.Policy{Waiting: 0.8, Packing: 0.2}) }},
+		{"Brescia's services (0.3, 0.7)", func() placer { return byPolicy(placement.Policy{Waiting: 0.3, Packing: 0.7}) }},
+		{"first fit", func() placer { return firstFit }},
+		{"random", func() placer { return randomFit }},
 		{"round robin", newRoundRobin},
 	}
 	for _, load := range []float64{0.7, 0.9, 1.2} {
-		t.Logf("\noffered load %.1f\n%s", load, head)
+		t.Logf("\noffered load %.1f\n%s", load, tableHeader)
 		for _, p := range policies {
-			o := play(mix(rand.New(rand.NewSource(1)), load, 0), queue.ModeScan, p.new(), 0)
-			t.Log("\n" + o.row(p.name))
+			result := simulate(generateArrivals(rand.New(rand.NewSource(1)), load, 0), queue.ModeScan, p.new(), 0)
+			t.Log("\n" + result.row(p.name))
 		}
 	}
 }
@@ -242,15 +242,15 @@
 // room against one that goes on, with accelerators on 4 of 48 VMs that a
 // twelfth of the jobs need. Going on must not be worse for the many.
 func TestCompareScanning(t *testing.T) {
-	t.Log("\n" + head)
-	normal := map[queue.Mode]float64{}
-	for _, m := range []queue.Mode{queue.ModeBlock, queue.ModeScan} {
-		list := mix(rand.New(rand.NewSource(3)), 0.7, 0.083)
-		o := play(list, m, byPolicy(placement.Fill), 4)
-		normal[m] = quantile(o.waits[leverdyke.ClassNormal], 0.5)
-		t.Log("\n" + o.row(string(m)))
+	t.Log("\n" + tableHeader)
+	medianWait := map[queue.Mode]float64{}
+	for _, mode := range []queue.Mode{queue.ModeBlock, queue.ModeScan} {
+		arrivals := generateArrivals(rand.New(rand.NewSource(3)), 0.7, 0.083)
+		result := simulate(arrivals, mode, byPolicy(placement.Fill), 4)
+		medianWait[mode] = quantile(result.waits[leverdyke.ClassNormal], 0.5)
+		t.Log("\n" + result.row(string(mode)))
 	}
-	if normal[queue.ModeScan] > normal[queue.ModeBlock] {
-		t.Errorf("got: %v s with scanning, want: at most %v s", normal[queue.ModeScan], normal[queue.ModeBlock])
+	if medianWait[queue.ModeScan] > medianWait[queue.ModeBlock] {
+		t.Errorf("got: %v s with scanning, want: at most %v s", medianWait[queue.ModeScan], medianWait[queue.ModeBlock])
 	}
 }
