--- a/internal/emulator/rules/cancelled.go
+++ b/internal/emulator/rules/cancelled.go
@@ -9,17 +9,20 @@
 	"time"
 )
 
-// cancelledTime is how long something of a job may run after its cancelling was answered, where
-// nothing is disturbed.
+// cancelTimeout is how long a task of a job may still run after the job's cancellation was
+// acknowledged, provided that there were no faults for that long.
 const cancelTimeout = 6 * time.Second
 
-// CancelledWatch finds tasks of cancelled jobs that go on. The zero value knows none.
+// CancelledChecker finds tasks that still run after the cancellation of their job was acknowledged.
+// The zero value has no cancelled jobs.
 type CancelledChecker struct {
+	// acknowledgedAt has, by job, the time of the acknowledgement; reported has the tasks for which a
+	// violation was returned.
 	acknowledgedAt map[string]time.Duration
 	reported       map[string]bool
 }
 
-// Add notes that the cancelling of a job was answered.
+// Add records that the cancellation of a job was acknowledged.
 func (c *CancelledChecker) Add(job string, now time.Duration) {
 	if c.acknowledgedAt == nil {
 		c.acknowledgedAt, c.reported = map[string]time.Duration{}, map[string]bool{}
@@ -27,7 +30,8 @@
 	c.acknowledgedAt[job] = now
 }
 
-// Look takes the state of all workers, and returns the violations that it shows for the first time.
+// Check evaluates the state of all workers and returns the violations that were not returned before,
+// at most one a task.
 func (c *CancelledChecker) Check(now time.Duration, workers []Worker, faults *FaultWindows) []Violation {
 	if !faults.IsFaultFree(now-cancelTimeout, now) {
 		return nil
@@ -41,7 +45,7 @@
 				continue
 			}
 			c.reported[task] = true
-			violations = append(violations, Violation{CancelledStops, now, fmt.Sprintf("%s runs on %s %v after the cancelling of its job was answered", task, workers[i].ID, now-at)})
+			violations = append(violations, Violation{CancelledStops, now, fmt.Sprintf("%s still runs on %s %v after the cancellation of its job was acknowledged", task, workers[i].ID, now-at)})
 		}
 	}
 	return violations
--- a/internal/emulator/rules/faults.go
+++ b/internal/emulator/rules/faults.go
@@ -5,17 +5,18 @@
 
 import "time"
 
-// Calm knows which times were free of disturbances. The zero value has had none.
+// FaultWindows records the time windows in which faults may affect the cluster. The rules that set a
+// deadline apply only outside them. The zero value has no windows.
 type FaultWindows struct{ windows []window }
 
 type window struct{ from, to time.Duration }
 
-// Disturb notes a disturbance from one time to another, of which the second may lie ahead.
+// Add records a window. Its end may be in the future: a fault's duration is known when it starts.
 func (w *FaultWindows) Add(from, to time.Duration) {
 	w.windows = append(w.windows, window{from, to})
 }
 
-// IsCalm reports whether nothing was disturbed from one time to another.
+// IsFaultFree reports whether no recorded window overlaps the time from from to to, both included.
 func (w *FaultWindows) IsFaultFree(from, to time.Duration) bool {
 	for _, fault := range w.windows {
 		if fault.from <= to && fault.to >= from {
--- a/internal/emulator/rules/long_running.go
+++ b/internal/emulator/rules/long_running.go
@@ -8,52 +8,56 @@
 	"time"
 )
 
-// Bounds of the rule on tasks that last.
+// Bounds of the rule on long-running tasks.
 const (
-	// longestAway is how long nothing of a task may run, if in the last roomTime of that there was
-	// room for it twice over on the same workers, and nothing was disturbed in the last calmTime.
+	// maxNotRunning is how long a task may be without a running attempt. The bound applies if for the
+	// last capacityTime the same workers had free capacity for at least two such tasks, and there were
+	// no faults for the last faultFreeTime.
 	maxNotRunning = 9 * time.Second
 	capacityTime  = 3 * time.Second
 	faultFreeTime = 7 * time.Second
 )
 
-// Worker is a worker at one moment.
+// Worker is the state of a worker at one point in time.
 type Worker struct {
 	ID string
-	// IsTaking means that it can be given something.
+	// IsAccepting means that the worker can be sent new tasks.
 	IsAccepting bool
-	// FreeMilliCPU and FreeMemoryMiB are the room that is left.
+	// FreeMilliCPU and FreeMemoryMiB are the free capacity.
 	FreeMilliCPU, FreeMemoryMiB int64
-	// Running are the names of the tasks that run.
+	// Running has the names of the running tasks.
 	Running []string
 }
 
-// LastingStep is a step of tasks that last.
+// LongRunningStep is a step whose tasks run until their job is cancelled.
 type LongRunningStep struct {
-	// Name is the part of its tasks' names that is the same, without the last dot.
-	Name                string
-	Tasks               int
+	// Name is the common prefix of the names of its tasks: a task is called Name, a dot, its index.
+	Name  string
+	Tasks int
+	// MilliCPU and MemoryMiB are what each task needs.
 	MilliCPU, MemoryMiB int64
 }
 
-// LastingWatch finds tasks that last of which nothing runs for too long.
+// LongRunningChecker finds long-running tasks that are not restarted in time.
 type LongRunningChecker struct {
 	permits func(step, worker string) bool
 	steps   []LongRunningStep
-	// awayFrom is since when nothing of a task runs, roomFrom since when a worker has room for a
-	// task of a step.
+	// notRunningSince has, by task, since when no attempt of it has run.
 	notRunningSince map[string]time.Duration
-	capacitySince   map[[2]string]time.Duration
-	reported        map[string]bool
-	longestOutage   time.Duration
+	// capacitySince has, by step and worker, since when the worker has had free capacity for at least
+	// one task of the step.
+	capacitySince map[[2]string]time.Duration
+	// reported has the tasks for which a violation was returned.
+	reported      map[string]bool
+	longestOutage time.Duration
 }
 
-// NewLastingWatch returns a watch of no steps. permits tells whether a worker may run a step.
+// NewLongRunningChecker returns a checker without steps. permits reports whether a worker may run a step.
 func NewLongRunningChecker(permits func(step, worker string) bool) *LongRunningChecker {
 	return &LongRunningChecker{permits: permits, notRunningSince: map[string]time.Duration{}, capacitySince: map[[2]string]time.Duration{}, reported: map[string]bool{}}
 }
 
-// Add watches a step that was accepted at a time.
+// Add adds a step whose job was accepted at the given time. Its tasks count as not running from then on.
 func (l *LongRunningChecker) Add(s LongRunningStep, now time.Duration) {
 	l.steps = append(l.steps, s)
 	for i := range s.Tasks {
@@ -61,12 +65,14 @@
 	}
 }
 
-// Longest returns the longest time for which nothing of a task ran, whatever the reason.
+// LongestOutage returns the longest time for which a task had no running attempt, whatever the reason:
+// times with faults or without capacity count too.
 func (l *LongRunningChecker) LongestOutage() time.Duration { return l.longestOutage }
 
 func (s *LongRunningStep) taskName(i int) string { return fmt.Sprintf("%s.%d", s.Name, i) }
 
-// Look takes the state of all workers, and returns the violations that it shows for the first time.
+// Check evaluates the state of all workers and returns the violations that were not returned before,
+// at most one a task.
 func (l *LongRunningChecker) Check(now time.Duration, workers []Worker, faults *FaultWindows) []Violation {
 	running := map[string]bool{}
 	for i := range workers {
@@ -100,12 +106,13 @@
 			continue
 		}
 		l.reported[task] = true
-		violations = append(violations, Violation{LongRunning, now, fmt.Sprintf("nothing of task %s has run for %v, with room for %d such tasks", task, outage.Round(time.Millisecond), capacity)})
+		violations = append(violations, Violation{LongRunning, now, fmt.Sprintf("no attempt of task %s has run for %v, with free capacity for %d such tasks", task, outage.Round(time.Millisecond), capacity)})
 	}
 	return violations
 }
 
-// standing returns for how many tasks of a step workers have had room for all of roomTime.
+// stableCapacity returns how many tasks of a step fit on the workers that have had free capacity for
+// the step throughout the last capacityTime.
 func (l *LongRunningChecker) stableCapacity(s *LongRunningStep, now time.Duration, workers []Worker) int {
 	capacity := 0
 	for i := range workers {
@@ -126,10 +133,11 @@
 	return capacity
 }
 
-// mostFits bounds what a worker has room for: tasks may need nothing.
+// maxTasksPerWorker bounds the result of taskCapacity, which would be infinite for tasks that need
+// neither processors nor memory.
 const maxTasksPerWorker = 1000
 
-// fits returns for how many tasks of a step the worker has room.
+// taskCapacity returns how many tasks of a step fit into the worker's free capacity.
 func (w *Worker) taskCapacity(s *LongRunningStep) int {
 	n := int64(maxTasksPerWorker)
 	if s.MilliCPU > 0 {
--- a/internal/emulator/rules/rules.go
+++ b/internal/emulator/rules/rules.go
@@ -1,36 +1,40 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rules judges from outside what callers, workers and operators saw of a cell. It is pure:
-// times and states come in, violations go out.
+// Package rules checks, from outside the cluster, whether what callers, workers and operators observed
+// keeps the scheduler's guarantees. It does no I/O and reads no clock: the caller passes the current
+// time and the observed states, and gets back the violations.
 package rules
 
 import "time"
 
-// Rule names a promise.
+// Rule names a guarantee that is checked during an emulation.
 type Rule string
 
-// The rules. docs/EMULATOR.md tells each in full.
+// The rules. docs/EMULATOR.md describes each in full.
 const (
-	// Promises are those that the workers see: one run at a time, room, once only, states that stay.
+	// WorkerInvariants: no task runs on two workers at a time, no worker runs more than its capacity
+	// allows, a once-only task does not run twice, and a final state does not change. They are checked
+	// from the workers' side. The rule also covers nodes whose process ends by itself.
 	WorkerInvariants Rule = "promises"
-	// Ends: each accepted job that does not last ends well once the day is over.
+	// JobsEnd: each accepted job without long-running tasks succeeds, or ends as cancelled, in time after
+	// the last fault.
 	JobsEnd Rule = "ends"
-	// Lasting: each task that lasts runs again in time while there is room.
+	// LongRunning: a long-running task that stops running is restarted in time while there is capacity.
 	LongRunning Rule = "lasting"
-	// NotRun: a job of which each answer was a refusal never runs.
+	// RefusedNotRun: a job never runs if every attempt to submit it was answered with a refusal.
 	RefusedNotRun Rule = "not-run"
-	// Cancelled: nothing of a job runs for long after its cancelling was answered.
+	// CancelledStops: all tasks of a job stop soon after its cancellation was acknowledged.
 	CancelledStops Rule = "cancelled"
 )
 
-// All are the rules, in the order in which they are told.
+// All lists the rules in the order in which they are reported.
 var All = []Rule{WorkerInvariants, JobsEnd, LongRunning, RefusedNotRun, CancelledStops}
 
-// Violation is a rule that was broken.
+// Violation is one case in which a rule was broken.
 type Violation struct {
 	Rule Rule `json:"rule"`
-	// At is the time since the begin of the day.
+	// At is the time since the start of the fault schedule.
 	At          time.Duration `json:"at"`
 	Description string        `json:"what"`
 }
--- a/internal/emulator/rules/rules_test.go
+++ b/internal/emulator/rules/rules_test.go
@@ -10,8 +10,8 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/rules"
 )
 
-// look lets a watch of one task look at a world for a while, ten times a second, and returns what it
-// found.
+// checkRepeatedly evaluates the same workers ten times a second from one time to another, and returns
+// all violations.
 func checkRepeatedly(checker *rules.LongRunningChecker, faults *rules.FaultWindows, from, to time.Duration, workers ...rules.Worker) []rules.Violation {
 	violations := []rules.Violation{}
 	for now := from; now <= to; now += 100 * time.Millisecond {
@@ -20,11 +20,13 @@
 	return violations
 }
 
+// A task that has not run for 9 s is reported once, but only if workers that may run it had enough free
+// capacity and no fault occurred in the last 7 s.
 func TestLongRunningTaskNotRestartedInTimeIsReported(t *testing.T) {
 	step := rules.LongRunningStep{Name: "j.0.0", Tasks: 1, MilliCPU: 1000, MemoryMiB: 100}
 	withCapacity := rules.Worker{ID: "w", IsAccepting: true, FreeMilliCPU: 2000, FreeMemoryMiB: 200}
-	full, failing := withCapacity, withCapacity
-	full.FreeMilliCPU, failing.IsAccepting = 1900, false
+	fitsOne, failing := withCapacity, withCapacity
+	fitsOne.FreeMilliCPU, failing.IsAccepting = 1900, false
 	running := withCapacity
 	running.Running = []string{"j.0.0.0"}
 	second := withCapacity
@@ -37,14 +39,14 @@
 		until   time.Duration
 		want    int
 	}{
-		"away for 9 s beside room":    {[]rules.Worker{withCapacity, second}, anyWorker, -time.Minute, 9 * time.Second, 1},
-		"not for as long":             {[]rules.Worker{withCapacity, second}, anyWorker, -time.Minute, 8900 * time.Millisecond, 0},
-		"it runs":                     {[]rules.Worker{running, second}, anyWorker, -time.Minute, time.Minute, 0},
-		"room for one only":           {[]rules.Worker{full}, anyWorker, -time.Minute, time.Minute, 0},
-		"room on a failing one":       {[]rules.Worker{failing}, anyWorker, -time.Minute, time.Minute, 0},
-		"room that it may not use":    {[]rules.Worker{withCapacity}, func(string, string) bool { return false }, -time.Minute, time.Minute, 0},
-		"disturbed 5 s before":        {[]rules.Worker{withCapacity, second}, anyWorker, 4 * time.Second, 9 * time.Second, 0},
-		"disturbed, and calm for 7 s": {[]rules.Worker{withCapacity, second}, anyWorker, 4 * time.Second, 12 * time.Second, 1},
+		"not running for 9 s with free capacity": {[]rules.Worker{withCapacity, second}, anyWorker, -time.Minute, 9 * time.Second, 1},
+		"not running for less than 9 s":          {[]rules.Worker{withCapacity, second}, anyWorker, -time.Minute, 8900 * time.Millisecond, 0},
+		"it is running":                          {[]rules.Worker{running, second}, anyWorker, -time.Minute, time.Minute, 0},
+		"capacity for one task only":             {[]rules.Worker{fitsOne}, anyWorker, -time.Minute, time.Minute, 0},
+		"capacity on a failing worker":           {[]rules.Worker{failing}, anyWorker, -time.Minute, time.Minute, 0},
+		"capacity without permission":            {[]rules.Worker{withCapacity}, func(string, string) bool { return false }, -time.Minute, time.Minute, 0},
+		"fault 5 s before":                       {[]rules.Worker{withCapacity, second}, anyWorker, 4 * time.Second, 9 * time.Second, 0},
+		"fault more than 7 s before":             {[]rules.Worker{withCapacity, second}, anyWorker, 4 * time.Second, 12 * time.Second, 1},
 	} {
 		checker, faults := rules.NewLongRunningChecker(c.permits), &rules.FaultWindows{}
 		faults.Add(c.faultAt, c.faultAt)
@@ -55,6 +57,8 @@
 	}
 }
 
+// A period counts as free of faults only if it does not overlap the window of any fault. Both ends of a
+// window belong to it.
 func TestFaultOverlappingTheWindowIsFound(t *testing.T) {
 	faults := rules.FaultWindows{}
 	faults.Add(5*time.Second, 8*time.Second)
@@ -62,12 +66,12 @@
 		from, to time.Duration
 		want     bool
 	}{
-		"before":    {0, 4 * time.Second, true},
-		"into it":   {0, 6 * time.Second, false},
-		"within it": {6 * time.Second, 7 * time.Second, false},
-		"around it": {0, 20 * time.Second, false},
-		"out of it": {8 * time.Second, 20 * time.Second, false},
-		"after it":  {9 * time.Second, 20 * time.Second, true},
+		"before":             {0, 4 * time.Second, true},
+		"overlaps its start": {0, 6 * time.Second, false},
+		"within it":          {6 * time.Second, 7 * time.Second, false},
+		"encloses it":        {0, 20 * time.Second, false},
+		"overlaps its end":   {8 * time.Second, 20 * time.Second, false},
+		"after it":           {9 * time.Second, 20 * time.Second, true},
 	} {
 		if got := faults.IsFaultFree(x.from, x.to); got != x.want {
 			t.Errorf("%s: got: %v, want: %v", name, got, x.want)
@@ -75,6 +79,8 @@
 	}
 }
 
+// A task that still runs 6 s after the cancellation of its job was acknowledged is reported once,
+// but not if a fault occurred in that time.
 func TestTaskRunningLongAfterCancellationIsReported(t *testing.T) {
 	worker := rules.Worker{ID: "w", Running: []string{"j.0.0.1"}}
 	for name, c := range map[string]struct {
@@ -83,10 +89,10 @@
 		now     time.Duration
 		want    int
 	}{
-		"long after":       {"j", -time.Minute, 7 * time.Second, 1},
-		"soon after":       {"j", -time.Minute, 5 * time.Second, 0},
-		"another job":      {"k", -time.Minute, 7 * time.Second, 0},
-		"disturbed before": {"j", 3 * time.Second, 7 * time.Second, 0},
+		"long after":   {"j", -time.Minute, 7 * time.Second, 1},
+		"soon after":   {"j", -time.Minute, 5 * time.Second, 0},
+		"another job":  {"k", -time.Minute, 7 * time.Second, 0},
+		"fault before": {"j", 3 * time.Second, 7 * time.Second, 0},
 	} {
 		checker, faults := rules.CancelledChecker{}, &rules.FaultWindows{}
 		faults.Add(c.faultAt, c.faultAt)
@@ -94,7 +100,7 @@
 		got := checker.Check(c.now, []rules.Worker{worker}, faults)
 		again := checker.Check(c.now, []rules.Worker{worker}, faults)
 		if len(got) != c.want || len(again) != 0 {
-			t.Errorf("%s: got: %v, then %v, want: %d, told once", name, got, again, c.want)
+			t.Errorf("%s: got: %v, then %v, want: %d, reported once", name, got, again, c.want)
 		}
 	}
 }
