--- a/internal/emulator/runner/callers.go
+++ b/internal/emulator/runner/callers.go
@@ -16,42 +16,44 @@
 )
 
 const (
-	// callerPatience is how long a caller tries to hand in a job, tryPause the pause between two
-	// tries, and tryTime how long one may take.
+	// submitTimeout is how long a caller keeps trying to submit a job, retryInterval the time between an
+	// attempt's end and the next attempt, and requestTimeout the timeout of each request.
 	submitTimeout  = 3 * time.Second
 	retryInterval  = 300 * time.Millisecond
 	requestTimeout = time.Second
-	// askPause is the time between two rounds in which callers ask for their jobs, askers how many
-	// ask at once.
+	// jobPollInterval is the time between two rounds in which callers poll the states of their jobs,
+	// pollConcurrency how many polls are in flight at once.
 	jobPollInterval = 60 * time.Millisecond
 	pollConcurrency = 8
-	// cancelPause is how long after a job was taken its caller cancels it.
+	// cancelDelay is the time from a job's acceptance to its cancellation by its caller.
 	cancelDelay = 400 * time.Millisecond
 )
 
-// openJob is an accepted job that was not shown as over yet.
+// openJob is an accepted job that no node has reported as ended yet.
 type openJob struct {
 	id        string
 	kind      *scenario.JobKind
 	arrivedAt time.Duration
-	// isLasting means that it does not end by itself.
+	// isLongRunning means that the job has a long-running step, so that it ends only by cancellation.
 	isLongRunning bool
 }
 
-// handInFirst hands in the jobs that are there before the day.
+// submitInitial submits the jobs that exist before the fault schedule starts.
 func (p *Runner) submitInitial(ctx context.Context) error {
 	for i := range p.options.Deployment.Jobs {
 		k := &p.options.Deployment.Jobs[i]
 		for range k.InitialCount {
 			if !p.submitWithRetry(ctx, k) {
-				return fmt.Errorf("play: no node takes a job of %s before the day", k.Name)
+				return fmt.Errorf("runner: no node accepted an initial job of kind %s", k.Name)
 			}
 		}
 	}
 	return nil
 }
 
-// runArrivals lets jobs of a kind come while the day lasts, whether earlier ones are answered or not.
+// runArrivals submits jobs of a kind at random times until the arrivals context ends. The load is open:
+// it does not depend on whether earlier submissions were answered. The other context bounds the
+// submissions.
 func (p *Runner) runArrivals(arrivals, ctx context.Context, k *scenario.JobKind) {
 	wg := sync.WaitGroup{}
 	defer wg.Wait()
@@ -63,13 +65,15 @@
 	}
 }
 
+// drawInterarrivalTime draws from an exponential distribution, so that arrivals are a Poisson process.
 func (p *Runner) drawInterarrivalTime(perSecond float64) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Duration(p.rng.ExpFloat64() / perSecond * float64(time.Second))
 }
 
-// handIn hands in a job of a kind at one node after the other, and reports whether it was taken.
+// submitWithRetry submits a job of a kind, each attempt to a random node, and reports whether it was
+// accepted.
 func (p *Runner) submitWithRetry(ctx context.Context, k *scenario.JobKind) bool {
 	arrivedAt := p.now()
 	counter := p.counters[k.Name]
@@ -100,6 +104,7 @@
 	return false
 }
 
+// submitOnce sends one request. An error leaves open whether the job was accepted.
 func (p *Runner) submitOnce(ctx context.Context, job *site.Job) site.Outcome {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -116,7 +121,7 @@
 	return p.nodes[p.rng.IntN(len(p.nodes))].Node
 }
 
-// draw draws a job of a kind, and whether its caller will cancel it.
+// drawJob draws a job of a kind, and whether its caller will cancel it.
 func (p *Runner) drawJob(k *scenario.JobKind) (*site.Job, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,7 +141,7 @@
 	return job, p.rng.Float64() < k.CancelShare
 }
 
-// drawCount draws from a geometric distribution, of four times its mean at most.
+// drawTaskCount draws from a geometric distribution, cut off at four times its mean.
 func (p *Runner) drawTaskCount(mean int) int {
 	if mean <= 1 {
 		return 1
@@ -145,7 +150,9 @@
 	return min(n, 4*mean)
 }
 
-// accepted takes a job that was taken.
+// handleAccepted records an accepted job, has its long-running steps checked, and cancels it after
+// cancelDelay if isCancelled is set. A long-running job that is not cancelled never ends, and is not
+// polled.
 func (p *Runner) handleAccepted(ctx context.Context, k *scenario.JobKind, job *site.Job, arrivedAt time.Duration, isCancelled bool) {
 	open := &openJob{id: job.ID, kind: k, arrivedAt: arrivedAt}
 	p.mu.Lock()
@@ -164,7 +171,7 @@
 	}
 }
 
-// watchStep watches a step of tasks that last, unless its job is about to be cancelled.
+// monitorStep adds a long-running step to those that are checked, unless its job is about to be cancelled.
 func (p *Runner) monitorStep(job string, i int, s *site.Step, isCancelled bool) {
 	if isCancelled {
 		return
@@ -173,7 +180,7 @@
 	p.longRunning.Add(rules.LongRunningStep{Name: name, Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB}, p.now())
 }
 
-// cancel cancels a job, trying again until a node answers.
+// cancel cancels a job, and retries until a node acknowledges the cancellation or the context ends.
 func (p *Runner) cancel(ctx context.Context, j *openJob) {
 	for {
 		attempt, cancelAttempt := context.WithTimeout(ctx, requestTimeout)
@@ -191,13 +198,14 @@
 	p.cancelled.Add(j.id, p.now())
 }
 
-// runAsks asks for the states of open jobs.
+// pollJobs polls the states of the open jobs periodically until the context ends.
 func (p *Runner) pollJobs(ctx context.Context) {
 	for sleep(ctx, jobPollInterval) {
 		p.pollOpenJobs(ctx)
 	}
 }
 
+// pollOpenJobs polls each open job once.
 func (p *Runner) pollOpenJobs(ctx context.Context) {
 	p.mu.Lock()
 	jobs := append([]*openJob{}, p.openJobs...)
@@ -223,7 +231,8 @@
 	p.handleEnded(j, state)
 }
 
-// ended takes that a job was shown as over.
+// handleEnded records the final state of a job. As no task of these jobs fails, a failed job is a
+// violation.
 func (p *Runner) handleEnded(j *openJob, state string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -242,6 +251,6 @@
 		counter.update(func(r *KindResult) { r.Cancelled++ })
 	default:
 		counter.update(func(r *KindResult) { r.Failed++ })
-		p.violations = append(p.violations, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s is shown as %s, and none of its tasks failed", j.id, j.kind.Name, state)})
+		p.violations = append(p.violations, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s is reported as %s although none of its tasks failed", j.id, j.kind.Name, state)})
 	}
 }
--- a/internal/emulator/runner/faults.go
+++ b/internal/emulator/runner/faults.go
@@ -13,7 +13,7 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// end is the end of a fault.
+// faultEnd is a scheduled action that ends a fault.
 type faultEnd struct {
 	at   time.Duration
 	undo func()
@@ -21,16 +21,17 @@
 
 const (
 	faultPollInterval = 20 * time.Millisecond
-	// aftermath is how long a fault is felt after its end: nodes start, and workers write themselves
-	// into the list.
+	// recoveryTime is how long a fault may still have effects after its end, while nodes start and
+	// workers register again.
 	recoveryTime = 2 * time.Second
-	// muteCount is how many orders a worker carries out without an answer.
+	// affectedStarts is how many orders to start a faulty worker carries out without an answer.
 	affectedStarts = 3
-	// restartClock is what the clock of a worker shows that has started again.
+	// restartedWorkerClock is what the clock of a restarted worker shows at its start.
 	restartedWorkerClock = 3 * time.Hour
 )
 
-// runFaults begins and ends faults while the day lasts.
+// runFaults starts the faults of the schedule and ends those that are due, until the arrivals context
+// ends.
 func (p *Runner) runFaults(arrivals context.Context) {
 	next := 0
 	for sleep(arrivals, faultPollInterval) {
@@ -41,7 +42,7 @@
 	}
 }
 
-// begin begins a fault. Faults are begun and ended by one goroutine.
+// startFault starts a fault. One goroutine starts and ends all faults.
 func (p *Runner) startFault(f *scenario.Fault) {
 	p.mu.Lock()
 	p.faultCount++
@@ -73,7 +74,7 @@
 	}
 }
 
-// harm begins a fault of a worker.
+// startWorkerFault starts a fault of one worker. A crashed worker is replaced by a new one.
 func (p *Runner) startWorkerFault(w *site.Worker, f *scenario.Fault) {
 	switch f.Kind {
 	case scenario.WorkerCrash:
@@ -93,7 +94,7 @@
 	}
 }
 
-// someNodes does something to some nodes that are up.
+// forRandomNodes calls a function for up to count random nodes that are not down.
 func (p *Runner) forRandomNodes(count int, do func(*node)) {
 	p.mu.Lock()
 	up := slices.DeleteFunc(slices.Clone(p.nodes), func(n *node) bool { return n.isDown })
@@ -104,7 +105,7 @@
 	}
 }
 
-// someWorkers does something to some workers that live.
+// forRandomWorkers calls a function for up to count random workers that are alive.
 func (p *Runner) forRandomWorkers(count int, do func(*site.Worker)) {
 	live := slices.DeleteFunc(p.site.Workers(), (*site.Worker).IsDead)
 	p.mu.Lock()
@@ -115,7 +116,7 @@
 	}
 }
 
-// endNode ends a node, and starts it again a while after its end.
+// signalNode sends a terminating signal to a node, and schedules its restart after downTime.
 func (p *Runner) signalNode(n *node, sig syscall.Signal, downTime time.Duration) {
 	p.setDown(n, true)
 	if n.Signal(sig) != nil {
@@ -130,7 +131,7 @@
 	n.isDown = isDown
 }
 
-// startAgain starts a node once it has ended.
+// restartNode starts a node; as long as its process has not ended, it reschedules itself.
 func (p *Runner) restartNode(n *node) {
 	if !n.HasEnded() {
 		p.scheduleEnd(faultPollInterval, func() { p.restartNode(n) })
@@ -141,23 +142,26 @@
 	}
 }
 
+// pauseNode suspends a node's process for a while.
 func (p *Runner) pauseNode(n *node, d time.Duration) {
 	if n.Signal(syscall.SIGSTOP) == nil {
 		p.scheduleEnd(d, func() { _ = n.Signal(syscall.SIGCONT) })
 	}
 }
 
+// setStoreMode makes the store misbehave for a while. Overlapping faults of the store are not stacked:
+// the first to end restores the store.
 func (p *Runner) setStoreMode(mode site.StoreMode, d time.Duration) {
 	p.site.Store.SetMode(mode)
 	p.scheduleEnd(d, func() { p.site.Store.SetMode(site.StoreUp) })
 }
 
-// later does something after a while, or when all is healed.
+// scheduleEnd schedules the end of a fault; endAllFaults brings it forward.
 func (p *Runner) scheduleEnd(d time.Duration, undo func()) {
 	p.faultEnds = append(p.faultEnds, faultEnd{p.now() + d, undo})
 }
 
-// endDue ends the faults that are due.
+// endDueFaults ends the faults that are due.
 func (p *Runner) endDueFaults(now time.Duration) {
 	due := []faultEnd{}
 	p.faultEnds = slices.DeleteFunc(p.faultEnds, func(e faultEnd) bool {
@@ -171,7 +175,7 @@
 	}
 }
 
-// heal ends all faults, and waits until all nodes run.
+// endAllFaults ends all faults, due or not, and waits until all nodes were restarted.
 func (p *Runner) endAllFaults(ctx context.Context) {
 	for len(p.faultEnds) > 0 && sleep(ctx, faultPollInterval) {
 		p.endDueFaults(time.Duration(1<<62 - 1))
--- a/internal/emulator/runner/monitor.go
+++ b/internal/emulator/runner/monitor.go
@@ -16,7 +16,8 @@
 	progressInterval = 5 * time.Second
 )
 
-// runWatch looks at the workers and the nodes, and tells how far the play is.
+// runMonitor checks the rules on the workers and nodes periodically, and prints the progress, until the
+// context ends.
 func (p *Runner) runMonitor(ctx context.Context) {
 	printedAt := time.Now()
 	for sleep(ctx, checkInterval) {
@@ -28,6 +29,8 @@
 	}
 }
 
+// checkRules evaluates the rules on the present state of the workers, and reports nodes whose process has
+// ended although no fault stopped it.
 func (p *Runner) checkRules() {
 	workers := []rules.Worker{}
 	for _, s := range p.site.Snapshot() {
@@ -40,7 +43,7 @@
 	p.violations = append(p.violations, p.longRunning.Check(p.now(), workers, &p.faultWindows)...)
 	p.violations = append(p.violations, p.cancelled.Check(p.now(), workers, &p.faultWindows)...)
 	for _, n := range p.nodes {
-		// One that is down may be starting again.
+		// A node that a fault has stopped may have ended, or be about to restart.
 		if !n.isDown && n.HasEnded() {
 			n.isDown = true
 			p.violations = append(p.violations, rules.Violation{Rule: rules.WorkerInvariants, At: p.now(), Description: n.Name + " ended by itself: " + lastLine(n.Log())})
@@ -52,6 +55,6 @@
 	p.mu.Lock()
 	open, faults, violations := len(p.openJobs), p.faultCount, len(p.violations)
 	p.mu.Unlock()
-	_, _ = fmt.Fprintf(p.options.Progress, "%6v  %d faults played, %d jobs open, %d starts, %d rules broken\n",
+	_, _ = fmt.Fprintf(p.options.Progress, "%6v  %d faults injected, %d jobs open, %d task starts, %d rule violations\n",
 		p.now().Round(time.Second), faults, open, p.site.Starts(), violations)
 }
--- a/internal/emulator/runner/result.go
+++ b/internal/emulator/runner/result.go
@@ -12,57 +12,59 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/rules"
 )
 
-// Result is what a play showed.
+// Result is the result of an emulation.
 type Result struct {
+	// Deployment and Schedule are the names of the deployment and the fault schedule.
 	Deployment string        `json:"deployment"`
 	Schedule   string        `json:"day"`
 	Seed       uint64        `json:"seed"`
 	Length     time.Duration `json:"length"`
-	// Faults is how many were played, Starts how many runs of tasks began.
+	// Faults is the number of faults injected, Starts the number of task attempts that started.
 	Faults int          `json:"faults"`
 	Starts int          `json:"starts"`
 	Kinds  []KindResult `json:"kinds"`
-	// LongestAway is the longest time for which nothing of a task that lasts ran.
+	// LongestOutage is the longest time for which a long-running task had no running attempt.
 	LongestOutage time.Duration     `json:"longestAway"`
 	Violations    []rules.Violation `json:"violations"`
-	// IsPartial means that the play was ended before its time.
+	// IsPartial means that the emulation was cancelled before its end.
 	IsPartial bool `json:"isPartial"`
 }
 
-// KindResult is what callers of one kind of job saw.
+// KindResult is what the callers of one kind of job observed.
 type KindResult struct {
 	Name string `json:"name"`
-	// Came is how many jobs came. Accepted, Refused and Unknown are what became of handing them in:
-	// Refused only where each answer was a refusal.
+	// Arrived is the number of jobs that arrived. Accepted, Refused and Unknown count the outcomes of
+	// submitting them: Refused only if every attempt was answered with a refusal, Unknown if a job was
+	// not accepted in time and an attempt got no full answer, so that it may have been accepted.
 	Arrived  int `json:"came"`
 	Accepted int `json:"accepted"`
 	Refused  int `json:"refused"`
 	Unknown  int `json:"unknown"`
-	// Succeeded, Failed and Cancelled are what the accepted ones were shown as at last.
+	// Succeeded, Failed and Cancelled count the final states of the accepted jobs.
 	Succeeded int `json:"succeeded"`
 	Failed    int `json:"failed"`
 	Cancelled int `json:"cancelled"`
-	// Answers are the times to the answer that took the job, Ends those until it was shown as
-	// succeeded, both from when it came.
+	// SubmitLatency is the time from a job's arrival to the answer that accepted it, CompletionTime the
+	// time from its arrival until a node reported it as succeeded.
 	SubmitLatency  Quantiles `json:"answers"`
 	CompletionTime Quantiles `json:"ends"`
 }
 
-// Times are quantiles.
+// Quantiles are the median, the 99th percentile and the maximum of a distribution of times.
 type Quantiles struct {
 	P50 time.Duration `json:"p50"`
 	P99 time.Duration `json:"p99"`
 	Max time.Duration `json:"max"`
 }
 
-// tally counts one kind while jobs come. It is safe for concurrent use.
+// kindCounter counts the jobs of one kind while they arrive. It is safe for concurrent use.
 type kindCounter struct {
 	mu                            sync.Mutex
 	result                        KindResult
 	submitLatency, completionTime *hdrhistogram.Histogram
 }
 
-// longestTime is the longest that a histogram tells apart.
+// maxRecordedTime is the upper bound of the histograms; longer times are recorded as this.
 const maxRecordedTime = 10 * time.Minute
 
 func newKindCounter(name string) *kindCounter {
--- a/internal/emulator/runner/runner.go
+++ b/internal/emulator/runner/runner.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package runner plays a day on a deployment: the nodes are processes of the product, all else is the
-// emulator's.
+// Package runner runs an emulation: it executes a fault schedule on a deployment while jobs arrive. The
+// nodes are real processes of the product; the workers, the store, the permission service and the
+// callers are simulated in this process.
 package runner
 
 import (
@@ -22,18 +23,20 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// Options says what is played. Deployment, Day, Binary and Dir must be set.
+// Options configures an emulation. Deployment, Schedule, Binary and Dir must be set.
 type Options struct {
 	Deployment *scenario.Deployment
 	Schedule   *scenario.FaultSchedule
-	Seed       uint64
-	// Binary is the node's program; Dir is where settings and logs of the nodes go.
+	// Seed determines all random choices of the callers and faults.
+	Seed uint64
+	// Binary is the path of the node's executable; the settings files and logs of the nodes are written
+	// to Dir.
 	Binary, Dir string
-	// Progress takes a line now and then; nil drops them.
+	// Progress receives a line every progressInterval; nil discards them.
 	Progress io.Writer
 }
 
-// Player plays one day. It is used once.
+// Runner runs one emulation. It cannot be reused.
 type Runner struct {
 	options   Options
 	site      *site.Site
@@ -42,46 +45,51 @@
 	startedAt time.Time
 
 	mu sync.Mutex
-	// rng is used by the callers and by the faults, each under the lock.
+	// rng is shared by the callers and the fault injection, and guarded by mu.
 	rng          *rand.Rand
 	faultWindows rules.FaultWindows
 	longRunning  *rules.LongRunningChecker
 	cancelled    rules.CancelledChecker
 	violations   []rules.Violation
-	openJobs     []*openJob
-	refusedJobs  []string
-	lastJobID    int
-	// faults counts those that were played.
-	faultCount    int
+	// openJobs has the accepted jobs that must end and were not yet reported as ended.
+	openJobs []*openJob
+	// refusedJobs has the IDs of the jobs of which every attempt to submit them was refused.
+	refusedJobs []string
+	lastJobID   int
+	// faultCount counts the faults that were started.
+	faultCount int
+	// configVersion is the published version of the configuration, lastWorker the number of the newest
+	// worker. Both, and faultEnds, are used only by the goroutine of Run.
 	configVersion int
 	lastWorker    int
 	faultEnds     []faultEnd
 }
 
 const (
-	// readyPatience is how long nodes may take until all are ready.
+	// readyTimeout bounds the wait for each node to become ready.
 	readyTimeout = 30 * time.Second
 	pollInterval = 50 * time.Millisecond
-	// endPatience is how long jobs may take to end once all is healed.
+	// jobEndTimeout is how long accepted jobs may take to end after all faults have ended.
 	jobEndTimeout = 40 * time.Second
-	// settleTime is how long tasks that last are watched once all is healed.
+	// observationTime is how long long-running tasks are checked at least after all faults have ended.
 	observationTime = 17 * time.Second
 )
 
-// New starts the stand-ins and the nodes of a deployment. Close must be called.
+// New starts the simulated platform and the nodes of a deployment, and waits until the nodes are ready.
+// The caller must call Close.
 func New(ctx context.Context, o Options) (*Runner, error) {
 	if o.Progress == nil {
 		o.Progress = io.Discard
 	}
 	if _, err := os.Stat(o.Binary); err != nil {
-		return nil, fmt.Errorf("play: the node's program: %w", err)
+		return nil, fmt.Errorf("runner: node executable: %w", err)
 	}
 	d := o.Deployment
 	s, err := site.New(site.Options{
 		Workers: d.Workers.Count, MilliCPU: d.Workers.MilliCPU, MemoryMiB: d.Workers.MemoryMiB, CPUShare: d.Nodes.CPUShare, HasAdvice: d.UsesPermissionService, HasOwnGroup: true,
 	})
 	if err != nil {
-		return nil, fmt.Errorf("play: %w", err)
+		return nil, fmt.Errorf("runner: %w", err)
 	}
 	p := &Runner{
 		options: o, site: s, rng: rand.New(rand.NewPCG(o.Seed, 1)), longRunning: rules.NewLongRunningChecker(s.Permits), counters: map[string]*kindCounter{}, configVersion: 1,
@@ -97,7 +105,7 @@
 	return p, nil
 }
 
-// Close ends the nodes and the stand-ins.
+// Close kills the nodes and stops the simulated platform.
 func (p *Runner) Close() {
 	for _, n := range p.nodes {
 		n.Kill()
@@ -105,7 +113,7 @@
 	p.site.Close()
 }
 
-// KillAll ends the nodes of all plays at once.
+// KillAll kills the nodes of all emulations of this process immediately.
 func KillAll() { site.KillAll() }
 
 func (p *Runner) startNodes(ctx context.Context) error {
@@ -113,7 +121,7 @@
 	for i := range p.options.Deployment.Nodes.Count {
 		n, err := p.site.NewNode(p.options.Binary, p.options.Dir, i)
 		if err != nil {
-			return fmt.Errorf("play: node %d: %w", i, err)
+			return fmt.Errorf("runner: start node %d: %w", i, err)
 		}
 		p.nodes = append(p.nodes, &node{Node: n})
 	}
@@ -125,10 +133,10 @@
 	return nil
 }
 
-// node is a node with what the player does to it.
+// node is a node and the state that the fault injection keeps of it.
 type node struct {
 	*site.Node
-	// isDown means that it was told to end and is not started yet.
+	// isDown means that a fault has stopped the process and it was not restarted yet.
 	isDown bool
 }
 
@@ -137,10 +145,10 @@
 	defer cancel()
 	for !n.IsReady(ctx) {
 		if n.HasEnded() {
-			return fmt.Errorf("play: %s ended by itself: %s", n.Name, lastLine(n.Log()))
+			return fmt.Errorf("runner: %s ended by itself: %s", n.Name, lastLine(n.Log()))
 		}
 		if !sleep(ctx, pollInterval) {
-			return fmt.Errorf("play: %s is not ready: %w", n.Name, ctx.Err())
+			return fmt.Errorf("runner: %s did not become ready: %w", n.Name, ctx.Err())
 		}
 	}
 	return nil
@@ -151,7 +159,7 @@
 	return lines[len(lines)-1]
 }
 
-// pause waits, and reports false when the context was over before.
+// sleep waits for the duration, and reports false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -163,8 +171,9 @@
 	}
 }
 
-// Run plays the day and returns what it showed. When the context ends before, the result is
-// partial.
+// Run runs the emulation and returns its result: it submits the initial jobs, lets jobs arrive and
+// injects faults for the length of the schedule, ends all faults, and waits for the accepted jobs to
+// end. If the context is cancelled before, the result is partial.
 func (p *Runner) Run(ctx context.Context) (*Result, error) {
 	p.startedAt = time.Now()
 	if err := p.submitInitial(ctx); err != nil {
@@ -193,7 +202,8 @@
 
 func (p *Runner) now() time.Duration { return time.Since(p.startedAt) }
 
-// settle waits until accepted jobs have ended, and tasks that last had time to come back.
+// awaitJobEnds waits until the accepted jobs have ended, for jobEndTimeout at most, and at least for
+// observationTime, so that long-running tasks that are not restarted are found.
 func (p *Runner) awaitJobEnds(ctx context.Context) {
 	start := p.now()
 	for p.now()-start < jobEndTimeout && sleep(ctx, pollInterval) {
@@ -209,7 +219,7 @@
 	return len(p.openJobs)
 }
 
-// result puts together what the play showed.
+// result collects the result. A partial one does not report jobs that have not ended.
 func (p *Runner) result(ctx context.Context) *Result {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -226,14 +236,14 @@
 	}
 	for _, id := range p.refusedJobs {
 		if p.site.HasRun(id) {
-			r.Violations = append(r.Violations, rules.Violation{Rule: rules.RefusedNotRun, At: p.now(), Description: "job " + id + " ran though each answer said that it was not taken"})
+			r.Violations = append(r.Violations, rules.Violation{Rule: rules.RefusedNotRun, At: p.now(), Description: "job " + id + " ran although every attempt to submit it was refused"})
 		}
 	}
 	if r.IsPartial {
 		return r
 	}
 	for _, j := range p.openJobs {
-		r.Violations = append(r.Violations, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s has not ended %v after the day", j.id, j.kind.Name, jobEndTimeout)})
+		r.Violations = append(r.Violations, rules.Violation{Rule: rules.JobsEnd, At: p.now(), Description: fmt.Sprintf("job %s of %s has not ended %v after the last fault", j.id, j.kind.Name, jobEndTimeout)})
 	}
 	return r
 }
