--- a/internal/compare/bench_test.go
+++ b/internal/compare/bench_test.go
@@ -206,12 +206,12 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-func (o *simulationResult) row(name string) string {
+func (r *simulationResult) row(name string) string {
 	text := fmt.Sprintf("| %s |", name)
 	for _, c := range []leverdyke.Class{leverdyke.ClassUrgent, leverdyke.ClassNormal, leverdyke.ClassBatch} {
-		text += fmt.Sprintf(" %.1f / %.1f |", quantile(o.waits[c], 0.5), quantile(o.waits[c], 0.99))
+		text += fmt.Sprintf(" %.1f / %.1f |", quantile(r.waits[c], 0.5), quantile(r.waits[c], 0.99))
 	}
-	return text + fmt.Sprintf(" %.0f / %.0f / %.0f | %.0f |", 100*o.usedAtFirstWait[0], 100*o.usedAtFirstWait[1], 100*o.usedAtFirstWait[2], 100*o.meanUsed)
+	return text + fmt.Sprintf(" %.0f / %.0f / %.0f | %.0f |", 100*r.usedAtFirstWait[0], 100*r.usedAtFirstWait[1], 100*r.usedAtFirstWait[2], 100*r.meanUsed)
 }
 
 const tableHeader = "| | urgent p50 / p99 (s) | normal | batch | used when the first waits: cpu / memory / slots (%) | mean cpu (%) |\n|---|---|---|---|---|---|"
--- a/internal/compare/stale_test.go
+++ b/internal/compare/stale_test.go
@@ -35,9 +35,9 @@
 	t.Log("\n| summaries' age (s) | racks compared | correction after a refusal | order turns with each ask | asks refused (%) | wait p50 / p99 (s) |\n|---|---|---|---|---|---|")
 	for _, age := range []int{20, 60} {
 		for _, comparedRacks := range []int{1, 8, 0} {
-			for _, c := range []struct{ hasCorrection, isRotating bool }{{false, true}, {true, true}, {true, false}} {
-				refused, waits := simulateStaleSummaries(age, comparedRacks, c.hasCorrection, c.isRotating)
-				t.Logf("\n| %.1f | %s | %v | %v | %.1f | %.2f / %.2f |", float64(age)*tickSeconds, comparedRacksName(comparedRacks), c.hasCorrection, c.isRotating, 100*refused, quantile(waits, 0.5), quantile(waits, 0.99))
+			for _, c := range []struct{ hasExclusion, isRotating bool }{{false, true}, {true, true}, {true, false}} {
+				refused, waits := simulateStaleSummaries(age, comparedRacks, c.hasExclusion, c.isRotating)
+				t.Logf("\n| %.1f | %s | %v | %v | %.1f | %.2f / %.2f |", float64(age)*tickSeconds, comparedRacksName(comparedRacks), c.hasExclusion, c.isRotating, 100*refused, quantile(waits, 0.5), quantile(waits, 0.99))
 			}
 		}
 	}
@@ -50,7 +50,7 @@
 	return fmt.Sprint(comparedRacks)
 }
 
-func simulateStaleSummaries(age, comparedRacks int, hasCorrection, isRotating bool) (refused float64, waits []float64) {
+func simulateStaleSummaries(age, comparedRacks int, hasExclusion, isRotating bool) (refused float64, waits []float64) {
 	r := rand.New(rand.NewSource(5))
 	free := make([]int64, rackCount)
 	for i := range free {
@@ -108,7 +108,7 @@
 					if !isRotating {
 						shard.offset = rack + 1
 					}
-					if hasCorrection {
+					if hasExclusion {
 						shard.excludedUntil[rack] = now + 6
 					}
 					continue
--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -16,7 +16,7 @@
 )
 
 // maxTold bounds the violations that a screen tells of each rule.
-const maxTold = 3
+const maxListedViolations = 3
 
 // JSON writes a result as one line.
 func JSON(w io.Writer, r *runner.Result) error {
@@ -52,19 +52,19 @@
 // writeRules tells of each rule whether it held, and the first violations.
 func writeRules(b *strings.Builder, r *runner.Result) {
 	for _, rule := range rules.All {
-		found := []string{}
+		violations := []string{}
 		for _, v := range r.Violations {
 			if v.Rule == rule {
-				found = append(found, fmt.Sprintf("%10s  %s", short(v.At), v.Description))
+				violations = append(violations, fmt.Sprintf("%10s  %s", short(v.At), v.Description))
 			}
 		}
-		verdict := "held"
-		if len(found) > 0 {
-			verdict = fmt.Sprintf("BROKEN %d times", len(found))
+		status := "held"
+		if len(violations) > 0 {
+			status = fmt.Sprintf("BROKEN %d times", len(violations))
 		}
-		fmt.Fprintf(b, "rule %-10s %s\n", rule, verdict)
-		for _, what := range found[:min(len(found), maxTold)] {
-			fmt.Fprintln(b, what)
+		fmt.Fprintf(b, "rule %-10s %s\n", rule, status)
+		for _, violation := range violations[:min(len(violations), maxListedViolations)] {
+			fmt.Fprintln(b, violation)
 		}
 	}
 }
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestScreenNamesWhatIsBroken(t *testing.T) {
+func TestScreenListsViolations(t *testing.T) {
 	b := &strings.Builder{}
 	if err := report.Screen(b, result()); err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestJSONIsOneLine(t *testing.T) {
+func TestJSONIsOneReadableLine(t *testing.T) {
 	b := &strings.Builder{}
 	if err := report.JSON(b, result()); err != nil {
 		t.Fatal(err)
