--- a/internal/emulator/report/report.go
+++ b/internal/emulator/report/report.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package report prints what plays showed.
+// Package report writes the results of emulations, as JSON or as text for people.
 package report
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/runner"
 )
 
-// maxTold bounds the violations that a screen tells of each rule.
+// maxListedViolations bounds the number of violations that Screen lists for each rule.
 const maxListedViolations = 3
 
-// JSON writes a result as one line.
+// JSON writes a result as one line of JSON.
 func JSON(w io.Writer, r *runner.Result) error {
 	if err := json.NewEncoder(w).Encode(r); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// Screen writes a result for people.
+// Screen writes a result as a table and a list of rules for people.
 func Screen(w io.Writer, r *runner.Result) error {
 	b := &strings.Builder{}
 	partial := ""
@@ -40,7 +40,7 @@
 		fmt.Fprintf(b, "%-14s %6d %9d %8d %8d %10d %7d %10d %10s %10s %10s\n", k.Name, k.Arrived, k.Accepted, k.Refused, k.Unknown, k.Succeeded, k.Failed, k.Cancelled,
 			short(k.SubmitLatency.P50), short(k.SubmitLatency.P99), short(k.CompletionTime.P99))
 	}
-	fmt.Fprintf(b, "\ntasks that last: away for %s at most\n", short(r.LongestOutage))
+	fmt.Fprintf(b, "\nlong-running tasks: not running for at most %s\n", short(r.LongestOutage))
 	writeRules(b, r)
 	_, err := io.WriteString(w, b.String())
 	if err != nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// writeRules tells of each rule whether it held, and the first violations.
+// writeRules writes for each rule whether it held, and its first violations.
 func writeRules(b *strings.Builder, r *runner.Result) {
 	for _, rule := range rules.All {
 		violations := []string{}
@@ -69,7 +69,7 @@
 	}
 }
 
-// short rounds a time so that it is read at a glance.
+// short rounds a duration to milliseconds, or to 10 ms from one second on; a zero duration is "-".
 func short(d time.Duration) string {
 	switch {
 	case d == 0:
--- a/internal/emulator/report/report_test.go
+++ b/internal/emulator/report/report_test.go
@@ -22,6 +22,7 @@
 	}
 }
 
+// The text must name the run, the rules that were broken with their violations, and those that held.
 func TestScreenListsViolations(t *testing.T) {
 	b := &strings.Builder{}
 	if err := report.Screen(b, result()); err != nil {
@@ -29,11 +30,12 @@
 	}
 	for _, want := range []string{"calm on small, seed 3", "rule ends       BROKEN 1 times", "job 1 has not ended", "rule lasting    held", "12ms"} {
 		if !strings.Contains(b.String(), want) {
-			t.Errorf("screen: got: %s, want: it to have %q", b, want)
+			t.Errorf("screen: got: %s, want: text that contains %q", b, want)
 		}
 	}
 }
 
+// Programs read one result a line, so that the JSON must have no line break and decode to the result.
 func TestJSONIsOneReadableLine(t *testing.T) {
 	b := &strings.Builder{}
 	if err := report.JSON(b, result()); err != nil {
--- a/internal/emulator/scenario/fault_schedule.go
+++ b/internal/emulator/scenario/fault_schedule.go
@@ -16,40 +16,43 @@
 	"github.com/leverdyke/leverdyke/internal/document"
 )
 
-// Kind is a kind of fault.
+// FaultKind is a kind of fault. Its value is the name of the kind in files.
 type FaultKind string
 
-// The kinds. Those that name a time end by themselves after it.
+// The kinds of faults. Count is Fault.Count; a fault that has a duration ends by itself after it.
 const (
-	// NodeKill ends nodes at once, NodeStop as planned; both start again after the time.
+	// NodeKill kills count nodes with SIGKILL, NodeStop stops them gracefully with SIGTERM. The nodes
+	// are restarted after the duration.
 	NodeKill FaultKind = "node-kill"
 	NodeStop FaultKind = "node-stop"
-	// NodePause lets nodes stand still.
+	// NodePause suspends the processes of count nodes for the duration.
 	NodePause FaultKind = "node-pause"
-	// PowerLoss ends all nodes at once; they start again after the time.
+	// PowerLoss kills all nodes at the same time and restarts them after the duration.
 	PowerLoss FaultKind = "power-loss"
-	// StoreBusy makes the store refuse all, StoreSilent answer nothing, StoreSlow take long.
+	// StoreBusy makes the store refuse all requests, StoreSilent leave them unanswered, and StoreSlow
+	// execute and answer them after a delay, each for the duration.
 	StoreBusy   FaultKind = "store-busy"
 	StoreSilent FaultKind = "store-silent"
 	StoreSlow   FaultKind = "store-slow"
-	// StoreLosesAnswers makes the next count appends be done and not answered.
+	// StoreLosesReplies makes the store execute the next count appends without answering them.
 	StoreLosesReplies FaultKind = "store-loses-answers"
-	// WorkerCrash ends workers; others take their places. WorkerRestart starts them again after the
-	// time, under their IDs.
+	// WorkerCrash ends count workers for good and adds new ones in their place. WorkerRestart ends count
+	// workers and restarts them under the same IDs after the duration.
 	WorkerCrash   FaultKind = "worker-crash"
 	WorkerRestart FaultKind = "worker-restart"
-	// WorkerFailsLasting makes workers fail the tasks that last which they run and start.
+	// WorkerFailsLongRunning makes count workers fail the long-running tasks that they run, and those
+	// that they start within the duration.
 	WorkerFailsLongRunning FaultKind = "worker-fails-lasting"
-	// WorkerMute makes workers carry out the next orders to start without an answer,
-	// WorkerHoldsUp the time later.
+	// WorkerDropsReplies makes count workers carry out their next orders to start without answering.
+	// WorkerDelaysStarts does the same, but the orders are carried out only after the duration.
 	WorkerDropsReplies FaultKind = "worker-mute"
 	WorkerDelaysStarts FaultKind = "worker-holds-up"
 	// ConfigChange publishes a new version of the configuration.
 	ConfigChange FaultKind = "config-change"
 )
 
-// kinds are all of them, and how long each lasts at least and at most where it is drawn; 0 for those
-// that take no time.
+// faultKinds lists all kinds with the range from which RandomFaultSchedule draws their durations:
+// minDuration up to minDuration plus extraDuration. Both are 0 for kinds without a duration.
 var faultKinds = []struct {
 	kind                       FaultKind
 	minDuration, extraDuration time.Duration
@@ -70,26 +73,29 @@
 	{ConfigChange, 0, 0},
 }
 
-// Day is what happens while jobs come.
+// FaultSchedule is the faults that are injected while jobs arrive. The files, the command line and the
+// results call it a day.
 type FaultSchedule struct {
 	Name string `yaml:"name"`
-	// Length is how long jobs come.
+	// Length is how long jobs arrive.
 	Length time.Duration `yaml:"length"`
 	Faults []Fault       `yaml:"faults"`
 }
 
-// Fault is one fault of a day.
+// Fault is one fault of a schedule.
 type Fault struct {
-	// At is when it begins, from the begin of the day.
+	// At is when it starts, from the start of the schedule.
 	At   time.Duration `yaml:"at"`
 	Kind FaultKind     `yaml:"kind"`
-	// For is how long it lasts.
+	// Duration is how long it lasts; 0 for kinds without a duration.
 	Duration time.Duration `yaml:"for,omitempty"`
-	// Count is how many nodes, workers or answers it is about; 0 means one.
+	// Count is the number of nodes, workers or answers that it affects; 0 means one. Some kinds ignore
+	// it.
 	Count int `yaml:"count,omitempty"`
 }
 
-// LoadDay reads a file. The error is a *document.FieldError where the file is at fault.
+// LoadFaultSchedule reads and checks a file. The error is a *document.FieldError if the file's content is
+// invalid.
 func LoadFaultSchedule(path string) (*FaultSchedule, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +109,7 @@
 	return d, d.check(f)
 }
 
-// Save writes a day as LoadDay reads it.
+// Save writes a schedule to a file that LoadFaultSchedule can read.
 func (d *FaultSchedule) Save(path string) error {
 	data, err := yaml.Marshal(d)
 	if err != nil {
@@ -117,7 +123,7 @@
 
 func (d *FaultSchedule) check(f *document.File) error {
 	if d.Length <= 0 || d.Length > time.Hour {
-		return f.Errorf("length", "over 0, up to 1h", "length is %v", d.Length)
+		return f.Errorf("length", "above 0, up to 1h", "length is %v", d.Length)
 	}
 	for i := range d.Faults {
 		if err := d.Faults[i].check(f, i, d.Length); err != nil {
@@ -136,17 +142,17 @@
 	case fault.At < 0 || fault.At > length:
 		return f.Errorf("at", fmt.Sprintf("0s to %v, the day's length", length), "fault %d: at is %v", i+1, fault.At)
 	case minDuration > 0 && fault.Duration <= 0:
-		return f.Errorf("for", "a duration over 0, as 2s", "fault %d: for is %v", i+1, fault.Duration)
+		return f.Errorf("for", "a duration above 0, such as 2s", "fault %d: for is %v", i+1, fault.Duration)
 	case minDuration == 0 && fault.Duration != 0:
-		return f.Errorf("for", "none, as "+string(fault.Kind)+" takes no time", "fault %d: for is %v", i+1, fault.Duration)
+		return f.Errorf("for", "no value, because "+string(fault.Kind)+" has no duration", "fault %d: for is %v", i+1, fault.Duration)
 	case fault.Count < 0:
 		return f.Errorf("count", "0 or more", "fault %d: count is %d", i+1, fault.Count)
 	}
 	return nil
 }
 
-// times returns how long faults of the kind last when they are drawn, at least and by how much more;
-// false when there is no such kind.
+// durationRange returns the range from which durations of the kind are drawn, as a minimum and what may
+// be added to it; false if there is no such kind.
 func (k FaultKind) durationRange() (minDuration, extraDuration time.Duration, ok bool) {
 	for _, known := range faultKinds {
 		if known.kind == k {
@@ -156,6 +162,7 @@
 	return 0, 0, false
 }
 
+// kindList returns the names of all kinds for an error text.
 func kindList() string {
 	names := make([]string, len(faultKinds))
 	for i := range faultKinds {
@@ -164,7 +171,8 @@
 	return strings.Join(names, ", ")
 }
 
-// Vary returns the day with other moments and lengths, by a seed.
+// WithVariedTimes returns a copy of the schedule in which each fault starts at 0.7 to 1.3 times its time,
+// within the schedule's length, and lasts 0.5 to 1.5 times as long.
 func (d *FaultSchedule) WithVariedTimes(rng *rand.Rand) *FaultSchedule {
 	varied := &FaultSchedule{Name: d.Name, Length: d.Length, Faults: slices.Clone(d.Faults)}
 	for i := range varied.Faults {
@@ -176,10 +184,11 @@
 	return varied
 }
 
-// meanPause is the mean time between two faults of a day that is drawn.
+// meanFaultInterval is the mean time between the starts of two faults of a random schedule.
 const meanFaultInterval = 1200 * time.Millisecond
 
-// Draw draws a day from all kinds: overlapping faults for most of its length, and calm at its end.
+// RandomFaultSchedule draws faults of all kinds. They may overlap, and start in the first two thirds of
+// the schedule, so that its end is mostly free of faults.
 func RandomFaultSchedule(name string, length time.Duration, rng *rand.Rand) *FaultSchedule {
 	d := &FaultSchedule{Name: name, Length: length}
 	end := length * 2 / 3
@@ -194,7 +203,7 @@
 	return d
 }
 
-// Without returns the day without one of its faults.
+// WithoutFault returns a copy of the schedule without the fault of the given index.
 func (d *FaultSchedule) WithoutFault(i int) *FaultSchedule {
 	reduced := &FaultSchedule{Name: d.Name, Length: d.Length, Faults: slices.Clone(d.Faults)}
 	reduced.Faults = slices.Delete(reduced.Faults, i, i+1)
