--- a/internal/await/await.go
+++ b/internal/await/await.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package await lets tests wait for what other goroutines do.
+// Package await lets tests wait for conditions that other goroutines bring about.
 package await
 
 import (
@@ -10,13 +10,14 @@
 )
 
 const (
-	// pause is the time between two looks.
+	// pollInterval is the time between two evaluations of the condition.
 	pollInterval = 5 * time.Millisecond
-	// patience is how long a busy machine may take.
+	// timeout is long because tests also run on busy machines.
 	timeout = 30 * time.Second
 )
 
-// True polls until the condition holds, and ends the test when it never does.
+// True polls until the condition holds. If it does not hold within timeout, the test fails immediately
+// with the description.
 func True(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	ticker := time.NewTicker(pollInterval)
@@ -26,7 +27,7 @@
 		select {
 		case <-ticker.C:
 		case <-deadline:
-			t.Fatal("not in time: " + description)
+			t.Fatal("timed out waiting for condition: " + description)
 		}
 	}
 }
--- a/internal/compare/bench_test.go
+++ b/internal/compare/bench_test.go
@@ -22,7 +22,7 @@
 	jobCount       = 6000
 )
 
-// chooser picks a VM for a need, or -1.
+// placer returns the index of the VM on which to place a task with the given need, or -1 if none fits.
 type placer func(r *rand.Rand, need leverdyke.Resources, vms []placement.Candidate) int
 
 func byPolicy(p placement.Policy) placer {
@@ -32,6 +32,7 @@
 	}
 }
 
+// firstFit is the baseline that takes the first VM with enough free capacity.
 func firstFit(_ *rand.Rand, need leverdyke.Resources, vms []placement.Candidate) int {
 	for i := range vms {
 		if need.FitsIn(vms[i].Free) {
@@ -41,10 +42,12 @@
 	return -1
 }
 
+// randomFit is the baseline that searches from a random VM on.
 func randomFit(r *rand.Rand, need leverdyke.Resources, vms []placement.Candidate) int {
 	return firstFrom(r.Intn(len(vms)), need, vms)
 }
 
+// newRoundRobin returns the baseline that starts each search one VM further.
 func newRoundRobin() placer {
 	next := 0
 	return func(_ *rand.Rand, need leverdyke.Resources, vms []placement.Candidate) int {
@@ -53,6 +56,7 @@
 	}
 }
 
+// firstFrom returns the first VM with enough free capacity, from start on and around; -1 if none has it.
 func firstFrom(start int, need leverdyke.Resources, vms []placement.Candidate) int {
 	for i := range vms {
 		if at := (start + i) % len(vms); need.FitsIn(vms[at].Free) {
@@ -62,20 +66,21 @@
 	return -1
 }
 
-// arrival is a job of one task.
+// arrival is a job of one task. at is its arrival time in seconds.
 type arrival struct {
 	at, runSeconds float64
 	class          leverdyke.Class
 	need           leverdyke.Resources
 }
 
-// ending is when a running task gives its VM back.
+// completion is the end of a running task, which frees its capacity on the VM. at is in seconds.
 type completion struct {
 	at   float64
 	vm   int
 	need leverdyke.Resources
 }
 
+// completions is a heap by time.
 type completions []completion
 
 func (c completions) Len() int           { return len(c) }
@@ -89,7 +94,9 @@
 	return last
 }
 
-// mix makes arrivals whose processors add up to load times what there is.
+// generateArrivals returns a Poisson process of jobs of all classes. The processors that they need on
+// average are load times the processors of all VMs; load above 1 is overload. acceleratedShare of the
+// jobs need an accelerator.
 func generateArrivals(r *rand.Rand, load float64, acceleratedShare float64) []arrival {
 	arrivals := []arrival{}
 	meanMilliCPU := 0.0
@@ -120,16 +127,20 @@
 	return arrivals
 }
 
-// outcome is what a run came to.
+// simulationResult is the result of one simulation.
 type simulationResult struct {
+	// waits has, by class, the seconds that each job waited for its start.
 	waits map[leverdyke.Class][]float64
-	// full is the used part of the processors, memory and slots when the first
-	// task had to wait; used the mean part of the processors.
+	// usedAtFirstWait is the used share of the processors, memory and slots when
+	// the first job had to wait.
 	usedAtFirstWait [3]float64
-	meanUsed        float64
+	// meanUsed is the used share of the processors, averaged over the time until
+	// the last arrival.
+	meanUsed float64
 }
 
-// play runs the arrivals to the end of the last start.
+// simulate runs an event simulation until every job has started. The first acceleratedVMs VMs have an
+// accelerator.
 func simulate(arrivals []arrival, mode queue.Mode, place placer, acceleratedVMs int) simulationResult {
 	r := rand.New(rand.NewSource(7))
 	hosts := make([]placement.Candidate, vmCount)
@@ -186,6 +197,7 @@
 	return result
 }
 
+// usedShares returns the used shares of the processors, the memory and the slots.
 func usedShares(hosts []placement.Candidate) [3]float64 {
 	var used, capacity leverdyke.Resources
 	for i := range hosts {
@@ -206,6 +218,7 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
+// row returns the result as a row under tableHeader.
 func (r *simulationResult) row(name string) string {
 	text := fmt.Sprintf("| %s |", name)
 	for _, c := range []leverdyke.Class{leverdyke.ClassUrgent, leverdyke.ClassNormal, leverdyke.ClassBatch} {
@@ -214,9 +227,10 @@
 	return text + fmt.Sprintf(" %.0f / %.0f / %.0f | %.0f |", 100*r.usedAtFirstWait[0], 100*r.usedAtFirstWait[1], 100*r.usedAtFirstWait[2], 100*r.meanUsed)
 }
 
-const tableHeader = "| | urgent p50 / p99 (s) | normal | batch | used when the first waits: cpu / memory / slots (%) | mean cpu (%) |\n|---|---|---|---|---|---|"
+const tableHeader = "| | urgent p50 / p99 (s) | normal | batch | used when the first job waits: cpu / memory / slots (%) | mean cpu (%) |\n|---|---|---|---|---|---|"
 
-// TestComparePlacement prints how the offices' weights do against baselines.
+// TestComparePlacement prints waiting times and use of the VMs for the placement weights of the offices,
+// compared with baselines. It asserts nothing.
 func TestComparePlacement(t *testing.T) {
 	policies := []struct {
 		name string
@@ -238,9 +252,10 @@
 	}
 }
 
-// TestCompareScanning prints a queue that blocks at the first entry without
-// room against one that goes on, with accelerators on 4 of 48 VMs that a
-// twelfth of the jobs need. Going on must not be worse for the many.
+// TestCompareScanning compares a queue that stops at the first entry that does not fit with one that
+// continues past it. 4 of the 48 VMs have accelerators, and a twelfth of the jobs need one. A queue that
+// stops makes all jobs wait behind those that wait for an accelerator; continuing must not make the
+// median wait of normal jobs longer.
 func TestCompareScanning(t *testing.T) {
 	t.Log("\n" + tableHeader)
 	medianWait := map[queue.Mode]float64{}
@@ -251,6 +266,6 @@
 		t.Log("\n" + result.row(string(mode)))
 	}
 	if medianWait[queue.ModeScan] > medianWait[queue.ModeBlock] {
-		t.Errorf("got: %v s with scanning, want: at most %v s", medianWait[queue.ModeScan], medianWait[queue.ModeBlock])
+		t.Errorf("median wait of normal jobs: got: %v s with scanning, want: at most %v s", medianWait[queue.ModeScan], medianWait[queue.ModeBlock])
 	}
 }
--- a/internal/compare/stale_test.go
+++ b/internal/compare/stale_test.go
@@ -20,19 +20,26 @@
 	rackSlots   = 64
 )
 
-// asker is a home with summaries that are some ticks old.
+// jobShard is a job shard that chooses racks by summaries of their free capacity that are some ticks old.
 type jobShard struct {
-	views         []placement.RackView
-	pending       []int64
+	// views has the summaries by rack, pending the slots that the shard requested from each rack since
+	// its summary.
+	views   []placement.RackView
+	pending []int64
+	// excludedUntil has, by rack, the tick until which the rack is not chosen after a refusal.
 	excludedUntil []int
-	waitingSince  []int
-	offset        int
+	// waitingSince has the arrival ticks of the jobs that wait.
+	waitingSince []int
+	// offset rotates the order in which racks are tried.
+	offset int
 }
 
-// TestCompareStaleSummaries prints what old summaries cost the homes of a full
-// region: asks that are refused, and waits; and what comparing more racks does.
+// TestCompareStaleSummaries prints the cost of stale summaries in a region that is nearly full: the share of
+// requests to racks that are refused, and the waiting times. It varies the age of the summaries, the number
+// of racks compared, whether a rack is excluded for a while after a refusal, and whether the order of racks
+// rotates on each request or only after a refusal. It asserts nothing.
 func TestCompareStaleSummaries(t *testing.T) {
-	t.Log("\n| summaries' age (s) | racks compared | correction after a refusal | order turns with each ask | asks refused (%) | wait p50 / p99 (s) |\n|---|---|---|---|---|---|")
+	t.Log("\n| summaries' age (s) | racks compared | exclusion after a refusal | order rotates on each request | requests refused (%) | wait p50 / p99 (s) |\n|---|---|---|---|---|---|")
 	for _, age := range []int{20, 60} {
 		for _, comparedRacks := range []int{1, 8, 0} {
 			for _, c := range []struct{ hasExclusion, isRotating bool }{{false, true}, {true, true}, {true, false}} {
@@ -43,6 +50,7 @@
 	}
 }
 
+// comparedRacksName returns the number for the table; 0 means that all racks are compared.
 func comparedRacksName(comparedRacks int) string {
 	if comparedRacks == 0 {
 		return "all"
@@ -50,6 +58,8 @@
 	return fmt.Sprint(comparedRacks)
 }
 
+// simulateStaleSummaries returns the share of refused requests and the seconds that each job waited. age is
+// in ticks; the shards refresh their summaries at different ticks.
 func simulateStaleSummaries(age, comparedRacks int, hasExclusion, isRotating bool) (refused float64, waits []float64) {
 	r := rand.New(rand.NewSource(5))
 	free := make([]int64, rackCount)
@@ -64,7 +74,7 @@
 	need := leverdyke.Resources{MilliCPU: 1, Slots: 1}
 	completions := make([][]int, tickCount+4000)
 	requests, refusals := 0, 0
-	// Offered: 97 % of the region's slots, with runs of 20 s on average.
+	// The offered load is 97 % of the region's slots, with tasks that run for 20 s on average.
 	startsPerTick := 0.97 * rackCount * rackSlots * tickSeconds / 20
 	for now := range tickCount {
 		for _, rack := range completions[now] {
