--- a/internal/compare/bench_test.go
+++ b/internal/compare/bench_test.go
@@ -42,7 +42,7 @@
 	return -1
 }
 
-// randomFit is the baseline that searches from a random VM on.
+// randomFit is the baseline that starts each search at a random VM.
 func randomFit(r *rand.Rand, need leverdyke.Resources, vms []placement.Candidate) int {
 	return firstFrom(r.Intn(len(vms)), need, vms)
 }
@@ -56,7 +56,8 @@
 	}
 }
 
-// firstFrom returns the first VM with enough free capacity, from start on and around; -1 if none has it.
+// firstFrom returns the first VM with enough free capacity, searching from start and wrapping around at
+// the end of the list; -1 if there is none.
 func firstFrom(start int, need leverdyke.Resources, vms []placement.Candidate) int {
 	for i := range vms {
 		if at := (start + i) % len(vms); need.FitsIn(vms[at].Free) {
--- a/internal/emulator/runner/runner.go
+++ b/internal/emulator/runner/runner.go
@@ -27,7 +27,8 @@
 type Options struct {
 	Deployment *scenario.Deployment
 	Schedule   *scenario.FaultSchedule
-	// Seed determines all random choices of the callers and faults.
+	// Seed seeds the random choices of the callers and faults. They share a generator, so that the choices
+	// also depend on the timing of the run.
 	Seed uint64
 	// Binary is the path of the node's executable; the settings files and logs of the nodes are written
 	// to Dir.
@@ -59,7 +60,7 @@
 	// faultCount counts the faults that were started.
 	faultCount int
 	// configVersion is the published version of the configuration, lastWorker the number of the newest
-	// worker. Both, and faultEnds, are used only by the goroutine of Run.
+	// worker. After New, only the goroutine of Run uses them and faultEnds.
 	configVersion int
 	lastWorker    int
 	faultEnds     []faultEnd
