--- a/internal/await/await.go
+++ b/internal/await/await.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package await lets tests wait for what other goroutines do.
+// Package await lets tests wait for conditions that other goroutines bring about.
 package await
 
 import (
@@ -10,23 +10,24 @@
 )
 
 const (
-	// pause is the time between two looks.
-	pause = 5 * time.Millisecond
-	// patience is how long a busy machine may take.
-	patience = 30 * time.Second
+	// pollInterval is the time between two evaluations of the condition.
+	pollInterval = 5 * time.Millisecond
+	// timeout is long because tests also run on busy machines.
+	timeout = 30 * time.Second
 )
 
-// True polls until the condition holds, and ends the test when it never does.
-func True(t testing.TB, what string, holds func() bool) {
+// True polls until the condition holds. If it does not hold within timeout, the test fails immediately
+// with the description.
+func True(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	ticker := time.NewTicker(pause)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	tooLate := time.After(patience)
-	for !holds() {
+	deadline := time.After(timeout)
+	for !condition() {
 		select {
 		case <-ticker.C:
-		case <-tooLate:
-			t.Fatal("not in time: " + what)
+		case <-deadline:
+			t.Fatal("timed out waiting for condition: " + description)
 		}
 	}
 }
--- a/internal/integration/emulator_test.go
+++ b/internal/integration/emulator_test.go
@@ -12,15 +12,15 @@
 	"testing"
 	"time"
 
-	"github.com/leverdyke/leverdyke/internal/emulator/play"
+	"github.com/leverdyke/leverdyke/internal/emulator/runner"
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
 // shortDay is a day of faults that are over before it ends.
-func shortDay() *scenario.Day {
-	return &scenario.Day{Name: "short", Length: 4 * time.Second, Faults: []scenario.Fault{
-		{At: 500 * time.Millisecond, Kind: scenario.NodeKill, For: 300 * time.Millisecond},
-		{At: time.Second, Kind: scenario.WorkerFailsLasting, For: time.Second, Count: 2},
+func shortDay() *scenario.FaultSchedule {
+	return &scenario.FaultSchedule{Name: "short", Length: 4 * time.Second, Faults: []scenario.Fault{
+		{At: 500 * time.Millisecond, Kind: scenario.NodeKill, Duration: 300 * time.Millisecond},
+		{At: time.Second, Kind: scenario.WorkerFailsLongRunning, Duration: time.Second, Count: 2},
 		{At: 2 * time.Second, Kind: scenario.WorkerCrash},
 	}}
 }
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := play.New(t.Context(), play.Options{Deployment: deployment, Day: shortDay(), Seed: 1, Binary: binary, Dir: t.TempDir()})
+	p, err := runner.New(t.Context(), runner.Options{Deployment: deployment, Schedule: shortDay(), Seed: 1, Binary: binary, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,10 +41,10 @@
 		t.Fatal(err)
 	}
 	for _, v := range r.Violations {
-		t.Errorf("rule %s is broken at %v: %s", v.Rule, v.At, v.What)
+		t.Errorf("rule %s is broken at %v: %s", v.Rule, v.At, v.Description)
 	}
 	for _, k := range r.Kinds {
-		if k.Came != k.Accepted+k.Refused+k.Unknown || k.Accepted == 0 {
+		if k.Arrived != k.Accepted+k.Refused+k.Unknown || k.Accepted == 0 {
 			t.Errorf("%s: got: %+v, want: jobs that were taken, and what became of each", k.Name, k)
 		}
 	}
@@ -59,14 +59,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := play.Options{Deployment: deployment, Day: shortDay(), Binary: filepath.Join(t.TempDir(), "nothing"), Dir: t.TempDir()}
-	if _, err := play.New(t.Context(), o); !errors.Is(err, fs.ErrNotExist) {
+	o := runner.Options{Deployment: deployment, Schedule: shortDay(), Binary: filepath.Join(t.TempDir(), "nothing"), Dir: t.TempDir()}
+	if _, err := runner.New(t.Context(), o); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("without a program: got: %v, want: %v", err, fs.ErrNotExist)
 	}
 	if err := os.WriteFile(o.Binary, []byte("#!/bin/sh\necho no licence today\n"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := play.New(t.Context(), o); err == nil || !strings.Contains(err.Error(), "ended by itself: no licence today") {
+	if _, err := runner.New(t.Context(), o); err == nil || !strings.Contains(err.Error(), "ended by itself: no licence today") {
 		t.Errorf("a node that ends at once: got: %v, want: an error with its last line", err)
 	}
 }
