--- a/internal/cluster/compress.go
+++ b/internal/cluster/compress.go
@@ -11,7 +11,7 @@
 )
 
 // maxConfigBytes is the maximum decompressed size of a configuration from a peer, in bytes. No node
-// reads a larger one from the store, whose responses are limited to 16 MB (maxAnswerBytes in
+// reads a larger one from the store, whose responses are limited to 16 MB (maxResponseBytes in
 // platform/direct.go). Without the limit, one frame could decompress to more than the memory of a
 // node, which is 184 MB on the smallest VM of the grown offices.
 const maxConfigBytes = 16 << 20
--- a/internal/core/cluster_test.go
+++ b/internal/core/cluster_test.go
@@ -331,7 +331,7 @@
 	cl.checkInvariants(t)
 }
 
-// When MaxKeys idempotency keys are remembered, a further one must be refused
+// When MaxIdempotencyKeys idempotency keys are remembered, a further one must be refused
 // without an append, while a remembered one is still recognised.
 func TestNumberOfKeysIsBounded(t *testing.T) {
 	cl := newCluster(clusterOptions{nodes: 1, racks: 1, workers: 1, seed: 3})
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -65,8 +65,8 @@
 	// Append passes a record to the log's writer, which calls done later, as an
 	// event of the core, with one of these results:
 	//   - nil: the record was applied
-	//   - state.ErrNotTaken: it is not in the log and never will be
-	//   - state.ErrUnseen: it is in the log, but BatchesSkipped was called, so
+	//   - state.ErrNotAppended: it is not in the log and never will be
+	//   - state.ErrOutcomeUnknown: it is in the log, but BatchesSkipped was called, so
 	//     that its result is not known
 	//   - another error: it is in the log and was rejected when it was applied
 	//
@@ -307,7 +307,7 @@
 
 // Append passes a record to the log's writer; done may be nil. For the results
 // that done is called with see Environment.Append. While the log is unavailable
-// no record is accepted, and done is called with state.ErrNotTaken at the next
+// no record is accepted, and done is called with state.ErrNotAppended at the next
 // tick.
 func (c *Core) Append(r state.Record, done func(error)) {
 	if done == nil {
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -139,7 +139,7 @@
 
 // observedRunTime returns how long the worker is known to have had the attempt. For an attempt
 // that a previous owner started that is not known; it had run before it was first listed, so that
-// crash.FreshTime is added.
+// crash.StrongWindow is added.
 func (a *attempt) observedRunTime() time.Duration {
 	ran := max(a.worker.session.LastHeardAt().Sub(a.orderedAt), 0)
 	if a.isAdopted {
--- a/internal/dispatch/job.go
+++ b/internal/dispatch/job.go
@@ -73,7 +73,7 @@
 	tasksLeft int
 	// isOpen means that all steps that this one depends on are done, so that its tasks may start.
 	isOpen bool
-	// isQueued means that the step is in Engine.queue. priority is that of its job's queue as of
+	// isQueued means that the step is in Engine.stepQueue. priority is that of its job's queue as of
 	// the last scheduling pass.
 	isQueued bool
 	priority int
--- a/internal/dispatch/restart_simulation_test.go
+++ b/internal/dispatch/restart_simulation_test.go
@@ -75,7 +75,7 @@
 }
 
 // restartRandomWorker restarts a random worker in one call of three. It switches off orders that
-// arrive seconds late: TestAnOrderThatIsFirstToReachANewerStartRunsNothingTwice covers them.
+// arrive seconds late: TestAbandonedStartReachingANewIncarnationFirstRunsNoTaskTwice covers them.
 func (w *sim) restartRandomWorker() {
 	w.lateOrderShare = 0
 	ids := w.liveWorkers()
--- a/internal/health/detector_test.go
+++ b/internal/health/detector_test.go
@@ -120,6 +120,6 @@
 		}
 	}
 	if ejected != workers/2 {
-		t.Errorf("got: %d of %d set ejected, want: %d", ejected, workers, workers/2)
+		t.Errorf("got: %d of %d ejected, want: %d", ejected, workers, workers/2)
 	}
 }
--- a/internal/jobshard/records.go
+++ b/internal/jobshard/records.go
@@ -157,7 +157,7 @@
 }
 
 // OnRecordResult handles the result of writing a record. A nil error means that
-// the record took effect; state.ErrNotTaken that it was not appended to the log
+// the record took effect; state.ErrNotAppended that it was not appended to the log
 // and will not be. Any other error means that the record was appended but took
 // no effect, or that its effect is unknown.
 func (h *Shard) OnRecordResult(now time.Time, token uint64, err error) {
