--- a/internal/jobshard/gang.go
+++ b/internal/jobshard/gang.go
@@ -96,7 +96,7 @@
 	g.reservationID = h.Epoch<<attemptBits | h.attemptCounter
 	g.taskCount, g.racks, g.rackIndex, g.reserved = need, racks, 0, map[state.ShardID]int{}
 	h.sendReserveRequest(s.now, j)
-	j.waitReason = "capacity for all its tasks is being reserved"
+	j.waitReason = "places for all its tasks are being held"
 	return queue.Started
 }
 
@@ -193,7 +193,7 @@
 	case g.rackIndex < len(g.racks):
 		h.sendReserveRequest(now, j)
 	default:
-		j.waitReason = "there is not enough free capacity for all its tasks at the same time"
+		j.waitReason = "not all of its tasks find a place at the same time"
 		h.abandonReservation(now, j)
 	}
 }
--- a/internal/jobshard/job.go
+++ b/internal/jobshard/job.go
@@ -337,7 +337,7 @@
 	case j.lackingResource != "":
 		return "it can never run: no worker of the region has enough " + j.lackingResource
 	case j.waiting == 0 && h.hasUncertainTasks(j):
-		return "its job shard has a new owner, and not every rack has reported yet whether tasks of it run"
+		return "its home has moved, and not every rack has said yet whether tasks of it run"
 	case j.waiting == 0:
 		return ""
 	}
