--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -76,10 +76,10 @@
 	// inFlight has the callbacks of each batch of which an append has been or
 	// will be tried and whose outcome is not known, by sequence number.
 	inFlight map[uint64][]ResultFunc
-	// lastSeen is the largest sequence number of this process that was read from
+	// lastReadSeq is the largest sequence number of this process that was read from
 	// the log. seenCh is closed, and replaced, when it grows.
-	lastSeen uint64
-	seenCh   chan struct{}
+	lastReadSeq uint64
+	seenCh      chan struct{}
 	// failingSince is when the first of the current run of failed appends ended;
 	// zero while appends succeed.
 	failingSince time.Time
@@ -197,10 +197,10 @@
 // recordSeen ends the retries of batches up to seq, since they are in the log.
 // The caller holds mu.
 func (w *Writer) recordSeen(seq uint64) {
-	if seq <= w.lastSeen {
+	if seq <= w.lastReadSeq {
 		return
 	}
-	w.lastSeen = seq
+	w.lastReadSeq = seq
 	close(w.seenCh)
 	w.seenCh = make(chan struct{})
 }
@@ -331,7 +331,7 @@
 func (w *Writer) isSeen(seq uint64) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.lastSeen >= seq
+	return w.lastReadSeq >= seq
 }
 
 // recordAttempt counts an append and notes whether it failed.
