--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -14,7 +14,7 @@
 
 // submitCrashing hands in a job whose first task crashes its workers. It is not one of
 // those that are to succeed.
-func (c *siteCell) submitCrashing(steps ...jobStep) string {
+func (c *siteCluster) submitCrashing(steps ...jobStep) string {
 	c.t.Helper()
 	id := ""
 	c.await("a job is accepted", func() bool {
@@ -28,41 +28,41 @@
 
 // playCrashes hands in a job with a task that crashes its workers, and others, and does
 // something at each of the first crashes until the job is given up.
-func (c *siteCell) playCrashes(atCrash func(n int)) {
+func (c *siteCluster) runCrashScenario(atCrash func(n int)) {
 	c.t.Helper()
-	bad := c.submitCrashing(small(3, 400))
-	seen := 0
+	crashing := c.submitCrashing(smallStep(3, 400))
+	seenCrashes := 0
 	c.await("the job with the task is given up", func() bool {
-		if n := c.CrashesUnder(bad + ".0.0.0"); n > seen {
-			seen = n
-			c.mustSubmit(small(3, 300))
+		if n := c.CrashesUnder(crashing + ".0.0.0"); n > seenCrashes {
+			seenCrashes = n
+			c.mustSubmit(smallStep(3, 300))
 			atCrash(n)
 		}
-		return c.state(bad) == "failed"
+		return c.state(crashing) == "failed"
 	})
 	c.awaitAll()
 }
 
 // The bound holds where the node that counts ends with each crash, as it is counted, and
 // where it cannot write down what it counts.
-func TestSiteTheBoundOfCrashesOutlivesOwnersAndOutages(t *testing.T) {
-	for name, atCrash := range map[string]func(c *siteCell, n int){
-		"owner is killed": func(c *siteCell, _ int) {
+func TestSiteCrashLimitHoldsAcrossOwnersAndOutages(t *testing.T) {
+	for name, atCrash := range map[string]func(c *siteCluster, n int){
+		"owner is killed": func(c *siteCluster, _ int) {
 			o := c.owner()
 			o.Kill()
 			if err := o.Start(); err != nil {
 				c.t.Fatal(err)
 			}
 		},
-		"store is out": func(c *siteCell, n int) {
+		"store is out": func(c *siteCluster, n int) {
 			if n > 2 {
 				return
 			}
 			c.Store.SetMode(site.StoreSilent)
-			c.await("some seconds pass", after(2*time.Second))
+			c.await("some seconds pass", elapsed(2*time.Second))
 			c.Store.SetMode(site.StoreUp)
 		},
-		"store is out and all nodes are killed": func(c *siteCell, n int) {
+		"store is out and all nodes are killed": func(c *siteCluster, n int) {
 			if n > 2 {
 				return
 			}
@@ -80,22 +80,22 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newSiteCell(t, 3, site.Options{Workers: 8})
-			c.playCrashes(func(n int) { atCrash(c, n) })
+			c := newSiteCluster(t, 3, site.Options{Workers: 8})
+			c.runCrashScenario(func(n int) { atCrash(c, n) })
 		})
 	}
 }
 
 // after returns a condition that holds some time from now on.
-func after(d time.Duration) func() bool {
+func elapsed(d time.Duration) func() bool {
 	at := time.Now().Add(d)
 	return func() bool { return time.Now().After(at) }
 }
 
 // A carrier that ends with a crash takes the word of it with it.
-func TestSiteTheBoundOfCrashesOutlivesCarriers(t *testing.T) {
-	c := newCarrierCell(t)
-	c.playCrashes(func(int) {
+func TestSiteCrashLimitHoldsAcrossDelegateRestarts(t *testing.T) {
+	c := newDelegateCluster(t)
+	c.runCrashScenario(func(int) {
 		owner := c.owner()
 		for _, n := range c.nodes {
 			if n != owner {
@@ -110,8 +110,8 @@
 
 // Rooms of workers shrink to a quarter and grow again while jobs come; the stand-in's
 // oracle holds each start against the room.
-func TestSiteStartsKeepToRoomThatShrinksAndGrows(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{Workers: 4})
+func TestSiteStartsFitChangingWorkerCapacity(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{Workers: 4})
 	for round := range 4 {
 		for i, w := range c.Workers() {
 			if (i+round)%2 == 0 {
@@ -120,14 +120,14 @@
 				w.Resize(4000, 4000)
 			}
 		}
-		end := after(4500 * time.Millisecond)
+		end := elapsed(4500 * time.Millisecond)
 		c.await("jobs come for some seconds", func() bool {
-			c.submit(c.nodes[round%3], "", small(6, 250))
+			c.submit(c.nodes[round%3], "", smallStep(6, 250))
 			return end()
 		})
 		if round == 1 {
 			c.owner().Kill()
-			c.startKilled()
+			c.restartEndedNodes()
 		}
 	}
 	for _, w := range c.Workers() {
@@ -137,7 +137,7 @@
 }
 
 // startKilled starts the nodes again that were killed.
-func (c *siteCell) startKilled() {
+func (c *siteCluster) restartEndedNodes() {
 	c.t.Helper()
 	for _, n := range c.nodes {
 		if !n.HasEnded() {
@@ -152,15 +152,15 @@
 
 // The story is told at TestATaskThatCrashesWorkersIsGivenUp of the dispatch package: here
 // the real programs play it. The stand-in's oracle counts the crashes and the starts.
-func TestSiteATaskThatCrashesWorkersIsGivenUp(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{Workers: 8})
-	bad := c.submitCrashing(small(4, 300))
-	good := c.mustSubmit(small(8, 300), small(4, 300))
-	c.await("the job with the task is given up", func() bool { return c.state(bad) == "failed" })
-	c.await("the other job succeeds", func() bool { return c.state(good) == "succeeded" })
+func TestSiteTaskThatCrashesWorkersFailsItsJob(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{Workers: 8})
+	crashing := c.submitCrashing(smallStep(4, 300))
+	healthy := c.mustSubmit(smallStep(8, 300), smallStep(4, 300))
+	c.await("the job with the task is given up", func() bool { return c.state(crashing) == "failed" })
+	c.await("the other job succeeds", func() bool { return c.state(healthy) == "succeeded" })
 	// Three that prove it are enough; a busy machine takes so long to answer that one of them
 	// may only count as one of four.
-	if got := c.CrashesUnder(bad + ".0.0.0"); got < 2 || got > 4 {
+	if got := c.CrashesUnder(crashing + ".0.0.0"); got < 2 || got > 4 {
 		t.Errorf("workers that crashed under the task: got: %d, want: 2 to 4", got)
 	}
 }
--- a/internal/integration/customers_test.go
+++ b/internal/integration/customers_test.go
@@ -17,11 +17,11 @@
 const (
 	// customerSeeds is the first seed in which jobs are customers', customerShare the share of
 	// changes of these among its faults: one in so many.
-	customerSeeds = 1900
-	customerShare = 4
+	firstCustomerSeed  = 1900
+	customerChangeOdds = 4
 	// lowLimit and highLimit are limits, in milli-processors: the largest job needs 3,000 at once.
-	lowLimit  = 3000
-	highLimit = 9000
+	lowLimitMilliCPU  = 3000
+	highLimitMilliCPU = 9000
 )
 
 // soakCustomers are three customers; the third has no limit. Each has its newest key and the
@@ -29,20 +29,20 @@
 type soakCustomers struct {
 	mu sync.Mutex
 	// keys counts the keys that each has had, limits has what each may have.
-	keys   [3]int
-	limits [3]int64
+	keyCounts      [3]int
+	limitsMilliCPU [3]int64
 }
 
 // of returns the customer of a job, and its newest key.
-func (c *soakCustomers) of(id string) (customer, key string) {
+func (c *soakCustomers) customerOf(id string) (customer, key string) {
 	n, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
 		return "", ""
 	}
-	i := n % uint64(len(c.keys))
+	i := n % uint64(len(c.keyCounts))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return customerName(int(i)), customerKey(int(i), c.keys[i])
+	return customerName(int(i)), customerKey(int(i), c.keyCounts[i])
 }
 
 func customerName(i int) string { return fmt.Sprintf("customer-%d", i) }
@@ -54,26 +54,26 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := []site.Customer{}
-	for i, number := range c.keys {
+	for i, number := range c.keyCounts {
 		keys := []string{customerKey(i, number)}
 		if number > 0 {
 			keys = append(keys, customerKey(i, number-1))
 		}
-		out = append(out, site.Customer{Name: customerName(i), Keys: keys, MilliCPU: c.limits[i]})
+		out = append(out, site.Customer{Name: customerName(i), Keys: keys, MilliCPU: c.limitsMilliCPU[i]})
 	}
 	return out
 }
 
 // startCustomers makes the queue one that wants keys.
 func (s *soak) startCustomers() {
-	s.customers = &soakCustomers{limits: [3]int64{lowLimit, highLimit, 0}}
+	s.customers = &soakCustomers{limitsMilliCPU: [3]int64{lowLimitMilliCPU, highLimitMilliCPU, 0}}
 	s.configureCustomers()
-	s.keyOf = s.customers.of
-	s.awaitKeys()
+	s.callerOf = s.customers.customerOf
+	s.awaitKeysRequired()
 }
 
 // awaitKeys waits until no node takes calls without a key any more.
-func (c *siteCell) awaitKeys() {
+func (c *siteCluster) awaitKeysRequired() {
 	c.t.Helper()
 	for _, n := range c.nodes {
 		c.await(n.Name+" wants keys", func() bool {
@@ -94,19 +94,19 @@
 	i := s.rng.IntN(2)
 	s.customers.mu.Lock()
 	if s.rng.IntN(2) == 0 {
-		s.customers.limits[i] = []int64{lowLimit, highLimit, 0}[s.rng.IntN(3)]
+		s.customers.limitsMilliCPU[i] = []int64{lowLimitMilliCPU, highLimitMilliCPU, 0}[s.rng.IntN(3)]
 	} else {
-		s.customers.keys[i]++
+		s.customers.keyCounts[i]++
 	}
-	s.note("customers have limits %v and keys %v", s.customers.limits, s.customers.keys)
+	s.logAction("customers have limits %v and keys %v", s.customers.limitsMilliCPU, s.customers.keyCounts)
 	s.customers.mu.Unlock()
 	s.configureCustomers()
 }
 
 // A key that is dropped is in force on no node any more, and stays so while nodes start again;
 // so does one that is added.
-func TestSiteKeysComeAndGo(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+func TestSiteKeyChangesSurviveNodeRestarts(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{})
 	status := func(n *site.Node, key string) int {
 		status, _, err := n.DoWithKey(t.Context(), key, http.MethodGet, site.QueuePrefix, nil)
 		if err != nil {
@@ -149,13 +149,13 @@
 
 // A customer sees, cancels and repeats no job of another one, through any node and after the
 // owner has ended; its own it does.
-func TestSiteJobsBelongToTheirCustomers(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+func TestSiteJobsAreHiddenFromOtherCustomers(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{})
 	c.SetCustomers(site.Customer{Name: "ann", Keys: []string{"ka"}}, site.Customer{Name: "bob", Keys: []string{"kb"}})
 	c.Configure(2)
-	c.awaitKeys()
-	c.keyOf = func(string) (string, string) { return "ann", "ka" }
-	long, short := c.mustSubmit(small(1, 60_000)), c.mustSubmit(small(1, 100))
+	c.awaitKeysRequired()
+	c.callerOf = func(string) (string, string) { return "ann", "ka" }
+	long, short := c.mustSubmit(smallStep(1, 60_000)), c.mustSubmit(smallStep(1, 100))
 	c.awaitState(short, "succeeded")
 	check := func(when string) {
 		t.Helper()
@@ -191,13 +191,13 @@
 }
 
 // A customer's limit holds while owners end, and what can never fit under it is refused for good.
-func TestSiteALimitHoldsAcrossOwners(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{Workers: 4})
+func TestSiteCustomerLimitHoldsAcrossOwners(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{Workers: 4})
 	const limit = 3000
 	c.SetCustomers(site.Customer{Name: "ann", Keys: []string{"ka"}, MilliCPU: limit})
 	c.Configure(2)
-	c.awaitKeys()
-	c.keyOf = func(string) (string, string) { return "ann", "ka" }
+	c.awaitKeysRequired()
+	c.callerOf = func(string) (string, string) { return "ann", "ka" }
 	ids := []string{}
 	for i := range 6 {
 		ids = append(ids, c.mustSubmit(jobStep{Count: 4, CPU: 1000, MemMb: 100, EstimatedMs: 400}))
--- a/internal/integration/carriers_test.go
+++ b/internal/integration/delegates_test.go
@@ -13,18 +13,18 @@
 
 // newCarrierCell returns a cell of three nodes that can talk to two workers each, of
 // which there are six: the owner leaves them to the others.
-func newCarrierCell(t *testing.T) *siteCell {
+func newDelegateCluster(t *testing.T) *siteCluster {
 	t.Helper()
-	c := newSiteCell(t, 3, site.Options{Workers: 6, HasAdvice: true, CPUShare: carrierShare})
+	c := newSiteCluster(t, 3, site.Options{Workers: 6, HasAdvice: true, CPUShare: delegateCPUShare})
 	c.awaitLog("number of nodes that carry", "carriers=2")
 	return c
 }
 
 // Whatever becomes of a carrier, jobs are done, lasting tasks stay, and no task runs
 // twice, by the stand-in's word.
-func TestSiteSurvivesItsCarriers(t *testing.T) {
-	for name, fail := range map[string]func(c *siteCell, n *site.Node) (mend func()){
-		"kill": func(c *siteCell, n *site.Node) func() {
+func TestSiteSurvivesFaultsOfDelegates(t *testing.T) {
+	for name, fail := range map[string]func(c *siteCluster, n *site.Node) (repair func()){
+		"kill": func(c *siteCluster, n *site.Node) func() {
 			n.Kill()
 			return func() {
 				if err := n.Start(); err != nil {
@@ -32,11 +32,11 @@
 				}
 			}
 		},
-		"freeze": func(c *siteCell, n *site.Node) func() {
+		"freeze": func(c *siteCluster, n *site.Node) func() {
 			c.signal(n, syscall.SIGSTOP)
 			return func() { c.signal(n, syscall.SIGCONT) }
 		},
-		"planned stop": func(c *siteCell, n *site.Node) func() {
+		"planned stop": func(c *siteCluster, n *site.Node) func() {
 			c.signal(n, syscall.SIGTERM)
 			return func() {
 				<-n.Done()
@@ -47,10 +47,10 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCarrierCell(t)
-			lasting := small(3, 0)
-			lasting.Perpetual = true
-			c.mustSubmit(lasting)
+			c := newDelegateCluster(t)
+			longRunning := smallStep(3, 0)
+			longRunning.Perpetual = true
+			c.mustSubmit(longRunning)
 			c.accepted = c.accepted[:0]
 			c.await("all lasting tasks run", func() bool { return c.running() == 3 })
 			owner := c.owner()
@@ -58,11 +58,11 @@
 				if n == owner {
 					continue
 				}
-				c.submit(owner, "", small(4, 600), small(2, 100))
-				mend := fail(c, n)
-				c.submit(owner, "", small(3, 300))
+				c.submit(owner, "", smallStep(4, 600), smallStep(2, 100))
+				repair := fail(c, n)
+				c.submit(owner, "", smallStep(3, 300))
 				c.awaitAll()
-				mend()
+				repair()
 				c.awaitReady(n)
 			}
 			c.await("all lasting tasks run at the end", func() bool { return c.running() == 3 })
--- a/internal/integration/emulator_test.go
+++ b/internal/integration/emulator_test.go
@@ -25,13 +25,13 @@
 	}}
 }
 
-func TestEmulatorPlaysADay(t *testing.T) {
+func TestEmulatorRunsOneDay(t *testing.T) {
 	t.Parallel()
 	deployment, err := scenario.LoadDeployment("../../deploy/emulator/small.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := play.New(t.Context(), play.Options{Deployment: deployment, Day: shortDay(), Seed: 1, Binary: binary, Dir: t.TempDir()})
+	p, err := play.New(t.Context(), play.Options{Deployment: deployment, Day: shortDay(), Seed: 1, Binary: nodeBinary, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestEmulatorSaysWhatIsWrongWithTheNodes(t *testing.T) {
+func TestEmulatorReportsNodeStartFailures(t *testing.T) {
 	t.Parallel()
 	deployment, err := scenario.LoadDeployment("../../deploy/emulator/small.yaml")
 	if err != nil {
--- a/internal/integration/faults_test.go
+++ b/internal/integration/faults_test.go
@@ -25,116 +25,120 @@
 // fault is something that goes wrong, and how it ends.
 type fault struct {
 	name  string
-	begin func(c *cell)
-	end   func(c *cell)
+	begin func(c *cluster)
+	end   func(c *cluster)
 	// isHarsh means that tasks may lose their leases by it.
-	isHarsh bool
+	mayExpireLeases bool
 }
 
-func kill(i int) fault {
+func killNode(i int) fault {
 	return fault{
 		fmt.Sprintf("node %d is killed", i),
-		func(c *cell) {
+		func(c *cluster) {
 			c.Nodes[i].Signal(syscall.SIGKILL)
-			c.Nodes[i].Wait(patience)
+			c.Nodes[i].Wait(waitTimeout)
 		},
-		func(c *cell) { c.restart(i) }, false,
+		func(c *cluster) { c.restartNode(i) }, false,
 	}
 }
 
-func pause(i int) fault {
+func pauseNode(i int) fault {
 	return fault{
 		fmt.Sprintf("node %d is paused for longer than a lease", i),
-		func(c *cell) { c.Nodes[i].Signal(syscall.SIGSTOP) },
-		func(c *cell) { c.Nodes[i].Signal(syscall.SIGCONT) }, false,
+		func(c *cluster) { c.Nodes[i].Signal(syscall.SIGSTOP) },
+		func(c *cluster) { c.Nodes[i].Signal(syscall.SIGCONT) }, false,
 	}
 }
 
 var (
-	logOut = fault{
+	logUnavailable = fault{
 		"the log is out",
-		func(c *cell) { c.Platform.Log.SetFaults(native.LogFaults{IsOut: true}) },
-		func(c *cell) { c.Platform.Log.SetFaults(native.LogFaults{}) }, false,
+		func(c *cluster) { c.Platform.Log.SetFaults(native.LogFaults{IsOut: true}) },
+		func(c *cluster) { c.Platform.Log.SetFaults(native.LogFaults{}) }, false,
 	}
-	lostReplies = fault{
+	lostLogReplies = fault{
 		"the log loses replies",
-		func(c *cell) { c.Platform.Log.SetFaults(native.LogFaults{LoseReplies: 20}) },
-		func(c *cell) { c.Platform.Log.SetFaults(native.LogFaults{}) }, false,
+		func(c *cluster) { c.Platform.Log.SetFaults(native.LogFaults{LoseReplies: 20}) },
+		func(c *cluster) { c.Platform.Log.SetFaults(native.LogFaults{}) }, false,
 	}
 	slowLog = fault{
 		"the log is slow",
-		func(c *cell) { c.toxic(c.log, "latency", "downstream", `{"latency":400,"jitter":200}`) },
-		func(c *cell) { c.log.Toxics.ResetToxics() }, false,
+		func(c *cluster) { c.addToxic(c.logProxy, "latency", "downstream", `{"latency":400,"jitter":200}`) },
+		func(c *cluster) { c.logProxy.Toxics.ResetToxics() }, false,
 	}
-	mutedLog = fault{
+	blockedLogReplies = fault{
 		"the log's answers do not come, one way",
-		func(c *cell) { c.toxic(c.log, "timeout", "downstream", `{"timeout":0}`) },
-		func(c *cell) { c.log.Toxics.ResetToxics() }, false,
+		func(c *cluster) { c.addToxic(c.logProxy, "timeout", "downstream", `{"timeout":0}`) },
+		func(c *cluster) { c.logProxy.Toxics.ResetToxics() }, false,
 	}
-	cutAnswers = fault{
+	truncatedWorkerAnswers = fault{
 		"a worker's connections break in the middle of an answer",
-		func(c *cell) { c.toxic(c.workers["r1-z1-k1-w1"], "limit_data", "downstream", `{"bytes":900}`) },
-		func(c *cell) { c.workers["r1-z1-k1-w1"].Toxics.ResetToxics() }, false,
+		func(c *cluster) {
+			c.addToxic(c.workerProxies["r1-z1-k1-w1"], "limit_data", "downstream", `{"bytes":900}`)
+		},
+		func(c *cluster) { c.workerProxies["r1-z1-k1-w1"].Toxics.ResetToxics() }, false,
 	}
-	slowWorker = fault{
+	slowWorkerNetwork = fault{
 		"a worker's network is slow",
-		func(c *cell) { c.toxic(c.workers["r1-z1-k2-w1"], "latency", "downstream", `{"latency":300}`) },
-		func(c *cell) { c.workers["r1-z1-k2-w1"].Toxics.ResetToxics() }, false,
+		func(c *cluster) {
+			c.addToxic(c.workerProxies["r1-z1-k2-w1"], "latency", "downstream", `{"latency":300}`)
+		},
+		func(c *cluster) { c.workerProxies["r1-z1-k2-w1"].Toxics.ResetToxics() }, false,
 	}
-	cutWorker = fault{
+	partitionedWorker = fault{
 		"a worker is cut off for longer than a lease",
-		func(c *cell) {
+		func(c *cluster) {
 			c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{Mode: native.ModeCut})
 		},
-		func(c *cell) { c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{}) }, true,
+		func(c *cluster) { c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{}) }, true,
 	}
-	deadWorker = fault{
+	crashedWorker = fault{
 		"a worker dies",
-		func(c *cell) {
+		func(c *cluster) {
 			c.Platform.Worker("r1-z1-k3-w1").SetFaults(native.WorkerFaults{Mode: native.ModeDead})
 		},
-		func(c *cell) { c.Platform.Worker("r1-z1-k3-w1").SetFaults(native.WorkerFaults{}) }, true,
+		func(c *cluster) { c.Platform.Worker("r1-z1-k3-w1").SetFaults(native.WorkerFaults{}) }, true,
 	}
 )
 
 // harsh is a fault by which, together with another, tasks may lose their
 // leases: a new owner cannot read the list of a worker whose answers break off.
-func harsh(f fault) fault {
-	f.isHarsh = true
+func withLeaseExpiry(f fault) fault {
+	f.mayExpireLeases = true
 	return f
 }
 
-func (c *cell) restart(i int) {
+func (c *cluster) restartNode(i int) {
 	c.t.Helper()
 	if err := c.Nodes[i].Start(); err != nil {
 		c.t.Fatal(err)
 	}
-	if !standin.Await(patience, c.Nodes[i].IsReady) {
+	if !standin.Await(waitTimeout, c.Nodes[i].IsReady) {
 		c.t.Errorf("node %d is not ready again", i)
 	}
 }
 
 // suffer lets faults begin together, lasts longer than a lease, and ends them.
-func (c *cell) suffer(faults ...fault) {
+func (c *cluster) injectFaults(faults ...fault) {
 	c.t.Helper()
 	before := c.Platform.Oracle.Report().Lapses
 	for _, f := range faults {
 		f.begin(c)
 	}
-	until := time.Now().Add(lease + 2*time.Second)
-	standin.Await(lease+3*time.Second, func() bool { return time.Now().After(until) })
+	until := time.Now().Add(leaseDuration + 2*time.Second)
+	standin.Await(leaseDuration+3*time.Second, func() bool { return time.Now().After(until) })
 	for i := len(faults) - 1; i >= 0; i-- {
 		faults[i].end(c)
 	}
 	c.awaitRequests(30)
-	isHarsh := false
+	mayExpireLeases := false
 	for _, f := range faults {
-		isHarsh = isHarsh || f.isHarsh
+		mayExpireLeases = mayExpireLeases || f.mayExpireLeases
 	}
-	if got := c.Platform.Oracle.Report().Lapses - before; got > 0 && !isHarsh {
+	if got := c.Platform.Oracle.Report().Lapses - before; got > 0 && !mayExpireLeases {
 		c.t.Errorf("got: %d tasks lost their lease, want: 0", got)
 	}
-	if !c.AwaitOwned(patience, 3, 16) {
+	if !c.AwaitOwned(waitTimeout, 3, 16) {
 		c.t.Error("not all shards have an owner again")
 	}
 }
@@ -143,12 +147,12 @@
 // so that what one leaves behind meets the next.
 func TestFaultsOneByOne(t *testing.T) {
 	t.Parallel()
-	c := newCell(t, "")
+	c := newCluster(t, "")
 	c.startLoad()
-	for _, f := range []fault{kill(0), pause(1), logOut, lostReplies, slowLog, mutedLog, cutAnswers, slowWorker, cutWorker, deadWorker} {
+	for _, f := range []fault{killNode(0), pauseNode(1), logUnavailable, lostLogReplies, slowLog, blockedLogReplies, truncatedWorkerAnswers, slowWorkerNetwork, partitionedWorker, crashedWorker} {
 		t.Run(f.name, func(t *testing.T) {
 			c.t = t
-			c.suffer(f)
+			c.injectFaults(f)
 			c.verify()
 		})
 	}
@@ -159,22 +163,22 @@
 
 func TestFaultsInPairs(t *testing.T) {
 	t.Parallel()
-	c := newCell(t, "")
+	c := newCluster(t, "")
 	c.startLoad()
 	for _, pair := range [][2]fault{
-		{logOut, kill(0)},
-		{logOut, pause(1)},
-		{pause(0), kill(1)},
-		{kill(0), harsh(cutAnswers)},
-		{lostReplies, kill(2)},
-		{slowLog, pause(2)},
-		{cutWorker, kill(1)},
-		{deadWorker, logOut},
-		{mutedLog, slowWorker},
+		{logUnavailable, killNode(0)},
+		{logUnavailable, pauseNode(1)},
+		{pauseNode(0), killNode(1)},
+		{killNode(0), withLeaseExpiry(truncatedWorkerAnswers)},
+		{lostLogReplies, killNode(2)},
+		{slowLog, pauseNode(2)},
+		{partitionedWorker, killNode(1)},
+		{crashedWorker, logUnavailable},
+		{blockedLogReplies, slowWorkerNetwork},
 	} {
 		t.Run(pair[0].name+" and "+pair[1].name, func(t *testing.T) {
 			c.t = t
-			c.suffer(pair[0], pair[1])
+			c.injectFaults(pair[0], pair[1])
 			c.verify()
 		})
 	}
@@ -183,41 +187,41 @@
 	c.verify()
 }
 
-func TestPlannedStopsCutOffNothing(t *testing.T) {
+func TestPlannedStopTruncatesNoResponse(t *testing.T) {
 	t.Parallel()
-	c := newCell(t, "")
+	c := newCluster(t, "")
 	c.startLoad()
 	for i, n := range c.Nodes {
 		long := make(chan error, 1)
-		go func() { long <- longRequest(n) }()
-		if !standin.Await(patience, func() bool { return inProgress(c, i) }) {
+		go func() { long <- sendLongRequest(n) }()
+		if !standin.Await(waitTimeout, func() bool { return hasRequestInProgress(c, i) }) {
 			t.Fatal("the long request is not in progress")
 		}
 		n.Signal(syscall.SIGTERM)
 		if err := <-long; err != nil {
 			t.Errorf("node %d: got: %v, want: the whole answer", i, err)
 		}
-		if !n.Wait(patience) {
+		if !n.Wait(waitTimeout) {
 			t.Fatalf("node %d does not stop", i)
 		}
 		c.awaitRequests(30)
-		c.restart(i)
+		c.restartNode(i)
 	}
 	c.stopLoad()
 	c.verify()
 	if got := c.Platform.Oracle.Report().Lapses; got != 0 {
 		t.Errorf("got: %d tasks lost their lease, want: 0", got)
 	}
-	if got := c.load.cut.Load(); got != 0 {
+	if got := c.load.truncatedCount.Load(); got != 0 {
 		t.Errorf("got: %d answers cut short, want: 0", got)
 	}
 }
 
 // A retry after a planned stop gets the first answer, from whoever has it now.
-func TestPlannedStopKeepsTheAnswersForRetries(t *testing.T) {
+func TestRetryAfterPlannedStopGetsTheFirstAnswer(t *testing.T) {
 	t.Parallel()
-	c := newCell(t, "")
-	l := &load{}
+	c := newCluster(t, "")
+	l := &loadGenerator{}
 	keys := []string{}
 	for range 5 {
 		key, err := uuid.NewV7()
@@ -225,18 +229,18 @@
 			t.Fatal(err)
 		}
 		keys = append(keys, key.String())
-		if !standin.Await(patience, func() bool {
-			return l.call(http.DefaultClient, c.Nodes[0], "deeds", key.String(), key.String()) == leverdyke.VerdictRan
+		if !standin.Await(waitTimeout, func() bool {
+			return l.send(http.DefaultClient, c.Nodes[0], "deeds", key.String(), key.String()) == leverdyke.VerdictRan
 		}) {
 			t.Fatalf("%s: got: not answered, want: answered", key)
 		}
 	}
 	c.Nodes[0].Signal(syscall.SIGTERM)
-	if !c.Nodes[0].Wait(patience) {
+	if !c.Nodes[0].Wait(waitTimeout) {
 		t.Fatal("the node does not stop")
 	}
 	for i, key := range keys {
-		if got := l.call(http.DefaultClient, c.Nodes[1+i%2], "deeds", key, key); got != leverdyke.VerdictRan {
+		if got := l.send(http.DefaultClient, c.Nodes[1+i%2], "deeds", key, key); got != leverdyke.VerdictRan {
 			t.Errorf("%s at node %d: got: %v, want: %v", key, 1+i%2, got, leverdyke.VerdictRan)
 		}
 		if got := c.Platform.Oracle.RanKeys(key); got != 1 {
@@ -246,7 +250,7 @@
 	l.verify(t, c.Platform.Oracle)
 }
 
-func longRequest(n *standin.Node) error {
+func sendLongRequest(n *standin.Node) error {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.Callers.String()+"/s/search/long", strings.NewReader("x"))
 	if err != nil {
 		return err
@@ -263,8 +267,8 @@
 	return nil
 }
 
-func inProgress(c *cell, i int) bool {
-	nodes, err := operator.NewClient([]string{c.Nodes[i].Operators.String()}, patience, nil).Nodes(context.Background())
+func hasRequestInProgress(c *cluster, i int) bool {
+	nodes, err := operator.NewClient([]string{c.Nodes[i].Operators.String()}, waitTimeout, nil).Nodes(context.Background())
 	if err != nil {
 		return false
 	}
@@ -276,19 +280,19 @@
 	return false
 }
 
-func TestAllNodesReplacedAtOnce(t *testing.T) {
+func TestStateSurvivesKillOfAllNodes(t *testing.T) {
 	t.Parallel()
-	c := newCell(t, "")
+	c := newCluster(t, "")
 	for _, n := range c.Nodes {
 		n.Signal(syscall.SIGKILL)
-		n.Wait(patience)
+		n.Wait(waitTimeout)
 	}
 	for _, n := range c.Nodes {
 		if err := n.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if !c.AwaitOwned(patience, 3, 16) {
+	if !c.AwaitOwned(waitTimeout, 3, 16) {
 		t.Fatal("not all shards have an owner again")
 	}
 	c.verify()
@@ -298,9 +302,9 @@
 	}
 }
 
-func TestRetentionDropsNothingThatIsNeeded(t *testing.T) {
+func TestLogTrimmingKeepsNeededRecords(t *testing.T) {
 	t.Parallel()
-	c := newCell(t, "snapshot_every: 20\n")
+	c := newCluster(t, "snapshot_every: 20\n")
 	for i := range 60 {
 		_, err := c.Client().Publish(context.Background(), "office/head", &operator.PublishRequest{
 			Base: uint64(i + 1), Body: fmt.Sprintf("waiting: 0.%d\npacking: 0.1\n", i+10), Author: "test",
@@ -309,7 +313,7 @@
 			t.Fatal(err)
 		}
 	}
-	if !standin.Await(patience, func() bool {
+	if !standin.Await(waitTimeout, func() bool {
 		return c.Nodes[0].CountLog("LD0203")+c.Nodes[1].CountLog("LD0203")+c.Nodes[2].CountLog("LD0203") >= 2
 	}) {
 		t.Fatal("no snapshots were written")
@@ -318,11 +322,11 @@
 	c.Platform.Log.TrimBefore(page.Next - 45)
 	for i, n := range c.Nodes {
 		n.Signal(syscall.SIGKILL)
-		n.Wait(patience)
-		c.restart(i)
+		n.Wait(waitTimeout)
+		c.restartNode(i)
 	}
 	for _, n := range c.Nodes {
-		client := operator.NewClient([]string{n.Operators.String()}, patience, nil)
+		client := operator.NewClient([]string{n.Operators.String()}, waitTimeout, nil)
 		if d, err := client.Doc(context.Background(), "office/head"); err != nil || d.Version != 61 {
 			t.Errorf("got: %+v, %v, want: version 61", d, err)
 		}
@@ -330,12 +334,12 @@
 	c.verify()
 }
 
-func TestLeavingVMsGetNothingNew(t *testing.T) {
+func TestLeavingVMsGetNoNewTasks(t *testing.T) {
 	t.Parallel()
-	c := newCell(t, "")
+	c := newCluster(t, "")
 	c.Platform.SetStatus("r1-z1-k1-w1", vmlist.StatusLeaving)
 	c.submit("batch", "team: filings\nkind: batch\ntasks: 120\neach: {milli_cpu: 500, memory_mib: 256}\nrun_time: 1s\n")
-	if !standin.Await(patience, func() bool {
+	if !standin.Await(waitTimeout, func() bool {
 		j, err := c.Client().Job(context.Background(), "batch")
 		return err == nil && j.IsEnded
 	}) {
@@ -344,13 +348,13 @@
 	c.verify()
 }
 
-func TestRacingOperatorsGetOneWinner(t *testing.T) {
+func TestConcurrentPublishesHaveOneWinner(t *testing.T) {
 	t.Parallel()
-	c := newCell(t, "")
+	c := newCluster(t, "")
 	results := make(chan error, 6)
 	for i := range 6 {
 		go func() {
-			client := operator.NewClient([]string{c.Nodes[i%3].Operators.String()}, patience, nil)
+			client := operator.NewClient([]string{c.Nodes[i%3].Operators.String()}, waitTimeout, nil)
 			_, err := client.Publish(context.Background(), "office/head", &operator.PublishRequest{
 				Base: 1, Body: fmt.Sprintf("waiting: 0.%d\n", i+1), Author: fmt.Sprint("operator ", i),
 			})
@@ -374,15 +378,15 @@
 	}
 }
 
-func TestBadFrameHarmsNothingElse(t *testing.T) {
+func TestMalformedFrameDoesNotDisturbNode(t *testing.T) {
 	t.Parallel()
-	c := newCell(t, "")
+	c := newCluster(t, "")
 	for _, text := range []string{"GET / HTTP/1.1\r\n\r\n", "\x00\x00\x00\x05\xdd\xff\xff\xff\xff", "\x00\x00\x00\x00"} {
 		if err := sendRaw(c.Nodes[0].Link.String(), text); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if !standin.Await(patience, func() bool { return c.Nodes[0].CountLog("LD0120") >= 3 }) {
+	if !standin.Await(waitTimeout, func() bool { return c.Nodes[0].CountLog("LD0120") >= 3 }) {
 		t.Errorf("got: %d events, want: 3", c.Nodes[0].CountLog("LD0120"))
 	}
 	c.verify()
@@ -390,18 +394,18 @@
 
 // Two regions on one log: each owns its own, jobs run where they say, and what
 // one region's node is told of the other's is enough for operators.
-func TestTwoRegions(t *testing.T) {
+func TestTwoRegionsServeTheirOwnJobs(t *testing.T) {
 	t.Parallel()
 	inner, err := standin.NewCell(standin.NewCellOptions{
-		Binary: binary, Dir: t.TempDir(), Nodes: 4, Settings: "lease: 7s\nappends_per_second: 20\n",
+		Binary: nodeBinary, Dir: t.TempDir(), Nodes: 4, Settings: "lease: 7s\nappends_per_second: 20\n",
 		Platform: native.NewServerOptions{Regions: 2, Zones: 2, Racks: 1, Workers: 2},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(inner.Close)
-	c := &cell{Cell: inner, t: t}
-	if !c.AwaitOwned(patience, 4, 32) {
+	c := &cluster{Cell: inner, t: t}
+	if !c.AwaitOwned(waitTimeout, 4, 32) {
 		t.Fatal("not all shards of both regions have an owner")
 	}
 	for _, d := range [][2]string{{"office/head", "waiting: 0.8\npacking: 0.2\n"}, {"team/t", "office: head\nquota: {milli_cpu: 90000, memory_mib: 190000, slots: 48}\n"}} {
@@ -413,15 +417,15 @@
 		c.submit(region, "team: t\nregion: "+region+"\nkind: service\ntasks: 4\neach: {milli_cpu: 100, memory_mib: 10}\nservice: s-"+region+"\nrequest: {milli_cpu: 10, memory_mib: 1}\n")
 	}
 	for _, region := range []string{"r1", "r2"} {
-		if !standin.Await(patience, func() bool { return runsIn(c, region) == 4 }) {
-			t.Errorf("%s: got: %d of its tasks run there, want: 4", region, runsIn(c, region))
+		if !standin.Await(waitTimeout, func() bool { return runningInRegion(c, region) == 4 }) {
+			t.Errorf("%s: got: %d of its tasks run there, want: 4", region, runningInRegion(c, region))
 		}
 	}
-	l := &load{}
+	l := &loadGenerator{}
 	for _, n := range c.Nodes {
 		for _, region := range []string{"r1", "r2"} {
 			want := n.Region == region
-			if !standin.Await(patience, func() bool { return (l.call(http.DefaultClient, n, "s-"+region, "x", "") == "ran") == want }) {
+			if !standin.Await(waitTimeout, func() bool { return (l.send(http.DefaultClient, n, "s-"+region, "x", "") == "ran") == want }) {
 				t.Errorf("node in %s: got: the service of %s answers %v, want: %v", n.Region, region, !want, want)
 			}
 		}
@@ -429,7 +433,7 @@
 }
 
 // runsIn counts the tasks of the job with the region's name on its workers.
-func runsIn(c *cell, region string) int {
+func runningInRegion(c *cluster, region string) int {
 	count := 0
 	for _, name := range c.Platform.Names() {
 		if strings.HasPrefix(name, region+"-") {
--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -30,12 +30,12 @@
 )
 
 const (
-	lease    = 7 * time.Second
-	patience = 40 * time.Second
-	callers  = 4
+	leaseDuration = 7 * time.Second
+	waitTimeout   = 40 * time.Second
+	callerCount   = 4
 )
 
-var binary string
+var nodeBinary string
 
 func TestMain(m *testing.M) { os.Exit(runMain(m)) }
 
@@ -46,8 +46,8 @@
 		panic(err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	binary = filepath.Join(dir, "leverdyked")
-	if out, err := exec.Command("go", "build", "-o", binary, "../../cmd/leverdyked").CombinedOutput(); err != nil {
+	nodeBinary = filepath.Join(dir, "leverdyked")
+	if out, err := exec.Command("go", "build", "-o", nodeBinary, "../../cmd/leverdyked").CombinedOutput(); err != nil {
 		panic(fmt.Sprintf("%v: %s", err, out))
 	}
 	return m.Run()
@@ -55,16 +55,16 @@
 
 // cell is a cell of real processes whose ways to the log and to each worker
 // lead through proxies.
-type cell struct {
+type cluster struct {
 	*standin.Cell
 	t *testing.T
 	// name is the test's that made the cell.
-	name    string
-	log     *toxiproxy.Proxy
-	workers map[string]*toxiproxy.Proxy
+	testName      string
+	logProxy      *toxiproxy.Proxy
+	workerProxies map[string]*toxiproxy.Proxy
 	// links has the proxy on the way from one node to another.
-	links map[[2]int]*toxiproxy.Proxy
-	load  load
+	linkProxies map[[2]int]*toxiproxy.Proxy
+	load        loadGenerator
 }
 
 func newProxy(name string, upstream netip.AddrPort) (*toxiproxy.Proxy, netip.AddrPort, error) {
@@ -78,7 +78,7 @@
 }
 
 // toxic adds a fault to a proxy, in one direction.
-func (c *cell) toxic(p *toxiproxy.Proxy, kind, stream, attributes string) {
+func (c *cluster) addToxic(p *toxiproxy.Proxy, kind, stream, attributes string) {
 	c.t.Helper()
 	text := fmt.Sprintf(`{"name":"%s-%s","type":"%s","stream":"%s","attributes":%s}`, kind, stream, kind, stream, attributes)
 	if _, err := p.Toxics.AddToxicJson(strings.NewReader(text)); err != nil {
@@ -86,20 +86,20 @@
 	}
 }
 
-func newCell(t *testing.T, extra string) *cell {
+func newCluster(t *testing.T, extra string) *cluster {
 	t.Helper()
-	c := &cell{t: t, name: t.Name(), workers: map[string]*toxiproxy.Proxy{}, links: map[[2]int]*toxiproxy.Proxy{}}
+	c := &cluster{t: t, testName: t.Name(), workerProxies: map[string]*toxiproxy.Proxy{}, linkProxies: map[[2]int]*toxiproxy.Proxy{}}
 	var err error
 	c.Cell, err = standin.NewCell(standin.NewCellOptions{
-		Binary: binary, Dir: t.TempDir(), Nodes: 3,
-		LogVia:   c.logVia,
-		LinkVia:  c.linkVia,
-		Settings: fmt.Sprintf("lease: %s\nsync: 500ms\ndrain_wait: 300ms\nappends_per_second: 25\n%s", lease, extra),
+		Binary: nodeBinary, Dir: t.TempDir(), Nodes: 3,
+		LogVia:   c.proxyLog,
+		LinkVia:  c.proxyLink,
+		Settings: fmt.Sprintf("lease: %s\nsync: 500ms\ndrain_wait: 300ms\nappends_per_second: 25\n%s", leaseDuration, extra),
 		Platform: native.NewServerOptions{
 			Zones: 1, Racks: 3, Workers: 2, Lag: 500 * time.Millisecond,
 			Via: func(name string, addr netip.AddrPort) (netip.AddrPort, error) {
 				p, via, err := newProxy(name, addr)
-				c.workers[name] = p
+				c.workerProxies[name] = p
 				return via, err
 			},
 		},
@@ -108,60 +108,60 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(c.close)
-	if !c.AwaitOwned(patience, 3, 16) {
+	if !c.AwaitOwned(waitTimeout, 3, 16) {
 		t.Fatalf("not all shards have an owner:\n%s", c.Nodes[0].Log())
 	}
-	c.prepare()
+	c.startServices()
 	return c
 }
 
 // logVia puts one proxy between all nodes and the log.
-func (c *cell) logVia(_ int, platform netip.AddrPort) (netip.AddrPort, error) {
-	if c.log != nil {
-		return netip.ParseAddrPort(c.log.Listen)
+func (c *cluster) proxyLog(_ int, platform netip.AddrPort) (netip.AddrPort, error) {
+	if c.logProxy != nil {
+		return netip.ParseAddrPort(c.logProxy.Listen)
 	}
 	var via netip.AddrPort
 	var err error
-	c.log, via, err = newProxy("log", platform)
+	c.logProxy, via, err = newProxy("log", platform)
 	return via, err
 }
 
 // linkVia puts a proxy on the way from one node to another.
-func (c *cell) linkVia(from, to int, link netip.AddrPort) (netip.AddrPort, error) {
+func (c *cluster) proxyLink(from, to int, link netip.AddrPort) (netip.AddrPort, error) {
 	p, via, err := newProxy(fmt.Sprintf("link-%d-%d", from, to), link)
-	c.links[[2]int{from, to}] = p
+	c.linkProxies[[2]int{from, to}] = p
 	return via, err
 }
 
-func (c *cell) close() {
+func (c *cluster) close() {
 	c.Close()
-	c.keepLogs()
-	if c.log != nil {
-		c.log.Stop()
+	c.saveLogs()
+	if c.logProxy != nil {
+		c.logProxy.Stop()
 	}
-	for _, p := range c.workers {
+	for _, p := range c.workerProxies {
 		p.Stop()
 	}
-	for _, p := range c.links {
+	for _, p := range c.linkProxies {
 		p.Stop()
 	}
 }
 
 // keepLogs copies the nodes' logs to the directory that LEVERDYKE_LOGS names,
 // since the test's own is removed.
-func (c *cell) keepLogs() {
+func (c *cluster) saveLogs() {
 	dir := os.Getenv("LEVERDYKE_LOGS")
 	if dir == "" {
 		return
 	}
 	for i, n := range c.Nodes {
-		name := filepath.Join(dir, fmt.Sprintf("%s-node%d.log", strings.ReplaceAll(c.name, "/", "_"), i))
+		name := filepath.Join(dir, fmt.Sprintf("%s-node%d.log", strings.ReplaceAll(c.testName, "/", "_"), i))
 		_ = os.WriteFile(name, []byte(n.Log()), 0o600)
 	}
 }
 
 // prepare publishes a configuration and starts two services.
-func (c *cell) prepare() {
+func (c *cluster) startServices() {
 	c.t.Helper()
 	for _, d := range [][2]string{
 		{"office/head", "waiting: 0.8\npacking: 0.2\n"},
@@ -181,70 +181,70 @@
 request_once: %v
 `, name, name == "deeds"))
 	}
-	if !standin.Await(patience, func() bool { return c.running() == 6 }) {
+	if !standin.Await(waitTimeout, func() bool { return c.running() == 6 }) {
 		c.t.Fatalf("got: %d tasks running, want: 6", c.running())
 	}
 }
 
-func (c *cell) submit(id, body string) {
+func (c *cluster) submit(id, body string) {
 	c.t.Helper()
 	if _, err := c.Client().Submit(context.Background(), &operator.SubmitRequest{ID: id, File: id, Body: body}); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *cell) running() int { return c.Platform.Oracle.Report().Running }
+func (c *cluster) running() int { return c.Platform.Oracle.Report().Running }
 
 // verify compares what was promised with what the workers saw.
-func (c *cell) verify() {
+func (c *cluster) verify() {
 	c.t.Helper()
 	r := c.Platform.Oracle.Report()
 	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving > 0 {
 		c.t.Errorf("got: %v, want: nothing violated", r.Violations)
 	}
 	c.load.verify(c.t, c.Platform.Oracle)
-	if !standin.Await(patience, func() bool { return c.running() == 6 }) {
+	if !standin.Await(waitTimeout, func() bool { return c.running() == 6 }) {
 		c.t.Errorf("got: %d tasks running, want: 6", c.running())
 	}
 }
 
 // load is callers that send requests as long as the test lasts.
-type load struct {
-	wg     sync.WaitGroup
-	cancel context.CancelFunc
-	mu     sync.Mutex
-	wrong  []string
+type loadGenerator struct {
+	wg             sync.WaitGroup
+	cancel         context.CancelFunc
+	mu             sync.Mutex
+	wrongResponses []string
 	// keys has the verdicts that callers got for requests that may not be
 	// repeated.
-	keys map[string]leverdyke.Verdict
-	ran  atomic.Int64
-	cut  atomic.Int64
+	verdictsByKey  map[string]leverdyke.Verdict
+	ranCount       atomic.Int64
+	truncatedCount atomic.Int64
 }
 
-func (c *cell) startLoad() {
+func (c *cluster) startLoad() {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.load.cancel = cancel
-	c.load.keys = map[string]leverdyke.Verdict{}
-	for i := range callers {
-		c.load.wg.Go(func() { c.load.run(ctx, c, i) })
+	c.load.verdictsByKey = map[string]leverdyke.Verdict{}
+	for i := range callerCount {
+		c.load.wg.Go(func() { c.load.sendUntilCancelled(ctx, c, i) })
 	}
 }
 
-func (c *cell) stopLoad() {
+func (c *cluster) stopLoad() {
 	c.load.cancel()
 	c.load.wg.Wait()
 }
 
 // awaitRequests waits until n more requests have been answered.
-func (c *cell) awaitRequests(n int64) {
+func (c *cluster) awaitRequests(n int64) {
 	c.t.Helper()
-	want := c.load.ran.Load() + n
-	if !standin.Await(patience, func() bool { return c.load.ran.Load() >= want }) {
-		c.t.Errorf("got: %d requests answered, want: %d", c.load.ran.Load(), want)
+	want := c.load.ranCount.Load() + n
+	if !standin.Await(waitTimeout, func() bool { return c.load.ranCount.Load() >= want }) {
+		c.t.Errorf("got: %d requests answered, want: %d", c.load.ranCount.Load(), want)
 	}
 }
 
-func (l *load) run(ctx context.Context, c *cell, caller int) {
+func (l *loadGenerator) sendUntilCancelled(ctx context.Context, c *cluster, caller int) {
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{}}
 	for i := caller; ctx.Err() == nil; i++ {
 		key, err := uuid.NewV7()
@@ -255,26 +255,26 @@
 		if i%3 == 0 {
 			service, header = "deeds", key.String()
 		}
-		first := l.call(client, c.Nodes[i%3], service, key.String(), header)
+		first := l.send(client, c.Nodes[i%3], service, key.String(), header)
 		if header == "" {
 			continue
 		}
 		// A caller in doubt asks another node under the same key.
-		second := l.call(client, c.Nodes[(i+1)%3], service, key.String(), header)
-		l.note(header, first, second)
+		second := l.send(client, c.Nodes[(i+1)%3], service, key.String(), header)
+		l.recordVerdict(header, first, second)
 	}
 }
 
-func (l *load) note(key string, first, second leverdyke.Verdict) {
+func (l *loadGenerator) recordVerdict(key string, first, second leverdyke.Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second == leverdyke.VerdictRan || (second == leverdyke.VerdictMayHaveRun && first == leverdyke.VerdictNotRun) {
 		first = second
 	}
-	l.keys[key] = first
+	l.verdictsByKey[key] = first
 }
 
-func (l *load) call(client *http.Client, n *standin.Node, service, body, key string) leverdyke.Verdict {
+func (l *loadGenerator) send(client *http.Client, n *standin.Node, service, body, key string) leverdyke.Verdict {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.Callers.String()+"/s/"+service+"/x", strings.NewReader(body))
 	if err != nil {
 		return ""
@@ -291,7 +291,7 @@
 	defer func() { _ = res.Body.Close() }()
 	got, err := io.ReadAll(res.Body)
 	if err != nil {
-		l.cut.Add(1)
+		l.truncatedCount.Add(1)
 		return leverdyke.VerdictMayHaveRun
 	}
 	verdict := leverdyke.Verdict(res.Header.Get(leverdyke.VerdictHeader))
@@ -300,21 +300,21 @@
 	}
 	if want := "POST /x\n" + body; res.StatusCode == http.StatusOK && string(got) != want {
 		l.mu.Lock()
-		l.wrong = append(l.wrong, fmt.Sprintf("got: %q, want: %q", got, want))
+		l.wrongResponses = append(l.wrongResponses, fmt.Sprintf("got: %q, want: %q", got, want))
 		l.mu.Unlock()
 	}
-	l.ran.Add(1)
+	l.ranCount.Add(1)
 	return verdict
 }
 
-func (l *load) verify(t *testing.T, o *native.Oracle) {
+func (l *loadGenerator) verify(t *testing.T, o *native.Oracle) {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, w := range l.wrong {
+	for _, w := range l.wrongResponses {
 		t.Error(w)
 	}
-	for key, verdict := range l.keys {
+	for key, verdict := range l.verdictsByKey {
 		ran := o.RanKeys(key)
 		if (verdict == leverdyke.VerdictRan && ran != 1) || (verdict == leverdyke.VerdictNotRun && ran != 0) || ran > 1 {
 			t.Errorf("%s: got: ran %d times, want: as its caller was told: %s", key, ran, verdict)
--- a/internal/integration/raw_test.go
+++ b/internal/integration/raw_test.go
@@ -11,7 +11,7 @@
 
 // sendRaw writes bytes to an address and waits until the other side hangs up.
 func sendRaw(addr, text string) error {
-	c, err := net.DialTimeout("tcp", addr, patience)
+	c, err := net.DialTimeout("tcp", addr, waitTimeout)
 	if err != nil {
 		return err
 	}
@@ -19,7 +19,7 @@
 	if _, err := io.WriteString(c, text); err != nil {
 		return err
 	}
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+	_ = c.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, _ = io.Copy(io.Discard, c)
 	return nil
 }
--- a/internal/integration/site_test.go
+++ b/internal/integration/site_test.go
@@ -19,28 +19,28 @@
 )
 
 // siteCell is nodes on the stand-in for the users' platform.
-type siteCell struct {
+type siteCluster struct {
 	*site.Site
 	t     *testing.T
 	nodes []*site.Node
 	// accepted are the jobs that were answered with success.
-	accepted []string
-	next     int
+	accepted      []string
+	lastJobNumber int
 	// keyOf returns the customer and the key of a job's caller; nil means that there are no
 	// customers.
-	keyOf func(id string) (customer, key string)
+	callerOf func(id string) (customer, key string)
 }
 
 // key returns the key of a job's caller.
-func (c *siteCell) key(id string) string {
-	if c.keyOf == nil {
+func (c *siteCluster) keyFor(id string) string {
+	if c.callerOf == nil {
 		return ""
 	}
-	_, key := c.keyOf(id)
+	_, key := c.callerOf(id)
 	return key
 }
 
-func newSiteCell(t *testing.T, nodes int, o site.Options) *siteCell {
+func newSiteCluster(t *testing.T, nodes int, o site.Options) *siteCluster {
 	t.Helper()
 	t.Parallel()
 	dir := t.TempDir()
@@ -48,11 +48,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &siteCell{Site: s, t: t}
+	c := &siteCluster{Site: s, t: t}
 	t.Cleanup(c.close)
 	s.Configure(1)
 	for i := range nodes {
-		n, err := s.NewNode(binary, dir, i)
+		n, err := s.NewNode(nodeBinary, dir, i)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 
 // close ends the nodes, then checks the promises, and keeps the logs of a test
 // that failed.
-func (c *siteCell) close() {
+func (c *siteCluster) close() {
 	for _, n := range c.nodes {
 		n.Kill()
 	}
@@ -80,21 +80,21 @@
 }
 
 // await polls until the condition holds; the test fails when it does not in time.
-func (c *siteCell) await(what string, holds func() bool) {
+func (c *siteCluster) await(what string, isMet func() bool) {
 	c.t.Helper()
 	ticker := time.NewTicker(30 * time.Millisecond)
 	defer ticker.Stop()
-	tooLate := time.After(patience)
-	for !holds() {
+	deadline := time.After(waitTimeout)
+	for !isMet() {
 		select {
 		case <-ticker.C:
-		case <-tooLate:
-			c.t.Fatalf("%s: not within %v", what, patience)
+		case <-deadline:
+			c.t.Fatalf("%s: not within %v", what, waitTimeout)
 		}
 	}
 }
 
-func (c *siteCell) awaitReady(nodes ...*site.Node) {
+func (c *siteCluster) awaitReady(nodes ...*site.Node) {
 	c.t.Helper()
 	for _, n := range nodes {
 		c.await(n.Name+" is ready", func() bool { return n.IsReady(c.t.Context()) })
@@ -111,10 +111,10 @@
 }
 
 // submit hands in a job and returns its ID and the status.
-func (c *siteCell) submit(n *site.Node, spec string, steps ...jobStep) (string, int) {
+func (c *siteCluster) submit(n *site.Node, spec string, steps ...jobStep) (string, int) {
 	c.t.Helper()
-	c.next++
-	id := fmt.Sprintf("%016x", c.next)
+	c.lastJobNumber++
+	id := fmt.Sprintf("%016x", c.lastJobNumber)
 	body, err := json.Marshal(map[string]any{"spec": spec, "steps": steps})
 	if err != nil {
 		c.t.Fatal(err)
@@ -122,11 +122,11 @@
 	if err := c.Know(id, body); err != nil {
 		c.t.Fatal(err)
 	}
-	if c.keyOf != nil {
-		customer, _ := c.keyOf(id)
+	if c.callerOf != nil {
+		customer, _ := c.callerOf(id)
 		c.KnowCustomer(id, customer)
 	}
-	status, _, err := n.DoWithKey(c.t.Context(), c.key(id), http.MethodPost, site.QueuePrefix+id, body)
+	status, _, err := n.DoWithKey(c.t.Context(), c.keyFor(id), http.MethodPost, site.QueuePrefix+id, body)
 	if err != nil {
 		return id, 0
 	}
@@ -137,7 +137,7 @@
 }
 
 // mustSubmit hands in a job at any node until one accepts it.
-func (c *siteCell) mustSubmit(steps ...jobStep) string {
+func (c *siteCluster) mustSubmit(steps ...jobStep) string {
 	c.t.Helper()
 	id := ""
 	c.await("a job is accepted", func() bool {
@@ -153,7 +153,7 @@
 }
 
 // state returns what the first node that answers shows of a job.
-func (c *siteCell) state(id string) string {
+func (c *siteCluster) state(id string) string {
 	for _, n := range c.nodes {
 		ctx, cancel := context.WithTimeout(c.t.Context(), time.Second)
 		state := c.stateAt(ctx, n, id)
@@ -167,8 +167,8 @@
 
 // stateAt returns what a node shows of a job, "" when it shows none. The oracle
 // learns of a final state.
-func (c *siteCell) stateAt(ctx context.Context, n *site.Node, id string) string {
-	status, body, err := n.DoWithKey(ctx, c.key(id), http.MethodGet, site.QueuePrefix+id, nil)
+func (c *siteCluster) stateAt(ctx context.Context, n *site.Node, id string) string {
+	status, body, err := n.DoWithKey(ctx, c.keyFor(id), http.MethodGet, site.QueuePrefix+id, nil)
 	if err != nil || status != http.StatusOK {
 		return ""
 	}
@@ -188,20 +188,20 @@
 	return state == "succeeded" || state == "failed" || state == "cancelled"
 }
 
-func (c *siteCell) awaitState(id, want string) {
+func (c *siteCluster) awaitState(id, want string) {
 	c.t.Helper()
 	c.await("job "+id+" is "+want, func() bool { return c.state(id) == want })
 }
 
 // awaitAll waits until all accepted jobs have succeeded.
-func (c *siteCell) awaitAll() {
+func (c *siteCluster) awaitAll() {
 	c.t.Helper()
 	for _, id := range c.accepted {
 		c.awaitState(id, "succeeded")
 	}
 }
 
-func (c *siteCell) signal(n *site.Node, sig syscall.Signal) {
+func (c *siteCluster) signal(n *site.Node, sig syscall.Signal) {
 	c.t.Helper()
 	if err := n.Signal(sig); err != nil {
 		c.t.Fatal(err)
@@ -209,9 +209,9 @@
 }
 
 // owner returns the node that logged last that it owns the shard.
-func (c *siteCell) owner() *site.Node {
-	var found *site.Node
-	best := -1
+func (c *siteCluster) owner() *site.Node {
+	var owner *site.Node
+	newestEpoch := -1
 	for _, n := range c.nodes {
 		for line := range strings.Lines(n.Log()) {
 			epoch := 0
@@ -219,36 +219,36 @@
 				if j := strings.Index(line, "epoch="); j >= 0 {
 					_, _ = fmt.Sscanf(line[j:], "epoch=%d", &epoch)
 				}
-				if epoch > best {
-					best, found = epoch, n
+				if epoch > newestEpoch {
+					newestEpoch, owner = epoch, n
 				}
 			}
 		}
 	}
-	return found
+	return owner
 }
 
-func small(count int, ms float64) jobStep {
+func smallStep(count int, ms float64) jobStep {
 	return jobStep{Count: count, CPU: 500, MemMb: 200, EstimatedMs: ms}
 }
 
-func TestSiteServesJobsOfSteps(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{HasAdvice: true})
+func TestSiteRunsMultiStepJobs(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{HasAdvice: true})
 	for i := range 6 {
-		second := small(2, 100)
+		second := smallStep(2, 100)
 		second.DependsOn = []int{0}
-		if _, status := c.submit(c.nodes[i%3], "", small(5, 150), second); status != http.StatusOK {
+		if _, status := c.submit(c.nodes[i%3], "", smallStep(5, 150), second); status != http.StatusOK {
 			t.Errorf("job %d: got: %d, want: 200", i, status)
 		}
 	}
 	c.awaitAll()
 }
 
-func TestSiteKeepsLastingTasksAndCancels(t *testing.T) {
-	c := newSiteCell(t, 2, site.Options{})
-	lasting := small(3, 0)
-	lasting.Perpetual = true
-	id := c.mustSubmit(lasting)
+func TestSiteRestartsAndCancelsLongRunningTasks(t *testing.T) {
+	c := newSiteCluster(t, 2, site.Options{})
+	longRunning := smallStep(3, 0)
+	longRunning.Perpetual = true
+	id := c.mustSubmit(longRunning)
 	c.await("all lasting tasks run", func() bool { return c.running() == 3 })
 	c.Workers()[0].Crash()
 	c.await("all lasting tasks run again", func() bool { return c.running() == 3 })
@@ -261,20 +261,20 @@
 }
 
 // A worker that had failed tasks that last got one of them again, and nothing more while that ran.
-func TestSiteLastingTasksComeBackToAWorkerThatFailedThem(t *testing.T) {
-	c := newSiteCell(t, 2, site.Options{Workers: 1})
+func TestSiteLongRunningTasksReturnToRecoveredWorker(t *testing.T) {
+	c := newSiteCluster(t, 2, site.Options{Workers: 1})
 	c.Workers()[0].SetFailsLasting(true)
-	lasting := small(1, 0)
-	lasting.Perpetual = true
+	longRunning := smallStep(1, 0)
+	longRunning.Perpetual = true
 	for range 3 {
-		c.mustSubmit(lasting)
+		c.mustSubmit(longRunning)
 	}
 	c.await("all have failed", func() bool { return c.Workers()[0].Starts() >= 3 && c.running() == 0 })
 	c.Workers()[0].SetFailsLasting(false)
 	c.await("all lasting tasks run", func() bool { return c.running() == 3 })
 }
 
-func (c *siteCell) running() int {
+func (c *siteCluster) running() int {
 	n := 0
 	for _, w := range c.Workers() {
 		n += w.Running()
@@ -282,8 +282,8 @@
 	return n
 }
 
-func TestSiteRefusesBadJobs(t *testing.T) {
-	c := newSiteCell(t, 1, site.Options{})
+func TestSiteRefusesInvalidJobs(t *testing.T) {
+	c := newSiteCluster(t, 1, site.Options{})
 	for name, tc := range map[string]struct {
 		method, path, body string
 		want               int
@@ -322,41 +322,41 @@
 	}
 }
 
-func TestSiteSurvivesTheOwnersDeath(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+func TestSiteSurvivesKillOfOwner(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{})
 	for range 3 {
-		c.mustSubmit(small(4, 1500), small(2, 100))
+		c.mustSubmit(smallStep(4, 1500), smallStep(2, 100))
 	}
-	dead := c.owner()
-	dead.Kill()
-	c.mustSubmit(small(3, 200))
+	killed := c.owner()
+	killed.Kill()
+	c.mustSubmit(smallStep(3, 200))
 	c.awaitAll()
-	if err := dead.Start(); err != nil {
+	if err := killed.Start(); err != nil {
 		t.Fatal(err)
 	}
-	c.awaitReady(dead)
-	c.mustSubmit(small(3, 200))
+	c.awaitReady(killed)
+	c.mustSubmit(smallStep(3, 200))
 	c.awaitAll()
 }
 
 func TestSiteSurvivesAPausedOwner(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+	c := newSiteCluster(t, 3, site.Options{})
 	for range 3 {
-		c.mustSubmit(small(4, 1500), small(2, 100))
+		c.mustSubmit(smallStep(4, 1500), smallStep(2, 100))
 	}
 	paused := c.owner()
 	c.signal(paused, syscall.SIGSTOP)
 	c.await("another node owns the shard", func() bool { return c.owner() != paused })
-	c.mustSubmit(small(3, 200))
+	c.mustSubmit(smallStep(3, 200))
 	c.signal(paused, syscall.SIGCONT)
 	c.awaitAll()
 	c.awaitReady(paused)
 }
 
-func TestSitePlannedStopsInTurnCutNothing(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+func TestSiteRollingRestartRepeatsNoTask(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{})
 	for _, n := range c.nodes {
-		c.mustSubmit(small(4, 1000))
+		c.mustSubmit(smallStep(4, 1000))
 		c.signal(n, syscall.SIGTERM)
 		<-n.Done()
 		if err := n.Start(); err != nil {
@@ -370,17 +370,17 @@
 	}
 }
 
-func TestSiteRefusesAtOnceWhileTheStoreIsOut(t *testing.T) {
+func TestSiteRefusesJobsDuringStoreOutage(t *testing.T) {
 	for _, mode := range []site.StoreMode{site.StoreBusy, site.StoreSilent} {
 		t.Run(string(mode), func(t *testing.T) {
-			c := newSiteCell(t, 3, site.Options{})
-			second := small(2, 100)
+			c := newSiteCluster(t, 3, site.Options{})
+			second := smallStep(2, 100)
 			second.DependsOn = []int{0}
-			id := c.mustSubmit(small(4, 2500), second)
+			id := c.mustSubmit(smallStep(4, 2500), second)
 			c.await("the first step runs", func() bool { return c.running() == 4 })
 			c.Store.SetMode(mode)
 			c.await("a job is refused", func() bool {
-				_, status := c.submit(c.nodes[0], "", small(1, 100))
+				_, status := c.submit(c.nodes[0], "", smallStep(1, 100))
 				return status == http.StatusServiceUnavailable
 			})
 			c.await("the second step runs", func() bool { return c.Starts() >= 6 })
@@ -393,23 +393,23 @@
 	}
 }
 
-func TestSiteSettlesLostAnswers(t *testing.T) {
-	c := newSiteCell(t, 2, site.Options{})
+func TestSiteRecoversFromLostAnswers(t *testing.T) {
+	c := newSiteCluster(t, 2, site.Options{})
 	for i := range 4 {
 		c.Store.LoseAnswers(i)
 		c.Workers()[i].MuteStarts(1)
-		c.mustSubmit(small(3, 200))
+		c.mustSubmit(smallStep(3, 200))
 	}
 	c.awaitAll()
 }
 
-func TestSiteGivesALeavingWorkerNothingNew(t *testing.T) {
-	c := newSiteCell(t, 2, site.Options{Workers: 2})
+func TestSiteDrainingWorkerGetsNoNewTasks(t *testing.T) {
+	c := newSiteCluster(t, 2, site.Options{Workers: 2})
 	c.Workers()[0].Drain()
 	c.await("the owner knows that a worker leaves", func() bool {
 		return strings.Contains(c.owner().Log(), `"worker is leaving"`)
 	})
-	c.mustSubmit(small(6, 300))
+	c.mustSubmit(smallStep(6, 300))
 	c.await("six tasks run", func() bool { return c.running() == 6 })
 	if got := c.Workers()[0].Running(); got != 0 {
 		t.Errorf("tasks on the leaving worker: got: %d, want: 0", got)
@@ -417,10 +417,10 @@
 	c.awaitAll()
 }
 
-func TestSiteSurvivesTheDeathOfAllNodes(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+func TestSiteSurvivesKillOfAllNodes(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{})
 	for range 3 {
-		c.mustSubmit(small(4, 2000))
+		c.mustSubmit(smallStep(4, 2000))
 	}
 	for _, n := range c.nodes {
 		n.Kill()
--- a/internal/integration/soak_test.go
+++ b/internal/integration/soak_test.go
@@ -48,58 +48,58 @@
 const (
 	// carrierSeeds is the first seed with nodes of carrierShare of a processor, which can
 	// talk to two workers each: the owner leaves its six to the others.
-	carrierSeeds = 1500
-	carrierShare = 0.008
+	firstDelegateSeed = 1500
+	delegateCPUShare  = 0.008
 )
 
 const (
 	// silenceSeeds is the first seed that plays silences, silenceShare the share of
 	// these among its faults: one in so many.
-	silenceSeeds = 900
-	silenceShare = 8
+	firstSilenceSeed = 900
+	silenceOdds      = 8
 )
 
 const (
 	// slowSeeds is the first seed that plays a slow store with ends of nodes, slowShare
 	// the share of these among its faults: one in so many.
-	slowSeeds = 1200
-	slowShare = 6
+	firstSlowStoreSeed = 1200
+	slowStoreOdds      = 6
 )
 
 const (
 	// crashSeeds is the first seed that plays tasks that crash their workers, and rooms of
 	// workers that change, crashShare the share of each among its faults: one in so many.
-	crashSeeds = 1600
-	crashShare = 8
+	firstCrashSeed = 1600
+	crashOdds      = 8
 	// soakCPU and soakMemory are the room of a worker.
-	soakCPU, soakMemory = 4000, 4000
+	soakWorkerMilliCPU, soakWorkerMemoryMiB = 4000, 4000
 )
 
 const (
 	// restartSeeds is the first seed that plays workers that start again under their IDs,
 	// restartShare the share of these among its faults: one in so many.
-	restartSeeds = 1700
-	restartShare = 5
+	firstRestartSeed = 1700
+	restartOdds      = 5
 )
 
 const (
 	// lateSeeds is the first seed that plays orders that are held up for seconds, also to workers
 	// that start again meanwhile, lateShare the share of these among its faults: one in so many.
-	lateSeeds = 1800
-	lateShare = 5
+	firstDelayedOrderSeed = 1800
+	delayedOrderOdds      = 5
 )
 
 const (
 	// sickSeeds is the first seed in which workers fail tasks that last, sickShare the share of these
 	// among its faults: one in so many.
-	sickSeeds = 2000
-	sickShare = 4
+	firstDegradedWorkerSeed = 2000
+	degradedWorkerOdds      = 4
 )
 
 // soak is a cell under random faults: signals to nodes, proxies between nodes, to
 // the store and to workers, clocks that differ, and a store that misbehaves.
 type soak struct {
-	*siteCell
+	*siteCluster
 	rng *rand.Rand
 	// hasBlackouts means that outages of the store with workers that leave and a loss
 	// of all nodes are among the faults.
@@ -115,9 +115,9 @@
 	// hasRestarts means that workers start again under their IDs.
 	hasRestarts bool
 	// hasLateOrders means that workers carry out orders seconds later.
-	hasLateOrders bool
+	hasDelayedOrders bool
 	// hasSickWorkers means that workers fail tasks that last.
-	hasSickWorkers bool
+	hasDegradedWorkers bool
 	// customers are those whose jobs are handed in; nil where the queue is public.
 	customers *soakCustomers
 
@@ -126,34 +126,34 @@
 	// relays are before the proxies where connections may go silent.
 	relays map[string]*relay.Relay
 	// asked are accepted jobs that were not shown as over yet.
-	asked []string
+	unfinished []string
 	// later are the ends of faults, by when they are due.
-	later []soakEnd
+	scheduled []scheduledAction
 	// refused are jobs of which each answer said that they were not taken.
 	refused []string
 	actions []string
 	// restarting are nodes that were told to end and are not started yet.
-	restarting map[*site.Node]bool
-	born       int
-	version    int
+	restarting       map[*site.Node]bool
+	lastWorkerNumber int
+	version          int
 }
 
 // maxClockShift is how far, in ms, the time of day of a node may be off.
-const maxClockShift = 3000
+const maxClockShiftMs = 3000
 
 // blackoutSeeds is the first seed that plays blackouts: of earlier ones the course
 // of faults is left as it was when they failed.
-const blackoutSeeds = 800
+const firstBlackoutSeed = 800
 
 // blackoutShare is one in how many faults is a blackout, where the seed has them.
-const blackoutShare = 6
+const blackoutOdds = 6
 
 // askPause is the time between two rounds in which callers ask for their jobs.
-const askPause = 40 * time.Millisecond
+const pollInterval = 40 * time.Millisecond
 
-type soakEnd struct {
+type scheduledAction struct {
 	at  time.Time
-	end func()
+	run func()
 }
 
 // TestSoak plays random faults. LEVERDYKE_SOAK_SEED and LEVERDYKE_SOAK_SEEDS choose
@@ -179,32 +179,34 @@
 }
 
 func runSoak(t *testing.T, seed uint64, length time.Duration) {
-	s := &soak{rng: rand.New(rand.NewPCG(seed, 2)), proxies: map[string]*toxiproxy.Proxy{}, relays: map[string]*relay.Relay{}, restarting: map[*site.Node]bool{}, version: 1, born: 100}
-	s.hasBlackouts, s.hasSilences, s.hasSlowStore = seed >= blackoutSeeds, seed >= silenceSeeds, seed >= slowSeeds
-	s.hasCrashes, s.hasRestarts, s.hasLateOrders = seed >= crashSeeds, seed >= restartSeeds, seed >= lateSeeds
-	s.hasSickWorkers = seed >= sickSeeds
-	options := site.Options{Workers: 6, MilliCPU: soakCPU, MemoryMiB: soakMemory, HasAdvice: seed%2 == 0, Via: s.via}
-	if seed >= carrierSeeds {
-		options.CPUShare = carrierShare
+	s := &soak{rng: rand.New(rand.NewPCG(seed, 2)), proxies: map[string]*toxiproxy.Proxy{}, relays: map[string]*relay.Relay{}, restarting: map[*site.Node]bool{}, version: 1, lastWorkerNumber: 100}
+	s.hasBlackouts, s.hasSilences, s.hasSlowStore = seed >= firstBlackoutSeed, seed >= firstSilenceSeed, seed >= firstSlowStoreSeed
+	s.hasCrashes, s.hasRestarts, s.hasDelayedOrders = seed >= firstCrashSeed, seed >= firstRestartSeed, seed >= firstDelayedOrderSeed
+	s.hasDegradedWorkers = seed >= firstDegradedWorkerSeed
+	options := site.Options{Workers: 6, MilliCPU: soakWorkerMilliCPU, MemoryMiB: soakWorkerMemoryMiB, HasAdvice: seed%2 == 0, Via: s.proxyFor}
+	if seed >= firstDelegateSeed {
+		options.CPUShare = delegateCPUShare
 	}
-	s.siteCell = newSiteCell(t, 3, options)
-	if seed >= customerSeeds {
+	s.siteCluster = newSiteCluster(t, 3, options)
+	if seed >= firstCustomerSeed {
 		s.startCustomers()
 	}
 	t.Cleanup(s.closeRelays)
-	lasting := s.handInLasting()
+	longRunning := s.submitLongRunningJobs()
 	s.accepted = s.accepted[:0]
 	t.Cleanup(func() {
 		if t.Failed() {
 			t.Logf("actions:\n%s", strings.Join(s.actions, "\n"))
 		}
 	})
-	s.startAsking(seed)
-	s.play(length)
-	s.heal()
+	s.startPolling(seed)
+	s.submitAndInjectFaults(length)
+	s.endAllFaults()
 	s.awaitAll()
 	s.awaitCrashing()
-	s.await("the lasting tasks run", func() bool { return s.areRunning(lasting) && s.running() == lastingTasks*len(lasting) })
+	s.await("the lasting tasks run", func() bool {
+		return s.areRunning(longRunning) && s.running() == longRunningTasksPerJob*len(longRunning)
+	})
 	for _, id := range s.refused {
 		if s.HasRun(id) {
 			t.Errorf("job %s ran though each answer said that it was not taken", id)
@@ -213,15 +215,15 @@
 }
 
 // lastingTasks is how many tasks a job has that lasts.
-const lastingTasks = 2
+const longRunningTasksPerJob = 2
 
 // handInLasting hands in the jobs that last: one, or several where workers fail them, which are set
 // aside when they fail those of several.
-func (s *soak) handInLasting() []string {
-	step := small(lastingTasks, 0)
+func (s *soak) submitLongRunningJobs() []string {
+	step := smallStep(longRunningTasksPerJob, 0)
 	step.Perpetual = true
 	ids := []string{s.mustSubmit(step)}
-	if s.hasSickWorkers {
+	if s.hasDegradedWorkers {
 		ids = append(ids, s.mustSubmit(step), s.mustSubmit(step))
 	}
 	return ids
@@ -232,7 +234,7 @@
 }
 
 // via puts a proxy before a service or worker.
-func (s *soak) via(name, addr string) (string, error) {
+func (s *soak) proxyFor(name, addr string) (string, error) {
 	upstream, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return "", err
@@ -265,9 +267,9 @@
 
 // silence makes all open connections of a kind, or of all kinds, silent for good: to
 // the store, between nodes, to workers. New ones work.
-func (s *soak) silence() {
+func (s *soak) silenceConnections() {
 	kind := []string{"-store", "-link", "i-", ""}[s.rng.IntN(4)]
-	s.note("open connections of %q go silent", kind)
+	s.logAction("open connections of %q go silent", kind)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, r := range s.relays {
@@ -278,7 +280,7 @@
 }
 
 // play hands in jobs and injects faults until the time is over.
-func (s *soak) play(length time.Duration) {
+func (s *soak) submitAndInjectFaults(length time.Duration) {
 	s.t.Helper()
 	ticker := time.NewTicker(60 * time.Millisecond)
 	defer ticker.Stop()
@@ -288,33 +290,35 @@
 		if now.After(end) {
 			return
 		}
-		s.endFaults(now)
-		s.startEnded()
-		s.handIn()
+		s.runDueActions(now)
+		s.restartExitedNodes()
+		s.submitJob()
 		if now.After(nextFault) {
 			nextFault = now.Add(time.Duration(200+s.rng.IntN(700)) * time.Millisecond)
-			s.fault()
+			s.injectFault()
 		}
 	}
 }
 
-func (s *soak) handIn() { s.handInJob("", func(id string) { s.asked = append(s.asked, id) }) }
+func (s *soak) submitJob() {
+	s.submitRandomJob("", func(id string) { s.unfinished = append(s.unfinished, id) })
+}
 
 // handInCrashing hands in a job of which a task crashes its workers.
-func (s *soak) handInCrashing() {
-	s.handInJob("crash", func(id string) {
+func (s *soak) submitCrashingJob() {
+	s.submitRandomJob("crash", func(id string) {
 		s.crashing = append(s.crashing, id)
 		s.accepted = slices.DeleteFunc(s.accepted, func(other string) bool { return other == id })
 	})
-	s.note("jobs with a task that crashes workers: %v", s.crashing)
+	s.logAction("jobs with a task that crashes workers: %v", s.crashing)
 }
 
 // handInJob hands in a job and passes it on once it is accepted.
-func (s *soak) handInJob(spec string, accepted func(id string)) {
+func (s *soak) submitRandomJob(spec string, accepted func(id string)) {
 	node := s.nodes[s.rng.IntN(len(s.nodes))]
-	second := small(1+s.rng.IntN(2), 100)
+	second := smallStep(1+s.rng.IntN(2), 100)
 	second.DependsOn = []int{0}
-	first := small(1+s.rng.IntN(3), float64(100+s.rng.IntN(900)))
+	first := smallStep(1+s.rng.IntN(3), float64(100+s.rng.IntN(900)))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -333,22 +337,22 @@
 		case <-done:
 			return
 		case now := <-time.After(50 * time.Millisecond):
-			s.endFaults(now)
+			s.runDueActions(now)
 		}
 	}
 }
 
 // startAsking lets callers ask for their jobs all the time. The oracle notes what
 // they are shown, so that a start after a job was shown as over is found.
-func (s *soak) startAsking(seed uint64) {
+func (s *soak) startPolling(seed uint64) {
 	done := make(chan struct{})
-	go s.runAsking(s.t.Context(), rand.New(rand.NewPCG(seed, 3)), done)
+	go s.pollJobs(s.t.Context(), rand.New(rand.NewPCG(seed, 3)), done)
 	s.t.Cleanup(func() { <-done })
 }
 
-func (s *soak) runAsking(ctx context.Context, rng *rand.Rand, done chan<- struct{}) {
+func (s *soak) pollJobs(ctx context.Context, rng *rand.Rand, done chan<- struct{}) {
 	defer close(done)
-	ticker := time.NewTicker(askPause)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -357,59 +361,59 @@
 		case <-ticker.C:
 		}
 		s.mu.Lock()
-		ids := slices.Clone(s.asked)
+		ids := slices.Clone(s.unfinished)
 		s.mu.Unlock()
-		over := map[string]bool{}
+		ended := map[string]bool{}
 		for _, id := range ids {
-			over[id] = s.ask(ctx, s.nodes[rng.IntN(len(s.nodes))], id)
+			ended[id] = s.pollJob(ctx, s.nodes[rng.IntN(len(s.nodes))], id)
 		}
 		s.mu.Lock()
-		s.asked = slices.DeleteFunc(s.asked, func(id string) bool { return over[id] })
+		s.unfinished = slices.DeleteFunc(s.unfinished, func(id string) bool { return ended[id] })
 		s.mu.Unlock()
 	}
 }
 
 // askTimeout is the patience of a caller that asks: a node that is paused or cut off
 // does not hold up the questions to others.
-const askTimeout = 100 * time.Millisecond
+const pollTimeout = 100 * time.Millisecond
 
 // ask asks one node for a job and reports whether it is shown as over.
-func (s *soak) ask(ctx context.Context, n *site.Node, id string) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (s *soak) pollJob(ctx context.Context, n *site.Node, id string) bool {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	return isFinal(s.stateAt(ctx, n, id))
 }
 
 // until ends a fault after a while.
-func (s *soak) until(d time.Duration, end func()) {
-	s.later = append(s.later, soakEnd{time.Now().Add(d), end})
+func (s *soak) schedule(d time.Duration, action func()) {
+	s.scheduled = append(s.scheduled, scheduledAction{time.Now().Add(d), action})
 }
 
-func (s *soak) endFaults(now time.Time) {
-	rest := []soakEnd{}
-	due := []soakEnd{}
-	for _, e := range s.later {
+func (s *soak) runDueActions(now time.Time) {
+	remaining := []scheduledAction{}
+	due := []scheduledAction{}
+	for _, e := range s.scheduled {
 		if now.After(e.at) {
 			due = append(due, e)
 		} else {
-			rest = append(rest, e)
+			remaining = append(remaining, e)
 		}
 	}
-	s.later = rest
+	s.scheduled = remaining
 	for _, e := range due {
-		e.end()
+		e.run()
 	}
 }
 
 // startEnded starts nodes again that have ended by themselves, as the platform
 // does. Only a hangup right after the start may end a process.
 // 328: that was taken for a node that does not start.
-func (s *soak) startEnded() {
+func (s *soak) restartExitedNodes() {
 	for _, n := range s.nodes {
 		if s.restarting[n] || !n.HasEnded() {
 			continue
 		}
-		s.note("%s has ended by itself", n.Name)
+		s.logAction("%s has ended by itself", n.Name)
 		if !n.EndedByHangup() {
 			s.t.Errorf("%s has ended by itself", n.Name)
 		}
@@ -420,17 +424,17 @@
 }
 
 // heal ends all faults.
-func (s *soak) heal() {
+func (s *soak) endAllFaults() {
 	// The end of one may be the begin of the next.
-	for len(s.later) > 0 {
-		s.endFaults(time.Now().Add(time.Hour))
+	for len(s.scheduled) > 0 {
+		s.runDueActions(time.Now().Add(time.Hour))
 	}
-	s.startEnded()
+	s.restartExitedNodes()
 	s.Store.SetMode(site.StoreUp)
 	s.awaitReady(s.nodes...)
 }
 
-func (s *soak) note(format string, args ...any) {
+func (s *soak) logAction(format string, args ...any) {
 	s.actions = append(s.actions, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
