--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -12,8 +12,8 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// submitCrashing hands in a job whose first task crashes its workers. It is not one of
-// those that are to succeed.
+// submitCrashing submits a job whose first task crashes each worker that runs it. The job is not
+// among those that awaitAll expects to succeed.
 func (c *siteCluster) submitCrashing(steps ...jobStep) string {
 	c.t.Helper()
 	id := ""
@@ -26,13 +26,14 @@
 	return id
 }
 
-// playCrashes hands in a job with a task that crashes its workers, and others, and does
-// something at each of the first crashes until the job is given up.
+// runCrashScenario submits a job with a task that crashes its workers, and another job at each
+// crash, and calls atCrash with the number of crashes so far. It returns when the crashing job has
+// failed and the others have succeeded.
 func (c *siteCluster) runCrashScenario(atCrash func(n int)) {
 	c.t.Helper()
 	crashing := c.submitCrashing(smallStep(3, 400))
 	seenCrashes := 0
-	c.await("the job with the task is given up", func() bool {
+	c.await("the job with the crashing task fails", func() bool {
 		if n := c.CrashesUnder(crashing + ".0.0.0"); n > seenCrashes {
 			seenCrashes = n
 			c.mustSubmit(smallStep(3, 300))
@@ -43,8 +44,9 @@
 	c.awaitAll()
 }
 
-// The bound holds where the node that counts ends with each crash, as it is counted, and
-// where it cannot write down what it counts.
+// A task that crashes its workers fails its job after a limited number of crashes. The count must
+// not be lost when the owner, which counts, is killed at each crash, nor when the store is out, so
+// that the owner cannot persist the count.
 func TestSiteCrashLimitHoldsAcrossOwnersAndOutages(t *testing.T) {
 	for name, atCrash := range map[string]func(c *siteCluster, n int){
 		"owner is killed": func(c *siteCluster, _ int) {
@@ -59,7 +61,7 @@
 				return
 			}
 			c.Store.SetMode(site.StoreSilent)
-			c.await("some seconds pass", elapsed(2*time.Second))
+			c.await("the store is out for some seconds", elapsed(2*time.Second))
 			c.Store.SetMode(site.StoreUp)
 		},
 		"store is out and all nodes are killed": func(c *siteCluster, n int) {
@@ -86,13 +88,14 @@
 	}
 }
 
-// after returns a condition that holds some time from now on.
+// elapsed returns a condition that becomes true after d.
 func elapsed(d time.Duration) func() bool {
 	at := time.Now().Add(d)
 	return func() bool { return time.Now().After(at) }
 }
 
-// A carrier that ends with a crash takes the word of it with it.
+// A delegate that ends at the same time as a worker loses its report of that crash. The number of
+// crashes must stay within the limit although all delegates are killed at each crash.
 func TestSiteCrashLimitHoldsAcrossDelegateRestarts(t *testing.T) {
 	c := newDelegateCluster(t)
 	c.runCrashScenario(func(int) {
@@ -108,8 +111,8 @@
 	})
 }
 
-// Rooms of workers shrink to a quarter and grow again while jobs come; the stand-in's
-// oracle holds each start against the room.
+// The capacity of workers shrinks to a quarter and grows again while jobs are submitted. The
+// stand-in's oracle compares each start with the worker's capacity at that time.
 func TestSiteStartsFitChangingWorkerCapacity(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{Workers: 4})
 	for round := range 4 {
@@ -121,7 +124,7 @@
 			}
 		}
 		end := elapsed(4500 * time.Millisecond)
-		c.await("jobs come for some seconds", func() bool {
+		c.await("jobs are submitted for some seconds", func() bool {
 			c.submit(c.nodes[round%3], "", smallStep(6, 250))
 			return end()
 		})
@@ -136,7 +139,8 @@
 	c.awaitAll()
 }
 
-// startKilled starts the nodes again that were killed.
+// restartEndedNodes starts the nodes again whose processes have ended, and waits until all nodes
+// are ready.
 func (c *siteCluster) restartEndedNodes() {
 	c.t.Helper()
 	for _, n := range c.nodes {
@@ -150,16 +154,17 @@
 	c.awaitReady(c.nodes...)
 }
 
-// The story is told at TestATaskThatCrashesWorkersIsGivenUp of the dispatch package: here
-// the real programs play it. The stand-in's oracle counts the crashes and the starts.
+// Runs the fault of TestJobIsFailedWhenItsTaskCrashesWorkers (package dispatch) with real
+// processes: a task that crashes its workers was started again without end. The stand-in's oracle
+// counts the crashes and the starts.
 func TestSiteTaskThatCrashesWorkersFailsItsJob(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{Workers: 8})
 	crashing := c.submitCrashing(smallStep(4, 300))
 	healthy := c.mustSubmit(smallStep(8, 300), smallStep(4, 300))
-	c.await("the job with the task is given up", func() bool { return c.state(crashing) == "failed" })
+	c.await("the job with the crashing task fails", func() bool { return c.state(crashing) == "failed" })
 	c.await("the other job succeeds", func() bool { return c.state(healthy) == "succeeded" })
-	// Three that prove it are enough; a busy machine takes so long to answer that one of them
-	// may only count as one of four.
+	// Three crashes right after the task's start are enough to fail the job. On a busy machine answers
+	// take so long that a crash may count only as weak evidence, of which four are needed.
 	if got := c.CrashesUnder(crashing + ".0.0.0"); got < 2 || got > 4 {
 		t.Errorf("workers that crashed under the task: got: %d, want: 2 to 4", got)
 	}
--- a/internal/integration/customers_test.go
+++ b/internal/integration/customers_test.go
@@ -15,25 +15,27 @@
 )
 
 const (
-	// customerSeeds is the first seed in which jobs are customers', customerShare the share of
-	// changes of these among its faults: one in so many.
+	// firstCustomerSeed is the first seed in which jobs belong to customers. One in
+	// customerChangeOdds of its faults changes a customer's limit or key.
 	firstCustomerSeed  = 1900
 	customerChangeOdds = 4
-	// lowLimit and highLimit are limits, in milli-processors: the largest job needs 3,000 at once.
+	// The largest job needs 3,000 milli-CPU at once, so that the low limit lets it run alone.
 	lowLimitMilliCPU  = 3000
 	highLimitMilliCPU = 9000
 )
 
-// soakCustomers are three customers; the third has no limit. Each has its newest key and the
-// one before in force.
+// soakCustomers are three customers; the third has no limit. The newest key of each customer and the
+// previous one are valid.
 type soakCustomers struct {
 	mu sync.Mutex
-	// keys counts the keys that each has had, limits has what each may have.
+	// keyCounts holds the number of each customer's newest key, which grows with each new key;
+	// limitsMilliCPU holds the limits, 0 for none.
 	keyCounts      [3]int
 	limitsMilliCPU [3]int64
 }
 
-// of returns the customer of a job, and its newest key.
+// customerOf returns the customer to whom a job belongs, by the job's ID, and the customer's newest
+// key.
 func (c *soakCustomers) customerOf(id string) (customer, key string) {
 	n, err := strconv.ParseUint(id, 16, 64)
 	if err != nil {
@@ -49,7 +51,7 @@
 
 func customerKey(i, number int) string { return fmt.Sprintf("key-%d-%d", i, number) }
 
-// list returns the customers as they are configured.
+// list returns the customers with their valid keys and limits, as the configuration has them.
 func (c *soakCustomers) list() []site.Customer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,7 +66,7 @@
 	return out
 }
 
-// startCustomers makes the queue one that wants keys.
+// startCustomers configures customers, so that the queue requires keys from then on.
 func (s *soak) startCustomers() {
 	s.customers = &soakCustomers{limitsMilliCPU: [3]int64{lowLimitMilliCPU, highLimitMilliCPU, 0}}
 	s.configureCustomers()
@@ -72,11 +74,11 @@
 	s.awaitKeysRequired()
 }
 
-// awaitKeys waits until no node takes calls without a key any more.
+// awaitKeysRequired waits until all nodes refuse calls without a key.
 func (c *siteCluster) awaitKeysRequired() {
 	c.t.Helper()
 	for _, n := range c.nodes {
-		c.await(n.Name+" wants keys", func() bool {
+		c.await(n.Name+" requires keys", func() bool {
 			status, _, err := n.Do(c.t.Context(), http.MethodGet, site.QueuePrefix, nil)
 			return err == nil && status == http.StatusUnauthorized
 		})
@@ -89,7 +91,7 @@
 	s.Configure(s.version)
 }
 
-// changeCustomers gives a customer another limit, or a new key.
+// changeCustomers gives one of the customers with a limit another limit or a new key.
 func (s *soak) changeCustomers() {
 	i := s.rng.IntN(2)
 	s.customers.mu.Lock()
@@ -103,8 +105,8 @@
 	s.configureCustomers()
 }
 
-// A key that is dropped is in force on no node any more, and stays so while nodes start again;
-// so does one that is added.
+// A key that was removed from the configuration must be refused by all nodes, also while nodes are
+// killed or stopped and start again, and a key that was added must be accepted.
 func TestSiteKeyChangesSurviveNodeRestarts(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{})
 	status := func(n *site.Node, key string) int {
@@ -117,12 +119,12 @@
 	c.SetCustomers(site.Customer{Name: "ann", Keys: []string{"first"}})
 	c.Configure(2)
 	for _, n := range c.nodes {
-		c.await(n.Name+" takes the first key", func() bool { return status(n, "first") == http.StatusOK && status(n, "") == http.StatusUnauthorized })
+		c.await(n.Name+" accepts the first key", func() bool { return status(n, "first") == http.StatusOK && status(n, "") == http.StatusUnauthorized })
 	}
 	c.SetCustomers(site.Customer{Name: "ann", Keys: []string{"second"}})
 	c.Configure(3)
 	for _, n := range c.nodes {
-		c.await(n.Name+" takes the second key", func() bool { return status(n, "second") == http.StatusOK })
+		c.await(n.Name+" accepts the second key", func() bool { return status(n, "second") == http.StatusOK })
 	}
 	for i := range 6 {
 		n := c.nodes[i%3]
@@ -138,17 +140,17 @@
 		c.awaitReady(n)
 		for _, other := range c.nodes {
 			if got := status(other, "first"); got != http.StatusUnauthorized && got != 0 {
-				t.Errorf("%s, after %s has started again: a dropped key: got: %d, want: 401", other.Name, n.Name, got)
+				t.Errorf("%s, after the restart of %s: a removed key: got: %d, want: 401", other.Name, n.Name, got)
 			}
 		}
 		if got := status(n, "second"); got != http.StatusOK {
-			t.Errorf("%s, after it has started again: the key in force: got: %d, want: 200", n.Name, got)
+			t.Errorf("%s, after its restart: the valid key: got: %d, want: 200", n.Name, got)
 		}
 	}
 }
 
-// A customer sees, cancels and repeats no job of another one, through any node and after the
-// owner has ended; its own it does.
+// A customer must not see, cancel or submit again a job of another customer, at any node, also after
+// all nodes have been killed. Its own jobs it can see and cancel.
 func TestSiteJobsAreHiddenFromOtherCustomers(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{})
 	c.SetCustomers(site.Customer{Name: "ann", Keys: []string{"ka"}}, site.Customer{Name: "bob", Keys: []string{"kb"}})
@@ -164,7 +166,7 @@
 				for method, want := range map[string]int{http.MethodGet: http.StatusGone, http.MethodDelete: http.StatusGone, http.MethodPost: http.StatusConflict} {
 					body := []byte(`{"steps":[{"count":1,"cpu":1,"memMb":1}]}`)
 					if got, _, err := n.DoWithKey(t.Context(), "kb", method, site.QueuePrefix+id, body); err != nil || got != want {
-						t.Errorf("%s, %s of another's job at %s: got: %d, %v, want: %d", when, method, n.Name, got, err, want)
+						t.Errorf("%s, %s of another customer's job at %s: got: %d, %v, want: %d", when, method, n.Name, got, err, want)
 					}
 				}
 			}
@@ -172,7 +174,7 @@
 		c.awaitState(long, "running")
 		c.awaitState(short, "succeeded")
 	}
-	check("at first")
+	check("before the restart")
 	for _, n := range c.nodes {
 		n.Kill()
 	}
@@ -182,15 +184,16 @@
 		}
 	}
 	c.awaitReady(c.nodes...)
-	check("after all nodes have lost their memory")
+	check("after all nodes were killed and restarted")
 	status, _, err := c.nodes[0].DoWithKey(t.Context(), "ka", http.MethodDelete, site.QueuePrefix+long, nil)
 	if err != nil || status != http.StatusOK {
-		t.Errorf("cancel of the own job: got: %d, %v, want: 200", status, err)
+		t.Errorf("cancel of the customer's own job: got: %d, %v, want: 200", status, err)
 	}
 	c.awaitState(long, "cancelled")
 }
 
-// A customer's limit holds while owners end, and what can never fit under it is refused for good.
+// A customer's limit must hold while owners are killed and other nodes take over. A job with a task
+// that is larger than the limit can never run and is refused with 422.
 func TestSiteCustomerLimitHoldsAcrossOwners(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{Workers: 4})
 	const limit = 3000
@@ -213,7 +216,7 @@
 		c.awaitState(id, "succeeded")
 	}
 	if got := c.PeakOf("ann"); got != limit {
-		t.Errorf("most in use at once: got: %d, want: %d, all that it may and no more", got, limit)
+		t.Errorf("most milli-CPU in use at once: got: %d, want: %d, the whole limit and no more", got, limit)
 	}
 	if _, status := c.submit(c.nodes[0], "", jobStep{Count: 1, CPU: limit + 1, MemMb: 100, EstimatedMs: 400}); status != http.StatusUnprocessableEntity {
 		t.Errorf("a task that is larger than the limit: got: %d, want: 422", status)
--- a/internal/integration/delegates_test.go
+++ b/internal/integration/delegates_test.go
@@ -11,8 +11,9 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// newCarrierCell returns a cell of three nodes that can talk to two workers each, of
-// which there are six: the owner leaves them to the others.
+// newDelegateCluster returns a cluster of three nodes and six workers. The CPU share of a node
+// lets it talk to two workers only, so that the owner assigns them to the other two nodes as its
+// delegates.
 func newDelegateCluster(t *testing.T) *siteCluster {
 	t.Helper()
 	c := newSiteCluster(t, 3, site.Options{Workers: 6, HasAdvice: true, CPUShare: delegateCPUShare})
@@ -20,8 +21,8 @@
 	return c
 }
 
-// Whatever becomes of a carrier, jobs are done, lasting tasks stay, and no task runs
-// twice, by the stand-in's word.
+// A delegate that is killed, frozen or stopped as planned must not affect the work: all jobs
+// succeed, all long-running tasks run in the end, and the stand-in's oracle sees no task run twice.
 func TestSiteSurvivesFaultsOfDelegates(t *testing.T) {
 	for name, fail := range map[string]func(c *siteCluster, n *site.Node) (repair func()){
 		"kill": func(c *siteCluster, n *site.Node) func() {
@@ -52,7 +53,7 @@
 			longRunning.Perpetual = true
 			c.mustSubmit(longRunning)
 			c.accepted = c.accepted[:0]
-			c.await("all lasting tasks run", func() bool { return c.running() == 3 })
+			c.await("all long-running tasks run", func() bool { return c.running() == 3 })
 			owner := c.owner()
 			for _, n := range slices.Clone(c.nodes) {
 				if n == owner {
@@ -65,7 +66,7 @@
 				repair()
 				c.awaitReady(n)
 			}
-			c.await("all lasting tasks run at the end", func() bool { return c.running() == 3 })
+			c.await("all long-running tasks run at the end", func() bool { return c.running() == 3 })
 		})
 	}
 }
--- a/internal/integration/durability_test.go
+++ b/internal/integration/durability_test.go
@@ -17,11 +17,13 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// What callers, workers and operators were told outlasts all nodes' memory and the
-// workers that knew of it, also in an outage of the store: the table is in decision 0015.
+// The tests of this file check that what was acknowledged to callers, workers and operators survives
+// the loss of all nodes' memory and of the workers that knew of it, also in an outage of the store.
+// Decision 0015 has the table of what is acknowledged when.
 
-// While the store was out, callers were told that a job had succeeded which only
-// the nodes' memory and one worker knew: when both were gone, its tasks ran again.
+// A job's end must be persisted before it is shown to callers. In an outage of the store callers were
+// once shown that a job had succeeded although only the nodes' memory and one worker knew of it. When
+// both were lost, the job's tasks ran again.
 func TestSiteAcknowledgedEndsSurviveLossOfNodesAndWorkers(t *testing.T) {
 	for name, removeWorker := range map[string]func(*site.Worker){
 		"drained": func(w *site.Worker) { w.Drain(); w.Crash() },
@@ -34,7 +36,7 @@
 			c.Store.SetMode(site.StoreBusy)
 			c.awaitLog("job is over", "succeeded")
 			c.awaitLog("owner runs ahead", "ahead=true")
-			c.await("the job's state is told", func() bool { return c.state(id) != "" })
+			c.await("a node shows the job's state", func() bool { return c.state(id) != "" })
 			c.replaceWorkers(removeWorker)
 			c.powerCycleNodes()
 			c.awaitState(id, "succeeded")
@@ -42,7 +44,7 @@
 	}
 }
 
-// awaitLog waits until a line of any node's log has all texts.
+// awaitLog waits until any node's log has a line that contains all texts.
 func (c *siteCluster) awaitLog(texts ...string) {
 	c.t.Helper()
 	c.await(fmt.Sprintf("a node logs %q", texts), func() bool {
@@ -57,7 +59,7 @@
 	})
 }
 
-// losePower ends all nodes at once, and starts them again when the store is back.
+// powerCycleNodes kills all nodes at once, ends the outage of the store, and starts the nodes again.
 func (c *siteCluster) powerCycleNodes() {
 	c.t.Helper()
 	c.killAllNodes()
@@ -66,7 +68,7 @@
 	c.awaitReady(c.nodes...)
 }
 
-// killAll ends all nodes at once.
+// killAllNodes kills all nodes at once and waits until their processes have ended.
 func (c *siteCluster) killAllNodes() {
 	c.t.Helper()
 	for _, n := range c.nodes {
@@ -86,7 +88,7 @@
 	}
 }
 
-// replaceWorkers makes all workers leave, and others come.
+// replaceWorkers removes all workers and adds as many new ones.
 func (c *siteCluster) replaceWorkers(removeWorker func(*site.Worker)) {
 	c.t.Helper()
 	for i, w := range c.Workers() {
@@ -97,7 +99,8 @@
 	}
 }
 
-// A job that is handed in as the store goes out is refused, or runs.
+// A job that was accepted before an outage of the store must run although all nodes and workers are
+// lost in the outage. A job that is submitted in the outage must be refused, and must not run.
 func TestSiteAcceptedJobsSurviveLossOfAllNodes(t *testing.T) {
 	for _, mode := range []site.StoreMode{site.StoreBusy, site.StoreSilent} {
 		t.Run(string(mode), func(t *testing.T) {
@@ -106,7 +109,7 @@
 			c.Store.SetMode(mode)
 			refused, status := c.submit(c.nodes[0], "", smallStep(1, 100))
 			if status == http.StatusOK {
-				t.Error("a job that the store does not have: got: accepted, want: refused")
+				t.Error("a job that is not in the store: got: accepted, want: refused")
 			}
 			c.replaceWorkers((*site.Worker).Crash)
 			c.powerCycleNodes()
@@ -118,7 +121,8 @@
 	}
 }
 
-// A cancelling in an outage waits for the store; one that was answered holds.
+// A cancellation that was acknowledged must hold although all nodes and workers are lost. In an
+// outage of the store a cancellation is not acknowledged, since it cannot be persisted.
 func TestSiteCancelledJobsSurviveLossOfAllNodes(t *testing.T) {
 	for name, isOut := range map[string]bool{"the store serves": false, "the store is out": true} {
 		t.Run(name, func(t *testing.T) {
@@ -146,7 +150,7 @@
 			c.powerCycleNodes()
 			if isOut {
 				if got := <-answered; got == http.StatusOK {
-					t.Error("a cancelling that the store does not have: got: 200, want: none")
+					t.Error("a cancellation that is not in the store: got: 200, want: no answer")
 				}
 				return
 			}
@@ -157,8 +161,9 @@
 	}
 }
 
-// Workers keep their ends until the store has them: with an end that was confirmed
-// too soon its task would run again when the worker is gone.
+// Workers keep the ends of their tasks until the owner has confirmed them, which it may only do once
+// they are persisted. If an end were confirmed in an outage of the store, and all nodes and workers
+// were then lost, nobody would know of it, and the task would run again.
 func TestSiteConfirmedEndsSurviveLossOfNodesAndWorkers(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{Workers: 2})
 	second := smallStep(2, 6000)
@@ -169,15 +174,16 @@
 	c.await("the second step runs", func() bool { return c.Starts() == 4 })
 	for _, w := range c.Workers() {
 		pollsBefore := w.Holds()
-		c.await("the worker is asked again", func() bool { return w.Holds() >= pollsBefore+3 })
+		c.await("the worker is polled again", func() bool { return w.Holds() >= pollsBefore+3 })
 	}
 	c.replaceWorkers(func(w *site.Worker) { w.Drain(); w.Crash() })
 	c.powerCycleNodes()
 	c.awaitAll()
 }
 
-// Tasks that were started ahead of the store are in no record: the next owner starts
-// them nowhere else before a worker that does not answer can run them no more.
+// In an outage of the store tasks start before their placements are persisted (write-behind), so that
+// the next owner finds no record of them. While a worker does not answer, it may run such a task. The
+// next owner must not start the task elsewhere until that worker cannot run it any more.
 func TestSiteWriteBehindStartsSurviveLossOfAllNodes(t *testing.T) {
 	proxies := map[string]*toxiproxy.Proxy{}
 	c := newSiteCluster(t, 3, site.Options{Workers: 4, Via: func(name, addr string) (string, error) {
@@ -200,12 +206,13 @@
 		t.Fatal(err)
 	}
 	c.powerCycleNodes()
-	c.await("the task of the silent worker starts elsewhere", func() bool { return c.Starts() == 5 })
+	c.await("the task of the silent worker starts on another worker", func() bool { return c.Starts() == 5 })
 	c.awaitState(id, "running")
 }
 
-// Nodes without memory serve by the newest configuration or not at all, and never
-// say that a queue is unknown before they have one.
+// Nodes that start in an outage of the store have no configuration. They must answer 503, and not
+// that a queue is unknown (404), until they have read the newest configuration, and must not serve by
+// an older one.
 func TestSiteConfigurationSurvivesLossOfAllNodes(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{Workers: 2})
 	c.ConfigureQueue(2, "/new/")
@@ -215,7 +222,7 @@
 			return err != nil || status != http.StatusOK
 		})
 	}
-	c.await("the new configuration is in force", isNewQueueServed)
+	c.await("all nodes serve the queue of the new configuration", isNewQueueServed)
 	c.killAllNodes()
 	c.Store.SetMode(site.StoreBusy)
 	c.startAllNodes()
@@ -230,15 +237,16 @@
 	}
 	c.Store.SetMode(site.StoreUp)
 	c.awaitReady(c.nodes...)
-	c.await("the new configuration is in force", isNewQueueServed)
+	c.await("all nodes serve the queue of the new configuration", isNewQueueServed)
 	for _, n := range c.nodes {
 		if status, _, err := n.Do(t.Context(), http.MethodGet, site.QueuePrefix, nil); err != nil || status != http.StatusNotFound {
-			t.Errorf("%s, the queue of the earlier configuration: got: %d, %v, want: 404", n.Name, status, err)
+			t.Errorf("%s, the queue of the previous configuration: got: %d, %v, want: 404", n.Name, status, err)
 		}
 	}
 }
 
-// A worker that said that it leaves gets nothing new from nodes without memory.
+// A worker that announced in an outage of the store that it is draining must get no new tasks after
+// all nodes were killed, which loses what they knew of it.
 func TestSiteDrainingSurvivesLossOfAllNodes(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{Workers: 2})
 	c.Store.SetMode(site.StoreBusy)
@@ -247,6 +255,6 @@
 	c.mustSubmit(smallStep(6, 300))
 	c.awaitAll()
 	if got := c.Workers()[0].Starts(); got != 0 {
-		t.Errorf("starts on the leaving worker: got: %d, want: 0", got)
+		t.Errorf("starts on the draining worker: got: %d, want: 0", got)
 	}
 }
--- a/internal/integration/emulator_test.go
+++ b/internal/integration/emulator_test.go
@@ -16,7 +16,7 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
-// shortDay is a day of faults that are over before it ends.
+// shortDay returns a day whose faults all end before the day does.
 func shortDay() *scenario.Day {
 	return &scenario.Day{Name: "short", Length: 4 * time.Second, Faults: []scenario.Fault{
 		{At: 500 * time.Millisecond, Kind: scenario.NodeKill, For: 300 * time.Millisecond},
@@ -25,6 +25,8 @@
 	}}
 }
 
+// The emulator runs a short day with real node processes. No rule may be violated, and each job that
+// came must be counted with one outcome.
 func TestEmulatorRunsOneDay(t *testing.T) {
 	t.Parallel()
 	deployment, err := scenario.LoadDeployment("../../deploy/emulator/small.yaml")
@@ -41,11 +43,11 @@
 		t.Fatal(err)
 	}
 	for _, v := range r.Violations {
-		t.Errorf("rule %s is broken at %v: %s", v.Rule, v.At, v.What)
+		t.Errorf("rule %s is violated at %v: %s", v.Rule, v.At, v.What)
 	}
 	for _, k := range r.Kinds {
 		if k.Came != k.Accepted+k.Refused+k.Unknown || k.Accepted == 0 {
-			t.Errorf("%s: got: %+v, want: jobs that were taken, and what became of each", k.Name, k)
+			t.Errorf("%s: got: %+v, want: accepted jobs, and an outcome for each job that came", k.Name, k)
 		}
 	}
 	if r.Faults != 3 || r.IsPartial {
@@ -53,6 +55,8 @@
 	}
 }
 
+// When a node cannot be started or ends at once, the emulator's error must name the cause: the missing
+// program, or the last line that the node wrote.
 func TestEmulatorReportsNodeStartFailures(t *testing.T) {
 	t.Parallel()
 	deployment, err := scenario.LoadDeployment("../../deploy/emulator/small.yaml")
--- a/internal/integration/faults_test.go
+++ b/internal/integration/faults_test.go
@@ -22,12 +22,12 @@
 	"github.com/leverdyke/leverdyke/internal/vmlist"
 )
 
-// fault is something that goes wrong, and how it ends.
+// fault is a fault that a test injects: begin starts it, end undoes it.
 type fault struct {
 	name  string
 	begin func(c *cluster)
 	end   func(c *cluster)
-	// isHarsh means that tasks may lose their leases by it.
+	// mayExpireLeases means that tasks may lose their leases during the fault.
 	mayExpireLeases bool
 }
 
@@ -52,7 +52,7 @@
 
 var (
 	logUnavailable = fault{
-		"the log is out",
+		"the log is unavailable",
 		func(c *cluster) { c.Platform.Log.SetFaults(native.LogFaults{IsOut: true}) },
 		func(c *cluster) { c.Platform.Log.SetFaults(native.LogFaults{}) }, false,
 	}
@@ -67,7 +67,7 @@
 		func(c *cluster) { c.logProxy.Toxics.ResetToxics() }, false,
 	}
 	blockedLogReplies = fault{
-		"the log's answers do not come, one way",
+		"the log's replies are blocked, requests arrive",
 		func(c *cluster) { c.addToxic(c.logProxy, "timeout", "downstream", `{"timeout":0}`) },
 		func(c *cluster) { c.logProxy.Toxics.ResetToxics() }, false,
 	}
@@ -86,14 +86,14 @@
 		func(c *cluster) { c.workerProxies["r1-z1-k2-w1"].Toxics.ResetToxics() }, false,
 	}
 	partitionedWorker = fault{
-		"a worker is cut off for longer than a lease",
+		"a worker is partitioned for longer than a lease",
 		func(c *cluster) {
 			c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{Mode: native.ModeCut})
 		},
 		func(c *cluster) { c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{}) }, true,
 	}
 	crashedWorker = fault{
-		"a worker dies",
+		"a worker crashes",
 		func(c *cluster) {
 			c.Platform.Worker("r1-z1-k3-w1").SetFaults(native.WorkerFaults{Mode: native.ModeDead})
 		},
@@ -101,8 +101,9 @@
 	}
 )
 
-// harsh is a fault by which, together with another, tasks may lose their
-// leases: a new owner cannot read the list of a worker whose answers break off.
+// withLeaseExpiry marks a fault as one that may expire leases when it is combined with another one:
+// a new owner cannot read the listing of a worker whose answers are truncated, and the leases of
+// that worker's tasks may expire.
 func withLeaseExpiry(f fault) fault {
 	f.mayExpireLeases = true
 	return f
@@ -114,11 +115,13 @@
 		c.t.Fatal(err)
 	}
 	if !standin.Await(waitTimeout, c.Nodes[i].IsReady) {
-		c.t.Errorf("node %d is not ready again", i)
+		c.t.Errorf("node %d is not ready after its restart", i)
 	}
 }
 
-// suffer lets faults begin together, lasts longer than a lease, and ends them.
+// injectFaults begins the faults together, waits for longer than a lease, ends them, and checks that
+// the cluster serves requests and owns all shards again. Leases may only expire where a fault
+// says so.
 func (c *cluster) injectFaults(faults ...fault) {
 	c.t.Helper()
 	before := c.Platform.Oracle.Report().Lapses
@@ -139,12 +142,12 @@
 		c.t.Errorf("got: %d tasks lost their lease, want: 0", got)
 	}
 	if !c.AwaitOwned(waitTimeout, 3, 16) {
-		c.t.Error("not all shards have an owner again")
+		c.t.Error("not all shards have an owner after the faults")
 	}
 }
 
-// TestFaultsOneByOne and TestFaultsInPairs keep one cell through all faults,
-// so that what one leaves behind meets the next.
+// TestFaultsOneByOne and TestFaultsInPairs use one cluster for all faults, so that each fault meets
+// the state that the earlier ones left behind.
 func TestFaultsOneByOne(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, "")
@@ -187,6 +190,8 @@
 	c.verify()
 }
 
+// Nodes are stopped as planned one after the other under load. A stopping node must finish the requests
+// in progress, and no task may lose its lease.
 func TestPlannedStopTruncatesNoResponse(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, "")
@@ -202,7 +207,7 @@
 			t.Errorf("node %d: got: %v, want: the whole answer", i, err)
 		}
 		if !n.Wait(waitTimeout) {
-			t.Fatalf("node %d does not stop", i)
+			t.Fatalf("node %d does not stop after SIGTERM", i)
 		}
 		c.awaitRequests(30)
 		c.restartNode(i)
@@ -213,11 +218,12 @@
 		t.Errorf("got: %d tasks lost their lease, want: 0", got)
 	}
 	if got := c.load.truncatedCount.Load(); got != 0 {
-		t.Errorf("got: %d answers cut short, want: 0", got)
+		t.Errorf("got: %d truncated answers, want: 0", got)
 	}
 }
 
-// A retry after a planned stop gets the first answer, from whoever has it now.
+// A retry under the same idempotency key gets the answer to the first request, also at another node
+// after the node that had answered was stopped as planned. The request runs once.
 func TestRetryAfterPlannedStopGetsTheFirstAnswer(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, "")
@@ -232,12 +238,12 @@
 		if !standin.Await(waitTimeout, func() bool {
 			return l.send(http.DefaultClient, c.Nodes[0], "deeds", key.String(), key.String()) == leverdyke.VerdictRan
 		}) {
-			t.Fatalf("%s: got: not answered, want: answered", key)
+			t.Fatalf("%s: got: no answer with verdict ran, want: one", key)
 		}
 	}
 	c.Nodes[0].Signal(syscall.SIGTERM)
 	if !c.Nodes[0].Wait(waitTimeout) {
-		t.Fatal("the node does not stop")
+		t.Fatal("node 0 does not stop after SIGTERM")
 	}
 	for i, key := range keys {
 		if got := l.send(http.DefaultClient, c.Nodes[1+i%2], "deeds", key, key); got != leverdyke.VerdictRan {
@@ -280,6 +286,8 @@
 	return false
 }
 
+// All nodes are killed at once. The restarted nodes must read all state from the log again, and running
+// tasks must not be affected.
 func TestStateSurvivesKillOfAllNodes(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, "")
@@ -293,7 +301,7 @@
 		}
 	}
 	if !c.AwaitOwned(waitTimeout, 3, 16) {
-		t.Fatal("not all shards have an owner again")
+		t.Fatal("not all shards have an owner after the faults")
 	}
 	c.verify()
 	d, err := c.Client().Doc(context.Background(), "team/filings")
@@ -302,6 +310,8 @@
 	}
 }
 
+// The log drops old records after nodes have written snapshots. Nodes that restart then must still have
+// the newest documents.
 func TestLogTrimmingKeepsNeededRecords(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, "snapshot_every: 20\n")
@@ -334,6 +344,7 @@
 	c.verify()
 }
 
+// A VM has the status leaving in the VM list. No task may start on it; the oracle counts such starts.
 func TestLeavingVMsGetNoNewTasks(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, "")
@@ -348,6 +359,8 @@
 	c.verify()
 }
 
+// Six operators publish a new version of the same document, based on the same version, at the same
+// time. One must succeed and the others must get a conflict.
 func TestConcurrentPublishesHaveOneWinner(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, "")
@@ -374,10 +387,12 @@
 		}
 	}
 	if won != 1 || conflicts != 5 {
-		t.Errorf("got: %d won and %d conflicts, want: 1 and 5", won, conflicts)
+		t.Errorf("got: %d accepted and %d conflicts, want: 1 and 5", won, conflicts)
 	}
 }
 
+// Bytes that are no valid frame arrive at the address for links between nodes. The node must log each
+// as an event and go on without an effect on its tasks.
 func TestMalformedFrameDoesNotDisturbNode(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, "")
@@ -392,8 +407,9 @@
 	c.verify()
 }
 
-// Two regions on one log: each owns its own, jobs run where they say, and what
-// one region's node is told of the other's is enough for operators.
+// Two regions share one log. Each owns its own shards, and jobs run in the region that they name.
+// A node knows enough of the other region to serve operators, but callers reach a service only
+// through the nodes of the service's own region.
 func TestTwoRegionsServeTheirOwnJobs(t *testing.T) {
 	t.Parallel()
 	inner, err := standin.NewCell(standin.NewCellOptions{
@@ -418,7 +434,7 @@
 	}
 	for _, region := range []string{"r1", "r2"} {
 		if !standin.Await(waitTimeout, func() bool { return runningInRegion(c, region) == 4 }) {
-			t.Errorf("%s: got: %d of its tasks run there, want: 4", region, runningInRegion(c, region))
+			t.Errorf("%s: got: %d of the job's tasks run in this region, want: 4", region, runningInRegion(c, region))
 		}
 	}
 	l := &loadGenerator{}
@@ -432,7 +448,8 @@
 	}
 }
 
-// runsIn counts the tasks of the job with the region's name on its workers.
+// runningInRegion returns how many tasks of the job that is named like the region run on the
+// workers of that region.
 func runningInRegion(c *cluster, region string) int {
 	count := 0
 	for _, name := range c.Platform.Names() {
--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package integration_test runs cells of real processes behind a proxy that
-// injects faults.
+// Package integration_test runs clusters of real node processes. The connections to the log, to
+// the store, to workers and between nodes lead through proxies that inject network faults.
 package integration_test
 
 import (
@@ -31,15 +31,18 @@
 
 const (
 	leaseDuration = 7 * time.Second
-	waitTimeout   = 40 * time.Second
-	callerCount   = 4
+	// waitTimeout is how long tests wait for a condition before they fail.
+	waitTimeout = 40 * time.Second
+	// callerCount is how many callers of the load send requests at the same time.
+	callerCount = 4
 )
 
+// nodeBinary is the path of the node's binary, which runMain builds.
 var nodeBinary string
 
 func TestMain(m *testing.M) { os.Exit(runMain(m)) }
 
-// runMain builds the node once for all tests.
+// runMain builds the node's binary once for all tests, and runs them.
 func runMain(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "leverdyke-")
 	if err != nil {
@@ -53,16 +56,17 @@
 	return m.Run()
 }
 
-// cell is a cell of real processes whose ways to the log and to each worker
-// lead through proxies.
+// cluster is a cluster of real node processes whose connections to the log, to each worker and to
+// each other lead through proxies.
 type cluster struct {
 	*standin.Cell
 	t *testing.T
-	// name is the test's that made the cell.
+	// testName is the name of the test that created the cluster. t changes with each subtest.
 	testName      string
 	logProxy      *toxiproxy.Proxy
 	workerProxies map[string]*toxiproxy.Proxy
-	// links has the proxy on the way from one node to another.
+	// linkProxies holds the proxy for messages from one node to another, by the indexes of both:
+	// sender first.
 	linkProxies map[[2]int]*toxiproxy.Proxy
 	load        loadGenerator
 }
@@ -77,7 +81,7 @@
 	return p, addr, err
 }
 
-// toxic adds a fault to a proxy, in one direction.
+// addToxic adds a fault to one direction (stream) of a proxy.
 func (c *cluster) addToxic(p *toxiproxy.Proxy, kind, stream, attributes string) {
 	c.t.Helper()
 	text := fmt.Sprintf(`{"name":"%s-%s","type":"%s","stream":"%s","attributes":%s}`, kind, stream, kind, stream, attributes)
@@ -86,6 +90,8 @@
 	}
 }
 
+// newCluster starts a cluster of three nodes and six workers in three racks, with two services. extra
+// is appended to the nodes' settings.
 func newCluster(t *testing.T, extra string) *cluster {
 	t.Helper()
 	c := &cluster{t: t, testName: t.Name(), workerProxies: map[string]*toxiproxy.Proxy{}, linkProxies: map[[2]int]*toxiproxy.Proxy{}}
@@ -115,7 +121,7 @@
 	return c
 }
 
-// logVia puts one proxy between all nodes and the log.
+// proxyLog puts one proxy between all nodes and the log, and returns its address.
 func (c *cluster) proxyLog(_ int, platform netip.AddrPort) (netip.AddrPort, error) {
 	if c.logProxy != nil {
 		return netip.ParseAddrPort(c.logProxy.Listen)
@@ -126,7 +132,7 @@
 	return via, err
 }
 
-// linkVia puts a proxy on the way from one node to another.
+// proxyLink puts a proxy on the link from one node to another, and returns its address.
 func (c *cluster) proxyLink(from, to int, link netip.AddrPort) (netip.AddrPort, error) {
 	p, via, err := newProxy(fmt.Sprintf("link-%d-%d", from, to), link)
 	c.linkProxies[[2]int{from, to}] = p
@@ -147,8 +153,8 @@
 	}
 }
 
-// keepLogs copies the nodes' logs to the directory that LEVERDYKE_LOGS names,
-// since the test's own is removed.
+// saveLogs copies the nodes' logs to the directory that LEVERDYKE_LOGS names, because the test's
+// temporary directory is removed at its end.
 func (c *cluster) saveLogs() {
 	dir := os.Getenv("LEVERDYKE_LOGS")
 	if dir == "" {
@@ -160,7 +166,7 @@
 	}
 }
 
-// prepare publishes a configuration and starts two services.
+// startServices publishes a configuration and starts two services of three tasks each.
 func (c *cluster) startServices() {
 	c.t.Helper()
 	for _, d := range [][2]string{
@@ -195,12 +201,13 @@
 
 func (c *cluster) running() int { return c.Platform.Oracle.Report().Running }
 
-// verify compares what was promised with what the workers saw.
+// verify checks the oracle's counts of violated guarantees, and that the requests ran as often as
+// their verdicts say. All tasks must run again in the end.
 func (c *cluster) verify() {
 	c.t.Helper()
 	r := c.Platform.Oracle.Report()
 	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving > 0 {
-		c.t.Errorf("got: %v, want: nothing violated", r.Violations)
+		c.t.Errorf("got: %v, want: no violations", r.Violations)
 	}
 	c.load.verify(c.t, c.Platform.Oracle)
 	if !standin.Await(waitTimeout, func() bool { return c.running() == 6 }) {
@@ -208,14 +215,14 @@
 	}
 }
 
-// load is callers that send requests as long as the test lasts.
+// loadGenerator is a number of callers that send requests until the load is stopped.
 type loadGenerator struct {
 	wg             sync.WaitGroup
 	cancel         context.CancelFunc
 	mu             sync.Mutex
 	wrongResponses []string
-	// keys has the verdicts that callers got for requests that may not be
-	// repeated.
+	// verdictsByKey holds the final verdicts of the requests that may run at most once, by their
+	// idempotency keys.
 	verdictsByKey  map[string]leverdyke.Verdict
 	ranCount       atomic.Int64
 	truncatedCount atomic.Int64
@@ -244,6 +251,8 @@
 	}
 }
 
+// sendUntilCancelled sends requests of one caller to the nodes in turn until ctx is done. Every third
+// request has an idempotency key and is sent twice, to two nodes.
 func (l *loadGenerator) sendUntilCancelled(ctx context.Context, c *cluster, caller int) {
 	client := &http.Client{Timeout: 20 * time.Second, Transport: &http.Transport{}}
 	for i := caller; ctx.Err() == nil; i++ {
@@ -259,12 +268,15 @@
 		if header == "" {
 			continue
 		}
-		// A caller in doubt asks another node under the same key.
+		// A caller that does not know whether its request ran repeats it at another node under the
+		// same idempotency key.
 		second := l.send(client, c.Nodes[(i+1)%3], service, key.String(), header)
 		l.recordVerdict(header, first, second)
 	}
 }
 
+// recordVerdict records the stronger verdict of a request and of its retry under the same key: ran
+// before may-have-run, and that before not-run.
 func (l *loadGenerator) recordVerdict(key string, first, second leverdyke.Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -274,6 +286,7 @@
 	l.verdictsByKey[key] = first
 }
 
+// send sends a request for a service to a node and returns the verdict that the caller can rely on.
 func (l *loadGenerator) send(client *http.Client, n *standin.Node, service, body, key string) leverdyke.Verdict {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.Callers.String()+"/s/"+service+"/x", strings.NewReader(body))
 	if err != nil {
@@ -317,7 +330,7 @@
 	for key, verdict := range l.verdictsByKey {
 		ran := o.RanKeys(key)
 		if (verdict == leverdyke.VerdictRan && ran != 1) || (verdict == leverdyke.VerdictNotRun && ran != 0) || ran > 1 {
-			t.Errorf("%s: got: ran %d times, want: as its caller was told: %s", key, ran, verdict)
+			t.Errorf("%s: got: ran %d times, want: as its caller's verdict says: %s", key, ran, verdict)
 		}
 	}
 }
--- a/internal/integration/links_test.go
+++ b/internal/integration/links_test.go
@@ -19,7 +19,8 @@
 	"github.com/leverdyke/leverdyke/internal/standin/native"
 )
 
-// links lists the ways between nodes that a fault is about.
+// linksWhere returns a function that lists the link proxies of a cluster whose sender and receiver
+// satisfy isAffected.
 func linksWhere(isAffected func(from, to int) bool) func(c *cluster) []*toxiproxy.Proxy {
 	return func(c *cluster) []*toxiproxy.Proxy {
 		list := []*toxiproxy.Proxy{}
@@ -32,7 +33,7 @@
 	}
 }
 
-// linkFault adds a toxic to links in the direction in which messages go.
+// linkFault returns a fault that adds a toxic to links, in the direction in which messages are sent.
 func linkFault(name, kind, attributes string, links func(c *cluster) []*toxiproxy.Proxy) fault {
 	return fault{
 		name,
@@ -52,13 +53,13 @@
 const blackhole = `{"timeout":0}`
 
 var (
-	oneWayPartition = linkFault("node 1 does not hear node 0", "timeout", blackhole,
+	oneWayPartition = linkFault("node 1 receives nothing from node 0", "timeout", blackhole,
 		linksWhere(func(from, to int) bool { return from == 0 && to == 1 }))
-	outboundPartition = linkFault("nobody hears node 0", "timeout", blackhole,
+	outboundPartition = linkFault("no node receives anything from node 0", "timeout", blackhole,
 		linksWhere(func(from, _ int) bool { return from == 0 }))
-	inboundPartition = linkFault("node 1 hears nobody", "timeout", blackhole,
+	inboundPartition = linkFault("node 1 receives nothing from any node", "timeout", blackhole,
 		linksWhere(func(_, to int) bool { return to == 1 }))
-	isolatedNode = linkFault("node 2 is cut off from the others", "timeout", blackhole,
+	isolatedNode = linkFault("node 2 is partitioned from the others", "timeout", blackhole,
 		linksWhere(func(from, to int) bool { return from == 2 || to == 2 }))
 	slowLinks = linkFault("messages between nodes are slow", "latency", `{"latency":700,"jitter":300}`,
 		linksWhere(func(_, _ int) bool { return true }))
@@ -66,8 +67,8 @@
 		linksWhere(func(_, _ int) bool { return true }))
 )
 
-// All nodes reach the log and all workers: what they do not hear of each other
-// may cost nobody a lease and start nothing twice.
+// All nodes reach the log and all workers, but messages between nodes are lost, slow or truncated.
+// No task may lose its lease or be started twice because of that.
 func TestFaultsBetweenNodes(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, "")
@@ -101,7 +102,7 @@
 	c.verify()
 }
 
-// countLogs counts the lines of an event in all nodes' logs.
+// countEvent returns how many lines of an event all nodes' logs have together.
 func (c *cluster) countEvent(event string) int {
 	sum := 0
 	for _, n := range c.Nodes {
@@ -110,8 +111,9 @@
 	return sum
 }
 
-// newRegions returns two regions of two nodes, with a proxy on each way between
-// nodes and one between each region and the log.
+// newTwoRegionCluster returns a cluster of two regions with two nodes each. Each link between nodes
+// leads through a proxy, and so does each region's connection to the log; logs holds the latter by
+// region.
 func newTwoRegionCluster(t *testing.T) (c *cluster, logs map[string]*toxiproxy.Proxy) {
 	t.Helper()
 	logs = map[string]*toxiproxy.Proxy{}
@@ -146,7 +148,7 @@
 	return c, logs
 }
 
-// regionOf is where a cell of two regions puts a node.
+// regionOf returns the region of a node, by its index, in a cluster of two regions.
 func regionOf(node int) string {
 	if node%2 == 0 {
 		return "r1"
@@ -154,9 +156,9 @@
 	return "r2"
 }
 
-// The second region loses the first and the log. Each goes on with its own; the
-// one without the log refuses what must be recorded, as not run, and has the
-// configuration of the other as soon as it is back.
+// Region r2 loses its connection to region r1 and to the log. Each region goes on serving its own
+// services. r2 refuses changes that must be recorded in the log, with the verdict not-run, and has
+// the configuration that was published in r1 as soon as the partition ends.
 func TestPartitionedRegionsServeTheirOwnJobs(t *testing.T) {
 	t.Parallel()
 	c, logs := newTwoRegionCluster(t)
@@ -168,7 +170,7 @@
 			t.Fatalf("%s: got: %d tasks, want: 2", region, runningInRegion(c, region))
 		}
 	}
-	partition := linkFault("regions apart", "timeout", blackhole, linksWhere(func(from, to int) bool { return regionOf(from) != regionOf(to) }))
+	partition := linkFault("regions are partitioned", "timeout", blackhole, linksWhere(func(from, to int) bool { return regionOf(from) != regionOf(to) }))
 	partition.begin(c)
 	c.addToxic(logs["r2"], "timeout", "downstream", blackhole)
 	c.addToxic(logs["r2"], "timeout", "upstream", blackhole)
@@ -193,7 +195,7 @@
 	}
 	r := c.Platform.Oracle.Report()
 	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving+r.Lapses > 0 {
-		t.Errorf("got: %v and %d lapsed leases, want: nothing", r.Violations, r.Lapses)
+		t.Errorf("got: violations %v and %d expired leases, want: none", r.Violations, r.Lapses)
 	}
 }
 
@@ -202,13 +204,13 @@
 	l := &loadGenerator{}
 	for _, n := range c.Nodes {
 		if !standin.Await(waitTimeout, func() bool { return l.send(http.DefaultClient, n, "s-"+n.Region, "x", "") == leverdyke.VerdictRan }) {
-			c.t.Errorf("%s: got: its region's service is not answered while regions are apart, want: answered", n.Link)
+			c.t.Errorf("%s: got: no answer from its region's service during the partition, want: one", n.Link)
 		}
 	}
 }
 
-// publishWhileApart changes a document where the log is reached, and fails to
-// where it is not.
+// publishDuringPartition expects that a document can be changed in r1, which reaches the log, and
+// that r2, which does not, refuses the change.
 func (c *cluster) publishDuringPartition() {
 	c.t.Helper()
 	for i, region := range []string{"r1", "r2"} {
@@ -224,7 +226,7 @@
 	}
 }
 
-// publishTeam publishes the office and the team that the tests' jobs are of.
+// publishTeam publishes the office and the team to which the tests' jobs belong.
 func (c *cluster) publishTeam() {
 	c.t.Helper()
 	for _, d := range [][2]string{{"office/head", "waiting: 0.8\npacking: 0.2\n"}, {"team/t", "office: head\nquota: {milli_cpu: 90000, memory_mib: 190000, slots: 48}\n"}} {
@@ -234,8 +236,9 @@
 	}
 }
 
-// A node that reads the log late left a job that it had not read yet out of a
-// cancelling, and said that all was done: the job ran on.
+// A job is submitted at one node and cancelled at another one that reads the log late and does not
+// know the job yet. That node once left the job out of the cancellation and answered with success,
+// and the job ran on.
 func TestCancelAtLaggingNodeReachesUnreadJob(t *testing.T) {
 	t.Parallel()
 	c, logs := newTwoRegionCluster(t)
@@ -249,7 +252,7 @@
 	}
 	out, err := lagging.Cancel(t.Context(), []string{"a", "unknown"})
 	if err != nil || out.Cancelled != 1 {
-		t.Fatalf("got: %v, %v, want: one cancelled", out, err)
+		t.Fatalf("got: %v, %v, want: one job cancelled", out, err)
 	}
 	if j, err := current.Job(t.Context(), "a"); err != nil || !j.IsCancelled {
 		t.Errorf("the job: got: %v, %v, want: cancelled", j, err)
--- a/internal/integration/raw_test.go
+++ b/internal/integration/raw_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// sendRaw writes bytes to an address and waits until the other side hangs up.
+// sendRaw writes bytes to an address and waits until the other side closes the connection.
 func sendRaw(addr, text string) error {
 	c, err := net.DialTimeout("tcp", addr, waitTimeout)
 	if err != nil {
--- a/internal/integration/restart_test.go
+++ b/internal/integration/restart_test.go
@@ -11,22 +11,23 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// Clocks that a worker may show when it starts again, beside that of its earlier start, which
-// began at an hour.
+// Readings of a worker's clock when its process starts again under the same ID. The clock of the
+// first incarnation starts at one hour, so that one reading is behind it and the other ahead.
 const (
 	clockBehind = time.Second
 	clockAhead  = 3 * time.Hour
 )
 
-// playRestarts lets workers start again under their IDs while jobs come and lasting tasks
-// run, and does something between. All tasks must run, none twice, by the stand-in's word.
+// runRestartScenario restarts workers under their IDs, with the given clock reading, while jobs are
+// submitted and long-running tasks run, and calls duringRestarts in each round. All tasks must run,
+// and the stand-in's oracle must see none run twice.
 func (c *siteCluster) runRestartScenario(clockReading time.Duration, duringRestarts func(round int)) {
 	c.t.Helper()
 	longRunning := smallStep(6, 0)
 	longRunning.Perpetual = true
 	c.mustSubmit(longRunning)
 	c.accepted = c.accepted[:0]
-	c.await("all lasting tasks run", func() bool { return c.running() == 6 })
+	c.await("all long-running tasks run", func() bool { return c.running() == 6 })
 	c.mustSubmit(smallStep(12, 100), smallStep(8, 100))
 	c.awaitAll()
 	workers := c.Workers()
@@ -40,12 +41,12 @@
 		duringRestarts(round)
 		c.mustSubmit(smallStep(12, 150), smallStep(8, 150))
 		c.awaitAll()
-		c.await("all lasting tasks run again", func() bool { return c.running() == 6 })
+		c.await("all long-running tasks run again", func() bool { return c.running() == 6 })
 		workers = c.liveWorkers()
 	}
 }
 
-// living returns the workers that live.
+// liveWorkers returns the workers that have not crashed.
 func (c *siteCluster) liveWorkers() []*site.Worker {
 	out := []*site.Worker{}
 	for _, w := range c.Workers() {
@@ -56,8 +57,8 @@
 	return out
 }
 
-// The story is told at TestAWorkerStartsAgainUnderItsID of the dispatch package: here the
-// real programs play it.
+// Runs the fault of TestRestartedWorkerIsTrackedAsNewIncarnation (package dispatch) with real
+// processes: what the owner knew of a worker's previous incarnation was applied to the new one.
 func TestSiteWorkersRestartUnderTheSameID(t *testing.T) {
 	for name, clockReading := range map[string]time.Duration{"clock behind": clockBehind, "clock ahead": clockAhead} {
 		t.Run(name, func(t *testing.T) {
@@ -67,8 +68,9 @@
 	}
 }
 
-// What an owner has kept of a worker's earlier start, or had on its way to it, reaches
-// nothing of the newer one by way of the next owner either.
+// An owner may have persisted state of a worker's previous incarnation, or sent it orders that have
+// not arrived, when it ends or loses the store. The next owner must not apply any of this to the
+// worker's new incarnation.
 func TestSiteWorkersRestartWhileOwnersEnd(t *testing.T) {
 	for name, end := range map[string]func(c *siteCluster){
 		"killed": func(c *siteCluster) { c.owner().Kill() },
@@ -79,7 +81,7 @@
 		},
 		"store silent": func(c *siteCluster) {
 			c.Store.SetMode(site.StoreSilent)
-			c.await("some seconds pass", elapsed(2*time.Second))
+			c.await("the store is silent for some seconds", elapsed(2*time.Second))
 			c.Store.SetMode(site.StoreUp)
 		},
 		"store silent and owner killed": func(c *siteCluster) {
@@ -99,8 +101,8 @@
 	}
 }
 
-// A carrier has orders on their way to an earlier start of a worker when it ends, stops as
-// planned, or is frozen.
+// Delegates are killed, stopped as planned, or frozen while their orders to a worker's previous
+// incarnation have not arrived. A frozen delegate sends its orders late, to the new incarnation.
 func TestSiteWorkersStartAgainWhileCarriersEnd(t *testing.T) {
 	c := newDelegateCluster(t)
 	c.runRestartScenario(clockAhead, func(round int) {
@@ -123,8 +125,9 @@
 	})
 }
 
-// An order to an earlier start that is held up and gets no answer reaches the newer one,
-// which knows no owner and no run that was stopped.
+// A start order for a worker's previous incarnation is delayed and gets no answer, so that it
+// reaches the new incarnation. That one knows neither an owner's epoch nor a stopped attempt by which
+// it could tell that the order is stale.
 func TestSiteDelayedOrdersReachANewerIncarnation(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{Workers: 3})
 	for range 3 {
@@ -132,7 +135,7 @@
 			w.HoldUpStarts(3, 1500*time.Millisecond)
 		}
 		c.mustSubmit(smallStep(9, 2000))
-		c.await("orders are doubted", elapsed(300*time.Millisecond))
+		c.await("start orders stay unacknowledged", elapsed(300*time.Millisecond))
 		for _, w := range c.liveWorkers() {
 			w.Restart(300*time.Millisecond, clockBehind)
 		}
--- a/internal/integration/site_test.go
+++ b/internal/integration/site_test.go
@@ -18,20 +18,21 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// siteCell is nodes on the stand-in for the users' platform.
+// siteCluster is a number of node processes on the stand-in for the users' platform.
 type siteCluster struct {
 	*site.Site
 	t     *testing.T
 	nodes []*site.Node
-	// accepted are the jobs that were answered with success.
+	// accepted holds the IDs of the jobs whose submission was answered with success, and which are
+	// expected to succeed.
 	accepted      []string
 	lastJobNumber int
-	// keyOf returns the customer and the key of a job's caller; nil means that there are no
-	// customers.
+	// callerOf returns the customer who submits a job, by the job's ID, and the customer's key. It is
+	// nil when there are no customers.
 	callerOf func(id string) (customer, key string)
 }
 
-// key returns the key of a job's caller.
+// keyFor returns the key with which a job's caller makes its calls, "" when there are no customers.
 func (c *siteCluster) keyFor(id string) string {
 	if c.callerOf == nil {
 		return ""
@@ -62,8 +63,8 @@
 	return c
 }
 
-// close ends the nodes, then checks the promises, and keeps the logs of a test
-// that failed.
+// close kills the nodes and reports the guarantees that the stand-in's oracle saw violated. When the
+// test has failed and LEVERDYKE_LOGS names a directory, it saves the nodes' logs there.
 func (c *siteCluster) close() {
 	for _, n := range c.nodes {
 		n.Kill()
@@ -79,7 +80,8 @@
 	c.Close()
 }
 
-// await polls until the condition holds; the test fails when it does not in time.
+// await polls a condition until it is met, and fails the test when that takes longer than
+// waitTimeout. what describes the condition.
 func (c *siteCluster) await(what string, isMet func() bool) {
 	c.t.Helper()
 	ticker := time.NewTicker(30 * time.Millisecond)
@@ -89,7 +91,7 @@
 		select {
 		case <-ticker.C:
 		case <-deadline:
-			c.t.Fatalf("%s: not within %v", what, waitTimeout)
+			c.t.Fatalf("%s: not met within %v", what, waitTimeout)
 		}
 	}
 }
@@ -110,7 +112,8 @@
 	Perpetual   bool    `json:"perpetual,omitempty"`
 }
 
-// submit hands in a job and returns its ID and the status.
+// submit submits a job at a node and returns the job's ID and the HTTP status, 0 when there was no
+// answer.
 func (c *siteCluster) submit(n *site.Node, spec string, steps ...jobStep) (string, int) {
 	c.t.Helper()
 	c.lastJobNumber++
@@ -136,7 +139,8 @@
 	return id, status
 }
 
-// mustSubmit hands in a job at any node until one accepts it.
+// mustSubmit submits a job at one node after the other until one accepts it, and returns the ID of
+// the accepted job.
 func (c *siteCluster) mustSubmit(steps ...jobStep) string {
 	c.t.Helper()
 	id := ""
@@ -152,7 +156,7 @@
 	return id
 }
 
-// state returns what the first node that answers shows of a job.
+// state returns the state of a job as the first node that answers shows it, "" when none does.
 func (c *siteCluster) state(id string) string {
 	for _, n := range c.nodes {
 		ctx, cancel := context.WithTimeout(c.t.Context(), time.Second)
@@ -165,8 +169,8 @@
 	return ""
 }
 
-// stateAt returns what a node shows of a job, "" when it shows none. The oracle
-// learns of a final state.
+// stateAt returns the state of a job as a node shows it, "" when it shows none. It reports a final
+// state to the oracle, which then counts a start of one of the job's tasks as a violation.
 func (c *siteCluster) stateAt(ctx context.Context, n *site.Node, id string) string {
 	status, body, err := n.DoWithKey(ctx, c.keyFor(id), http.MethodGet, site.QueuePrefix+id, nil)
 	if err != nil || status != http.StatusOK {
@@ -208,7 +212,7 @@
 	}
 }
 
-// owner returns the node that logged last that it owns the shard.
+// owner returns the node that logged the ownership of the shard with the highest epoch.
 func (c *siteCluster) owner() *site.Node {
 	var owner *site.Node
 	newestEpoch := -1
@@ -228,6 +232,8 @@
 	return owner
 }
 
+// smallStep returns a step of small tasks that run for the given time, of which eight fit on a worker
+// of 4,000 milli-CPU.
 func smallStep(count int, ms float64) jobStep {
 	return jobStep{Count: count, CPU: 500, MemMb: 200, EstimatedMs: ms}
 }
@@ -244,14 +250,16 @@
 	c.awaitAll()
 }
 
+// The long-running tasks of a worker that crashes must start again elsewhere, and end when their job is
+// cancelled.
 func TestSiteRestartsAndCancelsLongRunningTasks(t *testing.T) {
 	c := newSiteCluster(t, 2, site.Options{})
 	longRunning := smallStep(3, 0)
 	longRunning.Perpetual = true
 	id := c.mustSubmit(longRunning)
-	c.await("all lasting tasks run", func() bool { return c.running() == 3 })
+	c.await("all long-running tasks run", func() bool { return c.running() == 3 })
 	c.Workers()[0].Crash()
-	c.await("all lasting tasks run again", func() bool { return c.running() == 3 })
+	c.await("all long-running tasks run again", func() bool { return c.running() == 3 })
 	status, _, err := c.nodes[0].Do(t.Context(), http.MethodDelete, site.QueuePrefix+id, nil)
 	if err != nil || status != http.StatusOK {
 		t.Errorf("cancel: got: %d, %v, want: 200", status, err)
@@ -260,7 +268,8 @@
 	c.awaitState(id, "cancelled")
 }
 
-// A worker that had failed tasks that last got one of them again, and nothing more while that ran.
+// A worker that had failed long-running tasks once got only one of them again, and no other task while
+// that one ran. Once the worker no longer fails them, all of them must run on it again.
 func TestSiteLongRunningTasksReturnToRecoveredWorker(t *testing.T) {
 	c := newSiteCluster(t, 2, site.Options{Workers: 1})
 	c.Workers()[0].SetFailsLasting(true)
@@ -271,7 +280,7 @@
 	}
 	c.await("all have failed", func() bool { return c.Workers()[0].Starts() >= 3 && c.running() == 0 })
 	c.Workers()[0].SetFailsLasting(false)
-	c.await("all lasting tasks run", func() bool { return c.running() == 3 })
+	c.await("all long-running tasks run", func() bool { return c.running() == 3 })
 }
 
 func (c *siteCluster) running() int {
@@ -315,13 +324,15 @@
 		}
 	}
 	if got := c.state("0000000000000001"); got != "" {
-		t.Errorf("state of what was refused: got: %q, want: none", got)
+		t.Errorf("state of the refused job: got: %q, want: none", got)
 	}
 	if c.Starts() != 0 {
 		t.Errorf("starts: got: %d, want: 0", c.Starts())
 	}
 }
 
+// The owner is killed while jobs run. Another node must take over and finish them, and the killed node
+// must be able to join again.
 func TestSiteSurvivesKillOfOwner(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{})
 	for range 3 {
@@ -339,6 +350,8 @@
 	c.awaitAll()
 }
 
+// The owner's process is paused until another node has taken over, and then continues as if it were
+// still the owner. No task may run twice.
 func TestSiteSurvivesAPausedOwner(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{})
 	for range 3 {
@@ -353,6 +366,8 @@
 	c.awaitReady(paused)
 }
 
+// All nodes are stopped as planned and restarted one after the other. Each of the 12 tasks must start
+// exactly once.
 func TestSiteRollingRestartRepeatsNoTask(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{})
 	for _, n := range c.nodes {
@@ -370,6 +385,8 @@
 	}
 }
 
+// In an outage of the store, nodes must refuse new jobs with 503, go on starting the steps of accepted
+// jobs, and not show a job as ended before its end is persisted.
 func TestSiteRefusesJobsDuringStoreOutage(t *testing.T) {
 	for _, mode := range []site.StoreMode{site.StoreBusy, site.StoreSilent} {
 		t.Run(string(mode), func(t *testing.T) {
@@ -385,7 +402,7 @@
 			})
 			c.await("the second step runs", func() bool { return c.Starts() >= 6 })
 			if got := c.state(id); got != "running" {
-				t.Errorf("state while its end cannot be kept: got: %q, want: running", got)
+				t.Errorf("state while the job's end cannot be persisted: got: %q, want: running", got)
 			}
 			c.Store.SetMode(site.StoreUp)
 			c.awaitState(id, "succeeded")
@@ -393,6 +410,8 @@
 	}
 }
 
+// Answers of the store to appends, and of workers to start orders, are lost although both were carried
+// out. The jobs must succeed, and the oracle must see no task run twice.
 func TestSiteRecoversFromLostAnswers(t *testing.T) {
 	c := newSiteCluster(t, 2, site.Options{})
 	for i := range 4 {
@@ -406,17 +425,19 @@
 func TestSiteDrainingWorkerGetsNoNewTasks(t *testing.T) {
 	c := newSiteCluster(t, 2, site.Options{Workers: 2})
 	c.Workers()[0].Drain()
-	c.await("the owner knows that a worker leaves", func() bool {
+	c.await("the owner knows that the worker is draining", func() bool {
 		return strings.Contains(c.owner().Log(), `"worker is leaving"`)
 	})
 	c.mustSubmit(smallStep(6, 300))
 	c.await("six tasks run", func() bool { return c.running() == 6 })
 	if got := c.Workers()[0].Running(); got != 0 {
-		t.Errorf("tasks on the leaving worker: got: %d, want: 0", got)
+		t.Errorf("tasks on the draining worker: got: %d, want: 0", got)
 	}
 	c.awaitAll()
 }
 
+// All nodes are killed at once while jobs run. The restarted nodes must finish the jobs, and the oracle
+// must see no task run twice.
 func TestSiteSurvivesKillOfAllNodes(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{})
 	for range 3 {
--- a/internal/integration/soak_faults_test.go
+++ b/internal/integration/soak_faults_test.go
@@ -13,7 +13,8 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// fault injects one random fault.
+// injectFault injects one random fault. Every kind that a seed has draws from the random numbers, so
+// that the sequence of faults of a seed depends on the order of these checks.
 func (s *soak) injectFault() {
 	node := s.nodes[s.rng.IntN(len(s.nodes))]
 	duration := time.Duration(300+s.rng.IntN(4000)) * time.Millisecond
@@ -87,9 +88,9 @@
 	}
 }
 
-// blackout plays an outage of the store in which workers drain and leave and, at any
-// moment of it or just after, all nodes lose power at once. Others may begin before
-// it is over.
+// injectBlackout injects an outage of the store in which workers drain and leave. At a random moment
+// in the second half of the outage, or up to 500 ms after it, all nodes lose power at once. Other
+// blackouts may begin before it ends.
 func (s *soak) injectBlackout() {
 	mode := []site.StoreMode{site.StoreBusy, site.StoreSilent}[s.rng.IntN(2)]
 	duration := s.randomDuration(1500*time.Millisecond, 4*time.Second)
@@ -115,37 +116,38 @@
 	})
 }
 
-// resizeWorker takes room from a worker for a while.
+// resizeWorker reduces the capacity of a worker for a while.
 func (s *soak) resizeWorker(duration time.Duration) {
 	w := s.liveWorker()
 	milliCPU, memoryMiB := int64(500*s.rng.IntN(8)), int64(200*s.rng.IntN(20))
-	s.logAction("a worker has %d, %d of room for %v", milliCPU, memoryMiB, duration)
+	s.logAction("a worker has a capacity of %d milli-CPU, %d MiB for %v", milliCPU, memoryMiB, duration)
 	w.Resize(milliCPU, memoryMiB)
 	s.schedule(duration, func() { w.Resize(soakWorkerMilliCPU, soakWorkerMemoryMiB) })
 }
 
-// restartWorkers lets some workers start again under their IDs, one after the other, each with
-// a clock that is behind or ahead of that before. Some do so again soon.
+// restartWorkers restarts up to four random workers under their IDs at random times of the next two
+// seconds. The same worker may be restarted more than once.
 func (s *soak) restartWorkers() {
 	for range 1 + s.rng.IntN(4) {
 		s.schedule(s.randomDuration(0, 2*time.Second), func() { s.restartWorker(s.liveWorker()) })
 	}
 }
 
-// startAgain lets a worker start again under its ID, unless it has ended meanwhile.
+// restartWorker restarts a worker under its ID, unless it has crashed meanwhile. Its clock then shows
+// a random reading, behind or ahead of that of the previous incarnation.
 func (s *soak) restartWorker(w *site.Worker) {
 	after := s.randomDuration(300*time.Millisecond, 1500*time.Millisecond)
 	clock := s.randomDuration(0, 200*time.Hour)
-	s.logAction("worker %s starts again %v later, its clock shows %v then", w.ID(), after, clock)
+	s.logAction("worker %s restarts after %v, its clock then shows %v", w.ID(), after, clock)
 	w.Restart(after, clock)
 }
 
-// holdUpOrders lets a worker carry out the next orders to start seconds later, without an answer.
-// It may start again meanwhile.
+// delayOrders makes a worker execute its next start orders seconds later, without an answer. In half
+// of the cases the worker restarts meanwhile.
 func (s *soak) delayOrders() {
 	w := s.liveWorker()
 	n, delay := 1+s.rng.IntN(4), s.randomDuration(2*time.Second, 5*time.Second)
-	s.logAction("worker %s carries out the next %d starts %v later", w.ID(), n, delay)
+	s.logAction("worker %s executes the next %d starts %v later", w.ID(), n, delay)
 	w.HoldUpStarts(n, delay)
 	if s.rng.IntN(2) == 0 {
 		return
@@ -153,18 +155,18 @@
 	s.schedule(s.randomDuration(0, 2*time.Second), func() { s.restartWorker(w) })
 }
 
-// failLasting lets a worker fail the tasks that last which it runs, and all that it starts for a
-// while.
+// failLongRunning makes a worker fail the long-running tasks that it runs, and all that it starts for
+// a while.
 func (s *soak) failLongRunning(duration time.Duration) {
 	w := s.liveWorker()
-	s.logAction("worker %s fails tasks that last for %v", w.ID(), duration)
+	s.logAction("worker %s fails long-running tasks for %v", w.ID(), duration)
 	w.SetFailsLasting(true)
 	w.FailLasting()
 	s.schedule(duration, func() { w.SetFailsLasting(false) })
 }
 
-// slowStore plays a store that is slow while nodes are killed or stopped, one
-// or two of three nodes.
+// injectSlowStore makes the store slow for a while, in which one or two of the three nodes are killed
+// or stopped as planned.
 func (s *soak) injectSlowStore(duration time.Duration) {
 	s.logAction("store slow for %v", duration)
 	s.Store.SetMode(site.StoreSlow)
@@ -176,12 +178,12 @@
 	}
 }
 
-// between returns a random time of at least a and less than b.
+// randomDuration returns a random duration of at least a and less than b.
 func (s *soak) randomDuration(a, b time.Duration) time.Duration {
 	return a + time.Duration(s.rng.Int64N(int64(b-a)))
 }
 
-// replaceWorker ends a worker, unless it has ended meanwhile; another takes its place.
+// replaceWorker crashes a worker and adds a new one, unless the worker has crashed meanwhile.
 func (s *soak) replaceWorker(w *site.Worker) {
 	if w.IsDead() {
 		return
@@ -193,11 +195,13 @@
 	}
 }
 
-// restart ends a node's process, if it runs, and starts it again.
+// restartNode ends a node's process with a signal, if it runs, and starts it again after a while with
+// a time of day that differs from the machine's.
 func (s *soak) restartNode(n *site.Node, sig syscall.Signal, after time.Duration) {
-	s.logAction("%v to %s, back after %v", sig, n.Name, after)
+	s.logAction("%v to %s, restarted after %v", sig, n.Name, after)
 	if s.restarting[n] {
-		// It is on its way out already: one more signal, and no second start.
+		// The node is already ending and will be started again: send the signal, but schedule no second
+		// start.
 		_ = n.Signal(sig)
 		return
 	}
@@ -231,13 +235,14 @@
 	}
 }
 
-// crashWorker ends a worker's life; another worker takes its place.
+// crashWorker crashes a random worker and adds a new one.
 func (s *soak) crashWorker() {
 	s.logAction("a worker crashes")
 	s.replaceWorker(s.liveWorker())
 }
 
-// toxic harms a random proxy: delays it, resets it, or silences one direction.
+// injectToxic adds a fault to one direction of a random proxy: it delays data, drops it silently, or
+// closes the connections.
 func (s *soak) injectToxic(duration time.Duration) {
 	s.mu.Lock()
 	names := []string{}
--- a/internal/integration/soak_test.go
+++ b/internal/integration/soak_test.go
@@ -23,141 +23,149 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// soakSeeds are the seeds that CI runs. A seed that ever failed stays here, with
-// a line on the cause.
-// 1: a listing asked for before a start took the attempt for missing.
-// 322: a question about workers that failed was not asked again in an idle cell.
-// 328: a SIGHUP right after the start ended a node.
-// 802, 807: tasks ran again after their job was told to have succeeded while the
-// store was out; a worker had left with the end, and all nodes had lost power.
-// From blackoutSeeds on seeds play blackouts too; the earlier ones play what they did.
-// From silenceSeeds on open connections go silent for good, too.
-// 909: a fresh node whose clock was set back took an owner that had run ahead of the
-// store as exact, after all nodes had lost their memory in an outage.
-// From slowSeeds on the store is slow while owners end; 1200 plays that in CI.
-// From carrierSeeds on nodes talk to workers for the owner; 1500 plays that in CI.
-// From crashSeeds on tasks crash workers, and rooms of workers change; 1600 plays that in CI.
-// 1646: a job was given up for workers that left, or crashed under another task, while all
-// nodes lost power twice in outages of the store.
-// From restartSeeds on workers start again under their IDs; 1700 plays that in CI.
-// From customerSeeds on jobs are customers', whose keys and limits change; 1900 plays that in CI.
-// From sickSeeds on workers fail tasks that last; 2000 plays that in CI.
-// From lateSeeds on orders are held up for seconds; 1800 plays that in CI.
+// soakSeeds are the seeds that CI runs. A seed that has failed once stays in the list, with its cause:
+//
+//   - 1: a worker's listing that was requested before a start order lacked the attempt, and the
+//     owner treated the attempt as lost.
+//   - 322: a failed query for the workers that may run a step was not repeated in an idle cluster.
+//   - 328: a SIGHUP right after the start of a node's process ended it.
+//   - 802, 807: callers were shown during an outage of the store that a job had succeeded. The worker
+//     that reported the end had left, all nodes lost power, and the job's tasks ran again.
+//   - 909: all nodes lost their memory in an outage of the store. A new node whose clock had been set
+//     back then treated the records of an owner that had started tasks write-behind as complete.
+//   - 1646: all nodes lost power twice in outages of the store, and a job was failed because of workers
+//     that had left, or crashed under another task.
+//
+// The faults depend on the seed, so that an old seed keeps its sequence of faults when a kind of fault
+// is added. From each of these seeds on one more kind is injected, and CI runs one seed of it:
+//
+//   - firstBlackoutSeed: outages of the store in which workers leave and all nodes lose power (802, 807).
+//   - firstSilenceSeed: open connections stop carrying data for good (909).
+//   - firstSlowStoreSeed: the store is slow while owners end (1200).
+//   - firstDelegateSeed: nodes talk to workers on behalf of the owner (1500).
+//   - firstCrashSeed: tasks crash workers, and the capacity of workers changes (1600).
+//   - firstRestartSeed: workers restart under their IDs (1700).
+//   - firstDelayedOrderSeed: orders to workers are delayed for seconds (1800).
+//   - firstCustomerSeed: jobs belong to customers, whose keys and limits change (1900).
+//   - firstDegradedWorkerSeed: workers fail long-running tasks (2000).
 var soakSeeds = []uint64{1, 322, 328, 802, 807, 909, 1200, 1500, 1600, 1646, 1700, 1800, 1900, 2000}
 
 const (
-	// carrierSeeds is the first seed with nodes of carrierShare of a processor, which can
-	// talk to two workers each: the owner leaves its six to the others.
+	// firstDelegateSeed is the first seed in which each node has delegateCPUShare of a processor. A
+	// node can then talk to two workers only, and the owner assigns the six workers to the other nodes
+	// as its delegates.
 	firstDelegateSeed = 1500
 	delegateCPUShare  = 0.008
 )
 
 const (
-	// silenceSeeds is the first seed that plays silences, silenceShare the share of
-	// these among its faults: one in so many.
+	// firstSilenceSeed is the first seed in which open connections go silent: one in silenceOdds of its
+	// faults.
 	firstSilenceSeed = 900
 	silenceOdds      = 8
 )
 
 const (
-	// slowSeeds is the first seed that plays a slow store with ends of nodes, slowShare
-	// the share of these among its faults: one in so many.
+	// firstSlowStoreSeed is the first seed in which nodes end while the store is slow: one in
+	// slowStoreOdds of its faults.
 	firstSlowStoreSeed = 1200
 	slowStoreOdds      = 6
 )
 
 const (
-	// crashSeeds is the first seed that plays tasks that crash their workers, and rooms of
-	// workers that change, crashShare the share of each among its faults: one in so many.
+	// firstCrashSeed is the first seed in which tasks crash their workers, and the capacity of workers
+	// changes: each is one in crashOdds of its faults.
 	firstCrashSeed = 1600
 	crashOdds      = 8
-	// soakCPU and soakMemory are the room of a worker.
+	// The capacity of a worker.
 	soakWorkerMilliCPU, soakWorkerMemoryMiB = 4000, 4000
 )
 
 const (
-	// restartSeeds is the first seed that plays workers that start again under their IDs,
-	// restartShare the share of these among its faults: one in so many.
+	// firstRestartSeed is the first seed in which workers restart under their IDs: one in restartOdds
+	// of its faults.
 	firstRestartSeed = 1700
 	restartOdds      = 5
 )
 
 const (
-	// lateSeeds is the first seed that plays orders that are held up for seconds, also to workers
-	// that start again meanwhile, lateShare the share of these among its faults: one in so many.
+	// firstDelayedOrderSeed is the first seed in which orders are delayed for seconds, also to workers
+	// that restart meanwhile: one in delayedOrderOdds of its faults.
 	firstDelayedOrderSeed = 1800
 	delayedOrderOdds      = 5
 )
 
 const (
-	// sickSeeds is the first seed in which workers fail tasks that last, sickShare the share of these
-	// among its faults: one in so many.
+	// firstDegradedWorkerSeed is the first seed in which workers fail long-running tasks: one in
+	// degradedWorkerOdds of its faults.
 	firstDegradedWorkerSeed = 2000
 	degradedWorkerOdds      = 4
 )
 
-// soak is a cell under random faults: signals to nodes, proxies between nodes, to
-// the store and to workers, clocks that differ, and a store that misbehaves.
+// soak is a cluster under random faults: signals to nodes, network faults between nodes, to the
+// store and to workers, nodes whose clocks differ, and outages of the store.
 type soak struct {
 	*siteCluster
 	rng *rand.Rand
-	// hasBlackouts means that outages of the store with workers that leave and a loss
-	// of all nodes are among the faults.
+	// hasBlackouts means that the faults include outages of the store in which workers leave and all
+	// nodes lose power.
 	hasBlackouts bool
-	// hasSilences means that open connections go silent, while new ones work.
+	// hasSilences means that open connections stop carrying data for good, while new ones work.
 	hasSilences bool
 	// hasSlowStore means that nodes end while the store is slow.
 	hasSlowStore bool
-	// hasCrashes means that tasks crash workers, and that rooms change; crashing are jobs
-	// with such tasks.
+	// hasCrashes means that tasks crash workers, and that the capacity of workers changes; crashing
+	// holds the IDs of the accepted jobs with such tasks.
 	hasCrashes bool
 	crashing   []string
-	// hasRestarts means that workers start again under their IDs.
+	// hasRestarts means that workers restart under their IDs.
 	hasRestarts bool
-	// hasLateOrders means that workers carry out orders seconds later.
+	// hasDelayedOrders means that workers execute orders seconds after they arrive.
 	hasDelayedOrders bool
-	// hasSickWorkers means that workers fail tasks that last.
+	// hasDegradedWorkers means that workers fail long-running tasks.
 	hasDegradedWorkers bool
-	// customers are those whose jobs are handed in; nil where the queue is public.
+	// customers are the customers who submit the jobs; nil when the queue requires no keys.
 	customers *soakCustomers
 
 	mu      sync.Mutex
 	proxies map[string]*toxiproxy.Proxy
-	// relays are before the proxies where connections may go silent.
+	// relays forward connections to the proxies and can silence them; empty without hasSilences.
 	relays map[string]*relay.Relay
-	// asked are accepted jobs that were not shown as over yet.
+	// unfinished holds the accepted jobs that no node has shown as ended yet.
 	unfinished []string
-	// later are the ends of faults, by when they are due.
+	// scheduled holds the actions that are due later, such as the ends of faults.
 	scheduled []scheduledAction
-	// refused are jobs of which each answer said that they were not taken.
+	// refused holds the jobs whose submission was answered with a refusal. They must never run.
 	refused []string
 	actions []string
-	// restarting are nodes that were told to end and are not started yet.
+	// restarting holds the nodes that were sent a signal to end and have not been started again.
 	restarting       map[*site.Node]bool
 	lastWorkerNumber int
 	version          int
 }
 
-// maxClockShift is how far, in ms, the time of day of a node may be off.
+// maxClockShiftMs is how far a node's time of day may differ from the machine's, in either direction.
 const maxClockShiftMs = 3000
 
-// blackoutSeeds is the first seed that plays blackouts: of earlier ones the course
-// of faults is left as it was when they failed.
+// firstBlackoutSeed is the first seed with blackouts: earlier seeds keep the sequence of faults with
+// which they failed.
 const firstBlackoutSeed = 800
 
-// blackoutShare is one in how many faults is a blackout, where the seed has them.
+// blackoutOdds is the odds of a blackout, in seeds that have them: one in blackoutOdds faults.
 const blackoutOdds = 6
 
-// askPause is the time between two rounds in which callers ask for their jobs.
+// pollInterval is the time between two rounds in which callers poll the states of their jobs.
 const pollInterval = 40 * time.Millisecond
 
+// scheduledAction is an action of the test that is due at a time.
 type scheduledAction struct {
 	at  time.Time
 	run func()
 }
 
-// TestSoak plays random faults. LEVERDYKE_SOAK_SEED and LEVERDYKE_SOAK_SEEDS choose
-// other seeds and how many; LEVERDYKE_SOAK_SECONDS how long each lasts.
+// TestSoak runs jobs under random faults, for each seed of soakSeeds, or from LEVERDYKE_SOAK_SEED on
+// for as many seeds as LEVERDYKE_SOAK_SEEDS says. LEVERDYKE_SOAK_SECONDS is the duration of the faults
+// for each seed.
 func TestSoak(t *testing.T) {
 	seeds, length := soakSeeds, 8*time.Second
 	if first, err := strconv.ParseUint(os.Getenv("LEVERDYKE_SOAK_SEED"), 10, 64); err == nil {
@@ -204,21 +212,21 @@
 	s.endAllFaults()
 	s.awaitAll()
 	s.awaitCrashing()
-	s.await("the lasting tasks run", func() bool {
+	s.await("the long-running tasks run", func() bool {
 		return s.areRunning(longRunning) && s.running() == longRunningTasksPerJob*len(longRunning)
 	})
 	for _, id := range s.refused {
 		if s.HasRun(id) {
-			t.Errorf("job %s ran though each answer said that it was not taken", id)
+			t.Errorf("job %s ran although its submission was refused", id)
 		}
 	}
 }
 
-// lastingTasks is how many tasks a job has that lasts.
+// longRunningTasksPerJob is the number of tasks of a long-running job.
 const longRunningTasksPerJob = 2
 
-// handInLasting hands in the jobs that last: one, or several where workers fail them, which are set
-// aside when they fail those of several.
+// submitLongRunningJobs submits one long-running job, or three where workers fail such tasks: a worker
+// is ejected only when it fails tasks of several jobs.
 func (s *soak) submitLongRunningJobs() []string {
 	step := smallStep(longRunningTasksPerJob, 0)
 	step.Perpetual = true
@@ -233,7 +241,8 @@
 	return !slices.ContainsFunc(ids, func(id string) bool { return s.state(id) != "running" })
 }
 
-// via puts a proxy before a service or worker.
+// proxyFor puts a proxy, and with hasSilences also a relay, before a service or worker, and returns
+// the address at which it is then reached.
 func (s *soak) proxyFor(name, addr string) (string, error) {
 	upstream, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -265,8 +274,8 @@
 	}
 }
 
-// silence makes all open connections of a kind, or of all kinds, silent for good: to
-// the store, between nodes, to workers. New ones work.
+// silenceConnections makes all open connections of one kind (to the store, between nodes, to workers),
+// or of all kinds, stop carrying data for good. New connections work.
 func (s *soak) silenceConnections() {
 	kind := []string{"-store", "-link", "i-", ""}[s.rng.IntN(4)]
 	s.logAction("open connections of %q go silent", kind)
@@ -279,7 +288,7 @@
 	}
 }
 
-// play hands in jobs and injects faults until the time is over.
+// submitAndInjectFaults submits jobs and injects faults for the given time.
 func (s *soak) submitAndInjectFaults(length time.Duration) {
 	s.t.Helper()
 	ticker := time.NewTicker(60 * time.Millisecond)
@@ -304,7 +313,8 @@
 	s.submitRandomJob("", func(id string) { s.unfinished = append(s.unfinished, id) })
 }
 
-// handInCrashing hands in a job of which a task crashes its workers.
+// submitCrashingJob submits a job with a task that crashes its workers. The job is not among those
+// that awaitAll expects to succeed.
 func (s *soak) submitCrashingJob() {
 	s.submitRandomJob("crash", func(id string) {
 		s.crashing = append(s.crashing, id)
@@ -313,7 +323,8 @@
 	s.logAction("jobs with a task that crashes workers: %v", s.crashing)
 }
 
-// handInJob hands in a job and passes it on once it is accepted.
+// submitRandomJob submits a job of random size at a random node and calls accepted, with mu held, if
+// the node accepts it. It meanwhile runs the actions that are due.
 func (s *soak) submitRandomJob(spec string, accepted func(id string)) {
 	node := s.nodes[s.rng.IntN(len(s.nodes))]
 	second := smallStep(1+s.rng.IntN(2), 100)
@@ -330,8 +341,8 @@
 			s.mu.Unlock()
 		}
 	}()
-	// A paused node answers when it goes on; one end of a fault may be what it
-	// waits for.
+	// A node that is paused, or waits because of another fault, answers only after the fault's end,
+	// which is one of the scheduled actions.
 	for {
 		select {
 		case <-done:
@@ -342,8 +353,9 @@
 	}
 }
 
-// startAsking lets callers ask for their jobs all the time. The oracle notes what
-// they are shown, so that a start after a job was shown as over is found.
+// startPolling makes callers poll the states of their jobs until the test ends. The oracle records
+// the final states that they are shown, and so detects a task that starts after its job was shown as
+// ended.
 func (s *soak) startPolling(seed uint64) {
 	done := make(chan struct{})
 	go s.pollJobs(s.t.Context(), rand.New(rand.NewPCG(seed, 3)), done)
@@ -373,18 +385,18 @@
 	}
 }
 
-// askTimeout is the patience of a caller that asks: a node that is paused or cut off
-// does not hold up the questions to others.
+// pollTimeout limits one poll, so that a node that is paused or partitioned does not delay the polls
+// to the other nodes.
 const pollTimeout = 100 * time.Millisecond
 
-// ask asks one node for a job and reports whether it is shown as over.
+// pollJob requests the state of a job from one node and reports whether the node shows it as ended.
 func (s *soak) pollJob(ctx context.Context, n *site.Node, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	return isFinal(s.stateAt(ctx, n, id))
 }
 
-// until ends a fault after a while.
+// schedule runs an action, such as the end of a fault, after d.
 func (s *soak) schedule(d time.Duration, action func()) {
 	s.scheduled = append(s.scheduled, scheduledAction{time.Now().Add(d), action})
 }
@@ -405,9 +417,9 @@
 	}
 }
 
-// startEnded starts nodes again that have ended by themselves, as the platform
-// does. Only a hangup right after the start may end a process.
-// 328: that was taken for a node that does not start.
+// restartExitedNodes starts nodes again whose processes have ended by themselves, as the platform
+// does. The only allowed cause is a SIGHUP that arrives before the process can handle it. In seed 328
+// that was mistaken for a node that does not start.
 func (s *soak) restartExitedNodes() {
 	for _, n := range s.nodes {
 		if s.restarting[n] || !n.HasEnded() {
@@ -423,9 +435,10 @@
 	}
 }
 
-// heal ends all faults.
+// endAllFaults runs all scheduled actions, starts the nodes that have ended, makes the store available
+// and waits until all nodes are ready.
 func (s *soak) endAllFaults() {
-	// The end of one may be the begin of the next.
+	// An action may schedule another one.
 	for len(s.scheduled) > 0 {
 		s.runDueActions(time.Now().Add(time.Hour))
 	}
@@ -438,9 +451,9 @@
 	s.actions = append(s.actions, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// awaitCrashing waits until the jobs with tasks that crash workers are given up.
+// awaitCrashing waits until the jobs with tasks that crash workers have failed.
 func (s *soak) awaitCrashing() {
 	for _, id := range s.crashing {
-		s.await("job "+id+" is given up", func() bool { return s.state(id) == "failed" })
+		s.await("job "+id+" fails", func() bool { return s.state(id) == "failed" })
 	}
 }
