--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -12,9 +12,9 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// submitCrashing hands in a job whose first task crashes its workers. It is not one of
-// those that are to succeed.
-func (c *siteCell) submitCrashing(steps ...jobStep) string {
+// submitCrashing submits a job whose first task crashes each worker that runs it. The job is not
+// among those that awaitAll expects to succeed.
+func (c *siteCluster) submitCrashing(steps ...jobStep) string {
 	c.t.Helper()
 	id := ""
 	c.await("a job is accepted", func() bool {
@@ -26,43 +26,45 @@
 	return id
 }
 
-// playCrashes hands in a job with a task that crashes its workers, and others, and does
-// something at each of the first crashes until the job is given up.
-func (c *siteCell) playCrashes(atCrash func(n int)) {
+// runCrashScenario submits a job with a task that crashes its workers, and another job at each
+// crash, and calls atCrash with the number of crashes so far. It returns when the crashing job has
+// failed and the others have succeeded.
+func (c *siteCluster) runCrashScenario(atCrash func(n int)) {
 	c.t.Helper()
-	bad := c.submitCrashing(small(3, 400))
-	seen := 0
-	c.await("the job with the task is given up", func() bool {
-		if n := c.CrashesUnder(bad + ".0.0.0"); n > seen {
-			seen = n
-			c.mustSubmit(small(3, 300))
+	crashing := c.submitCrashing(smallStep(3, 400))
+	seenCrashes := 0
+	c.await("the job with the crashing task fails", func() bool {
+		if n := c.CrashesUnder(crashing + ".0.0.0"); n > seenCrashes {
+			seenCrashes = n
+			c.mustSubmit(smallStep(3, 300))
 			atCrash(n)
 		}
-		return c.state(bad) == "failed"
+		return c.state(crashing) == "failed"
 	})
 	c.awaitAll()
 }
 
-// The bound holds where the node that counts ends with each crash, as it is counted, and
-// where it cannot write down what it counts.
-func TestSiteTheBoundOfCrashesOutlivesOwnersAndOutages(t *testing.T) {
-	for name, atCrash := range map[string]func(c *siteCell, n int){
-		"owner is killed": func(c *siteCell, _ int) {
+// A task that crashes its workers fails its job after a limited number of crashes. The count must
+// not be lost when the owner, which counts, is killed at each crash, nor when the store is out, so
+// that the owner cannot persist the count.
+func TestSiteCrashLimitHoldsAcrossOwnersAndOutages(t *testing.T) {
+	for name, atCrash := range map[string]func(c *siteCluster, n int){
+		"owner is killed": func(c *siteCluster, _ int) {
 			o := c.owner()
 			o.Kill()
 			if err := o.Start(); err != nil {
 				c.t.Fatal(err)
 			}
 		},
-		"store is out": func(c *siteCell, n int) {
+		"store is out": func(c *siteCluster, n int) {
 			if n > 2 {
 				return
 			}
 			c.Store.SetMode(site.StoreSilent)
-			c.await("some seconds pass", after(2*time.Second))
+			c.await("the store is out for some seconds", elapsed(2*time.Second))
 			c.Store.SetMode(site.StoreUp)
 		},
-		"store is out and all nodes are killed": func(c *siteCell, n int) {
+		"store is out and all nodes are killed": func(c *siteCluster, n int) {
 			if n > 2 {
 				return
 			}
@@ -80,22 +82,24 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newSiteCell(t, 3, site.Options{Workers: 8})
-			c.playCrashes(func(n int) { atCrash(c, n) })
+			c := newSiteCluster(t, 3, site.Options{Workers: 8})
+			c.runCrashScenario(func(n int) { atCrash(c, n) })
 		})
 	}
 }
 
-// after returns a condition that holds some time from now on.
-func after(d time.Duration) func() bool {
+// elapsed returns a condition that becomes true after d.
+func elapsed(d time.Duration) func() bool {
 	at := time.Now().Add(d)
 	return func() bool { return time.Now().After(at) }
 }
 
-// A carrier that ends with a crash takes the word of it with it.
-func TestSiteTheBoundOfCrashesOutlivesCarriers(t *testing.T) {
-	c := newCarrierCell(t)
-	c.playCrashes(func(int) {
+// A delegate that is killed right after a worker crashed may not have reported the crash to the owner,
+// and nobody else reports it. The number of crashes must stay within the limit although all nodes but
+// the owner are killed at each crash.
+func TestSiteCrashLimitHoldsAcrossDelegateRestarts(t *testing.T) {
+	c := newDelegateCluster(t)
+	c.runCrashScenario(func(int) {
 		owner := c.owner()
 		for _, n := range c.nodes {
 			if n != owner {
@@ -108,10 +112,10 @@
 	})
 }
 
-// Rooms of workers shrink to a quarter and grow again while jobs come; the stand-in's
-// oracle holds each start against the room.
-func TestSiteStartsKeepToRoomThatShrinksAndGrows(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{Workers: 4})
+// The capacity of workers shrinks to a quarter and grows again while jobs are submitted. The
+// stand-in's oracle compares each start with the worker's capacity at that time.
+func TestSiteStartsFitChangingWorkerCapacity(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{Workers: 4})
 	for round := range 4 {
 		for i, w := range c.Workers() {
 			if (i+round)%2 == 0 {
@@ -120,14 +124,14 @@
 				w.Resize(4000, 4000)
 			}
 		}
-		end := after(4500 * time.Millisecond)
-		c.await("jobs come for some seconds", func() bool {
-			c.submit(c.nodes[round%3], "", small(6, 250))
+		end := elapsed(4500 * time.Millisecond)
+		c.await("jobs are submitted for some seconds", func() bool {
+			c.submit(c.nodes[round%3], "", smallStep(6, 250))
 			return end()
 		})
 		if round == 1 {
 			c.owner().Kill()
-			c.startKilled()
+			c.restartEndedNodes()
 		}
 	}
 	for _, w := range c.Workers() {
@@ -136,8 +140,9 @@
 	c.awaitAll()
 }
 
-// startKilled starts the nodes again that were killed.
-func (c *siteCell) startKilled() {
+// restartEndedNodes starts the nodes again whose processes have ended, and waits until all nodes
+// are ready.
+func (c *siteCluster) restartEndedNodes() {
 	c.t.Helper()
 	for _, n := range c.nodes {
 		if !n.HasEnded() {
@@ -150,17 +155,18 @@
 	c.awaitReady(c.nodes...)
 }
 
-// The story is told at TestATaskThatCrashesWorkersIsGivenUp of the dispatch package: here
-// the real programs play it. The stand-in's oracle counts the crashes and the starts.
-func TestSiteATaskThatCrashesWorkersIsGivenUp(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{Workers: 8})
-	bad := c.submitCrashing(small(4, 300))
-	good := c.mustSubmit(small(8, 300), small(4, 300))
-	c.await("the job with the task is given up", func() bool { return c.state(bad) == "failed" })
-	c.await("the other job succeeds", func() bool { return c.state(good) == "succeeded" })
-	// Three that prove it are enough; a busy machine takes so long to answer that one of them
-	// may only count as one of four.
-	if got := c.CrashesUnder(bad + ".0.0.0"); got < 2 || got > 4 {
+// Runs the fault of TestJobIsFailedWhenItsTaskCrashesWorkers (package dispatch) with real
+// processes: a task that crashes its workers was started again without end. The stand-in's oracle
+// counts the crashes and the starts.
+func TestSiteTaskThatCrashesWorkersFailsItsJob(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{Workers: 8})
+	crashing := c.submitCrashing(smallStep(4, 300))
+	healthy := c.mustSubmit(smallStep(8, 300), smallStep(4, 300))
+	c.await("the job with the crashing task fails", func() bool { return c.state(crashing) == "failed" })
+	c.await("the other job succeeds", func() bool { return c.state(healthy) == "succeeded" })
+	// Three crashes right after the task's start are enough to fail the job. On a busy machine answers
+	// take so long that a crash may count only as weak evidence, of which four are needed.
+	if got := c.CrashesUnder(crashing + ".0.0.0"); got < 2 || got > 4 {
 		t.Errorf("workers that crashed under the task: got: %d, want: 2 to 4", got)
 	}
 }
--- a/internal/integration/emulator_test.go
+++ b/internal/integration/emulator_test.go
@@ -16,7 +16,7 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
-// shortDay is a day of faults that are over before it ends.
+// shortDay returns a day whose faults all end before the day does.
 func shortDay() *scenario.FaultSchedule {
 	return &scenario.FaultSchedule{Name: "short", Length: 4 * time.Second, Faults: []scenario.Fault{
 		{At: 500 * time.Millisecond, Kind: scenario.NodeKill, Duration: 300 * time.Millisecond},
@@ -25,13 +25,15 @@
 	}}
 }
 
-func TestEmulatorPlaysADay(t *testing.T) {
+// The emulator runs a short day with real node processes. No rule may be violated, and each job that
+// came must be counted with one outcome.
+func TestEmulatorRunsOneDay(t *testing.T) {
 	t.Parallel()
 	deployment, err := scenario.LoadDeployment("../../deploy/emulator/small.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, err := runner.New(t.Context(), runner.Options{Deployment: deployment, Schedule: shortDay(), Seed: 1, Binary: binary, Dir: t.TempDir()})
+	p, err := runner.New(t.Context(), runner.Options{Deployment: deployment, Schedule: shortDay(), Seed: 1, Binary: nodeBinary, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -41,11 +43,11 @@
 		t.Fatal(err)
 	}
 	for _, v := range r.Violations {
-		t.Errorf("rule %s is broken at %v: %s", v.Rule, v.At, v.Description)
+		t.Errorf("rule %s is violated at %v: %s", v.Rule, v.At, v.Description)
 	}
 	for _, k := range r.Kinds {
 		if k.Arrived != k.Accepted+k.Refused+k.Unknown || k.Accepted == 0 {
-			t.Errorf("%s: got: %+v, want: jobs that were taken, and what became of each", k.Name, k)
+			t.Errorf("%s: got: %+v, want: accepted jobs, and an outcome for each job that came", k.Name, k)
 		}
 	}
 	if r.Faults != 3 || r.IsPartial {
@@ -53,7 +55,9 @@
 	}
 }
 
-func TestEmulatorSaysWhatIsWrongWithTheNodes(t *testing.T) {
+// When a node cannot be started or ends at once, the emulator's error must name the cause: the missing
+// program, or the last line that the node wrote.
+func TestEmulatorReportsNodeStartFailures(t *testing.T) {
 	t.Parallel()
 	deployment, err := scenario.LoadDeployment("../../deploy/emulator/small.yaml")
 	if err != nil {
--- a/internal/integration/site_test.go
+++ b/internal/integration/site_test.go
@@ -18,29 +18,30 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// siteCell is nodes on the stand-in for the users' platform.
-type siteCell struct {
+// siteCluster is a number of node processes on the stand-in for the users' platform.
+type siteCluster struct {
 	*site.Site
 	t     *testing.T
 	nodes []*site.Node
-	// accepted are the jobs that were answered with success.
-	accepted []string
-	next     int
-	// keyOf returns the customer and the key of a job's caller; nil means that there are no
-	// customers.
-	keyOf func(id string) (customer, key string)
+	// accepted holds the IDs of the jobs whose submission was answered with success, and which are
+	// expected to succeed.
+	accepted      []string
+	lastJobNumber int
+	// callerOf returns the customer who submits a job, by the job's ID, and the customer's key. It is
+	// nil when there are no customers.
+	callerOf func(id string) (customer, key string)
 }
 
-// key returns the key of a job's caller.
-func (c *siteCell) key(id string) string {
-	if c.keyOf == nil {
+// keyFor returns the key with which a job's caller makes its calls, "" when there are no customers.
+func (c *siteCluster) keyFor(id string) string {
+	if c.callerOf == nil {
 		return ""
 	}
-	_, key := c.keyOf(id)
+	_, key := c.callerOf(id)
 	return key
 }
 
-func newSiteCell(t *testing.T, nodes int, o site.Options) *siteCell {
+func newSiteCluster(t *testing.T, nodes int, o site.Options) *siteCluster {
 	t.Helper()
 	t.Parallel()
 	dir := t.TempDir()
@@ -48,11 +49,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &siteCell{Site: s, t: t}
+	c := &siteCluster{Site: s, t: t}
 	t.Cleanup(c.close)
 	s.Configure(1)
 	for i := range nodes {
-		n, err := s.NewNode(binary, dir, i)
+		n, err := s.NewNode(nodeBinary, dir, i)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -62,9 +63,9 @@
 	return c
 }
 
-// close ends the nodes, then checks the promises, and keeps the logs of a test
-// that failed.
-func (c *siteCell) close() {
+// close kills the nodes and reports the guarantees that the stand-in's oracle saw violated. When the
+// test has failed and LEVERDYKE_LOGS names a directory, it saves the nodes' logs there.
+func (c *siteCluster) close() {
 	for _, n := range c.nodes {
 		n.Kill()
 	}
@@ -79,22 +80,23 @@
 	c.Close()
 }
 
-// await polls until the condition holds; the test fails when it does not in time.
-func (c *siteCell) await(what string, holds func() bool) {
+// await polls a condition until it is met, and fails the test when that takes longer than
+// waitTimeout. what describes the condition.
+func (c *siteCluster) await(what string, isMet func() bool) {
 	c.t.Helper()
 	ticker := time.NewTicker(30 * time.Millisecond)
 	defer ticker.Stop()
-	tooLate := time.After(patience)
-	for !holds() {
+	deadline := time.After(waitTimeout)
+	for !isMet() {
 		select {
 		case <-ticker.C:
-		case <-tooLate:
-			c.t.Fatalf("%s: not within %v", what, patience)
+		case <-deadline:
+			c.t.Fatalf("%s: not met within %v", what, waitTimeout)
 		}
 	}
 }
 
-func (c *siteCell) awaitReady(nodes ...*site.Node) {
+func (c *siteCluster) awaitReady(nodes ...*site.Node) {
 	c.t.Helper()
 	for _, n := range nodes {
 		c.await(n.Name+" is ready", func() bool { return n.IsReady(c.t.Context()) })
@@ -110,11 +112,12 @@
 	Perpetual   bool    `json:"perpetual,omitempty"`
 }
 
-// submit hands in a job and returns its ID and the status.
-func (c *siteCell) submit(n *site.Node, spec string, steps ...jobStep) (string, int) {
+// submit submits a job at a node and returns the job's ID and the HTTP status, 0 when there was no
+// answer.
+func (c *siteCluster) submit(n *site.Node, spec string, steps ...jobStep) (string, int) {
 	c.t.Helper()
-	c.next++
-	id := fmt.Sprintf("%016x", c.next)
+	c.lastJobNumber++
+	id := fmt.Sprintf("%016x", c.lastJobNumber)
 	body, err := json.Marshal(map[string]any{"spec": spec, "steps": steps})
 	if err != nil {
 		c.t.Fatal(err)
@@ -122,11 +125,11 @@
 	if err := c.Know(id, body); err != nil {
 		c.t.Fatal(err)
 	}
-	if c.keyOf != nil {
-		customer, _ := c.keyOf(id)
+	if c.callerOf != nil {
+		customer, _ := c.callerOf(id)
 		c.KnowCustomer(id, customer)
 	}
-	status, _, err := n.DoWithKey(c.t.Context(), c.key(id), http.MethodPost, site.QueuePrefix+id, body)
+	status, _, err := n.DoWithKey(c.t.Context(), c.keyFor(id), http.MethodPost, site.QueuePrefix+id, body)
 	if err != nil {
 		return id, 0
 	}
@@ -136,8 +139,9 @@
 	return id, status
 }
 
-// mustSubmit hands in a job at any node until one accepts it.
-func (c *siteCell) mustSubmit(steps ...jobStep) string {
+// mustSubmit submits a job at one node after the other until one accepts it, and returns the ID of
+// the accepted job.
+func (c *siteCluster) mustSubmit(steps ...jobStep) string {
 	c.t.Helper()
 	id := ""
 	c.await("a job is accepted", func() bool {
@@ -152,8 +156,8 @@
 	return id
 }
 
-// state returns what the first node that answers shows of a job.
-func (c *siteCell) state(id string) string {
+// state returns the state of a job as the first node that answers shows it, "" when none does.
+func (c *siteCluster) state(id string) string {
 	for _, n := range c.nodes {
 		ctx, cancel := context.WithTimeout(c.t.Context(), time.Second)
 		state := c.stateAt(ctx, n, id)
@@ -165,10 +169,10 @@
 	return ""
 }
 
-// stateAt returns what a node shows of a job, "" when it shows none. The oracle
-// learns of a final state.
-func (c *siteCell) stateAt(ctx context.Context, n *site.Node, id string) string {
-	status, body, err := n.DoWithKey(ctx, c.key(id), http.MethodGet, site.QueuePrefix+id, nil)
+// stateAt returns the state of a job as a node shows it, "" when it shows none. It reports a final
+// state to the oracle, which then counts a start of one of the job's tasks as a violation.
+func (c *siteCluster) stateAt(ctx context.Context, n *site.Node, id string) string {
+	status, body, err := n.DoWithKey(ctx, c.keyFor(id), http.MethodGet, site.QueuePrefix+id, nil)
 	if err != nil || status != http.StatusOK {
 		return ""
 	}
@@ -188,30 +192,30 @@
 	return state == "succeeded" || state == "failed" || state == "cancelled"
 }
 
-func (c *siteCell) awaitState(id, want string) {
+func (c *siteCluster) awaitState(id, want string) {
 	c.t.Helper()
 	c.await("job "+id+" is "+want, func() bool { return c.state(id) == want })
 }
 
 // awaitAll waits until all accepted jobs have succeeded.
-func (c *siteCell) awaitAll() {
+func (c *siteCluster) awaitAll() {
 	c.t.Helper()
 	for _, id := range c.accepted {
 		c.awaitState(id, "succeeded")
 	}
 }
 
-func (c *siteCell) signal(n *site.Node, sig syscall.Signal) {
+func (c *siteCluster) signal(n *site.Node, sig syscall.Signal) {
 	c.t.Helper()
 	if err := n.Signal(sig); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// owner returns the node that logged last that it owns the shard.
-func (c *siteCell) owner() *site.Node {
-	var found *site.Node
-	best := -1
+// owner returns the node that logged the ownership of the shard with the highest epoch.
+func (c *siteCluster) owner() *site.Node {
+	var owner *site.Node
+	newestEpoch := -1
 	for _, n := range c.nodes {
 		for line := range strings.Lines(n.Log()) {
 			epoch := 0
@@ -219,39 +223,43 @@
 				if j := strings.Index(line, "epoch="); j >= 0 {
 					_, _ = fmt.Sscanf(line[j:], "epoch=%d", &epoch)
 				}
-				if epoch > best {
-					best, found = epoch, n
+				if epoch > newestEpoch {
+					newestEpoch, owner = epoch, n
 				}
 			}
 		}
 	}
-	return found
+	return owner
 }
 
-func small(count int, ms float64) jobStep {
+// smallStep returns a step of small tasks that run for the given time, of which eight fit on a worker
+// of 4,000 milli-CPU.
+func smallStep(count int, ms float64) jobStep {
 	return jobStep{Count: count, CPU: 500, MemMb: 200, EstimatedMs: ms}
 }
 
-func TestSiteServesJobsOfSteps(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{HasAdvice: true})
+func TestSiteRunsMultiStepJobs(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{HasAdvice: true})
 	for i := range 6 {
-		second := small(2, 100)
+		second := smallStep(2, 100)
 		second.DependsOn = []int{0}
-		if _, status := c.submit(c.nodes[i%3], "", small(5, 150), second); status != http.StatusOK {
+		if _, status := c.submit(c.nodes[i%3], "", smallStep(5, 150), second); status != http.StatusOK {
 			t.Errorf("job %d: got: %d, want: 200", i, status)
 		}
 	}
 	c.awaitAll()
 }
 
-func TestSiteKeepsLastingTasksAndCancels(t *testing.T) {
-	c := newSiteCell(t, 2, site.Options{})
-	lasting := small(3, 0)
-	lasting.Perpetual = true
-	id := c.mustSubmit(lasting)
-	c.await("all lasting tasks run", func() bool { return c.running() == 3 })
+// The long-running tasks of a worker that crashes must start again elsewhere, and end when their job is
+// cancelled.
+func TestSiteRestartsAndCancelsLongRunningTasks(t *testing.T) {
+	c := newSiteCluster(t, 2, site.Options{})
+	longRunning := smallStep(3, 0)
+	longRunning.Perpetual = true
+	id := c.mustSubmit(longRunning)
+	c.await("all long-running tasks run", func() bool { return c.running() == 3 })
 	c.Workers()[0].Crash()
-	c.await("all lasting tasks run again", func() bool { return c.running() == 3 })
+	c.await("all long-running tasks run again", func() bool { return c.running() == 3 })
 	status, _, err := c.nodes[0].Do(t.Context(), http.MethodDelete, site.QueuePrefix+id, nil)
 	if err != nil || status != http.StatusOK {
 		t.Errorf("cancel: got: %d, %v, want: 200", status, err)
@@ -260,21 +268,22 @@
 	c.awaitState(id, "cancelled")
 }
 
-// A worker that had failed tasks that last got one of them again, and nothing more while that ran.
-func TestSiteLastingTasksComeBackToAWorkerThatFailedThem(t *testing.T) {
-	c := newSiteCell(t, 2, site.Options{Workers: 1})
+// A worker that had failed long-running tasks once got only one of them again, and no other task while
+// that one ran. Once the worker no longer fails them, all of them must run on it again.
+func TestSiteLongRunningTasksReturnToRecoveredWorker(t *testing.T) {
+	c := newSiteCluster(t, 2, site.Options{Workers: 1})
 	c.Workers()[0].SetFailsLasting(true)
-	lasting := small(1, 0)
-	lasting.Perpetual = true
+	longRunning := smallStep(1, 0)
+	longRunning.Perpetual = true
 	for range 3 {
-		c.mustSubmit(lasting)
+		c.mustSubmit(longRunning)
 	}
 	c.await("all have failed", func() bool { return c.Workers()[0].Starts() >= 3 && c.running() == 0 })
 	c.Workers()[0].SetFailsLasting(false)
-	c.await("all lasting tasks run", func() bool { return c.running() == 3 })
+	c.await("all long-running tasks run", func() bool { return c.running() == 3 })
 }
 
-func (c *siteCell) running() int {
+func (c *siteCluster) running() int {
 	n := 0
 	for _, w := range c.Workers() {
 		n += w.Running()
@@ -282,8 +291,8 @@
 	return n
 }
 
-func TestSiteRefusesBadJobs(t *testing.T) {
-	c := newSiteCell(t, 1, site.Options{})
+func TestSiteRefusesInvalidJobs(t *testing.T) {
+	c := newSiteCluster(t, 1, site.Options{})
 	for name, tc := range map[string]struct {
 		method, path, body string
 		want               int
@@ -315,48 +324,54 @@
 		}
 	}
 	if got := c.state("0000000000000001"); got != "" {
-		t.Errorf("state of what was refused: got: %q, want: none", got)
+		t.Errorf("state of the refused job: got: %q, want: none", got)
 	}
 	if c.Starts() != 0 {
 		t.Errorf("starts: got: %d, want: 0", c.Starts())
 	}
 }
 
-func TestSiteSurvivesTheOwnersDeath(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+// The owner is killed while jobs run. Another node must take over and finish them, and the killed node
+// must be able to join again.
+func TestSiteSurvivesKillOfOwner(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{})
 	for range 3 {
-		c.mustSubmit(small(4, 1500), small(2, 100))
+		c.mustSubmit(smallStep(4, 1500), smallStep(2, 100))
 	}
-	dead := c.owner()
-	dead.Kill()
-	c.mustSubmit(small(3, 200))
+	killed := c.owner()
+	killed.Kill()
+	c.mustSubmit(smallStep(3, 200))
 	c.awaitAll()
-	if err := dead.Start(); err != nil {
+	if err := killed.Start(); err != nil {
 		t.Fatal(err)
 	}
-	c.awaitReady(dead)
-	c.mustSubmit(small(3, 200))
+	c.awaitReady(killed)
+	c.mustSubmit(smallStep(3, 200))
 	c.awaitAll()
 }
 
+// The owner's process is paused until another node has taken over, and then continues as if it were
+// still the owner. No task may run twice.
 func TestSiteSurvivesAPausedOwner(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+	c := newSiteCluster(t, 3, site.Options{})
 	for range 3 {
-		c.mustSubmit(small(4, 1500), small(2, 100))
+		c.mustSubmit(smallStep(4, 1500), smallStep(2, 100))
 	}
 	paused := c.owner()
 	c.signal(paused, syscall.SIGSTOP)
 	c.await("another node owns the shard", func() bool { return c.owner() != paused })
-	c.mustSubmit(small(3, 200))
+	c.mustSubmit(smallStep(3, 200))
 	c.signal(paused, syscall.SIGCONT)
 	c.awaitAll()
 	c.awaitReady(paused)
 }
 
-func TestSitePlannedStopsInTurnCutNothing(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+// All nodes are stopped as planned and restarted one after the other. Each of the 12 tasks must start
+// exactly once.
+func TestSiteRollingRestartRepeatsNoTask(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{})
 	for _, n := range c.nodes {
-		c.mustSubmit(small(4, 1000))
+		c.mustSubmit(smallStep(4, 1000))
 		c.signal(n, syscall.SIGTERM)
 		<-n.Done()
 		if err := n.Start(); err != nil {
@@ -370,22 +385,24 @@
 	}
 }
 
-func TestSiteRefusesAtOnceWhileTheStoreIsOut(t *testing.T) {
+// In an outage of the store, nodes must refuse new jobs with 503, go on starting the steps of accepted
+// jobs, and not show a job as ended before its end is persisted.
+func TestSiteRefusesJobsDuringStoreOutage(t *testing.T) {
 	for _, mode := range []site.StoreMode{site.StoreBusy, site.StoreSilent} {
 		t.Run(string(mode), func(t *testing.T) {
-			c := newSiteCell(t, 3, site.Options{})
-			second := small(2, 100)
+			c := newSiteCluster(t, 3, site.Options{})
+			second := smallStep(2, 100)
 			second.DependsOn = []int{0}
-			id := c.mustSubmit(small(4, 2500), second)
+			id := c.mustSubmit(smallStep(4, 2500), second)
 			c.await("the first step runs", func() bool { return c.running() == 4 })
 			c.Store.SetMode(mode)
 			c.await("a job is refused", func() bool {
-				_, status := c.submit(c.nodes[0], "", small(1, 100))
+				_, status := c.submit(c.nodes[0], "", smallStep(1, 100))
 				return status == http.StatusServiceUnavailable
 			})
 			c.await("the second step runs", func() bool { return c.Starts() >= 6 })
 			if got := c.state(id); got != "running" {
-				t.Errorf("state while its end cannot be kept: got: %q, want: running", got)
+				t.Errorf("state while the job's end cannot be persisted: got: %q, want: running", got)
 			}
 			c.Store.SetMode(site.StoreUp)
 			c.awaitState(id, "succeeded")
@@ -393,34 +410,38 @@
 	}
 }
 
-func TestSiteSettlesLostAnswers(t *testing.T) {
-	c := newSiteCell(t, 2, site.Options{})
+// Answers of the store to appends, and of workers to start orders, are lost although both were carried
+// out. The jobs must succeed, and the oracle must see no task run twice.
+func TestSiteRecoversFromLostAnswers(t *testing.T) {
+	c := newSiteCluster(t, 2, site.Options{})
 	for i := range 4 {
 		c.Store.LoseAnswers(i)
 		c.Workers()[i].MuteStarts(1)
-		c.mustSubmit(small(3, 200))
+		c.mustSubmit(smallStep(3, 200))
 	}
 	c.awaitAll()
 }
 
-func TestSiteGivesALeavingWorkerNothingNew(t *testing.T) {
-	c := newSiteCell(t, 2, site.Options{Workers: 2})
+func TestSiteDrainingWorkerGetsNoNewTasks(t *testing.T) {
+	c := newSiteCluster(t, 2, site.Options{Workers: 2})
 	c.Workers()[0].Drain()
-	c.await("the owner knows that a worker leaves", func() bool {
+	c.await("the owner knows that the worker is draining", func() bool {
 		return strings.Contains(c.owner().Log(), `"worker is leaving"`)
 	})
-	c.mustSubmit(small(6, 300))
+	c.mustSubmit(smallStep(6, 300))
 	c.await("six tasks run", func() bool { return c.running() == 6 })
 	if got := c.Workers()[0].Running(); got != 0 {
-		t.Errorf("tasks on the leaving worker: got: %d, want: 0", got)
+		t.Errorf("tasks on the draining worker: got: %d, want: 0", got)
 	}
 	c.awaitAll()
 }
 
-func TestSiteSurvivesTheDeathOfAllNodes(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{})
+// All nodes are killed at once while jobs run. The restarted nodes must finish the jobs, and the oracle
+// must see no task run twice.
+func TestSiteSurvivesKillOfAllNodes(t *testing.T) {
+	c := newSiteCluster(t, 3, site.Options{})
 	for range 3 {
-		c.mustSubmit(small(4, 2000))
+		c.mustSubmit(smallStep(4, 2000))
 	}
 	for _, n := range c.nodes {
 		n.Kill()
