--- a/internal/emulator/play/callers.go
+++ b/internal/emulator/play/callers.go
@@ -124,12 +124,12 @@
 	job := &site.Job{ID: fmt.Sprintf("%016x", p.nextID)}
 	for i := range k.Steps {
 		s := &k.Steps[i]
-		step := site.Step{Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB, Takes: s.Takes, Lasts: s.Lasts}
+		step := site.Step{Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB, Duration: s.Takes, IsLongRunning: s.Lasts}
 		if s.Varies {
 			step.Tasks = p.drawCount(s.Tasks)
 		}
 		if i > 0 {
-			step.After = []int{i - 1}
+			step.DependsOn = []int{i - 1}
 		}
 		job.Steps = append(job.Steps, step)
 	}
@@ -150,7 +150,7 @@
 	open := &openJob{id: job.ID, kind: k, cameAt: came}
 	p.mu.Lock()
 	for i := range job.Steps {
-		if s := &job.Steps[i]; s.Lasts {
+		if s := &job.Steps[i]; s.IsLongRunning {
 			open.isLasting = true
 			p.watchStep(job.ID, i, s, isCancelled)
 		}
@@ -216,7 +216,7 @@
 func (p *Player) ask(ctx context.Context, j *openJob) {
 	ctx, cancel := context.WithTimeout(ctx, tryTime)
 	defer cancel()
-	state, ok := p.site.StateOf(ctx, p.anyNode(), j.id)
+	state, ok := p.site.JobState(ctx, p.anyNode(), j.id)
 	if !ok || !site.IsFinal(state) {
 		return
 	}
--- a/internal/emulator/play/faults.go
+++ b/internal/emulator/play/faults.go
@@ -83,13 +83,13 @@
 	case scenario.WorkerRestart:
 		w.Restart(f.For, restartClock)
 	case scenario.WorkerFailsLasting:
-		w.SetFailsLasting(true)
-		w.FailLasting()
-		p.later(f.For, func() { w.SetFailsLasting(false) })
+		w.SetFailsLongRunning(true)
+		w.FailLongRunning()
+		p.later(f.For, func() { w.SetFailsLongRunning(false) })
 	case scenario.WorkerMute:
-		w.MuteStarts(muteCount)
+		w.DropStartAnswers(muteCount)
 	case scenario.WorkerHoldsUp:
-		w.HoldUpStarts(muteCount, f.For)
+		w.DelayStarts(muteCount, f.For)
 	}
 }
 
--- a/internal/emulator/play/play.go
+++ b/internal/emulator/play/play.go
@@ -78,7 +78,7 @@
 	}
 	d := o.Deployment
 	s, err := site.New(site.Options{
-		Workers: d.Workers.Count, MilliCPU: d.Workers.MilliCPU, MemoryMiB: d.Workers.MemoryMiB, CPUShare: d.Nodes.CPUShare, HasAdvice: d.AsksPermission, HasOwnGroup: true,
+		Workers: d.Workers.Count, MilliCPU: d.Workers.MilliCPU, MemoryMiB: d.Workers.MemoryMiB, CPUShare: d.Nodes.CPUShare, HasPermissionService: d.AsksPermission, HasOwnGroup: true,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("play: %w", err)
@@ -221,11 +221,11 @@
 	for i := range d.Deployment.Jobs {
 		r.Kinds = append(r.Kinds, p.tallies[d.Deployment.Jobs[i].Name].take())
 	}
-	for _, what := range p.site.Broken() {
+	for _, what := range p.site.Violations() {
 		r.Violations = append(r.Violations, rules.Violation{Rule: rules.Promises, At: p.now(), What: what})
 	}
 	for _, id := range p.refused {
-		if p.site.HasRun(id) {
+		if p.site.HasStarted(id) {
 			r.Violations = append(r.Violations, rules.Violation{Rule: rules.NotRun, At: p.now(), What: "job " + id + " ran though each answer said that it was not taken"})
 		}
 	}
--- a/internal/emulator/play/watch.go
+++ b/internal/emulator/play/watch.go
@@ -32,7 +32,7 @@
 	workers := []rules.Worker{}
 	for _, s := range p.site.Snapshot() {
 		workers = append(workers, rules.Worker{
-			ID: s.ID, IsTaking: s.IsTaking, FreeMilliCPU: s.FreeMilliCPU, FreeMemoryMiB: s.FreeMemoryMiB, Running: s.Running,
+			ID: s.ID, IsTaking: s.IsAccepting, FreeMilliCPU: s.FreeMilliCPU, FreeMemoryMiB: s.FreeMemoryMiB, Running: s.Running,
 		})
 	}
 	p.mu.Lock()
--- a/internal/integration/carriers_test.go
+++ b/internal/integration/carriers_test.go
@@ -15,7 +15,7 @@
 // which there are six: the owner leaves them to the others.
 func newCarrierCell(t *testing.T) *siteCell {
 	t.Helper()
-	c := newSiteCell(t, 3, site.Options{Workers: 6, HasAdvice: true, CPUShare: carrierShare})
+	c := newSiteCell(t, 3, site.Options{Workers: 6, HasPermissionService: true, CPUShare: carrierShare})
 	c.awaitLog("number of nodes that carry", "carriers=2")
 	return c
 }
--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -33,7 +33,7 @@
 	bad := c.submitCrashing(small(3, 400))
 	seen := 0
 	c.await("the job with the task is given up", func() bool {
-		if n := c.CrashesUnder(bad + ".0.0.0"); n > seen {
+		if n := c.CrashesDuring(bad + ".0.0.0"); n > seen {
 			seen = n
 			c.mustSubmit(small(3, 300))
 			atCrash(n)
@@ -160,7 +160,7 @@
 	c.await("the other job succeeds", func() bool { return c.state(good) == "succeeded" })
 	// Three that prove it are enough; a busy machine takes so long to answer that one of them
 	// may only count as one of four.
-	if got := c.CrashesUnder(bad + ".0.0.0"); got < 2 || got > 4 {
+	if got := c.CrashesDuring(bad + ".0.0.0"); got < 2 || got > 4 {
 		t.Errorf("workers that crashed under the task: got: %d, want: 2 to 4", got)
 	}
 }
--- a/internal/integration/customers_test.go
+++ b/internal/integration/customers_test.go
@@ -212,7 +212,7 @@
 	for _, id := range ids {
 		c.awaitState(id, "succeeded")
 	}
-	if got := c.PeakOf("ann"); got != limit {
+	if got := c.PeakMilliCPU("ann"); got != limit {
 		t.Errorf("most in use at once: got: %d, want: %d, all that it may and no more", got, limit)
 	}
 	if _, status := c.submit(c.nodes[0], "", jobStep{Count: 1, CPU: limit + 1, MemMb: 100, EstimatedMs: 400}); status != http.StatusUnprocessableEntity {
--- a/internal/integration/restart_test.go
+++ b/internal/integration/restart_test.go
@@ -61,7 +61,7 @@
 func TestSiteWorkersStartAgainUnderTheirIDs(t *testing.T) {
 	for name, clock := range map[string]time.Duration{"clock behind": clockBehind, "clock ahead": clockAhead} {
 		t.Run(name, func(t *testing.T) {
-			c := newSiteCell(t, 3, site.Options{Workers: 6, HasAdvice: true})
+			c := newSiteCell(t, 3, site.Options{Workers: 6, HasPermissionService: true})
 			c.playRestarts(clock, func(int) {})
 		})
 	}
@@ -129,7 +129,7 @@
 	c := newSiteCell(t, 3, site.Options{Workers: 3})
 	for range 3 {
 		for _, w := range c.living() {
-			w.HoldUpStarts(3, 1500*time.Millisecond)
+			w.DelayStarts(3, 1500*time.Millisecond)
 		}
 		c.mustSubmit(small(9, 2000))
 		c.await("orders are doubted", after(300*time.Millisecond))
--- a/internal/integration/site_test.go
+++ b/internal/integration/site_test.go
@@ -68,7 +68,7 @@
 	for _, n := range c.nodes {
 		n.Kill()
 	}
-	for _, b := range c.Broken() {
+	for _, b := range c.Violations() {
 		c.t.Error(b)
 	}
 	if dir := os.Getenv("LEVERDYKE_LOGS"); dir != "" && c.t.Failed() {
@@ -119,12 +119,12 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if err := c.Know(id, body); err != nil {
+	if err := c.RegisterJob(id, body); err != nil {
 		c.t.Fatal(err)
 	}
 	if c.keyOf != nil {
 		customer, _ := c.keyOf(id)
-		c.KnowCustomer(id, customer)
+		c.SetJobCustomer(id, customer)
 	}
 	status, _, err := n.DoWithKey(c.t.Context(), c.key(id), http.MethodPost, site.QueuePrefix+id, body)
 	if err != nil {
@@ -179,7 +179,7 @@
 		c.t.Error(err)
 	}
 	if isFinal(answer.State) {
-		c.NoteShown(id, answer.State)
+		c.RecordShownState(id, answer.State)
 	}
 	return answer.State
 }
@@ -233,7 +233,7 @@
 }
 
 func TestSiteServesJobsOfSteps(t *testing.T) {
-	c := newSiteCell(t, 3, site.Options{HasAdvice: true})
+	c := newSiteCell(t, 3, site.Options{HasPermissionService: true})
 	for i := range 6 {
 		second := small(2, 100)
 		second.DependsOn = []int{0}
@@ -263,14 +263,14 @@
 // A worker that had failed tasks that last got one of them again, and nothing more while that ran.
 func TestSiteLastingTasksComeBackToAWorkerThatFailedThem(t *testing.T) {
 	c := newSiteCell(t, 2, site.Options{Workers: 1})
-	c.Workers()[0].SetFailsLasting(true)
+	c.Workers()[0].SetFailsLongRunning(true)
 	lasting := small(1, 0)
 	lasting.Perpetual = true
 	for range 3 {
 		c.mustSubmit(lasting)
 	}
 	c.await("all have failed", func() bool { return c.Workers()[0].Starts() >= 3 && c.running() == 0 })
-	c.Workers()[0].SetFailsLasting(false)
+	c.Workers()[0].SetFailsLongRunning(false)
 	c.await("all lasting tasks run", func() bool { return c.running() == 3 })
 }
 
@@ -397,7 +397,7 @@
 	c := newSiteCell(t, 2, site.Options{})
 	for i := range 4 {
 		c.Store.LoseAnswers(i)
-		c.Workers()[i].MuteStarts(1)
+		c.Workers()[i].DropStartAnswers(1)
 		c.mustSubmit(small(3, 200))
 	}
 	c.awaitAll()
--- a/internal/integration/soak_faults_test.go
+++ b/internal/integration/soak_faults_test.go
@@ -77,7 +77,7 @@
 	case 6:
 		w := s.liveWorker()
 		s.note("worker does not answer the next starts")
-		w.MuteStarts(1 + s.rng.IntN(4))
+		w.DropStartAnswers(1 + s.rng.IntN(4))
 	case 7:
 		s.version += 1 + s.rng.IntN(3)
 		s.Configure(s.version)
@@ -146,7 +146,7 @@
 	w := s.liveWorker()
 	n, held := 1+s.rng.IntN(4), s.between(2*time.Second, 5*time.Second)
 	s.note("worker %s carries out the next %d starts %v later", w.ID(), n, held)
-	w.HoldUpStarts(n, held)
+	w.DelayStarts(n, held)
 	if s.rng.IntN(2) == 0 {
 		return
 	}
@@ -158,9 +158,9 @@
 func (s *soak) failLasting(lasts time.Duration) {
 	w := s.liveWorker()
 	s.note("worker %s fails tasks that last for %v", w.ID(), lasts)
-	w.SetFailsLasting(true)
-	w.FailLasting()
-	s.until(lasts, func() { w.SetFailsLasting(false) })
+	w.SetFailsLongRunning(true)
+	w.FailLongRunning()
+	s.until(lasts, func() { w.SetFailsLongRunning(false) })
 }
 
 // slowStore plays a store that is slow while nodes are killed or stopped, one
--- a/internal/integration/soak_test.go
+++ b/internal/integration/soak_test.go
@@ -183,7 +183,7 @@
 	s.hasBlackouts, s.hasSilences, s.hasSlowStore = seed >= blackoutSeeds, seed >= silenceSeeds, seed >= slowSeeds
 	s.hasCrashes, s.hasRestarts, s.hasLateOrders = seed >= crashSeeds, seed >= restartSeeds, seed >= lateSeeds
 	s.hasSickWorkers = seed >= sickSeeds
-	options := site.Options{Workers: 6, MilliCPU: soakCPU, MemoryMiB: soakMemory, HasAdvice: seed%2 == 0, Via: s.via}
+	options := site.Options{Workers: 6, MilliCPU: soakCPU, MemoryMiB: soakMemory, HasPermissionService: seed%2 == 0, Via: s.via}
 	if seed >= carrierSeeds {
 		options.CPUShare = carrierShare
 	}
@@ -206,7 +206,7 @@
 	s.awaitCrashing()
 	s.await("the lasting tasks run", func() bool { return s.areRunning(lasting) && s.running() == lastingTasks*len(lasting) })
 	for _, id := range s.refused {
-		if s.HasRun(id) {
+		if s.HasStarted(id) {
 			t.Errorf("job %s ran though each answer said that it was not taken", id)
 		}
 	}
--- a/internal/integration/told_test.go
+++ b/internal/integration/told_test.go
@@ -111,7 +111,7 @@
 			c.replaceWorkers((*site.Worker).Crash)
 			c.losePower()
 			c.awaitAll()
-			if c.HasRun(refused) {
+			if c.HasStarted(refused) {
 				t.Error("the refused job: got: run, want: not run")
 			}
 		})
@@ -132,7 +132,7 @@
 			go func() {
 				status, _, _ := c.nodes[0].Do(t.Context(), http.MethodDelete, site.QueuePrefix+id, nil)
 				if status == http.StatusOK {
-					c.NoteShown(id, "cancelled")
+					c.RecordShownState(id, "cancelled")
 				}
 				answered <- status
 			}()
@@ -168,8 +168,8 @@
 	c.Store.SetMode(site.StoreBusy)
 	c.await("the second step runs", func() bool { return c.Starts() == 4 })
 	for _, w := range c.Workers() {
-		asked := w.Holds()
-		c.await("the worker is asked again", func() bool { return w.Holds() >= asked+3 })
+		asked := w.ListingRequests()
+		c.await("the worker is asked again", func() bool { return w.ListingRequests() >= asked+3 })
 	}
 	c.replaceWorkers(func(w *site.Worker) { w.Drain(); w.Crash() })
 	c.losePower()
--- a/internal/standin/site/customers.go
+++ b/internal/standin/site/customers.go
@@ -30,35 +30,35 @@
 }
 
 // tenants returns the customers in the platform's words, and notes their limits.
-func (s *Site) tenants() []any {
+func (s *Site) tenantEntries() []any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := []any{}
+	entries := []any{}
 	limits := map[string]int64{}
 	for _, c := range s.customers {
-		out = append(out, map[string]any{"name": c.Name, "apiKeys": c.Keys, "weight": 1, "maxCount": map[string]any{"cpu": c.MilliCPU}})
+		entries = append(entries, map[string]any{"name": c.Name, "apiKeys": c.Keys, "weight": 1, "maxCount": map[string]any{"cpu": c.MilliCPU}})
 		limits[c.Name] = c.MilliCPU
 	}
 	s.oracle.setLimits(limits)
-	return out
+	return entries
 }
 
 // KnowCustomer tells the stand-in whose a job is.
-func (s *Site) KnowCustomer(id, name string) {
+func (s *Site) SetJobCustomer(id, name string) {
 	s.oracle.mu.Lock()
 	defer s.oracle.mu.Unlock()
-	s.oracle.owners[id] = name
+	s.oracle.customerOfJob[id] = name
 }
 
 // PeakOf returns the most processors that a customer had in use at once.
-func (s *Site) PeakOf(name string) int64 {
+func (s *Site) PeakMilliCPU(name string) int64 {
 	s.oracle.mu.Lock()
 	defer s.oracle.mu.Unlock()
 	return s.oracle.peaks[name]
 }
 
 // earlierLimits are limits that were in force until then.
-type earlierLimits struct {
+type previousLimits struct {
 	limits map[string]int64
 	until  time.Time
 }
@@ -66,49 +66,49 @@
 func (o *Oracle) setLimits(limits map[string]int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.earlier = append(o.earlier, earlierLimits{o.limits, time.Now()})
+	o.previous = append(o.previous, previousLimits{o.limits, time.Now()})
 	o.limits = limits
 }
 
 // use notes that a run of a customer's job began, and checks the customer's limit; the caller
 // holds the lock.
-func (o *Oracle) use(task, worker string, cpu int64) {
+func (o *Oracle) addUsage(task, worker string, cpu int64) {
 	job, _, _ := strings.Cut(task, ".")
-	name := o.owners[job]
+	name := o.customerOfJob[job]
 	if name == "" {
 		return
 	}
 	o.used[name] += cpu
-	o.uses[task+" "+worker] = customerUse{name, cpu}
+	o.usageByRun[task+" "+worker] = customerUsage{name, cpu}
 	o.peaks[name] = max(o.peaks[name], o.used[name])
-	if limit := o.limitOf(name); limit > 0 && o.used[name] > limit {
-		o.broken = append(o.broken, fmt.Sprintf("%s on %s brings customer %s over its limit: %d of %d", task, worker, name, o.used[name], limit))
+	if limit := o.effectiveLimit(name); limit > 0 && o.used[name] > limit {
+		o.violations = append(o.violations, fmt.Sprintf("%s on %s brings customer %s over its limit: %d of %d", task, worker, name, o.used[name], limit))
 	}
 }
 
 // customerUse is what a run takes of a customer's limit.
-type customerUse struct {
+type customerUsage struct {
 	name string
 	cpu  int64
 }
 
 // endUse notes that a run has ended; the caller holds the lock.
-func (o *Oracle) endUse(task, worker string) {
+func (o *Oracle) removeUsage(task, worker string) {
 	key := task + " " + worker
-	u := o.uses[key]
-	delete(o.uses, key)
+	u := o.usageByRun[key]
+	delete(o.usageByRun, key)
 	o.used[u.name] -= u.cpu
 }
 
 // limitOf returns the highest limit that may be in force, 0 for none.
-func (o *Oracle) limitOf(name string) int64 {
+func (o *Oracle) effectiveLimit(name string) int64 {
 	limit := o.limits[name]
-	for _, e := range o.earlier {
-		if before, ok := e.limits[name]; ok && time.Since(e.until) < limitGrace {
-			if before == 0 || limit == 0 {
+	for _, p := range o.previous {
+		if old, ok := p.limits[name]; ok && time.Since(p.until) < limitGrace {
+			if old == 0 || limit == 0 {
 				return 0
 			}
-			limit = max(limit, before)
+			limit = max(limit, old)
 		}
 	}
 	return limit
--- a/internal/standin/site/job.go
+++ b/internal/standin/site/job.go
@@ -23,10 +23,10 @@
 	Tasks               int
 	MilliCPU, MemoryMiB int64
 	// Takes is how long a task runs; tasks that last run until they are stopped.
-	Takes time.Duration
-	Lasts bool
+	Duration      time.Duration
+	IsLongRunning bool
 	// After has the indexes of the steps that must be done before.
-	After []int
+	DependsOn []int
 }
 
 // Outcome is what a caller knows of its request.
@@ -46,12 +46,12 @@
 	steps := make([]map[string]any, len(j.Steps))
 	for i := range j.Steps {
 		s := &j.Steps[i]
-		steps[i] = map[string]any{"count": s.Tasks, "cpu": s.MilliCPU, "memMb": s.MemoryMiB, "estimatedMs": float64(s.Takes) / float64(time.Millisecond)}
-		if s.Lasts {
+		steps[i] = map[string]any{"count": s.Tasks, "cpu": s.MilliCPU, "memMb": s.MemoryMiB, "estimatedMs": float64(s.Duration) / float64(time.Millisecond)}
+		if s.IsLongRunning {
 			steps[i]["perpetual"] = true
 		}
-		if len(s.After) > 0 {
-			steps[i]["dependsOn"] = s.After
+		if len(s.DependsOn) > 0 {
+			steps[i]["dependsOn"] = s.DependsOn
 		}
 	}
 	data, err := json.Marshal(map[string]any{"spec": "", "steps": steps})
@@ -67,7 +67,7 @@
 	if err != nil {
 		return "", err
 	}
-	if err := s.Know(j.ID, body); err != nil {
+	if err := s.RegisterJob(j.ID, body); err != nil {
 		return "", err
 	}
 	status, _, err := n.Do(ctx, http.MethodPost, QueuePrefix+j.ID, body)
@@ -92,22 +92,22 @@
 
 // StateOf asks a node for the state of a job; false when it tells none. A final state is noted as
 // shown.
-func (s *Site) StateOf(ctx context.Context, n *Node, id string) (string, bool) {
+func (s *Site) JobState(ctx context.Context, n *Node, id string) (string, bool) {
 	status, body, err := n.Do(ctx, http.MethodGet, QueuePrefix+id, nil)
 	if err != nil || status != http.StatusOK {
 		return "", false
 	}
-	answer := struct {
+	response := struct {
 		State string `json:"state"`
 	}{}
-	if err := json.Unmarshal(body, &answer); err != nil {
-		s.oracle.breaks(fmt.Sprintf("the state of %s cannot be read: %v", id, err))
+	if err := json.Unmarshal(body, &response); err != nil {
+		s.oracle.addViolation(fmt.Sprintf("the state of %s cannot be read: %v", id, err))
 		return "", false
 	}
-	if IsFinal(answer.State) {
-		s.NoteShown(id, answer.State)
+	if IsFinal(response.State) {
+		s.RecordShownState(id, response.State)
 	}
-	return answer.State, true
+	return response.State, true
 }
 
 // Succeeded is the state of a job whose tasks have all ended well.
--- a/internal/standin/site/node.go
+++ b/internal/standin/site/node.go
@@ -32,12 +32,12 @@
 	// advertised is where other nodes reach it.
 	advertised string
 	// ClockShift is how far its time of day is ahead from its next start on.
-	ClockShift time.Duration
-	log        string
-	hasGroup   bool
-	process    *exec.Cmd
-	done       chan struct{}
-	client     *http.Client
+	ClockShift  time.Duration
+	log         string
+	hasOwnGroup bool
+	process     *exec.Cmd
+	done        chan struct{}
+	client      *http.Client
 }
 
 // settingsText is a settings file as the platform writes it.
@@ -65,32 +65,32 @@
 )
 
 // nodes counts the nodes of this process.
-var nodes atomic.Uint32
+var nodeCount atomic.Uint32
 
 const (
 	// slots is how many processes may have nodes on this machine, each with addresses
 	// of its own: 127.2 to 127.251.
-	slots = 250
+	maxSlots = 250
 	// slotPort is where a process holds its slot as long as it lives.
 	slotPort = 7700
 )
 
 // slot is the slot of this process.
-var slot = sync.OnceValues(claimSlot)
+var processSlot = sync.OnceValues(claimSlot)
 
 // slotOf is a slot that is held by a listener: the kernel gives it up with the
 // process, whatever ends that.
-type slotOf struct {
+type addressSlot struct {
 	number   int
 	listener net.Listener
 }
 
 // claimSlot takes a slot that no other process has.
-func claimSlot() (*slotOf, error) {
-	for i := range slots {
-		n := (os.Getpid() + i) % slots
+func claimSlot() (*addressSlot, error) {
+	for i := range maxSlots {
+		n := (os.Getpid() + i) % maxSlots
 		if l, err := net.Listen("tcp", fmt.Sprintf("127.%d.255.254:%d", 2+n, slotPort)); err == nil {
-			return &slotOf{n, l}, nil
+			return &addressSlot{n, l}, nil
 		}
 	}
 	return nil, errors.New("site: all slots for addresses are taken")
@@ -99,24 +99,24 @@
 // nextAddr returns an address of loopback that no other node has, in this process
 // or in another.
 func nextAddr() (string, error) {
-	s, err := slot()
+	s, err := processSlot()
 	if err != nil {
 		return "", err
 	}
-	n := nodes.Add(1)
+	n := nodeCount.Add(1)
 	return fmt.Sprintf("127.%d.%d.%d", 2+s.number, n/200, 2+n%200), nil
 }
 
 // NewNode writes a settings file in dir and starts binary with it.
-func (s *Site) NewNode(binary, dir string, i int) (*Node, error) {
+func (s *Site) NewNode(binary, dir string, number int) (*Node, error) {
 	ip, err := nextAddr()
 	if err != nil {
 		return nil, err
 	}
 	n := &Node{
-		Name: "node-" + strconv.Itoa(i), Callers: fmt.Sprintf("%s:%d", ip, callersPort), ready: fmt.Sprintf("%s:%d", ip, readyPort),
-		binary: binary, file: filepath.Join(dir, fmt.Sprintf("node-%d.yaml", i)), log: filepath.Join(dir, fmt.Sprintf("node-%d.log", i)),
-		client: &http.Client{Timeout: 5 * time.Second}, hasGroup: s.options.HasOwnGroup,
+		Name: "node-" + strconv.Itoa(number), Callers: fmt.Sprintf("%s:%d", ip, callersPort), ready: fmt.Sprintf("%s:%d", ip, readyPort),
+		binary: binary, file: filepath.Join(dir, fmt.Sprintf("node-%d.yaml", number)), log: filepath.Join(dir, fmt.Sprintf("node-%d.log", number)),
+		client: &http.Client{Timeout: 5 * time.Second}, hasOwnGroup: s.options.HasOwnGroup,
 	}
 	storeAddr, err := s.via(n.Name+"-store", s.StoreAddr)
 	if err != nil {
@@ -125,7 +125,7 @@
 	if n.advertised, err = s.via(n.Name+"-link", fmt.Sprintf("%s:%d", ip, linkPort)); err != nil {
 		return nil, err
 	}
-	text := fmt.Sprintf(settingsText, n.Name, ip, n.Callers, n.ready, linkPort, linkPort, s.cpuShare(), s.AdviceAddr, storeAddr)
+	text := fmt.Sprintf(settingsText, n.Name, ip, n.Callers, n.ready, linkPort, linkPort, s.cpuShare(), s.PermissionAddr, storeAddr)
 	if err := os.WriteFile(n.file, []byte(text), 0o600); err != nil {
 		return nil, fmt.Errorf("site: %w", err)
 	}
@@ -141,7 +141,7 @@
 	defer func() { _ = out.Close() }()
 	n.process = exec.Command(n.binary, "platform", "--settings", n.file, "--advertise", n.advertised, "--clock-shift", n.ClockShift.String())
 	n.process.Stdout, n.process.Stderr = out, out
-	n.process.SysProcAttr = &syscall.SysProcAttr{Setpgid: n.hasGroup}
+	n.process.SysProcAttr = &syscall.SysProcAttr{Setpgid: n.hasOwnGroup}
 	if err := n.process.Start(); err != nil {
 		return fmt.Errorf("site: %w", err)
 	}
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -29,7 +29,7 @@
 )
 
 // beatPeriod is the time between two entries of a worker.
-const beatPeriod = 500 * time.Millisecond
+const heartbeatPeriod = 500 * time.Millisecond
 
 // Options says what the stand-in has. Zero values mean the defaults.
 type Options struct {
@@ -41,7 +41,7 @@
 	// default. It is told, not enforced.
 	CPUShare float64
 	// HasAdvice means that starts want tickets.
-	HasAdvice bool
+	HasPermissionService bool
 	// HasOwnGroup keeps signals of a terminal from the nodes: whoever started them ends them.
 	HasOwnGroup bool
 	// Via returns the address by which nodes reach a service or a worker, for a
@@ -66,23 +66,23 @@
 	oracle  *Oracle
 	servers []*http.Server
 	// StoreAddr and AdviceAddr are where the services listen.
-	StoreAddr, AdviceAddr string
+	StoreAddr, PermissionAddr string
 
 	mu      sync.Mutex
 	workers []*Worker
 	// customers are those of the next configuration.
 	customers []Customer
 	// needs has the steps of the jobs by their job's ID.
-	needs map[string][]stepNeed
+	steps map[string][]stepSpec
 	stop  chan struct{}
 	wg    sync.WaitGroup
 }
 
 // stepNeed is what a task of a step takes, as its job says.
-type stepNeed struct {
-	cpu, mem int64
-	takes    time.Duration
-	lasts    bool
+type stepSpec struct {
+	cpu, mem      int64
+	duration      time.Duration
+	isLongRunning bool
 	// fails makes the task fail, when the job's text is "fail".
 	fails bool
 	// crashes makes the first task of the step crash each worker that starts it, when the
@@ -101,13 +101,13 @@
 	if o.MemoryMiB == 0 {
 		o.MemoryMiB = 4000
 	}
-	s := &Site{Store: newStore(), options: o, needs: map[string][]stepNeed{}, stop: make(chan struct{})}
+	s := &Site{Store: newStore(), options: o, steps: map[string][]stepSpec{}, stop: make(chan struct{})}
 	s.oracle = newOracle()
 	var err error
 	if s.StoreAddr, err = s.serve(s.Store); err != nil {
 		return nil, err
 	}
-	if s.AdviceAddr, err = s.serve(http.HandlerFunc(s.serveAdvice)); err != nil {
+	if s.PermissionAddr, err = s.serve(http.HandlerFunc(s.servePermission)); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -118,7 +118,7 @@
 		}
 	}
 	s.wg.Add(1)
-	go s.run()
+	go s.runHeartbeats()
 	return s, nil
 }
 
@@ -145,7 +145,7 @@
 	if m.addr, err = s.via(id, addr); err != nil {
 		return nil, err
 	}
-	return m.bear(id), nil
+	return m.startNew(id), nil
 }
 
 // via returns the address by which nodes reach what listens at addr.
@@ -164,9 +164,9 @@
 }
 
 // run writes the workers' entries.
-func (s *Site) run() {
+func (s *Site) runHeartbeats() {
 	defer s.wg.Done()
-	t := time.NewTicker(beatPeriod)
+	t := time.NewTicker(heartbeatPeriod)
 	defer t.Stop()
 	for {
 		select {
@@ -174,7 +174,7 @@
 			return
 		case <-t.C:
 			for _, w := range s.Workers() {
-				w.beat()
+				w.heartbeat()
 			}
 		}
 	}
@@ -199,14 +199,14 @@
 		"name": "q", "host": QueueHost, "pathPrefix": prefix, "service": serviceName, "priority": 0,
 		"maxAttempts": 3, "stretch": 1.5, "targetLatencyMs": 250,
 	}
-	if s.options.HasAdvice {
+	if s.options.HasPermissionService {
 		route["advice"] = map[string]any{"decide_ms": 5, "each_ms": 0.1, "valid_ms": 2000}
 	}
 	config := map[string]any{
 		"version": version, "routes": []any{route}, "services": []any{map[string]any{"name": serviceName}},
 		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 262144},
 	}
-	if tenants := s.tenants(); len(tenants) > 0 {
+	if tenants := s.tenantEntries(); len(tenants) > 0 {
 		config["tenants"] = tenants
 	}
 	data, err := json.Marshal(config)
@@ -218,7 +218,7 @@
 
 // Know tells the stand-in of a job's steps, as its caller hands them in, so that
 // workers know how long its tasks take.
-func (s *Site) Know(id string, body []byte) error {
+func (s *Site) RegisterJob(id string, body []byte) error {
 	job := struct {
 		Spec  string `json:"spec"`
 		Steps []struct {
@@ -231,52 +231,52 @@
 	if err := json.Unmarshal(body, &job); err != nil {
 		return fmt.Errorf("site: %w", err)
 	}
-	needs := []stepNeed{}
+	steps := []stepSpec{}
 	for _, step := range job.Steps {
-		needs = append(needs, stepNeed{
+		steps = append(steps, stepSpec{
 			step.CPU, step.MemMb, time.Duration(step.EstimatedMs * float64(time.Millisecond)), step.Perpetual, job.Spec == "fail", job.Spec == "crash",
 		})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.needs[id] = needs
+	s.steps[id] = steps
 	return nil
 }
 
 // needOf returns what a task takes.
-func (s *Site) needOf(task string) (stepNeed, error) {
+func (s *Site) stepOfTask(task string) (stepSpec, error) {
 	parts := strings.Split(task, ".")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(parts) != 4 {
-		return stepNeed{}, fmt.Errorf("site: task %q: want four parts", task)
+		return stepSpec{}, fmt.Errorf("site: task %q: want four parts", task)
 	}
 	step, err := strconv.Atoi(parts[2])
-	if err != nil || step >= len(s.needs[parts[0]]) {
-		return stepNeed{}, fmt.Errorf("site: task %q was never handed in", task)
+	if err != nil || step >= len(s.steps[parts[0]]) {
+		return stepSpec{}, fmt.Errorf("site: task %q was never handed in", task)
 	}
-	return s.needs[parts[0]][step], nil
+	return s.steps[parts[0]][step], nil
 }
 
 // Broken returns the promises that were seen broken.
-func (s *Site) Broken() []string { return s.oracle.list() }
+func (s *Site) Violations() []string { return s.oracle.listViolations() }
 
 // CrashesUnder returns how many workers crashed under a task.
-func (s *Site) CrashesUnder(task string) int { return s.oracle.crashesUnder(task) }
+func (s *Site) CrashesDuring(task string) int { return s.oracle.crashesDuring(task) }
 
 // HasRun reports whether any task of a job ever began.
-func (s *Site) HasRun(job string) bool { return s.oracle.hasRun(job) }
+func (s *Site) HasStarted(job string) bool { return s.oracle.hasStarted(job) }
 
 // NoteShown notes the final state of a job that a caller was shown. A start of one
 // of its tasks from then on counts as broken.
-func (s *Site) NoteShown(job, state string) { s.oracle.shown(job, state) }
+func (s *Site) RecordShownState(job, state string) { s.oracle.recordShownState(job, state) }
 
 // Starts returns how many runs began.
 func (s *Site) Starts() int { return s.oracle.starts() }
 
 // serveAdvice permits every other worker for all steps, and two of three of the
 // others for each.
-func (s *Site) serveAdvice(w http.ResponseWriter, r *http.Request) {
+func (s *Site) servePermission(w http.ResponseWriter, r *http.Request) {
 	body := struct {
 		Step    string   `json:"step"`
 		Workers []string `json:"workers"`
@@ -285,24 +285,24 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	good := [][2]string{}
+	permitted := [][2]string{}
 	for _, id := range body.Workers {
 		if s.Permits(body.Step, id) {
-			good = append(good, [2]string{id, ticketFor(body.Step, s.startOf(id))})
+			permitted = append(permitted, [2]string{id, permitFor(body.Step, s.incarnationOf(id))})
 		}
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"good": good, "valid_ms": 2000})
+	writeJSON(w, http.StatusOK, map[string]any{"good": permitted, "valid_ms": 2000})
 }
 
 // startOf returns the newest start of a worker.
-func (s *Site) startOf(id string) string {
-	start := id
+func (s *Site) incarnationOf(id string) string {
+	incarnation := id
 	for _, w := range s.Workers() {
 		if w.id == id {
-			start = w.startName
+			incarnation = w.incarnation
 		}
 	}
-	return start
+	return incarnation
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/standin/site/snapshot.go
+++ b/internal/standin/site/snapshot.go
@@ -9,7 +9,7 @@
 type WorkerState struct {
 	ID string
 	// IsTaking means that it lives, does not leave, and does not fail what it starts.
-	IsTaking bool
+	IsAccepting bool
 	// FreeMilliCPU and FreeMemoryMiB are the room that is left.
 	FreeMilliCPU, FreeMemoryMiB int64
 	// Running are the names of the tasks that run.
@@ -30,7 +30,7 @@
 func (w *Worker) state() (WorkerState, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	state := WorkerState{ID: w.id, IsTaking: !w.isLeaving && !w.failsLasting, FreeMilliCPU: w.room.cpu, FreeMemoryMiB: w.room.mem}
+	state := WorkerState{ID: w.id, IsAccepting: !w.isLeaving && !w.failsLongRunning, FreeMilliCPU: w.capacity.cpu, FreeMemoryMiB: w.capacity.mem}
 	for task, r := range w.running {
 		state.Running = append(state.Running, task)
 		state.FreeMilliCPU -= r.step.cpu
@@ -41,8 +41,8 @@
 
 // Permits reports whether a worker may run a step, by the step's name.
 func (s *Site) Permits(step, worker string) bool {
-	if !s.options.HasAdvice {
+	if !s.options.HasPermissionService {
 		return true
 	}
-	return strings.ContainsAny(worker[len(worker)-1:], "02468") || ticketFor(step, worker)[0]%3 != 0
+	return strings.ContainsAny(worker[len(worker)-1:], "02468") || permitFor(step, worker)[0]%3 != 0
 }
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -29,7 +29,7 @@
 )
 
 // slowAnswer is how long a slow store takes: some 90 times as long as usual.
-const slowAnswer = 360 * time.Millisecond
+const slowDelay = 360 * time.Millisecond
 
 // storeRecord is a record of a keyed topic.
 type storeRecord struct {
@@ -59,9 +59,9 @@
 	topics map[string]*storeTopic
 	mode   StoreMode
 	// loseNext is how many of the next appends are done and not answered.
-	loseNext int
-	changed  chan struct{}
-	closed   chan struct{}
+	answersToLose int
+	changed       chan struct{}
+	closed        chan struct{}
 }
 
 func newStore() *Store {
@@ -79,7 +79,7 @@
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.loseNext = n
+	s.answersToLose = n
 }
 
 // Put writes a record, as operators and workers do.
@@ -133,7 +133,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	case StoreSilent:
-		s.waitGone(r)
+		s.waitForDisconnect(r)
 		return
 	case StoreSlow:
 		s.waitSlow()
@@ -152,7 +152,7 @@
 }
 
 // waitGone waits until the caller has given up.
-func (s *Store) waitGone(r *http.Request) {
+func (s *Store) waitForDisconnect(r *http.Request) {
 	select {
 	case <-r.Context().Done():
 	case <-s.closed:
@@ -163,7 +163,7 @@
 // waitSlow waits as long as a slow store does.
 func (s *Store) waitSlow() {
 	select {
-	case <-time.After(slowAnswer):
+	case <-time.After(slowDelay):
 	case <-s.closed:
 	}
 }
@@ -179,12 +179,12 @@
 	t := s.topic(q.Get("topic"))
 	status, answer := t.tryAppend(r, decodeRecords(body))
 	s.wake()
-	lose := s.loseNext > 0
-	if lose {
-		s.loseNext--
+	isLost := s.answersToLose > 0
+	if isLost {
+		s.answersToLose--
 	}
 	s.mu.Unlock()
-	if lose {
+	if isLost {
 		panic(http.ErrAbortHandler)
 	}
 	writeJSON(w, status, answer)
@@ -201,27 +201,27 @@
 		return http.StatusOK, map[string]any{"offset": first, "end": t.end}
 	}
 	epoch, sequence := number(r, "epoch"), number(r, "sequence")
-	ws := t.writers[name]
+	writer := t.writers[name]
 	switch {
-	case ws == nil || epoch > ws.epoch:
-		ws = &writerState{epoch: epoch, sequence: sequence, answers: map[uint64]uint64{}}
-		t.writers[name] = ws
-	case epoch < ws.epoch:
+	case writer == nil || epoch > writer.epoch:
+		writer = &writerState{epoch: epoch, sequence: sequence, answers: map[uint64]uint64{}}
+		t.writers[name] = writer
+	case epoch < writer.epoch:
 		return http.StatusConflict, map[string]any{"reason": "fenced"}
 	case len(records) == 0:
 		return http.StatusOK, map[string]any{"offset": t.end, "end": t.end}
 	default:
-		if first, ok := ws.answers[sequence]; ok {
+		if first, ok := writer.answers[sequence]; ok {
 			return http.StatusOK, map[string]any{"offset": first, "end": t.end}
 		}
-		if sequence != ws.sequence+1 {
-			return http.StatusConflict, map[string]any{"reason": "seq", "sequence": ws.sequence + 1}
+		if sequence != writer.sequence+1 {
+			return http.StatusConflict, map[string]any{"reason": "seq", "sequence": writer.sequence + 1}
 		}
-		ws.sequence = sequence
+		writer.sequence = sequence
 	}
 	first := t.append(records)
 	if len(records) > 0 {
-		ws.answers[sequence] = first
+		writer.answers[sequence] = first
 	}
 	return http.StatusOK, map[string]any{"offset": first, "end": t.end}
 }
@@ -288,15 +288,15 @@
 }
 
 func decodeRecords(data []byte) []storeRecord {
-	out := []storeRecord{}
+	records := []storeRecord{}
 	for len(data) >= 5 {
 		n := int(binary.BigEndian.Uint32(data))
 		body := data[4 : 4+n]
 		key := int(body[0])
-		out = append(out, storeRecord{key: string(body[1 : 1+key]), value: body[1+key:]})
+		records = append(records, storeRecord{key: string(body[1 : 1+key]), value: body[1+key:]})
 		data = data[4+n:]
 	}
-	return out
+	return records
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/internal/standin/site/worker.go
+++ b/internal/standin/site/worker.go
@@ -16,17 +16,17 @@
 // taskRun is a run of a task on a worker.
 type taskRun struct {
 	run   uint64
-	step  stepNeed
+	step  stepSpec
 	began time.Time
 	timer *time.Timer
 }
 
 // taskEnd is an end as the worker lists it.
-type taskEnd struct {
+type endedRun struct {
 	number uint64
 	task   string
 	run    uint64
-	how    string
+	result string
 }
 
 // Worker is a stand-in for a worker: it obeys the highest fence that it has seen,
@@ -36,92 +36,92 @@
 	site *Site
 	id   string
 	// startName names this start of the worker: its ID, and a number from the second one on.
-	startName string
-	rack      string
-	addr      string
+	incarnation string
+	rack        string
+	addr        string
 	// machine is what the worker is a life of.
 	machine *machine
 
 	mu      sync.Mutex
 	started time.Time
 	// clock is what its clock showed when it started.
-	clock    time.Duration
-	fence    uint64
-	deadline time.Duration
-	lease    *time.Timer
-	running  map[string]*taskRun
-	barred   map[string]uint64
-	finished []taskEnd
-	next     uint64
+	clock           time.Duration
+	fence           uint64
+	deadline        time.Duration
+	lease           *time.Timer
+	running         map[string]*taskRun
+	highestEndedRun map[string]uint64
+	endedRuns       []endedRun
+	nextNumber      uint64
 	// lastSeen is the highest number up to which ends were confirmed: those are forgotten,
 	// also where they come later.
-	lastSeen  uint64
+	confirmed uint64
 	changed   chan struct{}
 	isDead    bool
 	isLeaving bool
 	// holds is how many listings were asked for, starts how many runs began.
-	holds, starts int
+	listingRequests, starts int
 	// failsLasting means that it fails the tasks that last which it starts, failAfter later.
-	failsLasting bool
+	failsLongRunning bool
 	// mute is how many of the next orders to start are carried out and not answered.
-	mute int
+	unansweredStarts int
 	// room is what it has now, earlier what it had before and until when.
-	room    room
-	earlier []earlierRoom
+	capacity           capacity
+	previousCapacities []previousCapacity
 }
 
 func (w *Worker) now() time.Duration { return time.Since(w.started) + w.clock }
 
 // MuteStarts makes the next n orders to start be carried out and not answered.
-func (w *Worker) MuteStarts(n int) {
+func (w *Worker) DropStartAnswers(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.mute = n
+	w.unansweredStarts = n
 }
 
 // failAfter is how long a task that lasts runs on a worker that fails such tasks.
-const failAfter = 100 * time.Millisecond
+const longRunningFailDelay = 100 * time.Millisecond
 
 // SetFailsLasting says whether the worker fails the tasks that last which it starts from now on.
-func (w *Worker) SetFailsLasting(fails bool) {
+func (w *Worker) SetFailsLongRunning(fails bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failsLasting = fails
+	w.failsLongRunning = fails
 }
 
 // FailLasting ends the tasks that last on the worker as failed.
-func (w *Worker) FailLasting() {
+func (w *Worker) FailLongRunning() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for task, r := range w.running {
-		if r.step.lasts {
+		if r.step.isLongRunning {
 			w.end(task, r, "failed")
 		}
 	}
 }
 
 // HoldUpStarts makes the next n orders to start be carried out d later, and not answered.
-func (w *Worker) HoldUpStarts(n int, d time.Duration) {
+func (w *Worker) DelayStarts(n int, d time.Duration) {
 	w.machine.mu.Lock()
 	defer w.machine.mu.Unlock()
-	w.machine.held, w.machine.heldFor = n, d
+	w.machine.delayedStarts, w.machine.startDelay = n, d
 }
 
 // Restart ends what the worker runs and starts it again some time later under its ID: it
 // then holds and knows nothing of before, and its clock shows clock. Its entry stays
 // meanwhile, unless it is away for long.
-func (w *Worker) Restart(after, clock time.Duration) {
+func (w *Worker) Restart(delay, clock time.Duration) {
 	w.mu.Lock()
 	if w.isDead {
 		w.mu.Unlock()
 		return
 	}
-	w.die()
+	w.terminate()
 	w.mu.Unlock()
-	unlisted := time.AfterFunc(unlistedAfter, w.unlist)
-	time.AfterFunc(after, func() {
-		unlisted.Stop()
-		w.machine.bearAgain(w.id, clock)
+	removal := time.AfterFunc(unlistDelay, w.removeEntry)
+	time.AfterFunc(delay, func() {
+		removal.Stop()
+		w.machine.restart(w.id, clock)
 	})
 }
 
@@ -136,10 +136,10 @@
 func (w *Worker) ID() string { return w.id }
 
 // Holds returns how many listings the worker was asked for.
-func (w *Worker) Holds() int {
+func (w *Worker) ListingRequests() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.holds
+	return w.listingRequests
 }
 
 // Starts returns how many runs began on the worker.
@@ -154,7 +154,7 @@
 	w.mu.Lock()
 	w.isLeaving = true
 	w.mu.Unlock()
-	w.beat()
+	w.heartbeat()
 }
 
 // Running returns how many tasks run.
@@ -165,20 +165,20 @@
 }
 
 // beat writes the worker's entry into the store.
-func (w *Worker) beat() {
+func (w *Worker) heartbeat() {
 	w.mu.Lock()
 	state := "ready"
 	if w.isLeaving {
 		state = "draining"
 	}
-	dead, has := w.isDead, w.room
+	isDead, available := w.isDead, w.capacity
 	w.mu.Unlock()
-	if dead {
+	if isDead {
 		return
 	}
 	data, err := json.Marshal(map[string]any{
 		"service": serviceName, "address": w.addr, "zone": "zone-1", "state": state, "machine": w.machine.name, "born": w.started.UnixMilli(),
-		"capacity": map[string]any{"cpu": has.cpu, "memMb": has.mem},
+		"capacity": map[string]any{"cpu": available.cpu, "memMb": available.mem},
 		"labels":   []string{"a", w.rack},
 	})
 	if err != nil {
@@ -190,27 +190,27 @@
 // Crash ends the worker's life: nothing of it runs any more, and it is silent.
 func (w *Worker) Crash() {
 	w.mu.Lock()
-	w.die()
+	w.terminate()
 	w.mu.Unlock()
-	w.unlist()
+	w.removeEntry()
 }
 
 // die ends all that runs; the caller holds the lock.
-func (w *Worker) die() {
+func (w *Worker) terminate() {
 	w.isDead = true
 	for task, r := range w.running {
 		r.timer.Stop()
 		delete(w.running, task)
-		w.site.oracle.ended(task, w.startName)
+		w.site.oracle.recordEnd(task, w.incarnation)
 	}
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
 // unlist takes the worker's entry out of the store.
-func (w *Worker) unlist() { w.site.Store.Put("keyed.servers", w.id, nil) }
+func (w *Worker) removeEntry() { w.site.Store.Put("keyed.servers", w.id, nil) }
 
-type orderBody struct {
+type order struct {
 	Task         string `json:"task"`
 	Run          uint64 `json:"run"`
 	Spec         string `json:"spec"`
@@ -218,12 +218,12 @@
 	FencingToken uint64 `json:"fencingToken"`
 	LastSeen     uint64 `json:"lastSeen"`
 	WaitMs       int64  `json:"waitMs"`
-	Ticket       string `json:"ticket"`
+	Permit       string `json:"ticket"`
 }
 
 // ServeHTTP answers orders.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	body := orderBody{}
+	body := order{}
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
 		rw.WriteHeader(http.StatusBadRequest)
 		return
@@ -251,7 +251,7 @@
 	case "/-/run-stop":
 		w.serveStop(rw, &body)
 	case "/-/hold":
-		w.serveHold(rw, r, &body)
+		w.serveListing(rw, r, &body)
 	case "/-/pace":
 		w.answer(rw, http.StatusOK, nil)
 	default:
@@ -259,9 +259,9 @@
 	}
 }
 
-func (w *Worker) answer(rw http.ResponseWriter, status int, more map[string]any) {
+func (w *Worker) answer(rw http.ResponseWriter, status int, fields map[string]any) {
 	out := map[string]any{"currentTimeMs": w.now().Milliseconds()}
-	for k, v := range more {
+	for k, v := range fields {
 		out[k] = v
 	}
 	writeJSON(rw, status, out)
@@ -276,140 +276,140 @@
 	if w.lease != nil {
 		w.lease.Stop()
 	}
-	w.lease = time.AfterFunc(deadline-w.now(), w.lapse)
+	w.lease = time.AfterFunc(deadline-w.now(), w.expireLease)
 }
 
-func (w *Worker) lapse() {
+func (w *Worker) expireLease() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.now() < w.deadline {
 		return
 	}
-	w.site.oracle.lapsed(w.startName)
+	w.site.oracle.recordLeaseExpiry(w.incarnation)
 	for task, r := range w.running {
 		w.end(task, r, "lapsed")
 	}
 }
 
 // end ends a run; the caller holds the lock.
-func (w *Worker) end(task string, r *taskRun, how string) {
+func (w *Worker) end(task string, r *taskRun, result string) {
 	if w.running[task] != r {
 		return
 	}
 	r.timer.Stop()
 	delete(w.running, task)
-	w.barred[task] = max(w.barred[task], r.run)
-	w.finished = append(w.finished, taskEnd{w.next, task, r.run, how})
-	w.next++
-	w.site.oracle.ended(task, w.startName)
-	if how == "done" {
-		w.site.oracle.done(task, w.startName)
+	w.highestEndedRun[task] = max(w.highestEndedRun[task], r.run)
+	w.endedRuns = append(w.endedRuns, endedRun{w.nextNumber, task, r.run, result})
+	w.nextNumber++
+	w.site.oracle.recordEnd(task, w.incarnation)
+	if result == "done" {
+		w.site.oracle.recordSuccess(task, w.incarnation)
 	}
 	close(w.changed)
 	w.changed = make(chan struct{})
 }
 
-func (w *Worker) serveStart(rw http.ResponseWriter, b *orderBody) {
+func (w *Worker) serveStart(rw http.ResponseWriter, b *order) {
 	w.mu.Lock()
 	status, reason := w.start(b)
-	muted := status == http.StatusOK && w.mute > 0
-	if muted {
-		w.mute--
+	isDropped := status == http.StatusOK && w.unansweredStarts > 0
+	if isDropped {
+		w.unansweredStarts--
 	}
 	w.mu.Unlock()
-	if muted {
+	if isDropped {
 		panic(http.ErrAbortHandler)
 	}
 	w.answer(rw, status, map[string]any{"reason": reason})
 }
 
 // start carries out an order; the caller holds the lock.
-func (w *Worker) start(b *orderBody) (int, string) {
-	old := w.running[b.Task]
+func (w *Worker) start(b *order) (int, string) {
+	current := w.running[b.Task]
 	switch {
-	case old != nil && old.run == b.Run:
+	case current != nil && current.run == b.Run:
 		return http.StatusOK, ""
-	case old != nil || b.Run <= w.barred[b.Task]:
+	case current != nil || b.Run <= w.highestEndedRun[b.Task]:
 		return http.StatusConflict, "old"
 	case w.now() >= w.deadline:
 		return http.StatusConflict, "late"
-	case w.site.options.HasAdvice && b.Ticket != ticketFor(stepOf(b.Task), w.startName):
+	case w.site.options.HasPermissionService && b.Permit != permitFor(stepName(b.Task), w.incarnation):
 		return http.StatusConflict, "ticket"
 	}
-	need, err := w.site.needOf(b.Task)
+	step, err := w.site.stepOfTask(b.Task)
 	if err != nil {
-		w.site.oracle.breaks(err.Error())
+		w.site.oracle.addViolation(err.Error())
 		return http.StatusBadRequest, ""
 	}
-	r := &taskRun{run: b.Run, step: need, began: time.Now()}
+	r := &taskRun{run: b.Run, step: step, began: time.Now()}
 	w.running[b.Task] = r
 	w.starts++
-	w.site.oracle.began(b.Task, w)
-	if crashesWorker(b.Task, &need) {
-		time.AfterFunc(crashAfter, func() { w.crashUnder(b.Task, r) })
+	w.site.oracle.recordStart(b.Task, w)
+	if crashesWorker(b.Task, &step) {
+		time.AfterFunc(crashDelay, func() { w.crashDuring(b.Task, r) })
 	}
-	takes := need.takes
-	fails := need.fails
+	duration := step.duration
+	fails := step.fails
 	switch {
-	case need.lasts && w.failsLasting:
-		takes, fails = failAfter, true
-	case need.lasts:
-		takes = time.Hour
+	case step.isLongRunning && w.failsLongRunning:
+		duration, fails = longRunningFailDelay, true
+	case step.isLongRunning:
+		duration = time.Hour
 	}
-	r.timer = time.AfterFunc(takes, func() {
+	r.timer = time.AfterFunc(duration, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		how := "done"
+		result := "done"
 		if fails {
-			how = "failed"
+			result = "failed"
 		}
-		w.end(b.Task, r, how)
+		w.end(b.Task, r, result)
 	})
 	return http.StatusOK, ""
 }
 
-func (w *Worker) serveStop(rw http.ResponseWriter, b *orderBody) {
+func (w *Worker) serveStop(rw http.ResponseWriter, b *order) {
 	w.mu.Lock()
 	if r := w.running[b.Task]; r != nil && r.run == b.Run {
 		w.end(b.Task, r, "stopped")
 	}
-	w.barred[b.Task] = max(w.barred[b.Task], b.Run)
+	w.highestEndedRun[b.Task] = max(w.highestEndedRun[b.Task], b.Run)
 	w.mu.Unlock()
 	w.answer(rw, http.StatusOK, nil)
 }
 
-func (w *Worker) serveHold(rw http.ResponseWriter, r *http.Request, b *orderBody) {
+func (w *Worker) serveListing(rw http.ResponseWriter, r *http.Request, b *order) {
 	w.mu.Lock()
-	w.holds++
+	w.listingRequests++
 	w.mu.Unlock()
 	deadline := time.After(time.Duration(b.WaitMs) * time.Millisecond)
-	for isOver := b.WaitMs == 0; ; {
+	for isExpired := b.WaitMs == 0; ; {
 		w.mu.Lock()
-		w.lastSeen = max(w.lastSeen, b.LastSeen)
-		kept := w.finished[:0:0]
-		for _, e := range w.finished {
-			if e.number > w.lastSeen {
-				kept = append(kept, e)
-			} else if e.how == "done" {
-				w.site.oracle.noted(e.task, w.startName)
+		w.confirmed = max(w.confirmed, b.LastSeen)
+		unconfirmed := w.endedRuns[:0:0]
+		for _, e := range w.endedRuns {
+			if e.number > w.confirmed {
+				unconfirmed = append(unconfirmed, e)
+			} else if e.result == "done" {
+				w.site.oracle.recordConfirmation(e.task, w.incarnation)
 			}
 		}
-		w.finished = kept
+		w.endedRuns = unconfirmed
 		if w.isDead {
 			w.mu.Unlock()
 			panic(http.ErrAbortHandler)
 		}
 		changed := w.changed
-		lists := w.lists()
+		listing := w.listing()
 		w.mu.Unlock()
-		if isOver || len(kept) > 0 {
-			w.answer(rw, http.StatusOK, lists)
+		if isExpired || len(unconfirmed) > 0 {
+			w.answer(rw, http.StatusOK, listing)
 			return
 		}
 		select {
 		case <-changed:
 		case <-deadline:
-			isOver = true
+			isExpired = true
 		case <-r.Context().Done():
 			return
 		case <-w.site.Store.closed:
@@ -419,27 +419,27 @@
 }
 
 // lists returns what runs and what has ended; the caller holds the lock.
-func (w *Worker) lists() map[string]any {
+func (w *Worker) listing() map[string]any {
 	running := [][]any{}
 	for task, r := range w.running {
 		percent := 100
-		if !r.step.lasts {
-			percent = min(int(100*time.Since(r.began)/max(r.step.takes, 1)), 100)
+		if !r.step.isLongRunning {
+			percent = min(int(100*time.Since(r.began)/max(r.step.duration, 1)), 100)
 		}
 		running = append(running, []any{task, r.run, "", percent, 0})
 	}
 	finished := [][]any{}
-	for _, e := range w.finished {
-		finished = append(finished, []any{e.number, e.task, e.run, e.how, ""})
+	for _, e := range w.endedRuns {
+		finished = append(finished, []any{e.number, e.task, e.run, e.result, ""})
 	}
 	return map[string]any{"running": running, "finished": finished, "born": w.started.UnixMilli()}
 }
 
 // stepOf returns the step's part of a task's name.
-func stepOf(task string) string { return task[:strings.LastIndexByte(task, '.')] }
+func stepName(task string) string { return task[:strings.LastIndexByte(task, '.')] }
 
 // ticketFor is the ticket of a worker for a step.
-func ticketFor(step, worker string) string {
+func permitFor(step, worker string) string {
 	h := fnv.New32a()
 	_, _ = fmt.Fprintf(h, "%s|%s", step, worker)
 	return fmt.Sprintf("%08x", h.Sum32())
