--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -407,7 +407,7 @@
 	second := newNodeWith(t, log, "n1", "1", clk)
 	await.True(t, "the second node serves", func() bool { return second.knows(t, "a") })
 	ownerRelay.Silence()
-	await.True(t, "heartbeats are dropped", func() bool { return ownerRelay.Dropped() >= 3 })
+	await.True(t, "heartbeats are dropped", func() bool { return ownerRelay.DroppedReads() >= 3 })
 	// Longer than ownerSilenceTimeout, shorter than maxLinkSilence.
 	clk.offset.Store(int64(800 * time.Millisecond))
 	served := make(chan error, 1)
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -37,7 +37,7 @@
 	if got := w.runningNow(); got != running {
 		t.Errorf("got: %d running, want: %d", got, running)
 	}
-	if got := w.oracle.Report().Lapses; got > lapses {
+	if got := w.oracle.Report().LeaseExpirations; got > lapses {
 		t.Errorf("got: %d lapsed leases, want: at most %d", got, lapses)
 	}
 	w.check(t)
@@ -115,7 +115,7 @@
 
 func TestCutWorkersTasksStartElsewhereOnlyAfterTheirLease(t *testing.T) {
 	w := newBusyWorld(t, 6)
-	w.workers[w.names[0]].SetFaults(native.WorkerFaults{Mode: native.ModeCut})
+	w.workers[w.names[0]].SetFaults(native.WorkerFaults{Mode: native.ModePartitioned})
 	w.run(3 * worldLease)
 	w.workers[w.names[0]].SetFaults(native.WorkerFaults{Mode: native.ModeUp})
 	w.run(5 * time.Second)
@@ -436,7 +436,7 @@
 	w.mustSubmit(t, batchSpec("batch", 200, time.Second))
 	w.run(2 * time.Second)
 	// Its own word counts at once, though the list never says so.
-	w.workers[w.names[0]].Leave()
+	w.workers[w.names[0]].AnnounceLeaving()
 	// The list's word counts, though the worker never says so.
 	w.vms[1].Status = vmlist.StatusLeaving
 	w.run(4 * time.Second)
--- a/internal/core/lost_test.go
+++ b/internal/core/lost_test.go
@@ -23,7 +23,7 @@
 	w := newBusyWorld(t, 30)
 	w.isLosingForgets = true
 	for _, name := range w.names[:2] {
-		w.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeCut})
+		w.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModePartitioned})
 	}
 	w.run(3 * worldLease)
 	for _, name := range w.names[:2] {
--- a/internal/core/stateful_test.go
+++ b/internal/core/stateful_test.go
@@ -219,7 +219,7 @@
 	case 24:
 		return &command{name("worker dies"), func(s *system) { s.fault(i, native.ModeDead) }}
 	case 25:
-		return &command{name("worker cut"), func(s *system) { s.fault(i, native.ModeCut) }}
+		return &command{name("worker cut"), func(s *system) { s.fault(i, native.ModePartitioned) }}
 	case 26:
 		return &command{name("worker back"), func(s *system) { s.fault(i, native.ModeUp) }}
 	case 27:
--- a/internal/integration/faults_test.go
+++ b/internal/integration/faults_test.go
@@ -53,7 +53,7 @@
 var (
 	logOut = fault{
 		"the log is out",
-		func(c *cell) { c.Platform.Log.SetFaults(native.LogFaults{IsOut: true}) },
+		func(c *cell) { c.Platform.Log.SetFaults(native.LogFaults{IsUnavailable: true}) },
 		func(c *cell) { c.Platform.Log.SetFaults(native.LogFaults{}) }, false,
 	}
 	lostReplies = fault{
@@ -84,7 +84,7 @@
 	cutWorker = fault{
 		"a worker is cut off for longer than a lease",
 		func(c *cell) {
-			c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{Mode: native.ModeCut})
+			c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{Mode: native.ModePartitioned})
 		},
 		func(c *cell) { c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{}) }, true,
 	}
@@ -117,7 +117,7 @@
 // suffer lets faults begin together, lasts longer than a lease, and ends them.
 func (c *cell) suffer(faults ...fault) {
 	c.t.Helper()
-	before := c.Platform.Oracle.Report().Lapses
+	before := c.Platform.Oracle.Report().LeaseExpirations
 	for _, f := range faults {
 		f.begin(c)
 	}
@@ -131,7 +131,7 @@
 	for _, f := range faults {
 		isHarsh = isHarsh || f.isHarsh
 	}
-	if got := c.Platform.Oracle.Report().Lapses - before; got > 0 && !isHarsh {
+	if got := c.Platform.Oracle.Report().LeaseExpirations - before; got > 0 && !isHarsh {
 		c.t.Errorf("got: %d tasks lost their lease, want: 0", got)
 	}
 	if !c.AwaitOwned(patience, 3, 16) {
@@ -205,7 +205,7 @@
 	}
 	c.stopLoad()
 	c.verify()
-	if got := c.Platform.Oracle.Report().Lapses; got != 0 {
+	if got := c.Platform.Oracle.Report().LeaseExpirations; got != 0 {
 		t.Errorf("got: %d tasks lost their lease, want: 0", got)
 	}
 	if got := c.load.cut.Load(); got != 0 {
@@ -239,7 +239,7 @@
 		if got := l.call(http.DefaultClient, c.Nodes[1+i%2], "deeds", key, key); got != leverdyke.VerdictRan {
 			t.Errorf("%s at node %d: got: %v, want: %v", key, 1+i%2, got, leverdyke.VerdictRan)
 		}
-		if got := c.Platform.Oracle.RanKeys(key); got != 1 {
+		if got := c.Platform.Oracle.RequestRuns(key); got != 1 {
 			t.Errorf("%s: got: ran %d times, want: 1", key, got)
 		}
 	}
@@ -392,7 +392,7 @@
 // one region's node is told of the other's is enough for operators.
 func TestTwoRegions(t *testing.T) {
 	t.Parallel()
-	inner, err := standin.NewCell(standin.NewCellOptions{
+	inner, err := standin.NewCluster(standin.NewClusterOptions{
 		Binary: binary, Dir: t.TempDir(), Nodes: 4, Settings: "lease: 7s\nappends_per_second: 20\n",
 		Platform: native.NewServerOptions{Regions: 2, Zones: 2, Racks: 1, Workers: 2},
 	})
@@ -400,7 +400,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(inner.Close)
-	c := &cell{Cell: inner, t: t}
+	c := &cell{Cluster: inner, t: t}
 	if !c.AwaitOwned(patience, 4, 32) {
 		t.Fatal("not all shards of both regions have an owner")
 	}
--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -56,7 +56,7 @@
 // cell is a cell of real processes whose ways to the log and to each worker
 // lead through proxies.
 type cell struct {
-	*standin.Cell
+	*standin.Cluster
 	t *testing.T
 	// name is the test's that made the cell.
 	name    string
@@ -90,7 +90,7 @@
 	t.Helper()
 	c := &cell{t: t, name: t.Name(), workers: map[string]*toxiproxy.Proxy{}, links: map[[2]int]*toxiproxy.Proxy{}}
 	var err error
-	c.Cell, err = standin.NewCell(standin.NewCellOptions{
+	c.Cluster, err = standin.NewCluster(standin.NewClusterOptions{
 		Binary: binary, Dir: t.TempDir(), Nodes: 3,
 		LogVia:   c.logVia,
 		LinkVia:  c.linkVia,
@@ -315,7 +315,7 @@
 		t.Error(w)
 	}
 	for key, verdict := range l.keys {
-		ran := o.RanKeys(key)
+		ran := o.RequestRuns(key)
 		if (verdict == leverdyke.VerdictRan && ran != 1) || (verdict == leverdyke.VerdictNotRun && ran != 0) || ran > 1 {
 			t.Errorf("%s: got: ran %d times, want: as its caller was told: %s", key, ran, verdict)
 		}
--- a/internal/integration/links_test.go
+++ b/internal/integration/links_test.go
@@ -117,7 +117,7 @@
 	logs = map[string]*toxiproxy.Proxy{}
 	c = &cell{t: t, name: t.Name(), links: map[[2]int]*toxiproxy.Proxy{}}
 	var err error
-	c.Cell, err = standin.NewCell(standin.NewCellOptions{
+	c.Cluster, err = standin.NewCluster(standin.NewClusterOptions{
 		Binary: binary, Dir: t.TempDir(), Nodes: 4, Settings: "lease: 7s\nsync: 500ms\nappends_per_second: 20\n",
 		Platform: native.NewServerOptions{Regions: 2, Zones: 1, Racks: 1, Workers: 2},
 		LinkVia:  c.linkVia,
@@ -192,8 +192,8 @@
 		t.Errorf("got: %d tasks, want: 6", c.running())
 	}
 	r := c.Platform.Oracle.Report()
-	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving+r.Lapses > 0 {
-		t.Errorf("got: %v and %d lapsed leases, want: nothing", r.Violations, r.Lapses)
+	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving+r.LeaseExpirations > 0 {
+		t.Errorf("got: %v and %d lapsed leases, want: nothing", r.Violations, r.LeaseExpirations)
 	}
 }
 
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -342,7 +342,7 @@
 	task := b.task("j", small, leverdyke.ClassNormal)
 	b.ask(node.AskItem{Task: task})
 	b.run(1)
-	b.workers["w0"].SetFaults(native.WorkerFaults{Mode: native.ModeCut})
+	b.workers["w0"].SetFaults(native.WorkerFaults{Mode: native.ModePartitioned})
 	b.run(30)
 	if got := b.news[task.Key]; !got.IsLost {
 		t.Fatalf("got: %+v, want: lost", got)
@@ -437,7 +437,7 @@
 
 func TestGrantsOfALeavingWorkerAreTakenBack(t *testing.T) {
 	for name, leave := range map[string]func(b *bench){
-		"by its own word": func(b *bench) { b.workers["w0"].Leave() },
+		"by its own word": func(b *bench) { b.workers["w0"].AnnounceLeaving() },
 		"by the list": func(b *bench) {
 			b.rack.SetWorkers(b.clock.Now(), []vmlist.VM{{Name: "w0", Status: vmlist.StatusLeaving}})
 		},
--- a/internal/standin/cell.go
+++ b/internal/standin/cluster.go
@@ -24,22 +24,22 @@
 	"github.com/leverdyke/leverdyke/internal/standin/native"
 )
 
-const pollPause = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
 // Cell is a platform in this process and nodes as processes of their own.
-type Cell struct {
-	Platform *native.Server
-	Nodes    []*Node
-	dir      string
-	binary   string
-	extra    string
+type Cluster struct {
+	Platform      *native.Server
+	Nodes         []*Node
+	dir           string
+	binary        string
+	extraSettings string
 }
 
 // Node is one node's process.
 type Node struct {
 	Link, Callers, Operators netip.AddrPort
 	Region, Zone             string
-	cell                     *Cell
+	cluster                  *Cluster
 	process                  *exec.Cmd
 	done                     chan struct{}
 	log                      string
@@ -48,7 +48,7 @@
 }
 
 // NewCellOptions says what to start. Zero values mean the defaults.
-type NewCellOptions struct {
+type NewClusterOptions struct {
 	// Binary is the path of leverdyked; it must be set.
 	Binary string
 	// Dir is where settings and logs go; it must be set.
@@ -67,12 +67,12 @@
 }
 
 // NewCell starts a platform and nodes.
-func NewCell(o NewCellOptions) (*Cell, error) {
+func NewCluster(o NewClusterOptions) (*Cluster, error) {
 	p, err := native.NewServer(o.Platform)
 	if err != nil {
 		return nil, err
 	}
-	c := &Cell{Platform: p, dir: o.Dir, binary: o.Binary, extra: o.Settings}
+	c := &Cluster{Platform: p, dir: o.Dir, binary: o.Binary, extraSettings: o.Settings}
 	addrs, err := freeAddrs(3 * o.Nodes)
 	if err != nil {
 		p.Close()
@@ -81,7 +81,7 @@
 	zones := max(o.Platform.Zones, 1) * max(o.Platform.Regions, 1)
 	for i := range o.Nodes {
 		region := i % zones / max(o.Platform.Zones, 1)
-		n := &Node{cell: c, Region: fmt.Sprintf("r%d", region+1), Zone: fmt.Sprintf("r%d-z%d", region+1, i%max(o.Platform.Zones, 1)+1)}
+		n := &Node{cluster: c, Region: fmt.Sprintf("r%d", region+1), Zone: fmt.Sprintf("r%d-z%d", region+1, i%max(o.Platform.Zones, 1)+1)}
 		n.Link, n.Callers, n.Operators = addrs[3*i], addrs[3*i+1], addrs[3*i+2]
 		n.log = filepath.Join(o.Dir, fmt.Sprintf("node%d.log", i+1))
 		c.Nodes = append(c.Nodes, n)
@@ -100,12 +100,12 @@
 }
 
 // cells counts the cells of this process.
-var cells atomic.Uint32
+var clusterCount atomic.Uint32
 
 // freeAddrs returns free addresses. Each cell has an IP number of the loopback
 // for itself, so that nobody else takes a port while a node is down.
 func freeAddrs(n int) ([]netip.AddrPort, error) {
-	ip := netip.AddrFrom4([4]byte{127, byte(10 + os.Getpid()%200), byte(1 + cells.Add(1)%250), 1})
+	ip := netip.AddrFrom4([4]byte{127, byte(10 + os.Getpid()%200), byte(1 + clusterCount.Add(1)%250), 1})
 	addrs := []netip.AddrPort{}
 	for range n {
 		l, err := net.Listen("tcp", netip.AddrPortFrom(ip, 0).String())
@@ -122,8 +122,8 @@
 func (n *Node) settingsFile() string { return strings.TrimSuffix(n.log, ".log") + ".yaml" }
 
 // prepare writes the settings of the i-th node.
-func (n *Node) prepare(i int, o *NewCellOptions) error {
-	log := n.cell.Platform.Addr()
+func (n *Node) prepare(i int, o *NewClusterOptions) error {
+	log := n.cluster.Platform.Addr()
 	if o.LogVia != nil {
 		via, err := o.LogVia(i, log)
 		if err != nil {
@@ -131,18 +131,18 @@
 		}
 		log = via
 	}
-	if err := n.findRoutes(i, o.LinkVia); err != nil {
+	if err := n.setRoutes(i, o.LinkVia); err != nil {
 		return err
 	}
 	return n.writeSettings(i, log)
 }
 
-func (n *Node) findRoutes(i int, via func(from, to int, link netip.AddrPort) (netip.AddrPort, error)) error {
+func (n *Node) setRoutes(i int, via func(from, to int, link netip.AddrPort) (netip.AddrPort, error)) error {
 	if via == nil {
 		return nil
 	}
-	list := []string{}
-	for j, p := range n.cell.Nodes {
+	routes := []string{}
+	for j, p := range n.cluster.Nodes {
 		if j == i {
 			continue
 		}
@@ -150,21 +150,21 @@
 		if err != nil {
 			return err
 		}
-		list = append(list, fmt.Sprintf("%q: %q", p.Link, addr))
+		routes = append(routes, fmt.Sprintf("%q: %q", p.Link, addr))
 	}
-	n.routes = "routes: {" + strings.Join(list, ", ") + "}\n"
+	n.routes = "routes: {" + strings.Join(routes, ", ") + "}\n"
 	return nil
 }
 
 func (n *Node) writeSettings(i int, log netip.AddrPort) error {
 	peers := []string{}
-	for j, p := range n.cell.Nodes {
+	for j, p := range n.cluster.Nodes {
 		if j != i {
 			peers = append(peers, fmt.Sprintf("%q", p.Link))
 		}
 	}
 	text := fmt.Sprintf("link: %s\ncallers: %s\noperators: %s\nregion: %s\nzone: %s\npeers: [%s]\nlog: %s\nvm_list: %s\n%s%s",
-		n.Link, n.Callers, n.Operators, n.Region, n.Zone, strings.Join(peers, ", "), log, n.cell.Platform.Addr(), n.routes, n.cell.extra)
+		n.Link, n.Callers, n.Operators, n.Region, n.Zone, strings.Join(peers, ", "), log, n.cluster.Platform.Addr(), n.routes, n.cluster.extraSettings)
 	if err := os.WriteFile(n.settingsFile(), []byte(text), 0o600); err != nil {
 		return fmt.Errorf("standin: %w", err)
 	}
@@ -178,17 +178,17 @@
 		return fmt.Errorf("standin: %w", err)
 	}
 	defer func() { _ = log.Close() }()
-	n.process = exec.Command(n.cell.binary, "run", "--settings", n.settingsFile())
+	n.process = exec.Command(n.cluster.binary, "run", "--settings", n.settingsFile())
 	n.process.Stdout, n.process.Stderr = log, log
 	if err := n.process.Start(); err != nil {
 		return fmt.Errorf("standin: %w", err)
 	}
 	n.done = make(chan struct{})
-	go n.runWait(n.process, n.done)
+	go n.reap(n.process, n.done)
 	return nil
 }
 
-func (n *Node) runWait(p *exec.Cmd, done chan struct{}) {
+func (n *Node) reap(p *exec.Cmd, done chan struct{}) {
 	_ = p.Wait()
 	close(done)
 }
@@ -197,11 +197,11 @@
 func (n *Node) Signal(s syscall.Signal) { _ = n.process.Process.Signal(s) }
 
 // Wait waits until the process has ended, and reports whether it did in time.
-func (n *Node) Wait(d time.Duration) bool {
+func (n *Node) Wait(timeout time.Duration) bool {
 	select {
 	case <-n.done:
 		return true
-	case <-time.After(d):
+	case <-time.After(timeout):
 		return false
 	}
 }
@@ -219,7 +219,7 @@
 func (n *Node) CountLog(text string) int { return bytes.Count([]byte(n.Log()), []byte(text)) }
 
 // Close ends all processes and the platform.
-func (c *Cell) Close() {
+func (c *Cluster) Close() {
 	for _, n := range c.Nodes {
 		if n.process == nil || n.process.Process == nil {
 			continue
@@ -232,7 +232,7 @@
 }
 
 // Client returns an operators' client for all nodes.
-func (c *Cell) Client() *operator.Client {
+func (c *Cluster) Client() *operator.Client {
 	addrs := []string{}
 	for _, n := range c.Nodes {
 		addrs = append(addrs, n.Operators.String())
@@ -241,13 +241,13 @@
 }
 
 // Await polls until f is true, and reports whether it became so in time.
-func Await(d time.Duration, f func() bool) bool {
-	limit := time.Now().Add(d)
-	for time.Now().Before(limit) {
+func Await(timeout time.Duration, f func() bool) bool {
+	deadline := time.Now().Add(timeout)
+	for time.Now().Before(deadline) {
 		if f() {
 			return true
 		}
-		time.Sleep(pollPause)
+		time.Sleep(pollInterval)
 	}
 	return f()
 }
@@ -269,17 +269,17 @@
 }
 
 // AwaitOwned waits until every rack and home has an owner that answers.
-func (c *Cell) AwaitOwned(d time.Duration, racks, homes int) bool {
-	return Await(d, func() bool {
+func (c *Cluster) AwaitOwned(timeout time.Duration, racks, jobShards int) bool {
+	return Await(timeout, func() bool {
 		nodes, err := c.Client().Nodes(context.Background())
 		if err != nil {
 			return false
 		}
-		haveRacks, haveHomes := 0, 0
+		ownedRacks, ownedShards := 0, 0
 		for _, n := range nodes {
-			haveRacks += len(n.Racks)
-			haveHomes += len(n.Homes)
+			ownedRacks += len(n.Racks)
+			ownedShards += len(n.Homes)
 		}
-		return haveRacks >= racks && haveHomes >= homes
+		return ownedRacks >= racks && ownedShards >= jobShards
 	})
 }
--- a/internal/standin/native/log.go
+++ b/internal/standin/native/log.go
@@ -22,9 +22,9 @@
 
 // LogFaults says how the log misbehaves. Its zero value is a healthy log.
 type LogFaults struct {
-	IsOut       bool          `json:"out"`
-	Slow        time.Duration `json:"slow_ns"`
-	LoseReplies int           `json:"lose_replies"`
+	IsUnavailable bool          `json:"out"`
+	Slow          time.Duration `json:"slow_ns"`
+	LoseReplies   int           `json:"lose_replies"`
 }
 
 // Log is an append-only log in memory. It is safe for concurrent use.
--- a/internal/standin/native/oracle.go
+++ b/internal/standin/native/oracle.go
@@ -18,37 +18,37 @@
 type Oracle struct {
 	mu sync.Mutex
 	// running has where each task runs now; a second place is a violation.
-	running map[leverdyke.TaskID]place
+	running map[leverdyke.TaskID]placement
 	// onceStarts has the attempts that were started of tasks that may not be
 	// repeated, and onceKeys the requests that ran by key.
-	onceStarts map[leverdyke.TaskID]worker.Key
-	onceKeys   map[string]int
-	report     OracleReport
+	onceStarts  map[leverdyke.TaskID]worker.Key
+	requestRuns map[string]int
+	report      OracleReport
 }
 
-type place struct {
+type placement struct {
 	worker  string
 	attempt uint64
 }
 
 // OracleReport is what the oracle saw.
 type OracleReport struct {
-	OverCommits     int      `json:"over_commits"`
-	DoubleRuns      int      `json:"double_runs"`
-	Repeated        int      `json:"repeated"`
-	StartsOnLeaving int      `json:"starts_on_leaving"`
-	Starts          int      `json:"starts"`
-	Requests        int      `json:"requests"`
-	Lapses          int      `json:"lapses"`
-	Fenced          int      `json:"fenced"`
-	Stops           int      `json:"stops"`
-	Violations      []string `json:"violations"`
-	Running         int      `json:"running"`
+	OverCommits      int      `json:"over_commits"`
+	DoubleRuns       int      `json:"double_runs"`
+	Repeated         int      `json:"repeated"`
+	StartsOnLeaving  int      `json:"starts_on_leaving"`
+	Starts           int      `json:"starts"`
+	Requests         int      `json:"requests"`
+	LeaseExpirations int      `json:"lapses"`
+	Fenced           int      `json:"fenced"`
+	Stops            int      `json:"stops"`
+	Violations       []string `json:"violations"`
+	Running          int      `json:"running"`
 }
 
 // NewOracle returns an oracle that has seen nothing.
 func NewOracle() *Oracle {
-	return &Oracle{running: map[leverdyke.TaskID]place{}, onceStarts: map[leverdyke.TaskID]worker.Key{}, onceKeys: map[string]int{}}
+	return &Oracle{running: map[leverdyke.TaskID]placement{}, onceStarts: map[leverdyke.TaskID]worker.Key{}, requestRuns: map[string]int{}}
 }
 
 // Report returns what was seen so far.
@@ -61,7 +61,7 @@
 	return r
 }
 
-func (o *Oracle) started(w string, t *worker.Task) {
+func (o *Oracle) recordStart(w string, t *worker.Task) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.report.Starts++
@@ -70,70 +70,70 @@
 	}
 	if p, ok := o.running[t.Key.Task]; ok {
 		o.report.DoubleRuns++
-		o.note("double run: %v on %s while attempt %d runs on %s", t.Key, w, p.attempt, p.worker)
+		o.addViolation("double run: %v on %s while attempt %d runs on %s", t.Key, w, p.attempt, p.worker)
 	}
-	o.running[t.Key.Task] = place{w, t.Key.Attempt}
+	o.running[t.Key.Task] = placement{w, t.Key.Attempt}
 	if !t.IsOnce {
 		return
 	}
 	if k, ok := o.onceStarts[t.Key.Task]; ok {
 		o.report.Repeated++
-		o.note("repeated: %v after %v", t.Key, k)
+		o.addViolation("repeated: %v after %v", t.Key, k)
 	}
 	o.onceStarts[t.Key.Task] = t.Key
 }
 
-func (o *Oracle) ended(w string, k worker.Key) {
+func (o *Oracle) recordEnd(w string, k worker.Key) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.running[k.Task] == (place{w, k.Attempt}) {
+	if o.running[k.Task] == (placement{w, k.Attempt}) {
 		delete(o.running, k.Task)
 	}
 }
 
-func (o *Oracle) served(key string) {
+func (o *Oracle) recordRequest(key string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.report.Requests++
 	if key == "" {
 		return
 	}
-	o.onceKeys[key]++
-	if o.onceKeys[key] > 1 {
+	o.requestRuns[key]++
+	if o.requestRuns[key] > 1 {
 		o.report.Repeated++
-		o.note("repeated: request %s ran %d times", key, o.onceKeys[key])
+		o.addViolation("repeated: request %s ran %d times", key, o.requestRuns[key])
 	}
 }
 
-func (o *Oracle) overCommitted(w, lacks string) {
+func (o *Oracle) recordOverCommit(w, missing string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.report.OverCommits++
-	o.note("over-commit: %s on %s", lacks, w)
+	o.addViolation("over-commit: %s on %s", missing, w)
 }
 
-func (o *Oracle) startedOnLeaving(w string, k worker.Key) {
+func (o *Oracle) recordStartOnLeaving(w string, k worker.Key) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.report.StartsOnLeaving++
-	o.note("start on leaving: %v on %s", k, w)
+	o.addViolation("start on leaving: %v on %s", k, w)
 }
 
-func (o *Oracle) count(f func(r *OracleReport)) {
+func (o *Oracle) update(f func(r *OracleReport)) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	f(&o.report)
 }
 
-func (o *Oracle) note(format string, args ...any) {
+func (o *Oracle) addViolation(format string, args ...any) {
 	if len(o.report.Violations) < maxViolations {
 		o.report.Violations = append(o.report.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
 // RanKeys returns how many times the request with key ran.
-func (o *Oracle) RanKeys(key string) int {
+func (o *Oracle) RequestRuns(key string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.onceKeys[key]
+	return o.requestRuns[key]
 }
--- a/internal/standin/native/serve.go
+++ b/internal/standin/native/serve.go
@@ -21,7 +21,7 @@
 	// DelayHeader is how many milliseconds the service works.
 	DelayHeader = "Standin-Delay-Ms"
 	// CutHeader makes the service break off in the middle of its answer.
-	CutHeader = "Standin-Cut"
+	TruncateHeader = "Standin-Cut"
 	// WorkerHeader tells the caller which worker answered.
 	WorkerHeader = "Standin-Worker"
 )
@@ -40,7 +40,7 @@
 	m.HandleFunc("/v1/serve/", func(res http.ResponseWriter, r *http.Request) { s.handleServe(w, res, r) })
 	return http.HandlerFunc(func(res http.ResponseWriter, r *http.Request) {
 		if w.Mode() != ModeUp {
-			hangUp(res)
+			closeConnection(res)
 			return
 		}
 		m.ServeHTTP(res, r)
@@ -74,7 +74,7 @@
 	isQuiet := in.Seen != 0 && len(report.Tasks) == 0 && !report.IsWhole
 	for isQuiet {
 		changed, rev := w.Changed()
-		if rev == in.Seen && !isOver(r.Context(), limit, changed) {
+		if rev == in.Seen && !waitEnded(r.Context(), limit, changed) {
 			continue
 		}
 		// Ask again without renewing: the lease goes by when Sync arrived.
@@ -83,7 +83,7 @@
 		break
 	}
 	if w.Mode() != ModeUp {
-		hangUp(res)
+		closeConnection(res)
 		return
 	}
 	if !writeFenced(res, err) {
@@ -114,11 +114,11 @@
 	// The body is read to its end below, even if the answer has begun.
 	_ = http.NewResponseController(res).EnableFullDuplex()
 	res.Header().Set(WorkerHeader, w.Name)
-	if r.Header.Get(CutHeader) != "" {
+	if r.Header.Get(TruncateHeader) != "" {
 		res.Header().Set("Content-Length", "1000")
 		_, _ = io.WriteString(res, "cut short")
 		_ = http.NewResponseController(res).Flush()
-		hangUp(res)
+		closeConnection(res)
 		return
 	}
 	_, _ = fmt.Fprintf(res, "%s %s\n", r.Method, strings.TrimPrefix(r.URL.Path, "/v1/serve"))
--- a/internal/standin/native/server.go
+++ b/internal/standin/native/server.go
@@ -59,7 +59,7 @@
 	workers map[string]*Worker
 	// names keeps the order of the list.
 	names   []string
-	list    []vmlist.VM
+	vms     []vmlist.VM
 	version int
 	addr    netip.AddrPort
 	servers []*http.Server
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	s.addr = addr
-	go s.loop()
+	go s.runExpiry()
 	return s, nil
 }
 
@@ -128,7 +128,7 @@
 // tells the worker itself, at once.
 func (s *Server) SetStatus(name string, status vmlist.Status) {
 	if w := s.Worker(name); w != nil && status == vmlist.StatusLeaving {
-		w.Leave()
+		w.AnnounceLeaving()
 	}
 	go s.runSetStatus(name, status)
 }
@@ -143,9 +143,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.list {
-		if s.list[i].Name == name {
-			s.list[i].Status = status
+	for i := range s.vms {
+		if s.vms[i].Name == name {
+			s.vms[i].Status = status
 		}
 	}
 	s.version++
@@ -182,7 +182,7 @@
 		}
 		s.workers[name] = w
 		s.names = append(s.names, name)
-		s.list = append(s.list, vmlist.VM{
+		s.vms = append(s.vms, vmlist.VM{
 			Name: name, Addr: addr, Region: fmt.Sprintf("r%d", region+1), Zone: zoneName, Rack: rackName, Status: vmlist.StatusLive,
 		})
 	}
@@ -203,7 +203,7 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-func (s *Server) loop() {
+func (s *Server) runExpiry() {
 	ticks, stop := s.options.Clock.Subscribe(expirePeriod)
 	defer stop()
 	for {
@@ -235,8 +235,8 @@
 
 func (s *Server) handleAppend(w http.ResponseWriter, r *http.Request) {
 	faults := s.Log.Faults()
-	if faults.IsOut {
-		hangUp(w)
+	if faults.IsUnavailable {
+		closeConnection(w)
 		return
 	}
 	if faults.Slow > 0 {
@@ -244,7 +244,7 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
-		hangUp(w)
+		closeConnection(w)
 		return
 	}
 	offset, ok := s.Log.Append(data)
@@ -253,7 +253,7 @@
 		return
 	}
 	if s.Log.LoseReply() {
-		hangUp(w)
+		closeConnection(w)
 		return
 	}
 	_, _ = io.WriteString(w, strconv.FormatInt(offset, 10))
@@ -268,12 +268,12 @@
 	}
 	limit := s.options.Clock.After(time.Duration(wait) * time.Millisecond)
 	for {
-		if s.Log.Faults().IsOut {
-			hangUp(w)
+		if s.Log.Faults().IsUnavailable {
+			closeConnection(w)
 			return
 		}
 		page, isTrimmed, changed := s.Log.Page(from)
-		if isTrimmed || len(page.Entries) > 0 || isOver(r.Context(), limit, changed) {
+		if isTrimmed || len(page.Entries) > 0 || waitEnded(r.Context(), limit, changed) {
 			writePage(w, page, isTrimmed)
 			return
 		}
@@ -281,7 +281,7 @@
 }
 
 // isOver waits for a change; it reports true when there will be none in time.
-func isOver(ctx context.Context, limit <-chan time.Time, changed <-chan struct{}) bool {
+func waitEnded(ctx context.Context, limit <-chan time.Time, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
 		return false
@@ -307,7 +307,7 @@
 func (s *Server) handleVMs(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	tag := fmt.Sprintf(`"%d"`, s.version)
-	list := append([]vmlist.VM{}, s.list...)
+	list := append([]vmlist.VM{}, s.vms...)
 	s.mu.Unlock()
 	w.Header().Set("Etag", tag)
 	if r.Header.Get("If-None-Match") == tag {
@@ -344,7 +344,7 @@
 }
 
 // hangUp closes the connection without an answer.
-func hangUp(w http.ResponseWriter) {
+func closeConnection(w http.ResponseWriter) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
 		return
--- a/internal/standin/native/worker.go
+++ b/internal/standin/native/worker.go
@@ -22,7 +22,7 @@
 	// ModeUp answers.
 	ModeUp Mode = "up"
 	// ModeCut runs its tasks but nobody reaches it.
-	ModeCut Mode = "cut"
+	ModePartitioned Mode = "cut"
 	// ModeDead has lost its tasks and answers nobody.
 	ModeDead Mode = "dead"
 )
@@ -30,7 +30,7 @@
 const (
 	leavingGrace = 5 * time.Second
 	usageLag     = 2 * time.Second
-	failAfter    = 50 * time.Millisecond
+	failDelay    = 50 * time.Millisecond
 )
 
 // WorkerFaults says how a worker misbehaves. Its zero value is a healthy one.
@@ -53,37 +53,37 @@
 	clock  clock.Service
 	oracle *Oracle
 	// epoch is the fence: it only grows, and outlives restarts of the VM.
-	epoch     worker.Epoch
-	boot      int
-	base      time.Time
-	rev       uint64
-	tasks     map[worker.Key]*attempt
-	forgotten map[worker.Key]time.Time
-	inFlight  map[worker.Key]int64
-	leavingAt time.Time
-	faults    WorkerFaults
-	changed   chan struct{}
-	starts    int
+	epoch            worker.Epoch
+	boot             int
+	clockBase        time.Time
+	rev              uint64
+	tasks            map[worker.Key]*attempt
+	forgotten        map[worker.Key]time.Time
+	requestsInFlight map[worker.Key]int64
+	leavingAt        time.Time
+	faults           WorkerFaults
+	changed          chan struct{}
+	starts           int
 }
 
 type attempt struct {
 	task     worker.Task
-	notAfter time.Time
+	leaseEnd time.Time
 	began    time.Time
-	end      time.Time
+	finishAt time.Time
 	rev      uint64
 	// isUseTold means that its use has been measured and is in the reports.
-	isUseTold bool
+	isUsageReported bool
 	// isEnding refuses new requests of a grant until the last one has ended.
-	isEnding bool
+	isStopping bool
 }
 
 // NewWorker returns a worker that has just booted.
 func NewWorker(name string, capacity leverdyke.Resources, c clock.Service, o *Oracle) *Worker {
 	return &Worker{
-		Name: name, Capacity: capacity, clock: c, oracle: o, boot: 1, base: c.Now(), rev: 1,
+		Name: name, Capacity: capacity, clock: c, oracle: o, boot: 1, clockBase: c.Now(), rev: 1,
 		tasks: map[worker.Key]*attempt{}, forgotten: map[worker.Key]time.Time{},
-		inFlight: map[worker.Key]int64{}, changed: make(chan struct{}),
+		requestsInFlight: map[worker.Key]int64{}, changed: make(chan struct{}),
 	}
 }
 
@@ -94,12 +94,12 @@
 	if f.Mode == ModeDead && w.faults.Mode != ModeDead {
 		for k, a := range w.tasks {
 			if a.task.State == worker.StateRunning {
-				w.oracle.ended(w.Name, k)
+				w.oracle.recordEnd(w.Name, k)
 			}
 		}
 		w.tasks = map[worker.Key]*attempt{}
 		w.forgotten = map[worker.Key]time.Time{}
-		w.inFlight = map[worker.Key]int64{}
+		w.requestsInFlight = map[worker.Key]int64{}
 		w.boot++
 	}
 	w.faults = f
@@ -117,7 +117,7 @@
 }
 
 // Leave tells the worker that its VM is going to leave.
-func (w *Worker) Leave() {
+func (w *Worker) AnnounceLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.leavingAt.IsZero() {
@@ -131,7 +131,7 @@
 func (w *Worker) Sync(s *worker.Sync) (*worker.Report, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.fence(s.Epoch); err != nil {
+	if err := w.checkEpoch(s.Epoch); err != nil {
 		return nil, err
 	}
 	now := w.clock.Now()
@@ -153,7 +153,7 @@
 func (w *Worker) Start(s *worker.Start) ([]worker.StartResult, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.fence(s.Epoch); err != nil {
+	if err := w.checkEpoch(s.Epoch); err != nil {
 		return nil, err
 	}
 	now := w.clock.Now()
@@ -170,7 +170,7 @@
 func (w *Worker) Act(a *worker.Act) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.fence(a.Epoch); err != nil {
+	if err := w.checkEpoch(a.Epoch); err != nil {
 		return err
 	}
 	for _, k := range a.Keys {
@@ -196,39 +196,39 @@
 	defer w.mu.Unlock()
 	w.expire(w.clock.Now())
 	a := w.tasks[grant]
-	if a == nil || a.task.State != worker.StateRunning || a.isEnding {
+	if a == nil || a.task.State != worker.StateRunning || a.isStopping {
 		return nil, "no such grant"
 	}
-	if w.inFlight[grant] >= a.task.Each.Slots {
-		w.oracle.overCommitted(w.Name, "requests of grant "+grant.String())
+	if w.requestsInFlight[grant] >= a.task.Each.Slots {
+		w.oracle.recordOverCommit(w.Name, "requests of grant "+grant.String())
 	}
 	if !w.leavingAt.IsZero() && w.clock.Now().Sub(w.leavingAt) > leavingGrace {
-		w.oracle.startedOnLeaving(w.Name, grant)
+		w.oracle.recordStartOnLeaving(w.Name, grant)
 	}
-	w.inFlight[grant]++
-	w.oracle.served(onceKey)
+	w.requestsInFlight[grant]++
+	w.oracle.recordRequest(onceKey)
 	return func() { w.finish(grant) }, ""
 }
 
 func (w *Worker) finish(grant worker.Key) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.inFlight[grant] > 0 {
-		w.inFlight[grant]--
+	if w.requestsInFlight[grant] > 0 {
+		w.requestsInFlight[grant]--
 	}
-	if w.inFlight[grant] > 0 {
+	if w.requestsInFlight[grant] > 0 {
 		return
 	}
-	delete(w.inFlight, grant)
-	if a := w.tasks[grant]; a != nil && a.isEnding && a.task.State == worker.StateRunning {
+	delete(w.requestsInFlight, grant)
+	if a := w.tasks[grant]; a != nil && a.isStopping && a.task.State == worker.StateRunning {
 		w.endAttempt(grant, a, worker.StateStopped)
 		w.wake()
 	}
 }
 
-func (w *Worker) fence(e worker.Epoch) error {
+func (w *Worker) checkEpoch(e worker.Epoch) error {
 	if e < w.epoch {
-		w.oracle.count(func(r *OracleReport) { r.Fenced++ })
+		w.oracle.update(func(r *OracleReport) { r.Fenced++ })
 		return &worker.FencedError{Seen: w.epoch}
 	}
 	w.epoch = e
@@ -241,10 +241,10 @@
 	if s.Boot != w.bootName() {
 		return
 	}
-	until := w.base.Add(time.Duration(s.AsOf)).Add(s.TTL)
+	leaseEnd := w.clockBase.Add(time.Duration(s.AsOf)).Add(s.TTL)
 	for _, a := range w.tasks {
-		if a.task.State == worker.StateRunning && until.After(a.notAfter) {
-			a.notAfter = until
+		if a.task.State == worker.StateRunning && leaseEnd.After(a.leaseEnd) {
+			a.leaseEnd = leaseEnd
 		}
 	}
 }
@@ -262,7 +262,7 @@
 
 func (w *Worker) report(seen uint64, now time.Time) *worker.Report {
 	r := &worker.Report{
-		Boot: w.bootName(), Now: int64(now.Sub(w.base)), Rev: w.rev, IsLeaving: !w.leavingAt.IsZero(), Capacity: w.Capacity,
+		Boot: w.bootName(), Now: int64(now.Sub(w.clockBase)), Rev: w.rev, IsLeaving: !w.leavingAt.IsZero(), Capacity: w.Capacity,
 		IsWhole: seen == 0 || seen > w.rev,
 	}
 	for _, a := range w.tasks {
@@ -270,7 +270,7 @@
 			continue
 		}
 		t := a.task
-		if a.isUseTold {
+		if a.isUsageReported {
 			t.Usage = w.usage(&t)
 		}
 		if !r.IsWhole {
@@ -282,13 +282,13 @@
 }
 
 func (w *Worker) usage(t *worker.Task) leverdyke.Resources {
-	f := w.faults.UsageFactor
-	if f == 0 {
-		f = 1
+	factor := w.faults.UsageFactor
+	if factor == 0 {
+		factor = 1
 	}
 	u := t.Each
-	u.MilliCPU = int64(float64(u.MilliCPU) * f)
-	u.MemoryMiB = int64(float64(u.MemoryMiB) * f)
+	u.MilliCPU = int64(float64(u.MilliCPU) * factor)
+	u.MemoryMiB = int64(float64(u.MemoryMiB) * factor)
 	if t.IsThrottled {
 		u.MilliCPU /= worker.ThrottleDivisor
 	}
@@ -299,8 +299,8 @@
 	if s.Boot != w.bootName() {
 		return "the worker has restarted"
 	}
-	until := w.base.Add(time.Duration(s.AsOf)).Add(s.TTL)
-	if !until.After(now) {
+	leaseEnd := w.clockBase.Add(time.Duration(s.AsOf)).Add(s.TTL)
+	if !leaseEnd.After(now) {
 		return "the lease has run out"
 	}
 	if _, ok := w.tasks[t.Key]; ok {
@@ -311,53 +311,53 @@
 	}
 	if !w.leavingAt.IsZero() {
 		if now.Sub(w.leavingAt) > leavingGrace {
-			w.oracle.startedOnLeaving(w.Name, t.Key)
+			w.oracle.recordStartOnLeaving(w.Name, t.Key)
 		}
 		return "the worker is leaving"
 	}
-	w.checkRoom(t)
-	w.oracle.started(w.Name, t)
+	w.checkCapacity(t)
+	w.oracle.recordStart(w.Name, t)
 	w.starts++
 	w.rev++
-	a := &attempt{task: *t, notAfter: until, began: now, rev: w.rev}
+	a := &attempt{task: *t, leaseEnd: leaseEnd, began: now, rev: w.rev}
 	a.task.State = worker.StateRunning
-	a.end = w.endOf(&a.task, now)
+	a.finishAt = w.finishTime(&a.task, now)
 	w.tasks[t.Key] = a
 	return ""
 }
 
-func (w *Worker) endOf(t *worker.Task, now time.Time) time.Time {
+func (w *Worker) finishTime(t *worker.Task, now time.Time) time.Time {
 	if t.Holder != "" {
 		return time.Time{}
 	}
 	if w.faults.IsFailingAll || strings.Contains(t.Key.Task.Job, "always-fails") {
-		return now.Add(failAfter)
+		return now.Add(failDelay)
 	}
 	if t.RunTime == 0 {
 		return time.Time{}
 	}
-	f := w.faults.RunFactor
-	if f == 0 {
-		f = 1
+	factor := w.faults.RunFactor
+	if factor == 0 {
+		factor = 1
 	}
-	return now.Add(time.Duration(float64(t.RunTime) * f))
+	return now.Add(time.Duration(float64(t.RunTime) * factor))
 }
 
-func (w *Worker) checkRoom(t *worker.Task) {
+func (w *Worker) checkCapacity(t *worker.Task) {
 	used := t.Each
 	for _, a := range w.tasks {
 		if a.task.State == worker.StateRunning {
-			used = used.Add(chargeOf(&a.task))
+			used = used.Add(allocationOf(&a.task))
 		}
 	}
-	if lacks := used.Lacks(w.Capacity); lacks != "" {
-		w.oracle.overCommitted(w.Name, lacks)
+	if missing := used.Lacks(w.Capacity); missing != "" {
+		w.oracle.recordOverCommit(w.Name, missing)
 	}
 }
 
 // chargeOf is what a task takes: a throttled one takes a quarter of its
 // processors.
-func chargeOf(t *worker.Task) leverdyke.Resources {
+func allocationOf(t *worker.Task) leverdyke.Resources {
 	r := t.Each
 	if t.IsThrottled {
 		r.MilliCPU /= worker.ThrottleDivisor
@@ -379,9 +379,9 @@
 		w.endAttempt(k, a, worker.StateCheckpointed)
 		return
 	case worker.DeedStop:
-		if w.inFlight[k] > 0 {
+		if w.requestsInFlight[k] > 0 {
 			// A grant's requests are finished first; new ones are refused.
-			a.isEnding = true
+			a.isStopping = true
 			return
 		}
 		w.endAttempt(k, a, worker.StateStopped)
@@ -392,8 +392,8 @@
 }
 
 func (w *Worker) endAttempt(k worker.Key, a *attempt, s worker.TaskState) {
-	w.oracle.ended(w.Name, k)
-	w.oracle.count(func(r *OracleReport) { r.Stops++ })
+	w.oracle.recordEnd(w.Name, k)
+	w.oracle.update(func(r *OracleReport) { r.Stops++ })
 	w.rev++
 	a.rev = w.rev
 	a.task.State = s
@@ -406,13 +406,13 @@
 			continue
 		}
 		switch {
-		case !now.Before(a.notAfter):
+		case !now.Before(a.leaseEnd):
 			w.endAttempt(k, a, worker.StateStopped)
-			w.oracle.count(func(r *OracleReport) { r.Lapses++ })
-		case !a.end.IsZero() && !now.Before(a.end):
-			w.endAttempt(k, a, w.result(a))
-		case !a.isUseTold && now.Sub(a.began) > usageLag:
-			a.isUseTold = true
+			w.oracle.update(func(r *OracleReport) { r.LeaseExpirations++ })
+		case !a.finishAt.IsZero() && !now.Before(a.finishAt):
+			w.endAttempt(k, a, w.finalState(a))
+		case !a.isUsageReported && now.Sub(a.began) > usageLag:
+			a.isUsageReported = true
 			w.rev++
 			a.rev = w.rev
 		default:
@@ -423,7 +423,7 @@
 	return isChanged
 }
 
-func (w *Worker) result(a *attempt) worker.TaskState {
+func (w *Worker) finalState(a *attempt) worker.TaskState {
 	if w.faults.IsFailingAll || strings.Contains(a.task.Key.Task.Job, "always-fails") {
 		return worker.StateFailed
 	}
--- a/internal/standin/native/worker_test.go
+++ b/internal/standin/native/worker_test.go
@@ -28,9 +28,9 @@
 	}
 }
 
-func start(t *testing.T, w *native.Worker, rep *worker.Report, epoch worker.Epoch, task worker.Task) string {
+func start(t *testing.T, w *native.Worker, report *worker.Report, epoch worker.Epoch, task worker.Task) string {
 	t.Helper()
-	results, err := w.Start(&worker.Start{Epoch: epoch, Boot: rep.Boot, AsOf: rep.Now, TTL: ttl, Tasks: []worker.Task{task}})
+	results, err := w.Start(&worker.Start{Epoch: epoch, Boot: report.Boot, AsOf: report.Now, TTL: ttl, Tasks: []worker.Task{task}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,11 +39,11 @@
 
 func sync(t *testing.T, w *native.Worker, s *worker.Sync) *worker.Report {
 	t.Helper()
-	rep, err := w.Sync(s)
+	report, err := w.Sync(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return rep
+	return report
 }
 
 func TestWorkerRefusesALowerEpoch(t *testing.T) {
@@ -63,41 +63,41 @@
 
 func TestLeaseEndsWhenItIsNotRenewed(t *testing.T) {
 	w, c, o := newWorker()
-	rep := sync(t, w, &worker.Sync{Epoch: 1})
-	if got := start(t, w, rep, 1, newTask(0, 1)); got != "" {
+	report := sync(t, w, &worker.Sync{Epoch: 1})
+	if got := start(t, w, report, 1, newTask(0, 1)); got != "" {
 		t.Fatalf("got: %q, want: started", got)
 	}
 	c.Advance(ttl / 2)
 	// A renewal that was under way for long renews by when it was based.
-	sync(t, w, &worker.Sync{Epoch: 1, Boot: rep.Boot, AsOf: rep.Now, TTL: ttl})
+	sync(t, w, &worker.Sync{Epoch: 1, Boot: report.Boot, AsOf: report.Now, TTL: ttl})
 	c.Advance(ttl / 2)
 	w.Expire()
-	if got := o.Report().Lapses; got != 1 {
+	if got := o.Report().LeaseExpirations; got != 1 {
 		t.Errorf("got: %d lapses, want: 1", got)
 	}
 }
 
 func TestLateStartIsRefused(t *testing.T) {
 	w, c, _ := newWorker()
-	rep := sync(t, w, &worker.Sync{Epoch: 1})
+	report := sync(t, w, &worker.Sync{Epoch: 1})
 	c.Advance(ttl)
-	if got := start(t, w, rep, 1, newTask(0, 1)); got == "" {
+	if got := start(t, w, report, 1, newTask(0, 1)); got == "" {
 		t.Error("got: started, want: refused")
 	}
 }
 
 func TestAttemptStartsOnce(t *testing.T) {
 	w, _, o := newWorker()
-	rep := sync(t, w, &worker.Sync{Epoch: 1})
+	report := sync(t, w, &worker.Sync{Epoch: 1})
 	task := newTask(0, 1)
 	for range 3 {
-		start(t, w, rep, 1, task)
+		start(t, w, report, 1, task)
 	}
 	if err := w.Act(&worker.Act{Epoch: 1, Deed: worker.DeedStop, Keys: []worker.Key{task.Key}}); err != nil {
 		t.Fatal(err)
 	}
 	sync(t, w, &worker.Sync{Epoch: 1, Forget: []worker.Key{task.Key}})
-	start(t, w, rep, 1, task)
+	start(t, w, report, 1, task)
 	if got := o.Report().Starts; got != 1 {
 		t.Errorf("got: %d starts, want: 1", got)
 	}
@@ -105,18 +105,18 @@
 
 func TestOracleSeesWhatMustNotBe(t *testing.T) {
 	w, c, o := newWorker()
-	rep := sync(t, w, &worker.Sync{Epoch: 1})
-	start(t, w, rep, 1, newTask(0, 1))
-	start(t, w, rep, 1, newTask(0, 2))
-	start(t, w, rep, 1, newTask(1, 1))
+	report := sync(t, w, &worker.Sync{Epoch: 1})
+	start(t, w, report, 1, newTask(0, 1))
+	start(t, w, report, 1, newTask(0, 2))
+	start(t, w, report, 1, newTask(1, 1))
 	once := newTask(2, 1)
 	once.IsOnce = true
-	start(t, w, rep, 1, once)
+	start(t, w, report, 1, once)
 	once.Key.Attempt = 2
-	start(t, w, rep, 1, once)
-	w.Leave()
+	start(t, w, report, 1, once)
+	w.AnnounceLeaving()
 	c.Advance(6 * time.Second)
-	start(t, w, rep, 1, newTask(3, 1))
+	start(t, w, report, 1, newTask(3, 1))
 	got := o.Report()
 	if got.DoubleRuns != 2 || got.Repeated != 1 || got.OverCommits == 0 || got.StartsOnLeaving != 1 {
 		t.Errorf("got: %+v, want: 2 double runs, 1 repeated, over-commits, 1 start on leaving", got)
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -15,31 +15,31 @@
 // Relay passes connections on to one address. It is safe for concurrent use.
 type Relay struct {
 	listener net.Listener
-	to       netip.AddrPort
+	target   netip.AddrPort
 
 	mu    sync.Mutex
 	conns []net.Conn
 	// silenced is how many of conns carry nothing more.
 	silenced int
 	// dropped counts what was read of silenced connections.
-	dropped  int
-	isClosed bool
-	wg       sync.WaitGroup
+	droppedReads int
+	isClosed     bool
+	wg           sync.WaitGroup
 }
 
 // pieceBytes is how much a relay passes on at a time.
-const pieceBytes = 4 << 10
+const bufferBytes = 4 << 10
 
 // NewRelay listens on loopback and passes connections on to an address, which need
 // not listen yet.
-func NewRelay(to netip.AddrPort) (*Relay, error) {
+func NewRelay(target netip.AddrPort) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("relay: %w", err)
 	}
-	r := &Relay{listener: l, to: to}
+	r := &Relay{listener: l, target: target}
 	r.wg.Add(1)
-	go r.run()
+	go r.accept()
 	return r, nil
 }
 
@@ -54,10 +54,10 @@
 }
 
 // Dropped returns how many times something was read of a silenced connection.
-func (r *Relay) Dropped() int {
+func (r *Relay) DroppedReads() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.dropped
+	return r.droppedReads
 }
 
 // Close ends the relay with its connections.
@@ -72,60 +72,60 @@
 	r.wg.Wait()
 }
 
-func (r *Relay) run() {
+func (r *Relay) accept() {
 	defer r.wg.Done()
 	for {
-		near, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", r.to.String())
+		server, err := net.Dial("tcp", r.target.String())
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
-		r.pass(near, far)
+		r.forward(client, server)
 	}
 }
 
 // pass begins to pass bytes on between two ends, unless the relay is closed.
-func (r *Relay) pass(near, far net.Conn) {
+func (r *Relay) forward(client, server net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.isClosed {
-		_, _ = near.Close(), far.Close()
+		_, _ = client.Close(), server.Close()
 		return
 	}
 	i := len(r.conns)
-	r.conns = append(r.conns, near, far)
+	r.conns = append(r.conns, client, server)
 	r.wg.Add(2)
-	go r.runCopy(near, far, i)
-	go r.runCopy(far, near, i)
+	go r.copyData(client, server, i)
+	go r.copyData(server, client, i)
 }
 
 // runCopy passes bytes on until the i-th connection is silenced; then it drops them.
-func (r *Relay) runCopy(from, to net.Conn, i int) {
+func (r *Relay) copyData(from, to net.Conn, i int) {
 	defer r.wg.Done()
-	buf := make([]byte, pieceBytes)
+	buf := make([]byte, bufferBytes)
 	for {
 		n, err := from.Read(buf)
 		if err != nil {
 			_ = to.Close()
 			return
 		}
-		if !r.drops(i) {
+		if !r.shouldDrop(i) {
 			_, _ = to.Write(buf[:n])
 		}
 	}
 }
 
 // drops reports whether the i-th connection is silenced, and counts what it drops.
-func (r *Relay) drops(i int) bool {
+func (r *Relay) shouldDrop(i int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if i >= r.silenced {
 		return false
 	}
-	r.dropped++
+	r.droppedReads++
 	return true
 }
--- a/tools/measure/counter.go
+++ b/tools/measure/counter.go
@@ -16,7 +16,7 @@
 func counter(binary string) error {
 	fmt.Println("| requests in a full cell | callers | answered/s | wait and service p50 / p99 / p99.9 / max | node's processor (ms a request) | control bytes/s a node |\n|---|---|---|---|---|---|")
 	for _, callers := range []int{1, 24} {
-		err := withCell(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cell) error {
+		err := withCell(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cluster) error {
 			if err := submit(c, "s", "kind: service\ntasks: 12\neach: {milli_cpu: 100, memory_mib: 10}\nservice: s\nrequest: {milli_cpu: 10, memory_mib: 1}\n"); err != nil {
 				return err
 			}
--- a/tools/measure/load.go
+++ b/tools/measure/load.go
@@ -42,7 +42,7 @@
 var completed = regexp.MustCompile(`"LD0303".* detail="([^"]+)"`)
 
 // completions lists how long racks needed to tell all, as the nodes logged it.
-func completions(c *standin.Cell) []time.Duration {
+func completions(c *standin.Cluster) []time.Duration {
 	list := []time.Duration{}
 	for _, n := range c.Nodes {
 		for _, m := range completed.FindAllStringSubmatch(n.Log(), -1) {
@@ -63,7 +63,7 @@
 		isOnce  bool
 		callers int
 	}{{"repeatable", false, 1}, {"once-only", true, 1}, {"repeatable", false, 48}, {"once-only", true, 48}} {
-		err := withCell(binary, options{nodes: 3, racks: 3, workers: 4, capacity: capacity}, func(c *standin.Cell) error {
+		err := withCell(binary, options{nodes: 3, racks: 3, workers: 4, capacity: capacity}, func(c *standin.Cluster) error {
 			job := fmt.Sprintf("kind: service\ntasks: 12\neach: {milli_cpu: 100, memory_mib: 10}\nservice: s\nrequest: {milli_cpu: 10, memory_mib: 1}\nrequest_once: %v\n", kind.isOnce)
 			if err := submit(c, "s", job); err != nil {
 				return err
@@ -80,7 +80,7 @@
 	return nil
 }
 
-func loadRequests(c *standin.Cell, name string, isOnce bool, callers int) error {
+func loadRequests(c *standin.Cluster, name string, isOnce bool, callers int) error {
 	h := newHistogram()
 	mu := sync.Mutex{}
 	refused := 0
@@ -135,7 +135,7 @@
 }
 
 // cpuOf adds the processor time of all nodes, in seconds.
-func cpuOf(c *standin.Cell) float64 {
+func cpuOf(c *standin.Cluster) float64 {
 	sum := 0.0
 	for _, n := range c.Nodes {
 		sum += metric(n, `leverdyke_load{what="cpu_seconds"`)
@@ -143,7 +143,7 @@
 	return sum
 }
 
-func controlOf(c *standin.Cell) float64 {
+func controlOf(c *standin.Cluster) float64 {
 	sum := 0.0
 	for _, n := range c.Nodes {
 		sum += metric(n, "leverdyke_control")
@@ -173,7 +173,7 @@
 var startedLine = regexp.MustCompile(`"LD0402".*class="(\w+)" waited="([^"]+)"`)
 
 // waits returns how long tasks of a class waited, as the nodes logged it.
-func waits(c *standin.Cell, class string) string {
+func waits(c *standin.Cluster, class string) string {
 	h := newHistogram()
 	for _, n := range c.Nodes {
 		for _, m := range startedLine.FindAllStringSubmatch(n.Log(), -1) {
@@ -187,7 +187,7 @@
 
 // urgent measures how long urgent work waits while batches fill the cell.
 func urgent(binary string) error {
-	return withCell(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cell) error {
+	return withCell(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cluster) error {
 		if err := submit(c, "fill", "kind: batch\nclass: batch\ntasks: 1000\neach: {milli_cpu: 2000, memory_mib: 4096}\nrun_time: 10m\n"); err != nil {
 			return err
 		}
@@ -208,7 +208,7 @@
 
 // wave measures 5,000 cancellations at once, and what they cost others.
 func wave(binary string) error {
-	return withCell(binary, options{nodes: 3, racks: 3, workers: 4, settings: "appends_per_second: 30\n"}, func(c *standin.Cell) error {
+	return withCell(binary, options{nodes: 3, racks: 3, workers: 4, settings: "appends_per_second: 30\n"}, func(c *standin.Cluster) error {
 		const jobs = 5000
 		ids := make([]string, jobs)
 		next := make(chan int, jobs)
--- a/tools/measure/logout.go
+++ b/tools/measure/logout.go
@@ -28,7 +28,7 @@
 // a node killed in the middle.
 func logOut(binary string) error {
 	o := options{nodes: 3, racks: 3, workers: 4, settings: fmt.Sprintf("lease: %s\nsync: 500ms\n", logOutLease)}
-	return withCell(binary, o, func(c *standin.Cell) error {
+	return withCell(binary, o, func(c *standin.Cluster) error {
 		for _, name := range []string{"plain", "deeds"} {
 			job := fmt.Sprintf("kind: service\ntasks: 6\neach: {milli_cpu: 100, memory_mib: 10}\nservice: %s\nrequest: {milli_cpu: 10, memory_mib: 1}\nrequest_once: %v\n", name, name == "deeds")
 			if err := submit(c, name, job); err != nil {
@@ -49,8 +49,8 @@
 	})
 }
 
-func logOutRows(c *standin.Cell, tasks int) error {
-	c.Platform.Log.SetFaults(native.LogFaults{IsOut: true})
+func logOutRows(c *standin.Cluster, tasks int) error {
+	c.Platform.Log.SetFaults(native.LogFaults{IsUnavailable: true})
 	before := c.Platform.Oracle.Report()
 	counts, killed, most := map[string]int{}, before.Starts, 0.0
 	isKilled := false
@@ -87,7 +87,7 @@
 	end := c.Platform.Oracle.Report()
 	fmt.Printf("| the log out for %v (%.0f leases of %v), a node killed after half of it | |\n|---|---|\n", *logOutTime, float64(*logOutTime)/float64(logOutLease), logOutLease)
 	fmt.Printf("| repeatable requests answered, not run | %d, %d |\n| once-only requests answered, not run | %d, %d |\n", counts["plain ran"], counts["plain not-run"], counts["deeds ran"], counts["deeds not-run"])
-	fmt.Printf("| tasks started before the kill, after it | %d, %d |\n| leases lapsed | %d |\n", killed-before.Starts, r.Starts-killed, r.Lapses)
+	fmt.Printf("| tasks started before the kill, after it | %d, %d |\n| leases lapsed | %d |\n", killed-before.Starts, r.Starts-killed, r.LeaseExpirations)
 	fmt.Printf("| most resident memory of a node (MiB) | %.1f |\n| %d tasks done afterwards | %v |\n", most, tasks, isBack)
 	fmt.Printf("| starts in all, double runs, over-commits | %d, %d, %d |\n", end.Starts, end.DoubleRuns, end.OverCommits)
 	return nil
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -66,13 +66,13 @@
 }
 
 // withCell starts a cell with one team, hands it to f, and ends it.
-func withCell(binary string, o options, f func(c *standin.Cell) error) error {
+func withCell(binary string, o options, f func(c *standin.Cluster) error) error {
 	dir, err := os.MkdirTemp("", "leverdyke-measure-")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	c, err := standin.NewCell(standin.NewCellOptions{
+	c, err := standin.NewCluster(standin.NewClusterOptions{
 		Binary: binary, Dir: dir, Nodes: o.nodes, Settings: o.settings,
 		Platform: native.NewServerOptions{Zones: 1, Racks: o.racks, Workers: o.workers, Capacity: o.capacity},
 	})
@@ -94,12 +94,12 @@
 	return f(c)
 }
 
-func submit(c *standin.Cell, id, body string) error {
+func submit(c *standin.Cluster, id, body string) error {
 	_, err := c.Client().Submit(context.Background(), &operator.SubmitRequest{ID: id, File: id, Body: "team: t\n" + body})
 	return err
 }
 
-func awaitRunning(c *standin.Cell, n int) error {
+func awaitRunning(c *standin.Cluster, n int) error {
 	if !standin.Await(patience, func() bool { return c.Platform.Oracle.Report().Running >= n }) {
 		return fmt.Errorf("%d of %d tasks run", c.Platform.Oracle.Report().Running, n)
 	}
--- a/tools/measure/mixed.go
+++ b/tools/measure/mixed.go
@@ -58,7 +58,7 @@
 func mixed(binary string) error {
 	fmt.Println("| offered load | jobs, refused | urgent p50 / p99 / p99.9 / max | normal | batch | mean processors used (%) | processor a node (% of a core) | control bytes/s a node |\n|---|---|---|---|---|---|---|---|")
 	for _, load := range []float64{0.7, 0.9, 1.2} {
-		err := withCell(binary, options{nodes: 3, racks: mixedRacks, workers: mixedWorkers, settings: "appends_per_second: 30\n"}, func(c *standin.Cell) error {
+		err := withCell(binary, options{nodes: 3, racks: mixedRacks, workers: mixedWorkers, settings: "appends_per_second: 30\n"}, func(c *standin.Cluster) error {
 			return mixedRow(c, load)
 		})
 		if err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func mixedRow(c *standin.Cell, load float64) error {
+func mixedRow(c *standin.Cluster, load float64) error {
 	jobs := mixedJobs(load)
 	refused := atomic.Int64{}
 	cpu, control, began := cpuOf(c), controlOf(c), time.Now()
@@ -108,7 +108,7 @@
 }
 
 // usedPart returns the used part of the processors of all workers.
-func usedPart(c *standin.Cell) float64 {
+func usedPart(c *standin.Cluster) float64 {
 	list, err := c.Client().Workers(context.Background())
 	if err != nil {
 		return 0
--- a/tools/measure/owners.go
+++ b/tools/measure/owners.go
@@ -22,7 +22,7 @@
 		name   string
 		signal syscall.Signal
 	}{{"SIGKILL", syscall.SIGKILL}, {"SIGTERM", syscall.SIGTERM}, {"SIGSTOP", syscall.SIGSTOP}} {
-		err := withCell(binary, options{nodes: 3, racks: 6, workers: 4, settings: "drain_wait: 100ms\n"}, func(c *standin.Cell) error {
+		err := withCell(binary, options{nodes: 3, racks: 6, workers: 4, settings: "drain_wait: 100ms\n"}, func(c *standin.Cluster) error {
 			if err := submit(c, "s", "kind: service\ntasks: 60\neach: {milli_cpu: 100, memory_mib: 10}\n"); err != nil {
 				return err
 			}
@@ -35,7 +35,7 @@
 					return err
 				}
 			}
-			fmt.Printf("| %s, 6 times | %s | %d |\n", way.name, quantiles(h), c.Platform.Oracle.Report().Lapses)
+			fmt.Printf("| %s, 6 times | %s | %d |\n", way.name, quantiles(h), c.Platform.Oracle.Report().LeaseExpirations)
 			return nil
 		})
 		if err != nil {
@@ -46,7 +46,7 @@
 }
 
 // goAway takes a node away, waits until the others own all, and brings it back.
-func goAway(c *standin.Cell, i int, s syscall.Signal, h interface{ RecordValue(int64) error }) error {
+func goAway(c *standin.Cluster, i int, s syscall.Signal, h interface{ RecordValue(int64) error }) error {
 	gone := c.Nodes[i]
 	began := time.Now()
 	gone.Signal(s)
@@ -71,7 +71,7 @@
 }
 
 // busiest returns the node that owns the most racks.
-func busiest(c *standin.Cell) int {
+func busiest(c *standin.Cluster) int {
 	best, most := 0, -1
 	for i, n := range c.Nodes {
 		if s, ok := localStatus(n); ok && len(s.Racks) > most {
@@ -81,7 +81,7 @@
 	return best
 }
 
-func ownedBut(c *standin.Cell, i int) int {
+func ownedBut(c *standin.Cluster, i int) int {
 	sum := 0
 	for j, n := range c.Nodes {
 		if j == i {
@@ -96,7 +96,7 @@
 
 // configInForce measures how long a change takes to be in force at 7 nodes.
 func configInForce(binary string) error {
-	return withCell(binary, options{nodes: 7, racks: 3, workers: 2}, func(c *standin.Cell) error {
+	return withCell(binary, options{nodes: 7, racks: 3, workers: 2}, func(c *standin.Cluster) error {
 		h := newHistogram()
 		const changes = 60
 		for i := range changes {
@@ -125,7 +125,7 @@
 	fmt.Println("| tasks running | heirs own all racks after | every rack has told all, after the claim (max) |\n|---|---|---|")
 	for _, tasks := range []int{100, 1000, 10000} {
 		big := leverdyke.Resources{MilliCPU: 64000, MemoryMiB: 1 << 20, Slots: 400}
-		err := withCell(binary, options{nodes: 3, racks: 6, workers: 8, capacity: big}, func(c *standin.Cell) error {
+		err := withCell(binary, options{nodes: 3, racks: 6, workers: 8, capacity: big}, func(c *standin.Cluster) error {
 			if err := submit(c, "s", fmt.Sprintf("kind: service\ntasks: %d\neach: {milli_cpu: 1, memory_mib: 1}\n", tasks)); err != nil {
 				return err
 			}
@@ -143,8 +143,8 @@
 				worst = max(worst, d)
 			}
 			fmt.Printf("| %d | %v | %v |\n", tasks, time.Duration(h.Max())*time.Microsecond, worst)
-			if got := c.Platform.Oracle.Report(); got.Lapses+got.DoubleRuns > 0 {
-				return fmt.Errorf("%d leases lapsed, %d double runs", got.Lapses, got.DoubleRuns)
+			if got := c.Platform.Oracle.Report(); got.LeaseExpirations+got.DoubleRuns > 0 {
+				return fmt.Errorf("%d leases lapsed, %d double runs", got.LeaseExpirations, got.DoubleRuns)
 			}
 			return nil
 		})
--- a/tools/quickstart/calls.go
+++ b/tools/quickstart/calls.go
@@ -37,7 +37,7 @@
 	sent map[string]leverdyke.Verdict
 }
 
-func (c *calls) run(ctx context.Context, cell *standin.Cell) {
+func (c *calls) run(ctx context.Context, cell *standin.Cluster) {
 	c.waits = hdrhistogram.New(1, maxMicros, 3)
 	c.sent = map[string]leverdyke.Verdict{}
 	wg := sync.WaitGroup{}
@@ -49,7 +49,7 @@
 
 // runCaller sends repeatable and once-only requests in turn, each through
 // another node.
-func (c *calls) runCaller(ctx context.Context, cell *standin.Cell, caller int) {
+func (c *calls) runCaller(ctx context.Context, cell *standin.Cluster, caller int) {
 	for n := caller; ctx.Err() == nil; n++ {
 		node := cell.Nodes[n%len(cell.Nodes)]
 		if n%4 == 0 {
@@ -63,7 +63,7 @@
 
 // callOnce sends a request that may not be repeated, and once more through
 // another node under the same key, as a caller does that is in doubt.
-func (c *calls) callOnce(ctx context.Context, cell *standin.Cell, n int) {
+func (c *calls) callOnce(ctx context.Context, cell *standin.Cluster, n int) {
 	key, err := uuid.NewV7()
 	if err != nil {
 		return
@@ -139,7 +139,7 @@
 		return fmt.Errorf("%d wrong answers, the first: %s", len(c.wrong), c.wrong[0])
 	}
 	for key, verdict := range c.sent {
-		ran := o.RanKeys(key)
+		ran := o.RequestRuns(key)
 		if verdict == leverdyke.VerdictRan && ran != 1 {
 			return fmt.Errorf("request %s was said to have run, and ran %d times", key, ran)
 		}
--- a/tools/quickstart/main.go
+++ b/tools/quickstart/main.go
@@ -42,7 +42,7 @@
 
 // tour is one run of the quickstart.
 type tour struct {
-	cell  *standin.Cell
+	cell  *standin.Cluster
 	bin   string
 	calls calls
 }
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	cell, err := standin.NewCell(standin.NewCellOptions{
+	cell, err := standin.NewCluster(standin.NewClusterOptions{
 		Binary: filepath.Join(bin, "leverdyked"), Dir: dir, Nodes: nodes,
 		Platform: native.NewServerOptions{Zones: 2, Racks: 2, Workers: 3, Lag: time.Second},
 	})
@@ -179,12 +179,12 @@
 	fmt.Printf("\n%s\n%s\n", jobs, workers)
 	t.calls.print()
 	fmt.Printf("tasks started %d, requests run %d, over-commits %d, double runs %d, repeated %d, starts on leaving VMs %d, lapsed leases %d\n\n",
-		r.Starts, r.Requests, r.OverCommits, r.DoubleRuns, r.Repeated, r.StartsOnLeaving, r.Lapses)
+		r.Starts, r.Requests, r.OverCommits, r.DoubleRuns, r.Repeated, r.StartsOnLeaving, r.LeaseExpirations)
 	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving > 0 {
 		return fmt.Errorf("violated: %s", strings.Join(r.Violations, "; "))
 	}
-	if r.Lapses > 0 {
-		return fmt.Errorf("%d tasks lost their lease because a node was killed", r.Lapses)
+	if r.LeaseExpirations > 0 {
+		return fmt.Errorf("%d tasks lost their lease because a node was killed", r.LeaseExpirations)
 	}
 	return t.calls.verify(t.cell.Platform.Oracle)
 }
