--- a/cmd/leverdyke-emulator/hunt.go
+++ b/cmd/leverdyke-emulator/hunt.go
@@ -19,22 +19,22 @@
 )
 
 // maxJobs bounds the days that are played at once: each has processes of its own.
-const maxJobs = 16
+const maxParallel = 16
 
 // hunt plays days that are drawn.
 type hunt struct {
 	playOptions
-	days, jobs int
-	length     time.Duration
-	isShrunk   bool
-	deployment *scenario.Deployment
+	dayCount, parallelDays int
+	length                 time.Duration
+	isShrunk               bool
+	deployment             *scenario.Deployment
 
 	mu sync.Mutex
 	// next is the number of the next day, played counts those that were played whole, broken those
 	// that broke a rule.
-	next, played, broken int
-	failed               error
-	out, progress        io.Writer
+	nextIndex, playedDays, violatedDays int
+	firstError                          error
+	out, progress                       io.Writer
 }
 
 func newHunt() *cobra.Command {
@@ -43,8 +43,8 @@
 		Use: "hunt DEPLOYMENT", Short: "Play days drawn from all kinds of faults, to find broken rules", Args: cobra.ExactArgs(1),
 		Example: "  leverdyke-emulator hunt deploy/emulator/small.yaml --days 20 --jobs 3 --keep /tmp/found",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if h.days < 1 || h.jobs < 1 || h.jobs > maxJobs || h.length < time.Second {
-				return &command.UsageError{Text: fmt.Sprintf("--days %d --jobs %d --length %v (allowed: 1 day or more, 1 to %d jobs, 1s or more)", h.days, h.jobs, h.length, maxJobs)}
+			if h.dayCount < 1 || h.parallelDays < 1 || h.parallelDays > maxParallel || h.length < time.Second {
+				return &command.UsageError{Text: fmt.Sprintf("--days %d --jobs %d --length %v (allowed: 1 day or more, 1 to %d jobs, 1s or more)", h.dayCount, h.parallelDays, h.length, maxParallel)}
 			}
 			deployment, err := scenario.LoadDeployment(args[0])
 			if err != nil {
@@ -54,10 +54,10 @@
 			return h.run(cmd.Context())
 		},
 	}
-	h.add(cmd)
+	h.addFlags(cmd)
 	f := cmd.Flags()
-	f.IntVar(&h.days, "days", 10, "how many days")
-	f.IntVar(&h.jobs, "jobs", 2, "how many are played at once")
+	f.IntVar(&h.dayCount, "days", 10, "how many days")
+	f.IntVar(&h.parallelDays, "jobs", 2, "how many are played at once")
 	f.DurationVar(&h.length, "length", 30*time.Second, "how long each is")
 	f.BoolVar(&h.isShrunk, "shrink", false, "play a day that broke a rule again without one fault after the other")
 	return cmd
@@ -66,26 +66,26 @@
 // run plays the days, some at once.
 func (h *hunt) run(ctx context.Context) error {
 	wg := sync.WaitGroup{}
-	for range h.jobs {
-		wg.Go(func() { h.loop(ctx) })
+	for range h.parallelDays {
+		wg.Go(func() { h.playDays(ctx) })
 	}
 	wg.Wait()
-	_, _ = fmt.Fprintf(h.progress, "%d days on %s, %d with a rule broken\n", h.played, h.deployment.Name, h.broken)
+	_, _ = fmt.Fprintf(h.progress, "%d days on %s, %d with a rule broken\n", h.playedDays, h.deployment.Name, h.violatedDays)
 	switch {
-	case h.failed != nil:
-		return h.failed
-	case h.broken > 0:
-		return &brokenError{count: h.broken}
+	case h.firstError != nil:
+		return h.firstError
+	case h.violatedDays > 0:
+		return &violationError{count: h.violatedDays}
 	}
 	return nil
 }
 
-func (h *hunt) loop(ctx context.Context) {
-	for i, ok := h.take(ctx); ok; i, ok = h.take(ctx) {
+func (h *hunt) playDays(ctx context.Context) {
+	for i, ok := h.nextDay(ctx); ok; i, ok = h.nextDay(ctx) {
 		seed := h.seed + uint64(i)
 		day := scenario.Draw(fmt.Sprintf("drawn-%d", seed), h.length, rand.New(rand.NewPCG(seed, 2)))
 		r, err := h.play(ctx, h.deployment, day, seed, io.Discard)
-		h.note(r, err)
+		h.record(r, err)
 		if err == nil && len(r.Violations) > 0 && h.isShrunk {
 			h.shrink(ctx, day, seed)
 		}
@@ -93,31 +93,31 @@
 }
 
 // take returns the number of the next day; false when there is none.
-func (h *hunt) take(ctx context.Context) (int, bool) {
+func (h *hunt) nextDay(ctx context.Context) (int, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.next >= h.days || h.failed != nil || ctx.Err() != nil {
+	if h.nextIndex >= h.dayCount || h.firstError != nil || ctx.Err() != nil {
 		return 0, false
 	}
-	h.next++
-	return h.next - 1, true
+	h.nextIndex++
+	return h.nextIndex - 1, true
 }
 
-func (h *hunt) note(r *play.Result, err error) {
+func (h *hunt) record(r *play.Result, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
-		h.failed = err
+		h.firstError = err
 		return
 	}
 	if !r.IsPartial {
-		h.played++
+		h.playedDays++
 	}
 	if len(r.Violations) > 0 {
-		h.broken++
+		h.violatedDays++
 	}
 	if h.isJSON || len(r.Violations) > 0 {
-		_ = h.tell(h.out, r)
+		_ = h.printResult(h.out, r)
 		return
 	}
 	_, _ = fmt.Fprintf(h.progress, "%s: %d faults, all rules held\n", r.Day, r.Faults)
@@ -127,10 +127,10 @@
 // rule.
 func (h *hunt) shrink(ctx context.Context, day *scenario.Day, seed uint64) {
 	for i := 0; i < len(day.Faults) && ctx.Err() == nil; {
-		less := day.Without(i)
-		r, err := h.play(ctx, h.deployment, less, seed, io.Discard)
+		reduced := day.Without(i)
+		r, err := h.play(ctx, h.deployment, reduced, seed, io.Discard)
 		if err == nil && len(r.Violations) > 0 {
-			day = less
+			day = reduced
 			continue
 		}
 		i++
--- a/cmd/leverdyke-emulator/main.go
+++ b/cmd/leverdyke-emulator/main.go
@@ -22,20 +22,20 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	context.AfterFunc(ctx, endAtSecond)
+	context.AfterFunc(ctx, exitOnSecondSignal)
 	command.Exit(newRoot().ExecuteContext(ctx))
 }
 
 // exitSignalled is what shells expect of a process that a signal has ended.
-const exitSignalled = 130
+const exitCodeInterrupted = 130
 
 // endAtSecond waits for a second signal and ends the nodes and this process at once.
-func endAtSecond() {
-	second := make(chan os.Signal, 1)
-	signal.Notify(second, os.Interrupt, syscall.SIGTERM)
-	<-second
+func exitOnSecondSignal() {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
+	<-signals
 	play.KillAll()
-	os.Exit(exitSignalled)
+	os.Exit(exitCodeInterrupted)
 }
 
 func newRoot() *cobra.Command {
@@ -49,9 +49,9 @@
 
 // defaultBinary is the node's program beside this one.
 func defaultBinary() string {
-	own, err := os.Executable()
+	path, err := os.Executable()
 	if err != nil {
 		return "leverdyked"
 	}
-	return filepath.Join(filepath.Dir(own), "leverdyked")
+	return filepath.Join(filepath.Dir(path), "leverdyked")
 }
--- a/cmd/leverdyke-emulator/run.go
+++ b/cmd/leverdyke-emulator/run.go
@@ -19,15 +19,15 @@
 
 // playOptions are those of all verbs that play.
 type playOptions struct {
-	binary, keep string
-	seed         uint64
-	isJSON       bool
+	binary, keepDir string
+	seed            uint64
+	isJSON          bool
 }
 
-func (o *playOptions) add(cmd *cobra.Command) {
+func (o *playOptions) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
 	f.StringVar(&o.binary, "binary", defaultBinary(), "the node's program")
-	f.StringVar(&o.keep, "keep", "", "a directory that exists, for settings and logs of the nodes of plays that break a rule")
+	f.StringVar(&o.keepDir, "keep", "", "a directory that exists, for settings and logs of the nodes of plays that break a rule")
 	f.Uint64Var(&o.seed, "seed", 1, "what is drawn goes by it")
 	f.BoolVar(&o.isJSON, "json", false, "print a line of JSON a play")
 }
@@ -54,17 +54,17 @@
 			if err != nil {
 				return err
 			}
-			return o.tell(cmd.OutOrStdout(), r)
+			return o.printResult(cmd.OutOrStdout(), r)
 		},
 	}
-	o.add(cmd)
+	o.addFlags(cmd)
 	cmd.Flags().BoolVar(&isVaried, "vary", false, "draw moments and lengths anew by the seed")
 	return cmd
 }
 
 // play plays one day. The logs of one that breaks a rule stay where they are to be kept.
 func (o *playOptions) play(ctx context.Context, deployment *scenario.Deployment, day *scenario.Day, seed uint64, progress io.Writer) (*play.Result, error) {
-	dir, err := os.MkdirTemp(o.keep, "emulator-")
+	dir, err := os.MkdirTemp(o.keepDir, "emulator-")
 	if err != nil {
 		return nil, fmt.Errorf("emulator: %w", err)
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return nil, err
 	}
-	isKept = o.keep != "" && len(r.Violations) > 0
+	isKept = o.keepDir != "" && len(r.Violations) > 0
 	if isKept {
 		_, _ = fmt.Fprintln(progress, "logs are kept in", dir)
 		return r, day.Save(dir + "/day.yaml")
@@ -92,7 +92,7 @@
 }
 
 // tell prints a result. The error says that a rule was broken.
-func (o *playOptions) tell(w io.Writer, r *play.Result) error {
+func (o *playOptions) printResult(w io.Writer, r *play.Result) error {
 	write := report.Screen
 	if o.isJSON {
 		write = report.JSON
@@ -101,18 +101,18 @@
 		return err
 	}
 	if len(r.Violations) > 0 {
-		return &brokenError{count: len(r.Violations)}
+		return &violationError{count: len(r.Violations)}
 	}
 	return nil
 }
 
 // brokenError says that rules were broken.
-type brokenError struct{ count int }
+type violationError struct{ count int }
 
 // Error tells how often.
-func (e *brokenError) Error() string {
+func (e *violationError) Error() string {
 	return fmt.Sprintf("emulator: rules were broken %d times", e.count)
 }
 
 // IsViolation tells such errors from others by having it.
-func (*brokenError) IsViolation() {}
+func (*violationError) IsViolation() {}
--- a/cmd/leverdyked/main.go
+++ b/cmd/leverdyked/main.go
@@ -32,10 +32,10 @@
 
 const (
 	// handOverTime bounds the hand-over, finishTime the requests in progress.
-	handOverTime = 15 * time.Second
-	leaveTime    = 3 * time.Second
+	handOverTimeout = 15 * time.Second
+	leaveTimeout    = 3 * time.Second
 	// heapPercent makes the collector run often: memory is scarcer than time.
-	heapPercent = 50
+	gcPercent = 50
 )
 
 func main() { command.Exit(newRoot().Execute()) }
@@ -93,7 +93,7 @@
 		return err
 	}
 	debug.SetMemoryLimit(s.MemoryLimitMiB << 20)
-	debug.SetGCPercent(heapPercent)
+	debug.SetGCPercent(gcPercent)
 	d, err := newDaemon(s)
 	if err != nil {
 		return err
@@ -125,16 +125,16 @@
 		Router: n.Router(), Keys: n, Metrics: m, IsReady: n.IsReady, MaxRequests: s.MaxRequests, MaxTimeout: s.MaxTimeout,
 	})
 	d.callers = caller.NewServer(d.handler)
-	d.operators = &http.Server{Handler: operator.NewServer(n, m.Handler()), ReadHeaderTimeout: leaveTime}
+	d.operators = &http.Server{Handler: operator.NewServer(n, m.Handler()), ReadHeaderTimeout: leaveTimeout}
 	if err := registerGauges(m, n); err != nil {
 		n.Close()
 		return nil, err
 	}
-	for _, door := range []struct {
+	for _, l := range []struct {
 		server *http.Server
 		addr   netip.AddrPort
 	}{{d.callers, s.CallersAddr}, {d.operators, s.OperatorsAddr}} {
-		if err := d.servers.Open(door.server, door.addr); err != nil {
+		if err := d.servers.Open(l.server, l.addr); err != nil {
 			n.Close()
 			return nil, err
 		}
@@ -145,14 +145,14 @@
 // stop is the planned stop: not ready, hand over, finish what is in progress,
 // leave. Nothing in progress is cut off.
 func (d *daemon) stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), handOverTime)
+	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
 	d.node.Drain(ctx)
 	time.Sleep(d.settings.DrainWait)
 	finish, cancelFinish := context.WithTimeout(context.Background(), d.settings.MaxTimeout)
 	defer cancelFinish()
 	_ = d.callers.Shutdown(finish)
-	leave, cancelLeave := context.WithTimeout(context.Background(), leaveTime)
+	leave, cancelLeave := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancelLeave()
 	d.node.GiveAnswers(leave)
 	d.node.Leave(leave)
--- a/examples/caller/main.go
+++ b/examples/caller/main.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	maxTries  = 5
-	retryTime = time.Second
+	maxAttempts   = 5
+	retryInterval = time.Second
 )
 
 func main() {
@@ -28,19 +28,19 @@
 		fmt.Fprintln(os.Stderr, "usage: caller URL BODY, such as: caller http://127.0.0.1:7102/s/filing-check/deed 'outlet 12'")
 		os.Exit(2)
 	}
-	if err := file(os.Args[1], os.Args[2]); err != nil {
+	if err := sendUntilKnown(os.Args[1], os.Args[2]); err != nil {
 		fmt.Fprintln(os.Stderr, "error:", err)
 		os.Exit(1)
 	}
 }
 
 // file sends the deed until it is known what became of it.
-func file(url, body string) error {
+func sendUntilKnown(url, body string) error {
 	key, err := uuid.NewV7()
 	if err != nil {
 		return err
 	}
-	for range maxTries {
+	for range maxAttempts {
 		verdict, answer, err := send(url, body, key.String())
 		switch {
 		case err == nil && verdict == leverdyke.VerdictRan:
@@ -54,7 +54,7 @@
 		}
 		// May have run, or no answer at all: the same key gets the first answer,
 		// and never a second run.
-		time.Sleep(retryTime)
+		time.Sleep(retryInterval)
 	}
 	return fmt.Errorf("caller: what became of %s is not known: ask the register before filing again", key)
 }
--- a/tools/measure/counter.go
+++ b/tools/measure/full_cluster.go
@@ -9,14 +9,14 @@
 	"github.com/leverdyke/leverdyke/internal/standin"
 )
 
-const counterWorkers = 24
+const fullClusterWorkers = 24
 
 // counter measures how long callers wait while batches fill the cell and more
 // of them wait.
-func counter(binary string) error {
+func requestsInFullCluster(binary string) error {
 	fmt.Println("| requests in a full cell | callers | answered/s | wait and service p50 / p99 / p99.9 / max | node's processor (ms a request) | control bytes/s a node |\n|---|---|---|---|---|---|")
 	for _, callers := range []int{1, 24} {
-		err := withCell(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cluster) error {
+		err := withCluster(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cluster) error {
 			if err := submit(c, "s", "kind: service\ntasks: 12\neach: {milli_cpu: 100, memory_mib: 10}\nservice: s\nrequest: {milli_cpu: 10, memory_mib: 1}\n"); err != nil {
 				return err
 			}
@@ -27,7 +27,7 @@
 				return err
 			}
 			// Eight slots a VM.
-			if err := awaitRunning(c, 8*counterWorkers); err != nil {
+			if err := awaitRunning(c, 8*fullClusterWorkers); err != nil {
 				return err
 			}
 			before := c.Platform.Oracle.Report()
--- a/tools/measure/load.go
+++ b/tools/measure/load.go
@@ -22,7 +22,7 @@
 	"github.com/leverdyke/leverdyke/internal/standin"
 )
 
-const loadTime = 8 * time.Second
+const loadDuration = 8 * time.Second
 
 // localStatus asks a node about itself alone.
 func localStatus(n *standin.Node) (operator.Status, bool) {
@@ -39,13 +39,13 @@
 	return list[0], true
 }
 
-var completed = regexp.MustCompile(`"LD0303".* detail="([^"]+)"`)
+var rackCompleteLine = regexp.MustCompile(`"LD0303".* detail="([^"]+)"`)
 
 // completions lists how long racks needed to tell all, as the nodes logged it.
-func completions(c *standin.Cluster) []time.Duration {
+func rackCompletionTimes(c *standin.Cluster) []time.Duration {
 	list := []time.Duration{}
 	for _, n := range c.Nodes {
-		for _, m := range completed.FindAllStringSubmatch(n.Log(), -1) {
+		for _, m := range rackCompleteLine.FindAllStringSubmatch(n.Log(), -1) {
 			if d, err := time.ParseDuration(m[1]); err == nil {
 				list = append(list, d)
 			}
@@ -63,7 +63,7 @@
 		isOnce  bool
 		callers int
 	}{{"repeatable", false, 1}, {"once-only", true, 1}, {"repeatable", false, 48}, {"once-only", true, 48}} {
-		err := withCell(binary, options{nodes: 3, racks: 3, workers: 4, capacity: capacity}, func(c *standin.Cluster) error {
+		err := withCluster(binary, options{nodes: 3, racks: 3, workers: 4, capacity: capacity}, func(c *standin.Cluster) error {
 			job := fmt.Sprintf("kind: service\ntasks: 12\neach: {milli_cpu: 100, memory_mib: 10}\nservice: s\nrequest: {milli_cpu: 10, memory_mib: 1}\nrequest_once: %v\n", kind.isOnce)
 			if err := submit(c, "s", job); err != nil {
 				return err
@@ -84,8 +84,8 @@
 	h := newHistogram()
 	mu := sync.Mutex{}
 	refused := 0
-	cpu, control := cpuOf(c), controlOf(c)
-	ctx, cancel := context.WithTimeout(context.Background(), loadTime)
+	cpu, control := totalCPUSeconds(c), totalControlBytes(c)
+	ctx, cancel := context.WithTimeout(context.Background(), loadDuration)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	wg := sync.WaitGroup{}
@@ -93,7 +93,7 @@
 		wg.Go(func() {
 			for n := i; ctx.Err() == nil; n++ {
 				began := time.Now()
-				verdict := callOnce(client, c.Nodes[n%len(c.Nodes)], isOnce)
+				verdict := sendRequest(client, c.Nodes[n%len(c.Nodes)], isOnce)
 				mu.Lock()
 				if verdict == leverdyke.VerdictRan {
 					_ = h.RecordValue(time.Since(began).Microseconds())
@@ -106,15 +106,15 @@
 	}
 	wg.Wait()
 	count := float64(h.TotalCount())
-	fmt.Printf("| %s | %d | %.0f (%d refused) | %s | %.2f | %.0f |\n", name, callers, count/loadTime.Seconds(), refused, quantiles(h),
-		1000*(cpuOf(c)-cpu)/max(count, 1), (controlOf(c)-control)/loadTime.Seconds()/float64(len(c.Nodes)))
+	fmt.Printf("| %s | %d | %.0f (%d refused) | %s | %.2f | %.0f |\n", name, callers, count/loadDuration.Seconds(), refused, quantiles(h),
+		1000*(totalCPUSeconds(c)-cpu)/max(count, 1), (totalControlBytes(c)-control)/loadDuration.Seconds()/float64(len(c.Nodes)))
 	if r := c.Platform.Oracle.Report(); r.OverCommits+r.Repeated > 0 {
 		return errors.New(strings.Join(r.Violations, "; "))
 	}
 	return nil
 }
 
-func callOnce(client *http.Client, n *standin.Node, isOnce bool) leverdyke.Verdict {
+func sendRequest(client *http.Client, n *standin.Node, isOnce bool) leverdyke.Verdict {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.Callers.String()+"/s/s/x", strings.NewReader("body"))
 	if err != nil {
 		return ""
@@ -135,7 +135,7 @@
 }
 
 // cpuOf adds the processor time of all nodes, in seconds.
-func cpuOf(c *standin.Cluster) float64 {
+func totalCPUSeconds(c *standin.Cluster) float64 {
 	sum := 0.0
 	for _, n := range c.Nodes {
 		sum += metric(n, `leverdyke_load{what="cpu_seconds"`)
@@ -143,7 +143,7 @@
 	return sum
 }
 
-func controlOf(c *standin.Cluster) float64 {
+func totalControlBytes(c *standin.Cluster) float64 {
 	sum := 0.0
 	for _, n := range c.Nodes {
 		sum += metric(n, "leverdyke_control")
@@ -170,13 +170,13 @@
 	return sum
 }
 
-var startedLine = regexp.MustCompile(`"LD0402".*class="(\w+)" waited="([^"]+)"`)
+var taskStartedLine = regexp.MustCompile(`"LD0402".*class="(\w+)" waited="([^"]+)"`)
 
 // waits returns how long tasks of a class waited, as the nodes logged it.
 func waits(c *standin.Cluster, class string) string {
 	h := newHistogram()
 	for _, n := range c.Nodes {
-		for _, m := range startedLine.FindAllStringSubmatch(n.Log(), -1) {
+		for _, m := range taskStartedLine.FindAllStringSubmatch(n.Log(), -1) {
 			if d, err := time.ParseDuration(m[2]); err == nil && m[1] == class {
 				_ = h.RecordValue(d.Microseconds())
 			}
@@ -187,7 +187,7 @@
 
 // urgent measures how long urgent work waits while batches fill the cell.
 func urgent(binary string) error {
-	return withCell(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cluster) error {
+	return withCluster(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cluster) error {
 		if err := submit(c, "fill", "kind: batch\nclass: batch\ntasks: 1000\neach: {milli_cpu: 2000, memory_mib: 4096}\nrun_time: 10m\n"); err != nil {
 			return err
 		}
@@ -207,8 +207,8 @@
 }
 
 // wave measures 5,000 cancellations at once, and what they cost others.
-func wave(binary string) error {
-	return withCell(binary, options{nodes: 3, racks: 3, workers: 4, settings: "appends_per_second: 30\n"}, func(c *standin.Cluster) error {
+func massCancellation(binary string) error {
+	return withCluster(binary, options{nodes: 3, racks: 3, workers: 4, settings: "appends_per_second: 30\n"}, func(c *standin.Cluster) error {
 		const jobs = 5000
 		ids := make([]string, jobs)
 		next := make(chan int, jobs)
@@ -245,14 +245,14 @@
 				return err
 			}
 		}
-		took := <-done
+		duration := <-done
 		standin.Await(20*time.Second, func() bool { return strings.HasPrefix(waits(c, "urgent"), "20 ") })
-		fmt.Printf("| 5,000 cancellations in one call | |\n|---|---|\n| the call | %v |\n| wait of 20 urgent tasks submitted meanwhile, p50 / p99 / p99.9 / max | %s |\n", took, waits(c, "urgent"))
+		fmt.Printf("| 5,000 cancellations in one call | |\n|---|---|\n| the call | %v |\n| wait of 20 urgent tasks submitted meanwhile, p50 / p99 / p99.9 / max | %s |\n", duration, waits(c, "urgent"))
 		return nil
 	})
 }
 
-func callService(n *standin.Node, service string) leverdyke.Verdict {
+func requestService(n *standin.Node, service string) leverdyke.Verdict {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.Callers.String()+"/s/"+service+"/x", strings.NewReader("body"))
 	if err != nil {
 		return ""
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -22,36 +22,36 @@
 	"github.com/leverdyke/leverdyke/internal/standin/native"
 )
 
-const patience = 60 * time.Second
+const timeout = 60 * time.Second
 
 // measure is one thing to measure.
-type measure struct {
+type measurement struct {
 	name string
-	do   func(binary string) error
+	run  func(binary string) error
 }
 
-var logOutTime = flag.Duration("logout", time.Minute, "how long the log is out; 24m has as many leases of 8 s as an hour has of 20 s")
+var logOutageDuration = flag.Duration("logout", time.Minute, "how long the log is out; 24m has as many leases of 8 s as an hour has of 20 s")
 
 func main() {
 	bin := flag.String("bin", "bin", "where the programs are")
 	only := flag.String("only", "", "measure this alone")
 	flag.Parse()
-	for _, m := range []measure{
+	for _, m := range []measurement{
 		{"ownerless", ownerless},
-		{"config", configInForce},
+		{"config", configPropagation},
 		{"requests", requests},
 		{"recovery", recovery},
 		{"urgent", urgent},
-		{"wave", wave},
+		{"wave", massCancellation},
 		{"mixed", mixed},
-		{"counter", counter},
-		{"logout", logOut},
+		{"counter", requestsInFullCluster},
+		{"logout", logOutage},
 	} {
 		if *only != "" && *only != m.name {
 			continue
 		}
 		fmt.Printf("\n### %s\n\n", m.name)
-		if err := m.do(filepath.Join(*bin, "leverdyked")); err != nil {
+		if err := m.run(filepath.Join(*bin, "leverdyked")); err != nil {
 			fmt.Fprintf(os.Stderr, "measure %s: %v\n", m.name, err)
 			os.Exit(1)
 		}
@@ -66,7 +66,7 @@
 }
 
 // withCell starts a cell with one team, hands it to f, and ends it.
-func withCell(binary string, o options, f func(c *standin.Cluster) error) error {
+func withCluster(binary string, o options, run func(c *standin.Cluster) error) error {
 	dir, err := os.MkdirTemp("", "leverdyke-measure-")
 	if err != nil {
 		return err
@@ -80,7 +80,7 @@
 		return err
 	}
 	defer c.Close()
-	if !c.AwaitOwned(patience, o.racks, 16) {
+	if !c.AwaitOwned(timeout, o.racks, 16) {
 		return fmt.Errorf("not all shards have an owner")
 	}
 	for _, d := range [][2]string{
@@ -91,7 +91,7 @@
 			return err
 		}
 	}
-	return f(c)
+	return run(c)
 }
 
 func submit(c *standin.Cluster, id, body string) error {
@@ -100,7 +100,7 @@
 }
 
 func awaitRunning(c *standin.Cluster, n int) error {
-	if !standin.Await(patience, func() bool { return c.Platform.Oracle.Report().Running >= n }) {
+	if !standin.Await(timeout, func() bool { return c.Platform.Oracle.Report().Running >= n }) {
 		return fmt.Errorf("%d of %d tasks run", c.Platform.Oracle.Report().Running, n)
 	}
 	return nil
--- a/tools/measure/mixed.go
+++ b/tools/measure/mixed.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	mixedRacks    = 6
-	mixedWorkers  = 4
-	mixedRun      = 4 * time.Second
-	mixedTime     = 40 * time.Second
-	mixedClients  = 24
-	mixedMilliCPU = 16000
+	mixedRacks       = 6
+	mixedWorkers     = 4
+	mixedMeanRunTime = 4 * time.Second
+	mixedDuration    = 40 * time.Second
+	mixedClients     = 24
+	mixedMilliCPU    = 16000
 )
 
 // mixedJob is a job of one task and when it is submitted.
@@ -38,8 +38,8 @@
 	capacity := float64(mixedRacks * mixedWorkers * mixedMilliCPU)
 	// The mean need of the three kinds below.
 	const mean = 0.1*1000 + 0.5*2500 + 0.4*8000
-	rate := load * capacity / (mean * mixedRun.Seconds())
-	for at := time.Duration(0); at < mixedTime; at += time.Duration(r.ExpFloat64() / rate * float64(time.Second)) {
+	rate := load * capacity / (mean * mixedMeanRunTime.Seconds())
+	for at := time.Duration(0); at < mixedDuration; at += time.Duration(r.ExpFloat64() / rate * float64(time.Second)) {
 		class, cpu := leverdyke.ClassBatch, 4000+r.Intn(8000)
 		switch x := r.Float64(); {
 		case x < 0.1:
@@ -47,7 +47,7 @@
 		case x < 0.6:
 			class, cpu = leverdyke.ClassNormal, 1000+r.Intn(3000)
 		}
-		run := time.Duration(r.ExpFloat64() * float64(mixedRun)).Round(time.Millisecond)
+		run := time.Duration(r.ExpFloat64() * float64(mixedMeanRunTime)).Round(time.Millisecond)
 		jobs = append(jobs, mixedJob{at, fmt.Sprintf("kind: batch\nclass: %s\ntasks: 1\neach: {milli_cpu: %d, memory_mib: %d}\nrun_time: %s\n",
 			class, cpu, cpu/2, max(run, 10*time.Millisecond))})
 	}
@@ -58,8 +58,8 @@
 func mixed(binary string) error {
 	fmt.Println("| offered load | jobs, refused | urgent p50 / p99 / p99.9 / max | normal | batch | mean processors used (%) | processor a node (% of a core) | control bytes/s a node |\n|---|---|---|---|---|---|---|---|")
 	for _, load := range []float64{0.7, 0.9, 1.2} {
-		err := withCell(binary, options{nodes: 3, racks: mixedRacks, workers: mixedWorkers, settings: "appends_per_second: 30\n"}, func(c *standin.Cluster) error {
-			return mixedRow(c, load)
+		err := withCluster(binary, options{nodes: 3, racks: mixedRacks, workers: mixedWorkers, settings: "appends_per_second: 30\n"}, func(c *standin.Cluster) error {
+			return printMixed(c, load)
 		})
 		if err != nil {
 			return err
@@ -68,10 +68,10 @@
 	return nil
 }
 
-func mixedRow(c *standin.Cluster, load float64) error {
+func printMixed(c *standin.Cluster, load float64) error {
 	jobs := mixedJobs(load)
 	refused := atomic.Int64{}
-	cpu, control, began := cpuOf(c), controlOf(c), time.Now()
+	cpu, control, began := totalCPUSeconds(c), totalControlBytes(c), time.Now()
 	next := make(chan int, len(jobs))
 	wg := sync.WaitGroup{}
 	for range mixedClients {
@@ -88,19 +88,19 @@
 		time.Sleep(time.Until(began.Add(jobs[i].at)))
 		next <- i
 		// The cell is filling up in the first quarter.
-		if jobs[i].at > mixedTime/4 && time.Since(sampledAt) > time.Second {
+		if jobs[i].at > mixedDuration/4 && time.Since(sampledAt) > time.Second {
 			sampledAt = time.Now()
-			used += usedPart(c)
+			used += usedFraction(c)
 			samples++
 		}
 	}
 	close(next)
 	wg.Wait()
-	took := time.Since(began).Seconds()
+	seconds := time.Since(began).Seconds()
 	nodes := float64(len(c.Nodes))
 	fmt.Printf("| %.1f | %d, %d | %s | %s | %s | %.0f | %.1f | %.0f |\n", load, len(jobs), refused.Load(),
 		waits(c, "urgent"), waits(c, "normal"), waits(c, "batch"), 100*used/float64(max(samples, 1)),
-		100*(cpuOf(c)-cpu)/took/nodes, (controlOf(c)-control)/took/nodes)
+		100*(totalCPUSeconds(c)-cpu)/seconds/nodes, (totalControlBytes(c)-control)/seconds/nodes)
 	if r := c.Platform.Oracle.Report(); r.OverCommits+r.DoubleRuns > 0 {
 		return fmt.Errorf("%v", r.Violations)
 	}
@@ -108,7 +108,7 @@
 }
 
 // usedPart returns the used part of the processors of all workers.
-func usedPart(c *standin.Cluster) float64 {
+func usedFraction(c *standin.Cluster) float64 {
 	list, err := c.Client().Workers(context.Background())
 	if err != nil {
 		return 0
--- a/tools/measure/owners.go
+++ b/tools/measure/owners.go
@@ -18,11 +18,11 @@
 // in three ways.
 func ownerless(binary string) error {
 	fmt.Println("| how the node goes | without an owner p50 / p99 / p99.9 / max | tasks that lost their lease |\n|---|---|---|")
-	for _, way := range []struct {
+	for _, stop := range []struct {
 		name   string
 		signal syscall.Signal
 	}{{"SIGKILL", syscall.SIGKILL}, {"SIGTERM", syscall.SIGTERM}, {"SIGSTOP", syscall.SIGSTOP}} {
-		err := withCell(binary, options{nodes: 3, racks: 6, workers: 4, settings: "drain_wait: 100ms\n"}, func(c *standin.Cluster) error {
+		err := withCluster(binary, options{nodes: 3, racks: 6, workers: 4, settings: "drain_wait: 100ms\n"}, func(c *standin.Cluster) error {
 			if err := submit(c, "s", "kind: service\ntasks: 60\neach: {milli_cpu: 100, memory_mib: 10}\n"); err != nil {
 				return err
 			}
@@ -31,11 +31,11 @@
 			}
 			h := newHistogram()
 			for range 6 {
-				if err := goAway(c, busiest(c), way.signal, h); err != nil {
+				if err := stopAndRestart(c, busiest(c), stop.signal, h); err != nil {
 					return err
 				}
 			}
-			fmt.Printf("| %s, 6 times | %s | %d |\n", way.name, quantiles(h), c.Platform.Oracle.Report().LeaseExpirations)
+			fmt.Printf("| %s, 6 times | %s | %d |\n", stop.name, quantiles(h), c.Platform.Oracle.Report().LeaseExpirations)
 			return nil
 		})
 		if err != nil {
@@ -46,45 +46,45 @@
 }
 
 // goAway takes a node away, waits until the others own all, and brings it back.
-func goAway(c *standin.Cluster, i int, s syscall.Signal, h interface{ RecordValue(int64) error }) error {
-	gone := c.Nodes[i]
+func stopAndRestart(c *standin.Cluster, i int, sig syscall.Signal, durations interface{ RecordValue(int64) error }) error {
+	stopped := c.Nodes[i]
 	began := time.Now()
-	gone.Signal(s)
-	if !standin.Await(patience, func() bool { return ownedBut(c, i) >= 6 }) {
-		return fmt.Errorf("the others own %d of 6 racks", ownedBut(c, i))
+	stopped.Signal(sig)
+	if !standin.Await(timeout, func() bool { return racksOwnedWithout(c, i) >= 6 }) {
+		return fmt.Errorf("the others own %d of 6 racks", racksOwnedWithout(c, i))
 	}
-	_ = h.RecordValue(time.Since(began).Microseconds())
-	if s == syscall.SIGSTOP {
-		gone.Signal(syscall.SIGCONT)
+	_ = durations.RecordValue(time.Since(began).Microseconds())
+	if sig == syscall.SIGSTOP {
+		stopped.Signal(syscall.SIGCONT)
 	} else {
-		gone.Wait(patience)
-		if err := gone.Start(); err != nil {
+		stopped.Wait(timeout)
+		if err := stopped.Start(); err != nil {
 			return err
 		}
 	}
 	// Until it has seen what it no longer owns.
-	standin.Await(patience, func() bool {
-		st, ok := status(gone)
-		return ok && st.IsReady && ownedBut(c, -1) == 6
+	standin.Await(timeout, func() bool {
+		s, ok := status(stopped)
+		return ok && s.IsReady && racksOwnedWithout(c, -1) == 6
 	})
 	return nil
 }
 
 // busiest returns the node that owns the most racks.
 func busiest(c *standin.Cluster) int {
-	best, most := 0, -1
+	best, highest := 0, -1
 	for i, n := range c.Nodes {
-		if s, ok := localStatus(n); ok && len(s.Racks) > most {
-			best, most = i, len(s.Racks)
+		if s, ok := localStatus(n); ok && len(s.Racks) > highest {
+			best, highest = i, len(s.Racks)
 		}
 	}
 	return best
 }
 
-func ownedBut(c *standin.Cluster, i int) int {
+func racksOwnedWithout(c *standin.Cluster, excluded int) int {
 	sum := 0
 	for j, n := range c.Nodes {
-		if j == i {
+		if j == excluded {
 			continue
 		}
 		if s, ok := localStatus(n); ok {
@@ -95,8 +95,8 @@
 }
 
 // configInForce measures how long a change takes to be in force at 7 nodes.
-func configInForce(binary string) error {
-	return withCell(binary, options{nodes: 7, racks: 3, workers: 2}, func(c *standin.Cluster) error {
+func configPropagation(binary string) error {
+	return withCluster(binary, options{nodes: 7, racks: 3, workers: 2}, func(c *standin.Cluster) error {
 		h := newHistogram()
 		const changes = 60
 		for i := range changes {
@@ -107,7 +107,7 @@
 			}
 			for _, n := range c.Nodes {
 				client := operator.NewClient([]string{n.Operators.String()}, time.Second, nil)
-				standin.Await(patience, func() bool {
+				standin.Await(timeout, func() bool {
 					d, err := client.Doc(context.Background(), "office/o")
 					return err == nil && d.Version > uint64(i)
 				})
@@ -124,25 +124,25 @@
 func recovery(binary string) error {
 	fmt.Println("| tasks running | heirs own all racks after | every rack has told all, after the claim (max) |\n|---|---|---|")
 	for _, tasks := range []int{100, 1000, 10000} {
-		big := leverdyke.Resources{MilliCPU: 64000, MemoryMiB: 1 << 20, Slots: 400}
-		err := withCell(binary, options{nodes: 3, racks: 6, workers: 8, capacity: big}, func(c *standin.Cluster) error {
+		capacity := leverdyke.Resources{MilliCPU: 64000, MemoryMiB: 1 << 20, Slots: 400}
+		err := withCluster(binary, options{nodes: 3, racks: 6, workers: 8, capacity: capacity}, func(c *standin.Cluster) error {
 			if err := submit(c, "s", fmt.Sprintf("kind: service\ntasks: %d\neach: {milli_cpu: 1, memory_mib: 1}\n", tasks)); err != nil {
 				return err
 			}
 			if err := awaitRunning(c, tasks); err != nil {
 				return err
 			}
-			before := len(completions(c))
+			before := len(rackCompletionTimes(c))
 			h := newHistogram()
-			if err := goAway(c, 0, syscall.SIGKILL, h); err != nil {
+			if err := stopAndRestart(c, 0, syscall.SIGKILL, h); err != nil {
 				return err
 			}
-			standin.Await(patience, func() bool { return len(completions(c)) > before })
-			worst := time.Duration(0)
-			for _, d := range completions(c)[before:] {
-				worst = max(worst, d)
+			standin.Await(timeout, func() bool { return len(rackCompletionTimes(c)) > before })
+			longest := time.Duration(0)
+			for _, d := range rackCompletionTimes(c)[before:] {
+				longest = max(longest, d)
 			}
-			fmt.Printf("| %d | %v | %v |\n", tasks, time.Duration(h.Max())*time.Microsecond, worst)
+			fmt.Printf("| %d | %v | %v |\n", tasks, time.Duration(h.Max())*time.Microsecond, longest)
 			if got := c.Platform.Oracle.Report(); got.LeaseExpirations+got.DoubleRuns > 0 {
 				return fmt.Errorf("%d leases lapsed, %d double runs", got.LeaseExpirations, got.DoubleRuns)
 			}
--- a/tools/quickstart/main.go
+++ b/tools/quickstart/main.go
@@ -24,9 +24,9 @@
 
 const (
 	racks      = 4
-	homes      = 16
+	jobShards  = 16
 	nodes      = 3
-	patience   = 15 * time.Second
+	timeout    = 15 * time.Second
 	workersCPU = 16000
 )
 
@@ -41,10 +41,10 @@
 }
 
 // tour is one run of the quickstart.
-type tour struct {
-	cell  *standin.Cluster
-	bin   string
-	calls calls
+type quickstart struct {
+	cluster  *standin.Cluster
+	bin      string
+	requests requestLog
 }
 
 func run(bin string, keep bool) error {
@@ -52,26 +52,26 @@
 	if err != nil {
 		return err
 	}
-	cell, err := standin.NewCluster(standin.NewClusterOptions{
+	cluster, err := standin.NewCluster(standin.NewClusterOptions{
 		Binary: filepath.Join(bin, "leverdyked"), Dir: dir, Nodes: nodes,
 		Platform: native.NewServerOptions{Zones: 2, Racks: 2, Workers: 3, Lag: time.Second},
 	})
 	if err != nil {
 		return err
 	}
-	defer cell.Close()
-	t := &tour{cell: cell, bin: bin, calls: calls{verdicts: map[string]int{}}}
+	defer cluster.Close()
+	q := &quickstart{cluster: cluster, bin: bin, requests: requestLog{verdicts: map[string]int{}}}
 	began := time.Now()
 	for _, step := range []struct {
 		name string
 		do   func() error
 	}{
-		{"the cell has an owner for every rack and home", t.awaitOwners},
-		{"templates and configuration are published", t.publish},
-		{"a service, a batch and an all-at-once job are submitted", t.submit},
-		{"callers' requests go through every node, and one node is killed", t.callAndKill},
-		{"a job is cancelled", t.cancel},
-		{"what must always hold did hold", t.check},
+		{"the cell has an owner for every rack and home", q.awaitOwners},
+		{"templates and configuration are published", q.publish},
+		{"a service, a batch and an all-at-once job are submitted", q.submit},
+		{"callers' requests go through every node, and one node is killed", q.callAndKill},
+		{"a job is cancelled", q.cancel},
+		{"what must always hold did hold", q.check},
 	} {
 		if err := step.do(); err != nil {
 			return fmt.Errorf("%s: %w (logs are in %s)", step.name, err, dir)
@@ -79,26 +79,26 @@
 		fmt.Printf("%6.1fs  %s\n", time.Since(began).Seconds(), step.name)
 	}
 	if keep {
-		t.keep(dir)
+		q.keepRunning(dir)
 		return nil
 	}
 	return os.RemoveAll(dir)
 }
 
-func (t *tour) awaitOwners() error {
-	if !t.cell.AwaitOwned(patience, racks, homes) {
+func (q *quickstart) awaitOwners() error {
+	if !q.cluster.AwaitOwned(timeout, racks, jobShards) {
 		return errors.New("not all have an owner")
 	}
 	return nil
 }
 
 // client runs the operators' client as a person would.
-func (t *tour) client(args ...string) (string, error) {
+func (q *quickstart) client(args ...string) (string, error) {
 	addrs := []string{}
-	for _, n := range t.cell.Nodes {
+	for _, n := range q.cluster.Nodes {
 		addrs = append(addrs, n.Operators.String())
 	}
-	c := exec.Command(filepath.Join(t.bin, "leverdyke"), append([]string{"--quiet", "--nodes", strings.Join(addrs, ",")}, args...)...)
+	c := exec.Command(filepath.Join(q.bin, "leverdyke"), append([]string{"--quiet", "--nodes", strings.Join(addrs, ",")}, args...)...)
 	out, err := c.CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("leverdyke %s: %w: %s", strings.Join(args, " "), err, out)
@@ -106,24 +106,24 @@
 	return string(out), nil
 }
 
-func (t *tour) publish() error {
+func (q *quickstart) publish() error {
 	for _, d := range [][2]string{
 		{"office/head", "office-head"},
 		{"office/brescia", "office-brescia"},
 		{"team/filings", "team-filings"},
 		{"team/reconciliation", "team-reconciliation"},
 	} {
-		if _, err := t.client("config", "publish", d[0], "examples/"+d[1]+".yaml"); err != nil {
+		if _, err := q.client("config", "publish", d[0], "examples/"+d[1]+".yaml"); err != nil {
 			return err
 		}
 	}
-	_, err := t.client("template", "publish", "nightly-reconciliation", "examples/template-reconciliation.yaml")
+	_, err := q.client("template", "publish", "nightly-reconciliation", "examples/template-reconciliation.yaml")
 	return err
 }
 
-func (t *tour) submit() error {
+func (q *quickstart) submit() error {
 	for _, j := range []string{"service", "service-repeatable", "batch", "all-at-once"} {
-		if _, err := t.client("job", "submit", "examples/"+j+".yaml", "--id", j, "--wait", "10s"); err != nil {
+		if _, err := q.client("job", "submit", "examples/"+j+".yaml", "--id", j, "--wait", "10s"); err != nil {
 			return err
 		}
 	}
@@ -132,52 +132,52 @@
 
 // callAndKill sends requests through all nodes while one is killed and started
 // again.
-func (t *tour) callAndKill() error {
+func (q *quickstart) callAndKill() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		t.calls.run(ctx, t.cell)
+		q.requests.run(ctx, q.cluster)
 	}()
-	victim := t.cell.Nodes[nodes-1]
+	killed := q.cluster.Nodes[nodes-1]
 	time.Sleep(1500 * time.Millisecond)
-	victim.Signal(syscall.SIGKILL)
-	victim.Wait(patience)
+	killed.Signal(syscall.SIGKILL)
+	killed.Wait(timeout)
 	time.Sleep(1500 * time.Millisecond)
-	if err := victim.Start(); err != nil {
+	if err := killed.Start(); err != nil {
 		return err
 	}
 	<-done
-	if !standin.Await(patience, victim.IsReady) {
+	if !standin.Await(timeout, killed.IsReady) {
 		return errors.New("the killed node does not come back")
 	}
 	return nil
 }
 
-func (t *tour) cancel() error {
-	if _, err := t.client("job", "cancel", "service-repeatable"); err != nil {
+func (q *quickstart) cancel() error {
+	if _, err := q.client("job", "cancel", "service-repeatable"); err != nil {
 		return err
 	}
-	if !standin.Await(patience, func() bool { return t.cell.Platform.Oracle.Report().Running == 3 }) {
-		return fmt.Errorf("%d tasks run, want the 3 of the service that is left", t.cell.Platform.Oracle.Report().Running)
+	if !standin.Await(timeout, func() bool { return q.cluster.Platform.Oracle.Report().Running == 3 }) {
+		return fmt.Errorf("%d tasks run, want the 3 of the service that is left", q.cluster.Platform.Oracle.Report().Running)
 	}
 	return nil
 }
 
 // check prints the table and fails if anything did not hold.
-func (t *tour) check() error {
-	r := t.cell.Platform.Oracle.Report()
-	jobs, err := t.client("job", "list", "--all")
+func (q *quickstart) check() error {
+	r := q.cluster.Platform.Oracle.Report()
+	jobs, err := q.client("job", "list", "--all")
 	if err != nil {
 		return err
 	}
-	workers, err := t.client("worker", "list")
+	workers, err := q.client("worker", "list")
 	if err != nil {
 		return err
 	}
 	fmt.Printf("\n%s\n%s\n", jobs, workers)
-	t.calls.print()
+	q.requests.print()
 	fmt.Printf("tasks started %d, requests run %d, over-commits %d, double runs %d, repeated %d, starts on leaving VMs %d, lapsed leases %d\n\n",
 		r.Starts, r.Requests, r.OverCommits, r.DoubleRuns, r.Repeated, r.StartsOnLeaving, r.LeaseExpirations)
 	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving > 0 {
@@ -186,18 +186,18 @@
 	if r.LeaseExpirations > 0 {
 		return fmt.Errorf("%d tasks lost their lease because a node was killed", r.LeaseExpirations)
 	}
-	return t.calls.verify(t.cell.Platform.Oracle)
+	return q.requests.verify(q.cluster.Platform.Oracle)
 }
 
 // keep leaves the cell running and says what to try.
-func (t *tour) keep(dir string) {
-	n := t.cell.Nodes
+func (q *quickstart) keepRunning(dir string) {
+	n := q.cluster.Nodes
 	fmt.Printf("The cell keeps running; Ctrl-C ends it. Logs and settings are in %s. Try:\n\n", dir)
 	fmt.Printf("  export LEVERDYKE_NODES=%s,%s\n", n[0].Operators, n[1].Operators)
-	fmt.Printf("  %s/leverdyke node list\n  %s/leverdyke job submit examples/batch.yaml --wait 10s\n", t.bin, t.bin)
+	fmt.Printf("  %s/leverdyke node list\n  %s/leverdyke job submit examples/batch.yaml --wait 10s\n", q.bin, q.bin)
 	fmt.Printf("  curl -i http://%s/s/filing-check/hello\n", n[0].Callers)
-	fmt.Printf("  curl -s http://%s/v1/oracle\n", t.cell.Platform.Addr())
-	fmt.Printf("  curl -X PUT http://%s/v1/faults/log -d '{\"out\":true}'\n", t.cell.Platform.Addr())
+	fmt.Printf("  curl -s http://%s/v1/oracle\n", q.cluster.Platform.Addr())
+	fmt.Printf("  curl -X PUT http://%s/v1/faults/log -d '{\"out\":true}'\n", q.cluster.Platform.Addr())
 	fmt.Printf("  kill -9 %d\n", n[0].Pid())
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM)
