--- a/internal/standin/site/capacity.go
+++ b/internal/standin/site/capacity.go
@@ -5,20 +5,20 @@
 
 import "time"
 
-// shrinkGrace is how long a start may go by room that a worker no longer has: the 3 s in
-// which nodes in touch take things up, and one entry more.
+// shrinkGrace is how long after a worker's capacity has shrunk nodes may still start tasks by the old
+// capacity: the 3 s within which every connected node applies an update, and one heartbeat more.
 const shrinkGrace = 3*time.Second + heartbeatPeriod
 
-// room is what a worker has for tasks.
+// capacity is what a worker offers to tasks: processors in thousandths, memory in MiB.
 type capacity struct{ cpu, mem int64 }
 
-// earlierRoom is what a worker had until then.
+// previousCapacity is a capacity that a worker offered until a point in time.
 type previousCapacity struct {
 	capacity
 	until time.Time
 }
 
-// Resize changes the worker's room, and tells it at once.
+// Resize changes the worker's capacity and sends a heartbeat with the new one at once.
 func (w *Worker) Resize(milliCPU, memoryMiB int64) {
 	w.mu.Lock()
 	w.previousCapacities = append(w.previousCapacities, previousCapacity{w.capacity, time.Now()})
@@ -27,7 +27,7 @@
 	w.heartbeat()
 }
 
-// allowed returns the most room that a start may go by; the caller holds the lock.
+// maxCapacity returns the highest capacity that nodes may still assume. Callers must hold the lock.
 func (w *Worker) maxCapacity() capacity {
 	highest := w.capacity
 	for _, p := range w.previousCapacities {
--- a/internal/standin/site/customers.go
+++ b/internal/standin/site/customers.go
@@ -9,27 +9,29 @@
 	"time"
 )
 
-// Customer is one whose callers carry keys.
+// Customer is a customer whose callers authenticate with API keys.
 type Customer struct {
 	Name string
-	// Keys are those in force.
+	// Keys are the API keys that are valid now.
 	Keys []string
-	// MilliCPU is what its tasks may take over all workers; 0 is no limit.
+	// MilliCPU limits the processors, in thousandths, that its tasks may use over all workers; 0 is no limit.
 	MilliCPU int64
 }
 
-// limitGrace is how long after a limit has changed that before it may still be in force.
+// limitGrace is how long after a change the previous limit may still be applied by nodes that have not
+// read the new configuration.
 const limitGrace = 3 * time.Second
 
-// SetCustomers sets the customers of the configurations that are published from now on. With
-// none, callers have no keys.
+// SetCustomers sets the customers for configurations that are published from now on. Without
+// customers, requests need no API key.
 func (s *Site) SetCustomers(customers ...Customer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.customers = customers
 }
 
-// tenants returns the customers in the platform's words, and notes their limits.
+// tenantEntries returns the customers in the format of the platform's configuration, and sets the limits that the
+// oracle checks.
 func (s *Site) tenantEntries() []any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,21 +45,21 @@
 	return entries
 }
 
-// KnowCustomer tells the stand-in whose a job is.
+// SetJobCustomer records the customer of a job, so that the oracle counts its tasks against the limit.
 func (s *Site) SetJobCustomer(id, name string) {
 	s.oracle.mu.Lock()
 	defer s.oracle.mu.Unlock()
 	s.oracle.customerOfJob[id] = name
 }
 
-// PeakOf returns the most processors that a customer had in use at once.
+// PeakMilliCPU returns the highest number of processors, in thousandths, that a customer used at once.
 func (s *Site) PeakMilliCPU(name string) int64 {
 	s.oracle.mu.Lock()
 	defer s.oracle.mu.Unlock()
 	return s.oracle.peaks[name]
 }
 
-// earlierLimits are limits that were in force until then.
+// previousLimits are limits, by customer, that were in force until a point in time.
 type previousLimits struct {
 	limits map[string]int64
 	until  time.Time
@@ -70,8 +72,8 @@
 	o.limits = limits
 }
 
-// use notes that a run of a customer's job began, and checks the customer's limit; the caller
-// holds the lock.
+// addUsage counts a started run against its customer and records a violation if the customer
+// exceeds its limit. Callers must hold the lock.
 func (o *Oracle) addUsage(task, worker string, cpu int64) {
 	job, _, _ := strings.Cut(task, ".")
 	name := o.customerOfJob[job]
@@ -86,13 +88,13 @@
 	}
 }
 
-// customerUse is what a run takes of a customer's limit.
+// customerUsage is what a run uses of a customer's limit.
 type customerUsage struct {
 	name string
 	cpu  int64
 }
 
-// endUse notes that a run has ended; the caller holds the lock.
+// removeUsage releases what an ended run used of its customer's limit. Callers must hold the lock.
 func (o *Oracle) removeUsage(task, worker string) {
 	key := task + " " + worker
 	u := o.usageByRun[key]
@@ -100,7 +102,8 @@
 	o.used[u.name] -= u.cpu
 }
 
-// limitOf returns the highest limit that may be in force, 0 for none.
+// effectiveLimit returns the highest limit that a node may still apply: the current one, or one replaced
+// within limitGrace. 0 means no limit.
 func (o *Oracle) effectiveLimit(name string) int64 {
 	limit := o.limits[name]
 	for _, p := range o.previous {
--- a/internal/standin/site/export_test.go
+++ b/internal/standin/site/export_test.go
@@ -3,7 +3,7 @@
 
 package site
 
-// ClaimSlot takes a slot as another process would.
+// ClaimSlot claims an address slot as another process would. free releases it.
 func ClaimSlot() (number int, free func() error, err error) {
 	s, err := claimSlot()
 	if err != nil {
--- a/internal/standin/site/job.go
+++ b/internal/standin/site/job.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Job is a job as its caller hands it in.
+// Job is a job to submit.
 type Job struct {
 	ID    string
 	Steps []Step
@@ -19,29 +19,29 @@
 
 // Step is a step of a job.
 type Step struct {
-	// Tasks is how many tasks it has, MilliCPU and MemoryMiB are what each takes.
+	// Tasks is the number of tasks, MilliCPU and MemoryMiB are what each of them needs.
 	Tasks               int
 	MilliCPU, MemoryMiB int64
-	// Takes is how long a task runs; tasks that last run until they are stopped.
+	// Duration is how long a task runs; long-running tasks run until they are stopped.
 	Duration      time.Duration
 	IsLongRunning bool
-	// After has the indexes of the steps that must be done before.
+	// DependsOn has the indexes of the steps that must have succeeded before this one starts.
 	DependsOn []int
 }
 
-// Outcome is what a caller knows of its request.
+// Outcome is what a caller can tell about its request from the answer.
 type Outcome string
 
 // The outcomes.
 const (
-	// OutcomeAccepted means that the request was taken, OutcomeRefused that it certainly was not.
+	// OutcomeAccepted means that the request was accepted, OutcomeRefused that it certainly had no effect.
 	OutcomeAccepted Outcome = "accepted"
 	OutcomeRefused  Outcome = "refused"
-	// OutcomeUnknown means that no whole answer came.
+	// OutcomeUnknown means that no complete answer arrived, so that the request may have taken effect.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// body returns the job in the platform's words.
+// body encodes the job in the JSON format of the platform.
 func (j *Job) body() ([]byte, error) {
 	steps := make([]map[string]any, len(j.Steps))
 	for i := range j.Steps {
@@ -61,7 +61,7 @@
 	return data, nil
 }
 
-// Submit hands in a job at a node.
+// Submit registers a job with the stand-in and submits it through a node.
 func (s *Site) Submit(ctx context.Context, n *Node, j *Job) (Outcome, error) {
 	body, err := j.body()
 	if err != nil {
@@ -90,8 +90,8 @@
 	return OutcomeRefused
 }
 
-// StateOf asks a node for the state of a job; false when it tells none. A final state is noted as
-// shown.
+// JobState asks a node for the state of a job and reports whether it answered with one. A final state is
+// recorded as shown to a caller, after which the oracle expects it to stay.
 func (s *Site) JobState(ctx context.Context, n *Node, id string) (string, bool) {
 	status, body, err := n.Do(ctx, http.MethodGet, QueuePrefix+id, nil)
 	if err != nil || status != http.StatusOK {
@@ -101,7 +101,7 @@
 		State string `json:"state"`
 	}{}
 	if err := json.Unmarshal(body, &response); err != nil {
-		s.oracle.addViolation(fmt.Sprintf("the state of %s cannot be read: %v", id, err))
+		s.oracle.addViolation(fmt.Sprintf("the state of %s cannot be decoded: %v", id, err))
 		return "", false
 	}
 	if IsFinal(response.State) {
@@ -110,10 +110,10 @@
 	return response.State, true
 }
 
-// Succeeded is the state of a job whose tasks have all ended well.
+// Succeeded is the state of a job whose tasks have all succeeded.
 const Succeeded = "succeeded"
 
-// IsFinal reports whether a job in that state is over.
+// IsFinal reports whether a job in that state has ended.
 func IsFinal(state string) bool {
 	return state == Succeeded || state == "failed" || state == "cancelled"
 }
--- a/internal/standin/site/machine.go
+++ b/internal/standin/site/machine.go
@@ -14,38 +14,39 @@
 	"time"
 )
 
-// How a worker crashes under a task, and comes back.
+// Delays of the crashes that tasks cause, and of what follows them.
 const (
-	// crashAfter is the time from the start of a task that crashes its worker to the crash.
+	// crashDelay is the time from the start of a task that crashes its worker to the crash.
 	crashDelay = 10 * time.Millisecond
-	// backAfter is the time from a crash to the next life, unlistedAfter that to the end of
-	// the entry of the one before: three entries that stay away.
+	// replacementDelay is the time from a crash to the start of the replacement worker. unlistDelay is the
+	// time from a crash to the removal of the crashed worker's entry from the store: three missed heartbeats.
 	replacementDelay = 700 * time.Millisecond
 	unlistDelay      = 3 * heartbeatPeriod
 )
 
-// machine is where one worker lives after the other, at one address. It is safe for
-// concurrent use.
+// machine is a VM on which one worker process runs after the other, all at the same address. It is safe
+// for concurrent use.
 type machine struct {
 	site             *Site
 	name, rack, addr string
 
 	mu sync.Mutex
-	// life is the worker that lives, or the last one that did; lives counts them.
+	// worker is the worker that runs now, or the last one that did; incarnations counts the workers so far.
 	worker       *Worker
 	incarnations int
-	// held counts the next orders to start that are held up, for heldFor.
+	// delayedStarts is how many of the next start orders are delayed, by startDelay each.
 	delayedStarts int
 	startDelay    time.Duration
 }
 
-// firstClock is what the clock of a worker shows that starts for the first time.
+// initialClock is the clock reading of a worker that starts for the first time.
 const initialClock = time.Hour
 
-// bear begins a life.
+// startNew starts a worker with an ID that was not used before.
 func (m *machine) startNew(id string) *Worker { return m.startIncarnation(id, id, initialClock) }
 
-// bearAgain begins one under the ID of the one before.
+// restart starts a worker under an ID that was used before, with a given clock reading. Its incarnation gets a
+// number, so that the oracle tells it from the previous one.
 func (m *machine) restart(id string, clock time.Duration) *Worker {
 	m.mu.Lock()
 	incarnation := fmt.Sprintf("%s/%d", id, m.incarnations+1)
@@ -70,7 +71,7 @@
 	return w
 }
 
-// ServeHTTP passes orders to the life that is.
+// ServeHTTP passes orders to the current worker. The connection of a delayed order is aborted.
 func (m *machine) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/-/run-start" && m.delays(r) {
 		panic(http.ErrAbortHandler)
@@ -84,8 +85,8 @@
 	return m.worker
 }
 
-// holdsUp reports whether an order is held up. It is carried out later by the life that is
-// then, and not answered.
+// delays reports whether an order is delayed. If so, the worker that is current at the end of the delay
+// executes it, and the sender gets no answer.
 func (m *machine) delays(r *http.Request) bool {
 	m.mu.Lock()
 	isDelayed := m.delayedStarts > 0
@@ -107,41 +108,41 @@
 	return true
 }
 
-// unheard takes an answer that nobody gets.
+// discardWriter discards the response to a delayed order.
 type discardWriter struct{ header http.Header }
 
-// Header returns the header, which goes nowhere.
+// Header returns a header that is never sent.
 func (u discardWriter) Header() http.Header { return u.header }
 
-// Write drops what is written.
+// Write discards the body.
 func (discardWriter) Write(p []byte) (int, error) { return len(p), nil }
 
-// WriteHeader drops the status.
+// WriteHeader discards the status.
 func (discardWriter) WriteHeader(int) {}
 
-// carryOut serves an order that was held up. One to a worker that is down is lost.
+// serveDelayed executes a delayed order. It is lost if the current worker is dead.
 func (m *machine) serveDelayed(r *http.Request) {
 	if w := m.currentWorker(); !w.IsDead() {
 		w.ServeHTTP(discardWriter{http.Header{}}, r)
 	}
 }
 
-// nextID returns the name of the next life. It ends in the digit of the first one, by
-// which the stand-in permits workers.
+// nextWorkerID returns the ID of the replacement worker. It ends in the same digit as the first ID, because
+// Permits decides by the last digit.
 func (m *machine) nextWorkerID() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return fmt.Sprintf("i-%d-%s", m.incarnations, m.name[len("m-i-"):])
 }
 
-// crashesWorker reports whether a task crashes each worker that starts it: the first one
-// of a step that does.
+// crashesWorker reports whether a task crashes each worker that starts it: the first task of a step whose
+// job's text is "crash".
 func crashesWorker(task string, step *stepSpec) bool {
 	return step.crashes && strings.HasSuffix(task, ".0")
 }
 
-// crashUnder ends the worker's life under a task that still runs, and begins the next one
-// of its machine some time later.
+// crashDuring crashes the worker if the run is still in progress, and starts a replacement on its machine
+// after replacementDelay.
 func (w *Worker) crashDuring(task string, r *taskRun) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/site/node.go
+++ b/internal/standin/site/node.go
@@ -23,15 +23,15 @@
 
 // Node is a node of the product as a process of its own.
 type Node struct {
-	// Name is its name, Callers where callers' requests go.
+	// Name is the node's name, Callers the address at which it accepts callers' requests.
 	Name    string
 	Callers string
 	ready   string
 	binary  string
 	file    string
-	// advertised is where other nodes reach it.
+	// advertised is the address at which other nodes reach it.
 	advertised string
-	// ClockShift is how far its time of day is ahead from its next start on.
+	// ClockShift is how far its wall clock is ahead of the real one; it takes effect at the next Start.
 	ClockShift  time.Duration
 	log         string
 	hasOwnGroup bool
@@ -40,7 +40,8 @@
 	client      *http.Client
 }
 
-// settingsText is a settings file as the platform writes it.
+// settingsText is the template of a settings file as the platform writes it. unknownField checks that nodes ignore
+// fields that they do not know.
 const settingsText = `nodeName: %q
 ip: %q
 zone: "zone-1"
@@ -56,36 +57,36 @@
 platform: {address: %q, form: "log"}
 `
 
-// The ports of a node. Each node has an address of its own on loopback, so that
-// no other process takes them between two starts.
+// The ports of a node. Each node has a loopback address of its own, so that no other process can take
+// its ports between two starts.
 const (
 	callersPort = 7701
 	readyPort   = 7702
 	linkPort    = 7710
 )
 
-// nodes counts the nodes of this process.
+// nodeCount counts the nodes that this process has created; their addresses derive from it.
 var nodeCount atomic.Uint32
 
 const (
-	// slots is how many processes may have nodes on this machine, each with addresses
-	// of its own: 127.2 to 127.251.
+	// maxSlots is how many processes can have nodes on this machine at once. Each has a range of
+	// addresses of its own, from 127.2.0.0/16 to 127.251.0.0/16.
 	maxSlots = 250
-	// slotPort is where a process holds its slot as long as it lives.
+	// slotPort is the port on which a process listens to occupy its slot as long as it runs.
 	slotPort = 7700
 )
 
-// slot is the slot of this process.
+// processSlot claims the slot of this process at the first call, and returns the same slot from then on.
 var processSlot = sync.OnceValues(claimSlot)
 
-// slotOf is a slot that is held by a listener: the kernel gives it up with the
-// process, whatever ends that.
+// addressSlot is a range of loopback addresses, occupied by a listener: the kernel closes it when the
+// process ends, however it ends.
 type addressSlot struct {
 	number   int
 	listener net.Listener
 }
 
-// claimSlot takes a slot that no other process has.
+// claimSlot claims a slot that no other process has. It tries them from one that depends on the process ID.
 func claimSlot() (*addressSlot, error) {
 	for i := range maxSlots {
 		n := (os.Getpid() + i) % maxSlots
@@ -93,11 +94,10 @@
 			return &addressSlot{n, l}, nil
 		}
 	}
-	return nil, errors.New("site: all slots for addresses are taken")
+	return nil, errors.New("site: all slots for loopback addresses are in use by other processes")
 }
 
-// nextAddr returns an address of loopback that no other node has, in this process
-// or in another.
+// nextAddr returns a loopback address that no other node has, in this process or in another.
 func nextAddr() (string, error) {
 	s, err := processSlot()
 	if err != nil {
@@ -132,7 +132,7 @@
 	return n, n.Start()
 }
 
-// Start starts the process; what it logs is added to its file.
+// Start starts the process. Its output is appended to the log file of earlier starts.
 func (n *Node) Start() error {
 	out, err := os.OpenFile(n.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -151,17 +151,18 @@
 	return nil
 }
 
-// run reaps the process.
+// run waits until the process has ended, and closes done.
 func (*Node) run(p *exec.Cmd, done chan struct{}) {
 	defer close(done)
 	defer processes.Delete(p)
 	_ = p.Wait()
 }
 
-// processes has those of all nodes that run.
+// processes has the running processes of all nodes, as *exec.Cmd keys.
 var processes sync.Map
 
-// KillAll ends all nodes of this process at once, for one that is about to end itself.
+// KillAll kills all nodes that this process has started. It is for a process that is about to exit
+// without closing them.
 func KillAll() {
 	processes.Range(func(p, _ any) bool {
 		_ = p.(*exec.Cmd).Process.Kill()
@@ -179,8 +180,8 @@
 	}
 }
 
-// EndedByHangup reports whether the process, which has ended, was ended by a
-// SIGHUP: it came before the process could catch it.
+// EndedByHangup reports whether the process was ended by a SIGHUP, which happens when the signal arrives
+// before the process has installed its handler. The process must have ended.
 func (n *Node) EndedByHangup() bool {
 	status, ok := n.process.ProcessState.Sys().(syscall.WaitStatus)
 	return ok && status.Signaled() && status.Signal() == syscall.SIGHUP
@@ -189,16 +190,16 @@
 // Signal sends a signal to the process.
 func (n *Node) Signal(sig syscall.Signal) error { return n.process.Process.Signal(sig) }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process and waits until it has ended.
 func (n *Node) Kill() {
 	_ = n.Signal(syscall.SIGKILL)
 	<-n.done
 }
 
-// IsReady asks the node whether it takes requests.
+// IsReady asks the node whether it accepts requests.
 func (n *Node) IsReady(ctx context.Context) bool {
 	status, _, err := n.do(ctx, "", http.MethodGet, "http://"+n.ready+"/-/readyz", nil)
 	return err == nil && status == http.StatusOK
@@ -209,7 +210,7 @@
 	return n.DoWithKey(ctx, "", method, path, body)
 }
 
-// DoWithKey is Do with the key of a customer; an empty one is not sent.
+// DoWithKey is Do with a customer's API key; an empty key is not sent.
 func (n *Node) DoWithKey(ctx context.Context, key, method, path string, body []byte) (int, []byte, error) {
 	return n.do(ctx, key, method, "http://"+n.Callers+path, body)
 }
--- a/internal/standin/site/node_test.go
+++ b/internal/standin/site/node_test.go
@@ -9,8 +9,9 @@
 	"github.com/leverdyke/leverdyke/internal/standin/site"
 )
 
-// Two test runs whose process IDs differed by a multiple of 250 gave their nodes the
-// same addresses: nodes of one could not start, or answered for the other.
+// Two processes whose IDs differ by a multiple of 250 begin their search at the same address slot. Each must
+// get a slot of its own: with a shared one, nodes of one test run could not start, or answered requests
+// meant for the other run.
 func TestProcessesShareNoSlot(t *testing.T) {
 	seen := map[int]bool{}
 	for range 3 {
@@ -20,7 +21,7 @@
 		}
 		t.Cleanup(func() { _ = free() })
 		if seen[n] {
-			t.Errorf("slot %d: got: given twice, want: once", n)
+			t.Errorf("slot %d: got: claimed twice, want: once", n)
 		}
 		seen[n] = true
 	}
--- a/internal/standin/site/oracle.go
+++ b/internal/standin/site/oracle.go
@@ -10,25 +10,26 @@
 	"sync"
 )
 
-// Oracle watches from the workers' side that the promises hold. It is safe for
-// concurrent use.
+// Oracle checks the scheduler's guarantees by what workers and callers observe, and collects violations. It
+// is safe for concurrent use.
 type Oracle struct {
 	mu sync.Mutex
-	// places has, by task, the workers on which it runs.
+	// runningOn has, by task, the incarnations of the workers on which it runs.
 	runningOn map[string][]string
-	// good has, by task, the ends that were good.
+	// successes has, by task, the runs that succeeded.
 	successes  map[string][]*successfulRun
 	startCount int
-	// jobs are those of which a task began.
+	// startedJobs has the jobs of which at least one task was started.
 	startedJobs map[string]bool
-	// told has, by job, the final state that a caller was shown: it holds for good.
+	// shownStates has, by job, the final state that a caller was shown: from then on it must not change.
 	shownStates map[string]string
 	violations  []string
-	// crashes counts, by task, the workers that crashed under it, and again its starts since
-	// there were crashesAllowed.
+	// crashes counts, by task, the workers that crashed while it ran. startsAfterCrashes counts the starts
+	// of a task since crashes reached maxCrashes.
 	crashes, startsAfterCrashes map[string]int
-	// owners has, by job, its customer; used what a customer has in use now, peaks at most,
-	// and uses by which runs. limits are those in force, earlier those before.
+	// customerOfJob has the customer of each job. used and peaks have, by customer, the processors in use
+	// now and their maximum, in thousandths; usageByRun says which run uses them. limits are in force now,
+	// previous were before.
 	customerOfJob map[string]string
 	used, peaks   map[string]int64
 	usageByRun    map[string]customerUsage
@@ -36,8 +37,8 @@
 	previous      []previousLimits
 }
 
-// A task under which crashesAllowed workers have crashed is started fewer than moreStarts
-// times more.
+// Once maxCrashes workers have crashed while they ran a task, it must be started fewer than
+// startsAfterCrashesLimit times more.
 const (
 	maxCrashes              = 3
 	startsAfterCrashesLimit = 3
@@ -51,7 +52,8 @@
 	}
 }
 
-// began notes a start; the worker's lock is held.
+// recordStart records the start of a task and checks it against all guarantees. Callers must hold the worker's
+// lock.
 func (o *Oracle) recordStart(task string, w *Worker) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,18 +83,18 @@
 		mem += r.step.mem
 	}
 	if available := w.maxCapacity(); cpu > available.cpu || mem > available.mem {
-		o.violations = append(o.violations, fmt.Sprintf("%s is over its room with %s: %d, %d", w.incarnation, task, cpu, mem))
+		o.violations = append(o.violations, fmt.Sprintf("%s has less capacity than its tasks need with %s: cpu %d, memory %d", w.incarnation, task, cpu, mem))
 	}
 }
 
-// crashed notes that a worker crashed under a task that crashes workers.
+// recordCrash records that a task of the kind that crashes workers has crashed one.
 func (o *Oracle) recordCrash(task string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.crashes[task]++
 }
 
-// crashesUnder returns how many workers crashed under a task.
+// crashesDuring returns how many workers crashed while they ran a task.
 func (o *Oracle) crashesDuring(task string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -106,8 +108,9 @@
 	o.removeUsage(task, worker)
 }
 
-// goodEnd is a run that ended well. It counts once a node has taken note of it,
-// unless the worker's lease was over before: then nobody had to know of it.
+// successfulRun is a run that succeeded. Once a node has confirmed to the worker that it received the
+// result, the task must not start again. If the worker's lease expired before that, isVoid is set: the owner
+// may have treated the run as lost, and may start the task again.
 type successfulRun struct {
 	worker              string
 	isConfirmed, isVoid bool
@@ -120,7 +123,7 @@
 	o.successes[task] = append(o.successes[task], &successfulRun{worker: worker})
 }
 
-// noted says that a node has confirmed a worker's end of a task.
+// recordConfirmation records that a node has confirmed to a worker the success of a task.
 func (o *Oracle) recordConfirmation(task, worker string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -132,7 +135,7 @@
 	}
 }
 
-// lapsed says that a worker's lease is over.
+// recordLeaseExpiry records that a worker's lease has expired: its unconfirmed successes no longer count.
 func (o *Oracle) recordLeaseExpiry(worker string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -145,15 +148,16 @@
 	}
 }
 
-// judge tells a start after an end that counts; the caller holds the lock.
+// checkNoStartAfter records a violation if a task was started after a confirmed success. Callers must hold
+// the lock.
 func (o *Oracle) checkNoStartAfter(task string, s *successfulRun) {
 	if s.isConfirmed && len(s.startedOn) > 0 {
-		o.violations = append(o.violations, fmt.Sprintf("%s starts on %v after it was done on %s", task, s.startedOn, s.worker))
+		o.violations = append(o.violations, fmt.Sprintf("%s starts on %v after its success on %s was confirmed", task, s.startedOn, s.worker))
 		s.startedOn = nil
 	}
 }
 
-// shown notes the final state of a job that a caller was shown.
+// recordShownState records the final state of a job that a caller was shown, and checks that it did not change.
 func (o *Oracle) recordShownState(job, state string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package site is a small stand-in for the users' platform, for tests and the
-// quickstart: its store, its workers and the service that permits workers, with
-// faults that can be set and an oracle that watches the promises from outside. It
-// knows the platform's names, as platform/ does, and shares no code with it.
+// Package site is a small fake of the users' platform for tests and the emulator: its store, its workers and
+// its permission service, which says which workers may run a step. Faults can be injected, and an oracle
+// checks the scheduler's guarantees from outside. It uses the platform's names, as platform/ does, but
+// shares no code with it.
 package site
 
 import (
@@ -20,36 +20,37 @@
 	"time"
 )
 
-// Names that the stand-in gives.
+// Names of the only service and the only queue.
 const (
 	serviceName = "pool"
-	// QueueHost and QueuePrefix address its only queue.
+	// QueueHost and QueuePrefix are the host and the path prefix of requests to the queue.
 	QueueHost   = "jobs.example"
 	QueuePrefix = "/q/"
 )
 
-// beatPeriod is the time between two entries of a worker.
+// heartbeatPeriod is the time between two heartbeats of a worker, each of which rewrites its entry in the store.
 const heartbeatPeriod = 500 * time.Millisecond
 
-// Options says what the stand-in has. Zero values mean the defaults.
+// Options configures a Site. Zero values mean the defaults.
 type Options struct {
-	// Workers is how many there are; 4 by default.
+	// Workers is the number of workers; 4 by default.
 	Workers int
-	// MilliCPU and MemoryMiB are the room of each; 4,000 by default.
+	// MilliCPU and MemoryMiB are the capacity of each worker; 4,000 by default.
 	MilliCPU, MemoryMiB int64
-	// CPUShare is the part of a processor that the settings of each node name; 0.5 by
-	// default. It is told, not enforced.
+	// CPUShare is the fraction of a processor that the settings grant each node; 0.5 by default. It is
+	// written to the settings, but not enforced.
 	CPUShare float64
-	// HasAdvice means that starts want tickets.
+	// HasPermissionService means that workers refuse start orders without a valid permit.
 	HasPermissionService bool
-	// HasOwnGroup keeps signals of a terminal from the nodes: whoever started them ends them.
+	// HasOwnGroup starts each node in a process group of its own, so that signals from the terminal do not
+	// reach it. The process that started the nodes must end them.
 	HasOwnGroup bool
-	// Via returns the address by which nodes reach a service or a worker, for a
-	// proxy between; nil means its own.
+	// Via returns the address at which nodes reach the service, worker or node that listens at addr, such
+	// as a proxy's address; nil means addr itself.
 	Via func(name, addr string) (string, error)
 }
 
-// defaultCPUShare is that of an entry VM.
+// defaultCPUShare is the fraction of a processor that a node has on an entry VM.
 const defaultCPUShare = 0.5
 
 func (s *Site) cpuShare() float64 {
@@ -59,38 +60,38 @@
 	return defaultCPUShare
 }
 
-// Site is the whole stand-in.
+// Site is a fake platform with all its services and workers.
 type Site struct {
 	Store   *Store
 	options Options
 	oracle  *Oracle
 	servers []*http.Server
-	// StoreAddr and AdviceAddr are where the services listen.
+	// StoreAddr and PermissionAddr are the addresses of the store and the permission service.
 	StoreAddr, PermissionAddr string
 
 	mu      sync.Mutex
 	workers []*Worker
-	// customers are those of the next configuration.
+	// customers go into the next configuration that is published.
 	customers []Customer
-	// needs has the steps of the jobs by their job's ID.
+	// steps has the steps of each registered job, by job ID.
 	steps map[string][]stepSpec
 	stop  chan struct{}
 	wg    sync.WaitGroup
 }
 
-// stepNeed is what a task of a step takes, as its job says.
+// stepSpec is what a task of a step needs and how it behaves, as its job specifies.
 type stepSpec struct {
 	cpu, mem      int64
 	duration      time.Duration
 	isLongRunning bool
-	// fails makes the task fail, when the job's text is "fail".
+	// fails makes each task fail; it is set if the job's spec is "fail".
 	fails bool
-	// crashes makes the first task of the step crash each worker that starts it, when the
-	// job's text is "crash".
+	// crashes makes the first task of the step crash each worker that starts it; it is set if the job's
+	// spec is "crash".
 	crashes bool
 }
 
-// New starts a stand-in on loopback.
+// New starts a fake platform on loopback.
 func New(o Options) (*Site, error) {
 	if o.Workers == 0 {
 		o.Workers = 4
@@ -122,7 +123,7 @@
 	return s, nil
 }
 
-// serve starts a server on a free port.
+// serve starts an HTTP server on a free loopback port and returns its address.
 func (s *Site) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,7 +135,7 @@
 	return l.Addr().String(), nil
 }
 
-// AddWorker starts a worker on a machine of its own.
+// AddWorker starts the i-th worker on a machine of its own. Two workers share a rack.
 func (s *Site) AddWorker(i int) (*Worker, error) {
 	id := "i-" + strconv.Itoa(i)
 	m := &machine{site: s, name: "m-" + id, rack: "r" + strconv.Itoa(i/2)}
@@ -148,7 +149,7 @@
 	return m.startNew(id), nil
 }
 
-// via returns the address by which nodes reach what listens at addr.
+// via returns the address at which nodes reach the service, worker or node that listens at addr.
 func (s *Site) via(name, addr string) (string, error) {
 	if s.options.Via == nil {
 		return addr, nil
@@ -156,14 +157,14 @@
 	return s.options.Via(name, addr)
 }
 
-// Workers returns the workers.
+// Workers returns all workers, dead ones included, in the order of their starts.
 func (s *Site) Workers() []*Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.workers)
 }
 
-// run writes the workers' entries.
+// runHeartbeats sends the heartbeats of all workers until Close.
 func (s *Site) runHeartbeats() {
 	defer s.wg.Done()
 	t := time.NewTicker(heartbeatPeriod)
@@ -180,7 +181,7 @@
 	}
 }
 
-// Close ends the stand-in.
+// Close stops all servers and heartbeats. Each node has to be killed separately.
 func (s *Site) Close() {
 	close(s.stop)
 	close(s.Store.closed)
@@ -190,10 +191,10 @@
 	s.wg.Wait()
 }
 
-// Configure publishes a configuration with the one queue.
+// Configure publishes a configuration in which the queue has the path prefix QueuePrefix.
 func (s *Site) Configure(version int) { s.ConfigureQueue(version, QueuePrefix) }
 
-// ConfigureQueue publishes one in which the queue is at another path.
+// ConfigureQueue publishes a configuration in which the queue has another path prefix.
 func (s *Site) ConfigureQueue(version int, prefix string) {
 	route := map[string]any{
 		"name": "q", "host": QueueHost, "pathPrefix": prefix, "service": serviceName, "priority": 0,
@@ -216,8 +217,8 @@
 	s.Store.Put("keyed.op", "config", data)
 }
 
-// Know tells the stand-in of a job's steps, as its caller hands them in, so that
-// workers know how long its tasks take.
+// RegisterJob records the steps of a job from the body with which it is submitted, so that workers know what
+// its tasks need and how they behave. It has to be called before the job is submitted.
 func (s *Site) RegisterJob(id string, body []byte) error {
 	job := struct {
 		Spec  string `json:"spec"`
@@ -243,39 +244,39 @@
 	return nil
 }
 
-// needOf returns what a task takes.
+// stepOfTask returns the specification of a task's step.
 func (s *Site) stepOfTask(task string) (stepSpec, error) {
 	parts := strings.Split(task, ".")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(parts) != 4 {
-		return stepSpec{}, fmt.Errorf("site: task %q: want four parts", task)
+		return stepSpec{}, fmt.Errorf("site: task %q: want a name of four parts between dots", task)
 	}
 	step, err := strconv.Atoi(parts[2])
 	if err != nil || step >= len(s.steps[parts[0]]) {
-		return stepSpec{}, fmt.Errorf("site: task %q was never handed in", task)
+		return stepSpec{}, fmt.Errorf("site: task %q: its job was not registered", task)
 	}
 	return s.steps[parts[0]][step], nil
 }
 
-// Broken returns the promises that were seen broken.
+// Violations returns a text for each violation of a guarantee that the oracle has found.
 func (s *Site) Violations() []string { return s.oracle.listViolations() }
 
-// CrashesUnder returns how many workers crashed under a task.
+// CrashesDuring returns how many workers crashed while they ran a task.
 func (s *Site) CrashesDuring(task string) int { return s.oracle.crashesDuring(task) }
 
-// HasRun reports whether any task of a job ever began.
+// HasStarted reports whether any task of a job was ever started.
 func (s *Site) HasStarted(job string) bool { return s.oracle.hasStarted(job) }
 
-// NoteShown notes the final state of a job that a caller was shown. A start of one
-// of its tasks from then on counts as broken.
+// RecordShownState records the final state of a job that a caller was shown. From then on, a start of one of
+// its tasks or another final state is a violation.
 func (s *Site) RecordShownState(job, state string) { s.oracle.recordShownState(job, state) }
 
-// Starts returns how many runs began.
+// Starts returns how many runs were started.
 func (s *Site) Starts() int { return s.oracle.starts() }
 
-// serveAdvice permits every other worker for all steps, and two of three of the
-// others for each.
+// servePermission answers a permission query with the permitted workers and their permits. Permits decides
+// which workers these are.
 func (s *Site) servePermission(w http.ResponseWriter, r *http.Request) {
 	body := struct {
 		Step    string   `json:"step"`
@@ -294,7 +295,7 @@
 	writeJSON(w, http.StatusOK, map[string]any{"good": permitted, "valid_ms": 2000})
 }
 
-// startOf returns the newest start of a worker.
+// incarnationOf returns the newest incarnation of a worker.
 func (s *Site) incarnationOf(id string) string {
 	incarnation := id
 	for _, w := range s.Workers() {
--- a/internal/standin/site/snapshot.go
+++ b/internal/standin/site/snapshot.go
@@ -5,18 +5,18 @@
 
 import "strings"
 
-// WorkerState is what a worker is and runs at one moment.
+// WorkerState is the state of a worker at one moment.
 type WorkerState struct {
 	ID string
-	// IsTaking means that it lives, does not leave, and does not fail what it starts.
+	// IsAccepting means that the worker is neither leaving nor set to fail the long-running tasks that it starts.
 	IsAccepting bool
-	// FreeMilliCPU and FreeMemoryMiB are the room that is left.
+	// FreeMilliCPU and FreeMemoryMiB are the free capacity.
 	FreeMilliCPU, FreeMemoryMiB int64
-	// Running are the names of the tasks that run.
+	// Running has the names of the running tasks.
 	Running []string
 }
 
-// Snapshot returns the state of all workers, those of lives that are over left out.
+// Snapshot returns the state of all workers that are not dead.
 func (s *Site) Snapshot() []WorkerState {
 	states := []WorkerState{}
 	for _, w := range s.Workers() {
@@ -39,7 +39,9 @@
 	return state, !w.isDead
 }
 
-// Permits reports whether a worker may run a step, by the step's name.
+// Permits reports whether a worker may run a step. Workers whose ID ends in an even digit may run all steps;
+// each other worker is excluded from a step if the first character of its permit for it is a multiple of 3 in ASCII.
+// Without a permission service, every worker may run every step.
 func (s *Site) Permits(step, worker string) bool {
 	if !s.options.HasPermissionService {
 		return true
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -14,21 +14,22 @@
 	"time"
 )
 
-// StoreMode is how the store behaves.
+// StoreMode is how the store responds to requests.
 type StoreMode string
 
-// The modes.
+// The modes of the store.
 const (
+	// StoreUp answers normally.
 	StoreUp StoreMode = "up"
-	// StoreBusy answers 503 to all.
+	// StoreBusy answers every request with status 503.
 	StoreBusy StoreMode = "busy"
-	// StoreSilent answers nothing.
+	// StoreSilent accepts requests and never answers.
 	StoreSilent StoreMode = "silent"
-	// StoreSlow does and answers all after slowAnswer.
+	// StoreSlow executes and answers each request after slowDelay.
 	StoreSlow StoreMode = "slow"
 )
 
-// slowAnswer is how long a slow store takes: some 90 times as long as usual.
+// slowDelay is the delay of a slow store: some 90 times the usual response time.
 const slowDelay = 360 * time.Millisecond
 
 // storeRecord is a record of a keyed topic.
@@ -38,10 +39,11 @@
 	offset uint64
 }
 
-// writerState is what the store remembers of a writer in one topic.
+// writerState is the state of a producer in one topic, by which the store fences older epochs and detects repeated
+// appends.
 type writerState struct {
 	epoch, sequence uint64
-	// answers has the offsets of the last appends by their sequence.
+	// answers has the first offset of each append of this epoch, by sequence number, to answer repeated appends.
 	answers map[uint64]uint64
 }
 
@@ -52,13 +54,13 @@
 	writers map[string]*writerState
 }
 
-// Store is a stand-in for the platform's store: keyed topics of one partition
-// each. It is safe for concurrent use.
+// Store is a fake of the platform's store in memory: topics of keyed records, with one partition each. It
+// is safe for concurrent use.
 type Store struct {
 	mu     sync.Mutex
 	topics map[string]*storeTopic
 	mode   StoreMode
-	// loseNext is how many of the next appends are done and not answered.
+	// answersToLose is how many of the next appends take effect without an answer.
 	answersToLose int
 	changed       chan struct{}
 	closed        chan struct{}
@@ -68,21 +70,21 @@
 	return &Store{topics: map[string]*storeTopic{}, mode: StoreUp, changed: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// SetMode sets how the store behaves from now on.
+// SetMode sets how the store responds to requests from now on.
 func (s *Store) SetMode(m StoreMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = m
 }
 
-// LoseAnswers makes the next n appends be done and not answered.
+// LoseAnswers makes the next n appends take effect without an answer: their connections are aborted.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.answersToLose = n
 }
 
-// Put writes a record, as operators and workers do.
+// Put appends a record without a producer, as operators and workers do. An empty value deletes the key.
 func (s *Store) Put(topic, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +121,7 @@
 	return first
 }
 
-// ServeHTTP answers the calls to the store.
+// ServeHTTP answers requests to the store, as its mode says.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -151,7 +153,7 @@
 	}
 }
 
-// waitGone waits until the caller has given up.
+// waitForDisconnect waits until the client disconnects, and aborts the connection.
 func (s *Store) waitForDisconnect(r *http.Request) {
 	select {
 	case <-r.Context().Done():
@@ -160,7 +162,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// waitSlow waits as long as a slow store does.
+// waitSlow waits for slowDelay.
 func (s *Store) waitSlow() {
 	select {
 	case <-time.After(slowDelay):
@@ -256,7 +258,7 @@
 	}
 }
 
-// pageRecords is how many records one page of the newest has.
+// pageRecords is the maximum number of records in one page of the newest records.
 const pageRecords = 500
 
 func (s *Store) serveNewest(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/site/worker.go
+++ b/internal/standin/site/worker.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// taskRun is a run of a task on a worker.
+// taskRun is a run of a task in progress on a worker; run is its number.
 type taskRun struct {
 	run   uint64
 	step  stepSpec
@@ -21,7 +21,7 @@
 	timer *time.Timer
 }
 
-// taskEnd is an end as the worker lists it.
+// endedRun is a run that has ended and whose result no node has confirmed. number counts the ended runs of the worker.
 type endedRun struct {
 	number uint64
 	task   string
@@ -29,67 +29,72 @@
 	result string
 }
 
-// Worker is a stand-in for a worker: it obeys the highest fence that it has seen,
-// guards no room, and kills all that runs when its lease is over. It is safe for
-// concurrent use.
+// Worker is a fake worker. It refuses orders with a fencing token below the highest that it has seen, does not
+// check that its tasks fit its capacity (the oracle does), and ends all its runs when its lease expires. It
+// is safe for concurrent use.
 type Worker struct {
 	site *Site
 	id   string
-	// startName names this start of the worker: its ID, and a number from the second one on.
+	// incarnation names this start of the worker: its ID, followed by a number if it was started under the
+	// same ID before.
 	incarnation string
 	rack        string
 	addr        string
-	// machine is what the worker is a life of.
+	// machine is the VM on which the worker runs.
 	machine *machine
 
 	mu      sync.Mutex
 	started time.Time
-	// clock is what its clock showed when it started.
-	clock           time.Duration
-	fence           uint64
-	deadline        time.Duration
-	lease           *time.Timer
+	// clock is the reading of its clock when it started.
+	clock time.Duration
+	// fence is the highest fencing token seen, deadline the end of the lease by the worker's clock.
+	fence    uint64
+	deadline time.Duration
+	lease    *time.Timer
+	// running has the run in progress of each task. highestEndedRun has, by task, the highest number of a run
+	// that has ended or was ordered to stop: an order to start that run or an earlier one is refused as old.
 	running         map[string]*taskRun
 	highestEndedRun map[string]uint64
 	endedRuns       []endedRun
-	nextNumber      uint64
-	// lastSeen is the highest number up to which ends were confirmed: those are forgotten,
-	// also where they come later.
+	// nextNumber is the number of the next ended run.
+	nextNumber uint64
+	// confirmed is the highest number of an ended run that a node has confirmed. Runs up to it are dropped
+	// from endedRuns, and a later request with a lower number does not bring them back.
 	confirmed uint64
 	changed   chan struct{}
 	isDead    bool
 	isLeaving bool
-	// holds is how many listings were asked for, starts how many runs began.
+	// listingRequests counts the requests for a listing, starts the runs that were started.
 	listingRequests, starts int
-	// failsLasting means that it fails the tasks that last which it starts, failAfter later.
+	// failsLongRunning means that each long-running task started from now on fails after longRunningFailDelay.
 	failsLongRunning bool
-	// mute is how many of the next orders to start are carried out and not answered.
+	// unansweredStarts is how many of the next accepted start orders are executed without an answer.
 	unansweredStarts int
-	// room is what it has now, earlier what it had before and until when.
+	// capacity is the current capacity, previousCapacities those before.
 	capacity           capacity
 	previousCapacities []previousCapacity
 }
 
 func (w *Worker) now() time.Duration { return time.Since(w.started) + w.clock }
 
-// MuteStarts makes the next n orders to start be carried out and not answered.
+// DropStartAnswers makes the worker execute the next n start orders without answering them.
 func (w *Worker) DropStartAnswers(n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.unansweredStarts = n
 }
 
-// failAfter is how long a task that lasts runs on a worker that fails such tasks.
+// longRunningFailDelay is how long a long-running task runs on a worker that fails such tasks.
 const longRunningFailDelay = 100 * time.Millisecond
 
-// SetFailsLasting says whether the worker fails the tasks that last which it starts from now on.
+// SetFailsLongRunning sets whether long-running tasks that the worker starts from now on fail.
 func (w *Worker) SetFailsLongRunning(fails bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failsLongRunning = fails
 }
 
-// FailLasting ends the tasks that last on the worker as failed.
+// FailLongRunning ends the running long-running tasks as failed.
 func (w *Worker) FailLongRunning() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,16 +105,16 @@
 	}
 }
 
-// HoldUpStarts makes the next n orders to start be carried out d later, and not answered.
+// DelayStarts makes the next n start orders to the worker's machine execute d later, without an answer.
 func (w *Worker) DelayStarts(n int, d time.Duration) {
 	w.machine.mu.Lock()
 	defer w.machine.mu.Unlock()
 	w.machine.delayedStarts, w.machine.startDelay = n, d
 }
 
-// Restart ends what the worker runs and starts it again some time later under its ID: it
-// then holds and knows nothing of before, and its clock shows clock. Its entry stays
-// meanwhile, unless it is away for long.
+// Restart ends the worker with all its runs and starts a new one under the same ID after a delay. The new
+// worker keeps no state of the old one, and its clock starts at clock. The entry in the store stays unless
+// the delay exceeds unlistDelay.
 func (w *Worker) Restart(delay, clock time.Duration) {
 	w.mu.Lock()
 	if w.isDead {
@@ -125,31 +130,31 @@
 	})
 }
 
-// IsDead reports whether the worker's life is over.
+// IsDead reports whether this incarnation of the worker has crashed or ended for a restart.
 func (w *Worker) IsDead() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.isDead
 }
 
-// ID returns its name.
+// ID returns the worker's ID.
 func (w *Worker) ID() string { return w.id }
 
-// Holds returns how many listings the worker was asked for.
+// ListingRequests returns how many requests for a listing the worker received.
 func (w *Worker) ListingRequests() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.listingRequests
 }
 
-// Starts returns how many runs began on the worker.
+// Starts returns how many runs were started on the worker.
 func (w *Worker) Starts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.starts
 }
 
-// Drain makes the worker say that it leaves.
+// Drain makes the worker report that it is leaving, at once and in each later heartbeat.
 func (w *Worker) Drain() {
 	w.mu.Lock()
 	w.isLeaving = true
@@ -157,14 +162,14 @@
 	w.heartbeat()
 }
 
-// Running returns how many tasks run.
+// Running returns the number of running tasks.
 func (w *Worker) Running() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.running)
 }
 
-// beat writes the worker's entry into the store.
+// heartbeat writes the worker's entry into the store, unless the worker is dead.
 func (w *Worker) heartbeat() {
 	w.mu.Lock()
 	state := "ready"
@@ -187,7 +192,7 @@
 	w.site.Store.Put("keyed.servers", w.id, data)
 }
 
-// Crash ends the worker's life: nothing of it runs any more, and it is silent.
+// Crash ends the worker with all its runs and removes its entry from the store. It does not answer any more.
 func (w *Worker) Crash() {
 	w.mu.Lock()
 	w.terminate()
@@ -195,7 +200,7 @@
 	w.removeEntry()
 }
 
-// die ends all that runs; the caller holds the lock.
+// terminate marks the worker as dead and drops all its runs. Callers must hold the lock.
 func (w *Worker) terminate() {
 	w.isDead = true
 	for task, r := range w.running {
@@ -207,7 +212,7 @@
 	w.changed = make(chan struct{})
 }
 
-// unlist takes the worker's entry out of the store.
+// removeEntry removes the worker's entry from the store.
 func (w *Worker) removeEntry() { w.site.Store.Put("keyed.servers", w.id, nil) }
 
 type order struct {
@@ -221,7 +226,8 @@
 	Permit       string `json:"ticket"`
 }
 
-// ServeHTTP answers orders.
+// ServeHTTP executes orders and answers requests for a listing. It refuses those for another worker ID and those with
+// an old fencing token; every other one may renew the lease.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	body := order{}
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
@@ -267,7 +273,7 @@
 	writeJSON(rw, status, out)
 }
 
-// renew moves the end of the lease forward; the caller holds the lock.
+// renew extends the lease to deadline, if that is later than its current end. Callers must hold the lock.
 func (w *Worker) renew(deadline time.Duration) {
 	if deadline <= w.deadline {
 		return
@@ -291,7 +297,7 @@
 	}
 }
 
-// end ends a run; the caller holds the lock.
+// end ends a run and lists it with its result. Callers must hold the lock.
 func (w *Worker) end(task string, r *taskRun, result string) {
 	if w.running[task] != r {
 		return
@@ -323,7 +329,8 @@
 	w.answer(rw, status, map[string]any{"reason": reason})
 }
 
-// start carries out an order; the caller holds the lock.
+// start executes a start order and returns the status of the answer and the reason of a refusal. Callers must
+// hold the lock.
 func (w *Worker) start(b *order) (int, string) {
 	current := w.running[b.Task]
 	switch {
@@ -378,6 +385,8 @@
 	w.answer(rw, http.StatusOK, nil)
 }
 
+// serveListing answers a request for a listing. With a WaitMs above 0 it is a long poll: the answer waits until an
+// ended run is unconfirmed or WaitMs has passed.
 func (w *Worker) serveListing(rw http.ResponseWriter, r *http.Request, b *order) {
 	w.mu.Lock()
 	w.listingRequests++
@@ -418,7 +427,8 @@
 	}
 }
 
-// lists returns what runs and what has ended; the caller holds the lock.
+// listing returns the running tasks and the unconfirmed ended runs in the format of the platform. Callers must
+// hold the lock.
 func (w *Worker) listing() map[string]any {
 	running := [][]any{}
 	for task, r := range w.running {
@@ -435,10 +445,10 @@
 	return map[string]any{"running": running, "finished": finished, "born": w.started.UnixMilli()}
 }
 
-// stepOf returns the step's part of a task's name.
+// stepName returns the name of a task's step: the task's name up to the last dot.
 func stepName(task string) string { return task[:strings.LastIndexByte(task, '.')] }
 
-// ticketFor is the ticket of a worker for a step.
+// permitFor returns the permit with which a worker, named by its incarnation, may run a step.
 func permitFor(step, worker string) string {
 	h := fnv.New32a()
 	_, _ = fmt.Fprintf(h, "%s|%s", step, worker)
