--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package standin starts a whole cell of real processes on loopback, for the
-// quickstart, the tests and the measurements. It is no part of the product.
+// Package standin starts a whole cluster on loopback for the quickstart, the tests and the measurements: nodes as
+// real processes, and a fake platform. It is not part of the product.
 package standin
 
 import (
@@ -26,7 +26,7 @@
 
 const pollInterval = 20 * time.Millisecond
 
-// Cell is a platform in this process and nodes as processes of their own.
+// Cluster is a fake platform in this process and nodes as processes of their own.
 type Cluster struct {
 	Platform      *native.Server
 	Nodes         []*Node
@@ -43,30 +43,30 @@
 	process                  *exec.Cmd
 	done                     chan struct{}
 	log                      string
-	// routes is the settings' line for LinkVia.
+	// routes is the line of the settings file with the proxy addresses from LinkVia, or empty.
 	routes string
 }
 
-// NewCellOptions says what to start. Zero values mean the defaults.
+// NewClusterOptions configures a Cluster. Zero values mean the defaults.
 type NewClusterOptions struct {
 	// Binary is the path of leverdyked; it must be set.
 	Binary string
-	// Dir is where settings and logs go; it must be set.
+	// Dir is the directory for settings files and logs; it must be set.
 	Dir      string
 	Platform native.NewServerOptions
-	// Nodes is how many nodes there are; they take turns in the zones.
+	// Nodes is the number of nodes. They are assigned to the availability zones in rotation.
 	Nodes int
-	// Settings is added to each node's settings file.
+	// Settings is text appended to each node's settings file.
 	Settings string
-	// LogVia returns where a node finds the log, such as a proxy's address; nil
-	// means the platform itself.
+	// LogVia returns the address at which a node reaches the log, such as a proxy's; nil means the
+	// platform's own address.
 	LogVia func(node int, platform netip.AddrPort) (netip.AddrPort, error)
-	// LinkVia returns where a node finds the link of another, such as a proxy's
-	// address; nil means the link itself.
+	// LinkVia returns the address at which a node reaches the link of another node, such as a proxy's; nil
+	// means the link's own address.
 	LinkVia func(from, to int, link netip.AddrPort) (netip.AddrPort, error)
 }
 
-// NewCell starts a platform and nodes.
+// NewCluster starts a fake platform and the nodes. It does not wait until they are ready.
 func NewCluster(o NewClusterOptions) (*Cluster, error) {
 	p, err := native.NewServer(o.Platform)
 	if err != nil {
@@ -99,11 +99,11 @@
 	return c, nil
 }
 
-// cells counts the cells of this process.
+// clusterCount counts the clusters that this process has created; their IP addresses derive from it.
 var clusterCount atomic.Uint32
 
-// freeAddrs returns free addresses. Each cell has an IP number of the loopback
-// for itself, so that nobody else takes a port while a node is down.
+// freeAddrs returns n free addresses. Each cluster uses a loopback IP address of its own, so that no other
+// process takes a node's port while that node is down.
 func freeAddrs(n int) ([]netip.AddrPort, error) {
 	ip := netip.AddrFrom4([4]byte{127, byte(10 + os.Getpid()%200), byte(1 + clusterCount.Add(1)%250), 1})
 	addrs := []netip.AddrPort{}
@@ -112,7 +112,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("standin: %w", err)
 		}
-		// Held until all are chosen, so that no two are the same.
+		// The listener stays open until all addresses are chosen, so that no two are the same.
 		defer func() { _ = l.Close() }()
 		addrs = append(addrs, netip.MustParseAddrPort(l.Addr().String()))
 	}
@@ -121,7 +121,7 @@
 
 func (n *Node) settingsFile() string { return strings.TrimSuffix(n.log, ".log") + ".yaml" }
 
-// prepare writes the settings of the i-th node.
+// prepare writes the settings file of the i-th node.
 func (n *Node) prepare(i int, o *NewClusterOptions) error {
 	log := n.cluster.Platform.Addr()
 	if o.LogVia != nil {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// Start starts the node's process.
+// Start starts the node's process. Its output is appended to the log of earlier starts.
 func (n *Node) Start() error {
 	log, err := os.OpenFile(n.log, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
@@ -193,10 +193,10 @@
 	close(done)
 }
 
-// Signal sends a signal to the node's process, by its id.
+// Signal sends a signal to the node's process, and ignores errors, such as that the process has ended.
 func (n *Node) Signal(s syscall.Signal) { _ = n.process.Process.Signal(s) }
 
-// Wait waits until the process has ended, and reports whether it did in time.
+// Wait waits until the process has ended, and reports whether it ended before the timeout.
 func (n *Node) Wait(timeout time.Duration) bool {
 	select {
 	case <-n.done:
@@ -206,19 +206,19 @@
 	}
 }
 
-// Pid returns the process's id.
+// Pid returns the process ID.
 func (n *Node) Pid() int { return n.process.Process.Pid }
 
-// Log returns what the node has logged.
+// Log returns everything that the node has logged, over all its starts.
 func (n *Node) Log() string {
 	data, _ := os.ReadFile(n.log)
 	return string(data)
 }
 
-// CountLog counts the lines of the log that contain a text.
+// CountLog returns how often a text occurs in the log.
 func (n *Node) CountLog(text string) int { return bytes.Count([]byte(n.Log()), []byte(text)) }
 
-// Close ends all processes and the platform.
+// Close kills all nodes, stopped ones included, and closes the platform.
 func (c *Cluster) Close() {
 	for _, n := range c.Nodes {
 		if n.process == nil || n.process.Process == nil {
@@ -231,7 +231,7 @@
 	c.Platform.Close()
 }
 
-// Client returns an operators' client for all nodes.
+// Client returns a client of the operators' interface that knows the addresses of all nodes.
 func (c *Cluster) Client() *operator.Client {
 	addrs := []string{}
 	for _, n := range c.Nodes {
@@ -240,7 +240,7 @@
 	return operator.NewClient(addrs, 15*time.Second, nil)
 }
 
-// Await polls until f is true, and reports whether it became so in time.
+// Await polls until f returns true, and reports whether it did before the timeout.
 func Await(timeout time.Duration, f func() bool) bool {
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) {
@@ -252,7 +252,7 @@
 	return f()
 }
 
-// IsReady reports whether the node answers that it is ready.
+// IsReady reports whether the node answers its readiness check with status 200 within a second.
 func (n *Node) IsReady() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -268,7 +268,8 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// AwaitOwned waits until every rack and home has an owner that answers.
+// AwaitOwned waits until as many racks and job shards have an owner that answers, and reports whether that
+// happened before the timeout.
 func (c *Cluster) AwaitOwned(timeout time.Duration, racks, jobShards int) bool {
 	return Await(timeout, func() bool {
 		nodes, err := c.Client().Nodes(context.Background())
--- a/internal/standin/native/log.go
+++ b/internal/standin/native/log.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package native has small stand-ins for what the platform gives: a log, a
-// list of VMs and workers, with faults that can be set, and an oracle that
-// watches what must always hold. It is for tests and the quickstart only.
+// Package native is a small fake of what nodes need around them: a log, a list of VMs and workers. Faults can be
+// injected, and an oracle checks the scheduler's guarantees from the workers' side. It is for tests and the
+// quickstart only.
 package native
 
 import (
@@ -20,7 +20,9 @@
 	maxPageBytes            = 1 << 20
 )
 
-// LogFaults says how the log misbehaves. Its zero value is a healthy log.
+// LogFaults are the faults that the log injects. The zero value is a healthy log. IsUnavailable drops the connections
+// of all requests, Slow delays each append, and LoseReplies is how many of the next appends take effect
+// without a reply.
 type LogFaults struct {
 	IsUnavailable bool          `json:"out"`
 	Slow          time.Duration `json:"slow_ns"`
@@ -34,7 +36,7 @@
 	entries []logservice.Entry
 	times   []time.Time
 	next    int64
-	// Retention is how long entries are kept; 0 keeps them for ever.
+	// retention is how long entries are kept; 0 keeps them forever.
 	retention time.Duration
 	tokens    float64
 	refilled  time.Time
@@ -43,13 +45,12 @@
 	appends   int64
 }
 
-// NewLog returns an empty log that keeps entries for retention; 0 means for
-// ever.
+// NewLog returns an empty log that keeps entries for the retention period; 0 keeps them forever.
 func NewLog(c clock.Service, retention time.Duration) *Log {
 	return &Log{clock: c, retention: retention, tokens: appendBurst, refilled: c.Now(), changed: make(chan struct{})}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +58,7 @@
 	l.wake()
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults.
 func (l *Log) Faults() LogFaults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +72,7 @@
 	return l.appends
 }
 
-// Append adds data. It reports false when the rate is exceeded.
+// Append appends an entry and returns its offset. It reports false if the rate limit is exceeded.
 func (l *Log) Append(data []byte) (int64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,8 +93,8 @@
 	return offset, true
 }
 
-// LoseReply reports whether the reply of an append that took effect is to be
-// lost, and counts it.
+// LoseReply reports whether the reply to an append that took effect must be dropped, and counts it against
+// the LoseReplies that were set.
 func (l *Log) LoseReply() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,8 +105,8 @@
 	return true
 }
 
-// Page returns the entries from offset from on, whether from was trimmed, and
-// a channel that is closed at the next change.
+// Page returns the entries that start at offset from, at most some maxPageBytes of them, whether the entry
+// at from has been trimmed, and a channel that is closed at the next change.
 func (l *Log) Page(from int64) (logservice.Page, bool, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +127,7 @@
 	return page, false, l.changed
 }
 
-// TrimBefore drops the entries before offset, as the end of retention does.
+// TrimBefore drops the entries before an offset, as the end of their retention period does.
 func (l *Log) TrimBefore(offset int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/native/oracle.go
+++ b/internal/standin/native/oracle.go
@@ -13,14 +13,14 @@
 
 const maxViolations = 100
 
-// Oracle watches what must always hold, whoever broke it. It is safe for
+// Oracle checks the scheduler's guarantees by what all workers execute, and counts violations. It is safe for
 // concurrent use.
 type Oracle struct {
 	mu sync.Mutex
-	// running has where each task runs now; a second place is a violation.
+	// running has the placement of each running task; a second one is a violation.
 	running map[leverdyke.TaskID]placement
-	// onceStarts has the attempts that were started of tasks that may not be
-	// repeated, and onceKeys the requests that ran by key.
+	// onceStarts has the attempt that was started of each task that may run only once, and requestRuns how
+	// often the request with each idempotency key ran.
 	onceStarts  map[leverdyke.TaskID]worker.Key
 	requestRuns map[string]int
 	report      OracleReport
@@ -31,7 +31,7 @@
 	attempt uint64
 }
 
-// OracleReport is what the oracle saw.
+// OracleReport has the counts of what happened and of the violations, and the texts of the first maxViolations.
 type OracleReport struct {
 	OverCommits      int      `json:"over_commits"`
 	DoubleRuns       int      `json:"double_runs"`
@@ -46,12 +46,12 @@
 	Running          int      `json:"running"`
 }
 
-// NewOracle returns an oracle that has seen nothing.
+// NewOracle returns an oracle without any records.
 func NewOracle() *Oracle {
 	return &Oracle{running: map[leverdyke.TaskID]placement{}, onceStarts: map[leverdyke.TaskID]worker.Key{}, requestRuns: map[string]int{}}
 }
 
-// Report returns what was seen so far.
+// Report returns a copy of what was recorded so far.
 func (o *Oracle) Report() OracleReport {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// RanKeys returns how many times the request with key ran.
+// RequestRuns returns how many times the request with an idempotency key ran.
 func (o *Oracle) RequestRuns(key string) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/standin/native/serve.go
+++ b/internal/standin/native/serve.go
@@ -16,13 +16,13 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// The headers by which a test tells the worker's service how to behave.
+// The headers by which a test controls the service on a worker, and learns which worker answered.
 const (
-	// DelayHeader is how many milliseconds the service works.
+	// DelayHeader is how many milliseconds the service waits before it answers.
 	DelayHeader = "Standin-Delay-Ms"
-	// CutHeader makes the service break off in the middle of its answer.
+	// TruncateHeader makes the service close the connection in the middle of its answer.
 	TruncateHeader = "Standin-Cut"
-	// WorkerHeader tells the caller which worker answered.
+	// WorkerHeader is the response header with the name of the worker that answered.
 	WorkerHeader = "Standin-Worker"
 )
 
@@ -59,7 +59,8 @@
 	writeJSON(res, out)
 }
 
-// handleSync renews at once and answers when something changes or Wait is over.
+// handleSync renews the leases at once. It is a long poll if the sender has already seen a report and nothing has
+// changed since: then it answers at the next change or after the sender's Wait.
 func (s *Server) handleSync(w *Worker, res http.ResponseWriter, r *http.Request) {
 	in := worker.Sync{}
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&in); err != nil {
@@ -77,7 +78,7 @@
 		if rev == in.Seen && !waitEnded(r.Context(), limit, changed) {
 			continue
 		}
-		// Ask again without renewing: the lease goes by when Sync arrived.
+		// An empty Boot makes the second call renew nothing: the lease counts from the arrival of the request.
 		in.Boot = ""
 		report, err = w.Sync(&in)
 		break
@@ -91,8 +92,8 @@
 	}
 }
 
-// handleServe answers a caller's request as the service's own code would: it
-// returns the body that came, after the delay that was asked for.
+// handleServe answers a caller's request as the service's own code would: after the requested delay it returns
+// the method, the path and the body of the request.
 func (s *Server) handleServe(w *Worker, res http.ResponseWriter, r *http.Request) {
 	job, attempt, ok := strings.Cut(r.Header.Get(worker.GrantHeader), "/")
 	n, err := strconv.ParseUint(attempt, 10, 64)
@@ -111,7 +112,7 @@
 	if ms, err := strconv.Atoi(r.Header.Get(DelayHeader)); err == nil {
 		<-s.options.Clock.After(time.Duration(ms) * time.Millisecond)
 	}
-	// The body is read to its end below, even if the answer has begun.
+	// The request body is read to its end below, after the answer has begun.
 	_ = http.NewResponseController(res).EnableFullDuplex()
 	res.Header().Set(WorkerHeader, w.Name)
 	if r.Header.Get(TruncateHeader) != "" {
--- a/internal/standin/native/server.go
+++ b/internal/standin/native/server.go
@@ -29,27 +29,26 @@
 	maxBody      = 8 << 20
 )
 
-// NewServerOptions says what the stand-in consists of. The zero value is a
-// cell of one worker.
+// NewServerOptions configures a Server. The zero value is a platform with one worker.
 type NewServerOptions struct {
-	// Regions, Zones (a region), Racks (a zone) and Workers (a rack) are at
-	// least 1; 0 means 1.
+	// Regions, Zones (per region), Racks (per zone) and Workers (per rack) are the numbers of each; 0
+	// means 1.
 	Regions, Zones, Racks, Workers int
 	Capacity                       leverdyke.Resources
-	// Retention is how long the log keeps entries; 0 means for ever.
+	// Retention is how long the log keeps entries; 0 means forever.
 	Retention time.Duration
-	// Lag is by how much the list of VMs is late.
+	// Lag is the delay after which a change of status appears in the list of VMs.
 	Lag time.Duration
-	// Listen is where the platform's own interface listens; its zero value
-	// means a free port of the loopback.
+	// Listen is the address of the log, the list of VMs and the fault injection; the zero value means a
+	// free port on loopback.
 	Listen netip.AddrPort
 	Clock  clock.Service
-	// Via returns the address under which the list shows a worker, such as a
-	// proxy's; nil means the worker's own.
+	// Via returns the address at which the list shows a worker that listens at addr, such as a proxy's;
+	// nil means addr itself.
 	Via func(name string, addr netip.AddrPort) (netip.AddrPort, error)
 }
 
-// Server is the stand-in over HTTP. It is safe for concurrent use.
+// Server serves the fake platform over HTTP. It is safe for concurrent use.
 type Server struct {
 	Log    *Log
 	Oracle *Oracle
@@ -57,7 +56,7 @@
 	options NewServerOptions
 	mu      sync.Mutex
 	workers map[string]*Worker
-	// names keeps the order of the list.
+	// names has the workers' names in the order of the list.
 	names   []string
 	vms     []vmlist.VM
 	version int
@@ -66,7 +65,7 @@
 	done    chan struct{}
 }
 
-// NewServer starts the stand-in on loopback ports.
+// NewServer starts the fake platform. The workers listen on loopback ports.
 func NewServer(options NewServerOptions) (*Server, error) {
 	if options.Clock == nil {
 		options.Clock = clock.Real{}
@@ -92,10 +91,10 @@
 	return s, nil
 }
 
-// Addr returns where the log, the list and the switches for faults are.
+// Addr returns the address of the log, the list of VMs, the oracle's report and the fault injection.
 func (s *Server) Addr() netip.AddrPort { return s.addr }
 
-// Close ends the stand-in.
+// Close stops all servers. It may be called more than once.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +109,7 @@
 	}
 }
 
-// Worker returns the worker with that name, or nil.
+// Worker returns the worker with the given name, or nil.
 func (s *Server) Worker(name string) *Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,8 +123,8 @@
 	return append([]string{}, s.names...)
 }
 
-// SetStatus changes a VM's entry of the list after the lag. StatusLeaving also
-// tells the worker itself, at once.
+// SetStatus changes the status of a VM in the list after the lag. With StatusLeaving, the worker also reports
+// at once that it is leaving.
 func (s *Server) SetStatus(name string, status vmlist.Status) {
 	if w := s.Worker(name); w != nil && status == vmlist.StatusLeaving {
 		w.AnnounceLeaving()
@@ -280,7 +279,7 @@
 	}
 }
 
-// isOver waits for a change; it reports true when there will be none in time.
+// waitEnded waits for a change. It reports true if the limit was reached or the request was cancelled first.
 func waitEnded(ctx context.Context, limit <-chan time.Time, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
@@ -343,7 +342,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// hangUp closes the connection without an answer.
+// closeConnection closes the connection without an answer.
 func closeConnection(w http.ResponseWriter) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
@@ -355,6 +354,7 @@
 	}
 }
 
+// writeFenced answers with status 409 and the highest epoch seen if err is a FencedError, and reports whether it is.
 func writeFenced(w http.ResponseWriter, err error) bool {
 	fenced := &worker.FencedError{}
 	if !errors.As(err, &fenced) {
--- a/internal/standin/native/worker.go
+++ b/internal/standin/native/worker.go
@@ -14,37 +14,40 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// Mode says how a worker VM is reached.
+// Mode says whether a worker VM runs and whether it can be reached.
 type Mode string
 
-// The modes of a worker.
+// The modes of a worker VM.
 const (
-	// ModeUp answers.
+	// ModeUp is a VM that runs and answers.
 	ModeUp Mode = "up"
-	// ModeCut runs its tasks but nobody reaches it.
+	// ModePartitioned is a VM that runs its tasks but cannot be reached.
 	ModePartitioned Mode = "cut"
-	// ModeDead has lost its tasks and answers nobody.
+	// ModeDead is a VM that has lost its tasks and does not answer.
 	ModeDead Mode = "dead"
 )
 
 const (
+	// leavingGrace is how long after its announcement a leaving worker may still be sent starts.
 	leavingGrace = 5 * time.Second
-	usageLag     = 2 * time.Second
-	failDelay    = 50 * time.Millisecond
+	// usageLag is how long a task runs before its usage is reported.
+	usageLag = 2 * time.Second
+	// failDelay is how long a task runs that fails.
+	failDelay = 50 * time.Millisecond
 )
 
-// WorkerFaults says how a worker misbehaves. Its zero value is a healthy one.
+// WorkerFaults are the faults that a worker injects. The zero value is a healthy worker.
 type WorkerFaults struct {
 	Mode Mode `json:"mode"`
-	// IsFailingAll makes every task fail soon after its start.
+	// IsFailingAll makes every task fail failDelay after its start.
 	IsFailingAll bool `json:"failing_all"`
-	// UsageFactor is real use over declared use; 0 means 1.
+	// UsageFactor is the ratio of actual to declared resource usage; 0 means 1.
 	UsageFactor float64 `json:"usage_factor"`
-	// RunFactor is real run time over declared run time; 0 means 1.
+	// RunFactor is the ratio of actual to declared run time; 0 means 1.
 	RunFactor float64 `json:"run_factor"`
 }
 
-// Worker is a worker VM in memory. It is safe for concurrent use.
+// Worker is a fake worker VM in memory. It is safe for concurrent use.
 type Worker struct {
 	Name     string
 	Capacity leverdyke.Resources
@@ -52,7 +55,7 @@
 	mu     sync.Mutex
 	clock  clock.Service
 	oracle *Oracle
-	// epoch is the fence: it only grows, and outlives restarts of the VM.
+	// epoch is the highest epoch seen: requests with a lower one are refused. It survives restarts of the VM.
 	epoch            worker.Epoch
 	boot             int
 	clockBase        time.Time
@@ -72,13 +75,14 @@
 	began    time.Time
 	finishAt time.Time
 	rev      uint64
-	// isUseTold means that its use has been measured and is in the reports.
+	// isUsageReported means that the reports include the usage of the task.
 	isUsageReported bool
-	// isEnding refuses new requests of a grant until the last one has ended.
+	// isStopping means that the grant is to stop: new requests are refused, and it ends with the last
+	// request in flight.
 	isStopping bool
 }
 
-// NewWorker returns a worker that has just booted.
+// NewWorker returns a worker that has booted once and runs nothing.
 func NewWorker(name string, capacity leverdyke.Resources, c clock.Service, o *Oracle) *Worker {
 	return &Worker{
 		Name: name, Capacity: capacity, clock: c, oracle: o, boot: 1, clockBase: c.Now(), rev: 1,
@@ -87,7 +91,8 @@
 	}
 }
 
-// SetFaults replaces the faults. ModeDead ends all tasks; leaving it boots anew.
+// SetFaults replaces the injected faults. Changing to ModeDead loses all tasks; the worker has a new boot number
+// from then on.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,7 +111,7 @@
 	w.wake()
 }
 
-// Mode returns how the worker is reached.
+// Mode returns the worker's mode.
 func (w *Worker) Mode() Mode {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,7 +121,7 @@
 	return w.faults.Mode
 }
 
-// Leave tells the worker that its VM is going to leave.
+// AnnounceLeaving informs the worker that its VM is going to leave. Its reports say so from then on.
 func (w *Worker) AnnounceLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,7 +132,7 @@
 	w.wake()
 }
 
-// Sync renews leases and reports at once; Changed says when to ask again.
+// Sync renews the leases and returns a report without waiting. A caller that wants to wait for changes uses Changed.
 func (w *Worker) Sync(s *worker.Sync) (*worker.Report, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,7 +154,7 @@
 	return w.changed, w.rev
 }
 
-// Start starts attempts.
+// Start starts attempts and returns for each whether it was refused, and why.
 func (w *Worker) Start(s *worker.Start) ([]worker.StartResult, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -162,11 +167,11 @@
 	for i := range s.Tasks {
 		results = append(results, worker.StartResult{Key: s.Tasks[i].Key, Refused: w.start(s, &s.Tasks[i], now)})
 	}
-	// A start is answered here; a report that waits need not tell it again.
+	// The answer already says what was started, so long polls for a report are not woken.
 	return results, nil
 }
 
-// Act does deeds to tasks.
+// Act applies an action, such as a stop, to attempts. Attempts that do not run are skipped.
 func (w *Worker) Act(a *worker.Act) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -180,7 +185,7 @@
 	return nil
 }
 
-// Expire ends what has lapsed or finished by now.
+// Expire ends the attempts whose lease has expired or that have finished.
 func (w *Worker) Expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,8 +194,8 @@
 	}
 }
 
-// Begin takes a request under a grant; the function that it returns ends it.
-// An empty refusal means that the request runs.
+// Begin starts a caller's request under a grant. The caller of Begin must call the returned function when the
+// request has ended. A refusal that is not empty says why the request does not run.
 func (w *Worker) Begin(grant worker.Key, onceKey string) (func(), string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -301,7 +306,7 @@
 	}
 	leaseEnd := w.clockBase.Add(time.Duration(s.AsOf)).Add(s.TTL)
 	if !leaseEnd.After(now) {
-		return "the lease has run out"
+		return "the lease has expired"
 	}
 	if _, ok := w.tasks[t.Key]; ok {
 		return ""
@@ -355,7 +360,7 @@
 	}
 }
 
-// chargeOf is what a task takes: a throttled one takes a quarter of its
+// allocationOf returns the resources that a task occupies: a throttled task occupies a quarter of its
 // processors.
 func allocationOf(t *worker.Task) leverdyke.Resources {
 	r := t.Each
@@ -380,7 +385,7 @@
 		return
 	case worker.DeedStop:
 		if w.requestsInFlight[k] > 0 {
-			// A grant's requests are finished first; new ones are refused.
+			// The requests in flight under the grant finish first, and new ones are refused.
 			a.isStopping = true
 			return
 		}
@@ -435,14 +440,14 @@
 	w.changed = make(chan struct{})
 }
 
-// Starts returns how many attempts were started here.
+// Starts returns how many attempts were started on the worker.
 func (w *Worker) Starts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.starts
 }
 
-// Running counts the running attempts of a job.
+// Running returns the number of running attempts of a job.
 func (w *Worker) Running(job string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/native/worker_test.go
+++ b/internal/standin/native/worker_test.go
@@ -68,7 +68,8 @@
 		t.Fatalf("got: %q, want: started", got)
 	}
 	c.Advance(ttl / 2)
-	// A renewal that was under way for long renews by when it was based.
+	// The renewal arrives late. It extends the lease from the time of the report on which it is based, not from
+	// its arrival, and so does not extend it at all.
 	sync(t, w, &worker.Sync{Epoch: 1, Boot: report.Boot, AsOf: report.Now, TTL: ttl})
 	c.Advance(ttl / 2)
 	w.Expire()
--- a/internal/standin/process_linux.go
+++ b/internal/standin/process_linux.go
@@ -11,9 +11,10 @@
 )
 
 const (
+	// ticksPerSecond is the unit of the times in /proc/PID/stat.
 	ticksPerSecond = 100
-	// userField and systemField are the fields of /proc/PID/stat after the
-	// name in brackets.
+	// userField and systemField are the indexes of the user and system time in /proc/PID/stat, counted
+	// from the field after the name in brackets.
 	userField   = 11
 	systemField = 12
 	kibPerMiB   = 1024
@@ -28,7 +29,7 @@
 	_, rest, _ := strings.Cut(string(data), ") ")
 	fields := strings.Fields(rest)
 	if len(fields) <= systemField {
-		return 0, fmt.Errorf("standin: /proc/%d/stat has no times", n.Pid())
+		return 0, fmt.Errorf("standin: /proc/%d/stat has no user and system time", n.Pid())
 	}
 	ticks := 0.0
 	for _, i := range []int{userField, systemField} {
@@ -58,5 +59,5 @@
 		}
 		return kib / kibPerMiB, nil
 	}
-	return 0, fmt.Errorf("standin: process %d has no VmRSS", n.Pid())
+	return 0, fmt.Errorf("standin: /proc/%d/status has no VmRSS line", n.Pid())
 }
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package relay passes connections on over loopback until it is told to silence
-// those that are open: they stay open, carry nothing more, and new ones work.
+// Package relay is a TCP proxy on loopback for tests of broken connections. On request it silences the open
+// connections: they stay open, but what arrives on them is discarded. New connections work.
 package relay
 
 import (
@@ -12,26 +12,26 @@
 	"sync"
 )
 
-// Relay passes connections on to one address. It is safe for concurrent use.
+// Relay forwards connections to one address. It is safe for concurrent use.
 type Relay struct {
 	listener net.Listener
 	target   netip.AddrPort
 
 	mu    sync.Mutex
 	conns []net.Conn
-	// silenced is how many of conns carry nothing more.
+	// silenced is how many of conns, counted from the first, are silenced.
 	silenced int
-	// dropped counts what was read of silenced connections.
+	// droppedReads counts the reads from silenced connections, whose data was discarded.
 	droppedReads int
 	isClosed     bool
 	wg           sync.WaitGroup
 }
 
-// pieceBytes is how much a relay passes on at a time.
+// bufferBytes is the size of the buffer of each direction of a connection.
 const bufferBytes = 4 << 10
 
-// NewRelay listens on loopback and passes connections on to an address, which need
-// not listen yet.
+// NewRelay listens on loopback and forwards connections to target. Nothing needs to listen there yet: a
+// connection that cannot be forwarded is closed.
 func NewRelay(target netip.AddrPort) (*Relay, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,24 +43,24 @@
 	return r, nil
 }
 
-// Addr returns where the relay listens.
+// Addr returns the address on which the relay listens.
 func (r *Relay) Addr() netip.AddrPort { return netip.MustParseAddrPort(r.listener.Addr().String()) }
 
-// Silence makes all connections that are open now carry nothing more, for good.
+// Silence silences all connections that are open now, until they are closed.
 func (r *Relay) Silence() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.silenced = len(r.conns)
 }
 
-// Dropped returns how many times something was read of a silenced connection.
+// DroppedReads returns how many reads from silenced connections returned data, which was discarded.
 func (r *Relay) DroppedReads() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.droppedReads
 }
 
-// Close ends the relay with its connections.
+// Close closes the listener and all connections, and waits until their goroutines have ended.
 func (r *Relay) Close() {
 	_ = r.listener.Close()
 	r.mu.Lock()
@@ -88,7 +88,7 @@
 	}
 }
 
-// pass begins to pass bytes on between two ends, unless the relay is closed.
+// forward starts copying between the two ends of a connection, or closes both if the relay is closed.
 func (r *Relay) forward(client, server net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -103,7 +103,8 @@
 	go r.copyData(server, client, i)
 }
 
-// runCopy passes bytes on until the i-th connection is silenced; then it drops them.
+// copyData copies from one end to the other. Once the pair whose first index in conns is i has been silenced, it
+// discards what it reads.
 func (r *Relay) copyData(from, to net.Conn, i int) {
 	defer r.wg.Done()
 	buf := make([]byte, bufferBytes)
@@ -119,7 +120,7 @@
 	}
 }
 
-// drops reports whether the i-th connection is silenced, and counts what it drops.
+// shouldDrop reports whether the pair whose first index in conns is i is silenced, and if so counts the read.
 func (r *Relay) shouldDrop(i int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
