--- a/internal/standin/native/worker_test.go
+++ b/internal/standin/native/worker_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestLeaseEndsWhenItIsNotRenewed(t *testing.T) {
+func TestRunsEndWhenTheirLeaseIsNotRenewed(t *testing.T) {
 	w, c, o := newWorker()
 	report := sync(t, w, &worker.Sync{Epoch: 1})
 	if got := start(t, w, report, 1, newTask(0, 1)); got != "" {
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestLateStartIsRefused(t *testing.T) {
+func TestStartAfterLeaseExpiryIsRefused(t *testing.T) {
 	w, c, _ := newWorker()
 	report := sync(t, w, &worker.Sync{Epoch: 1})
 	c.Advance(ttl)
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestOracleSeesWhatMustNotBe(t *testing.T) {
+func TestOracleReportsEachViolation(t *testing.T) {
 	w, c, o := newWorker()
 	report := sync(t, w, &worker.Sync{Epoch: 1})
 	start(t, w, report, 1, newTask(0, 1))
