--- a/cmd/leverdyke-emulator/hunt.go
+++ b/cmd/leverdyke-emulator/hunt.go
@@ -33,7 +33,7 @@
 	// next is the number of the next day, played counts those that were played whole, broken those
 	// that broke a rule.
 	nextIndex, playedDays, violatedDays int
-	firstError                          error
+	failure                             error
 	out, progress                       io.Writer
 }
 
@@ -72,8 +72,8 @@
 	wg.Wait()
 	_, _ = fmt.Fprintf(h.progress, "%d days on %s, %d with a rule broken\n", h.playedDays, h.deployment.Name, h.violatedDays)
 	switch {
-	case h.firstError != nil:
-		return h.firstError
+	case h.failure != nil:
+		return h.failure
 	case h.violatedDays > 0:
 		return &violationError{count: h.violatedDays}
 	}
@@ -96,7 +96,7 @@
 func (h *hunt) nextDay(ctx context.Context) (int, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.nextIndex >= h.dayCount || h.firstError != nil || ctx.Err() != nil {
+	if h.nextIndex >= h.dayCount || h.failure != nil || ctx.Err() != nil {
 		return 0, false
 	}
 	h.nextIndex++
@@ -107,7 +107,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
-		h.firstError = err
+		h.failure = err
 		return
 	}
 	if !r.IsPartial {
