--- a/cmd/leverdyke-emulator/check.go
+++ b/cmd/leverdyke-emulator/check.go
@@ -13,7 +13,7 @@
 
 func newCheck() *cobra.Command {
 	return &cobra.Command{
-		Use: "check DEPLOYMENT [DAY...]", Short: "Check files, play nothing", Args: cobra.MinimumNArgs(1),
+		Use: "check DEPLOYMENT [DAY...]", Short: "Check the files of a deployment and of days without playing them", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			deployment, err := scenario.LoadDeployment(args[0])
 			if err != nil {
--- a/cmd/leverdyke-emulator/hunt.go
+++ b/cmd/leverdyke-emulator/hunt.go
@@ -18,10 +18,10 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
-// maxJobs bounds the days that are played at once: each has processes of its own.
+// maxParallel is the maximum number of days played at once: each day starts processes of its own.
 const maxParallel = 16
 
-// hunt plays days that are drawn.
+// hunt plays randomly generated days to find violations of the rules.
 type hunt struct {
 	playOptions
 	dayCount, parallelDays int
@@ -30,17 +30,18 @@
 	deployment             *scenario.Deployment
 
 	mu sync.Mutex
-	// next is the number of the next day, played counts those that were played whole, broken those
-	// that broke a rule.
+	// nextIndex is the index of the next day. playedDays counts the days that were played to the end,
+	// violatedDays those in which a rule was broken.
 	nextIndex, playedDays, violatedDays int
-	failure                             error
-	out, progress                       io.Writer
+	// failure is the last error that kept a day from being played. No further day is begun after one.
+	failure       error
+	out, progress io.Writer
 }
 
 func newHunt() *cobra.Command {
 	h := &hunt{}
 	cmd := &cobra.Command{
-		Use: "hunt DEPLOYMENT", Short: "Play days drawn from all kinds of faults, to find broken rules", Args: cobra.ExactArgs(1),
+		Use: "hunt DEPLOYMENT", Short: "Play days with random faults of all kinds, to find broken rules", Args: cobra.ExactArgs(1),
 		Example: "  leverdyke-emulator hunt deploy/emulator/small.yaml --days 20 --jobs 3 --keep /tmp/found",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if h.dayCount < 1 || h.parallelDays < 1 || h.parallelDays > maxParallel || h.length < time.Second {
@@ -56,14 +57,14 @@
 	}
 	h.addFlags(cmd)
 	f := cmd.Flags()
-	f.IntVar(&h.dayCount, "days", 10, "how many days")
-	f.IntVar(&h.parallelDays, "jobs", 2, "how many are played at once")
-	f.DurationVar(&h.length, "length", 30*time.Second, "how long each is")
-	f.BoolVar(&h.isShrunk, "shrink", false, "play a day that broke a rule again without one fault after the other")
+	f.IntVar(&h.dayCount, "days", 10, "number of days to play")
+	f.IntVar(&h.parallelDays, "jobs", 2, "number of days played at once")
+	f.DurationVar(&h.length, "length", 30*time.Second, "length of each day")
+	f.BoolVar(&h.isShrunk, "shrink", false, "after a day with a broken rule, look for fewer faults that still break one, by playing the day again without each of its faults")
 	return cmd
 }
 
-// run plays the days, some at once.
+// run plays the days, up to parallelDays at once, and prints a summary.
 func (h *hunt) run(ctx context.Context) error {
 	wg := sync.WaitGroup{}
 	for range h.parallelDays {
@@ -92,7 +93,8 @@
 	}
 }
 
-// take returns the number of the next day; false when there is none.
+// nextDay returns the index of the next day. It reports false when all days have been begun, a day could not be played, or
+// ctx has ended.
 func (h *hunt) nextDay(ctx context.Context) (int, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -103,6 +105,7 @@
 	return h.nextIndex - 1, true
 }
 
+// record counts a result and prints it. A result without a violation is printed in full only with --json.
 func (h *hunt) record(r *play.Result, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,8 +126,8 @@
 	_, _ = fmt.Fprintf(h.progress, "%s: %d faults, all rules held\n", r.Day, r.Faults)
 }
 
-// shrink plays a day again without one fault after the other, and tells the least that still breaks a
-// rule.
+// shrink tries to remove the faults of a day one at a time, each time by playing the rest. A fault without which
+// a rule is still broken stays removed. shrink prints the remaining faults.
 func (h *hunt) shrink(ctx context.Context, day *scenario.Day, seed uint64) {
 	for i := 0; i < len(day.Faults) && ctx.Err() == nil; {
 		reduced := day.Without(i)
--- a/cmd/leverdyke-emulator/main.go
+++ b/cmd/leverdyke-emulator/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Command leverdyke-emulator plays days on a deployment: nodes of the product as processes, and
-// workers, store, permission service and callers of its own.
+// Command leverdyke-emulator plays days, which are sequences of load and faults, on a deployment: it runs
+// real nodes as processes and emulates the workers, the store, the permission service and the callers.
 package main
 
 import (
@@ -26,10 +26,10 @@
 	command.Exit(newRoot().ExecuteContext(ctx))
 }
 
-// exitSignalled is what shells expect of a process that a signal has ended.
+// exitCodeInterrupted is the exit code that shells expect of a process ended by SIGINT: 128 + 2.
 const exitCodeInterrupted = 130
 
-// endAtSecond waits for a second signal and ends the nodes and this process at once.
+// exitOnSecondSignal waits for a second signal, then kills the nodes and exits without waiting for the day to end.
 func exitOnSecondSignal() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
@@ -47,7 +47,7 @@
 	return root
 }
 
-// defaultBinary is the node's program beside this one.
+// defaultBinary returns the path of the node's program in the directory of this one.
 func defaultBinary() string {
 	path, err := os.Executable()
 	if err != nil {
--- a/cmd/leverdyke-emulator/run.go
+++ b/cmd/leverdyke-emulator/run.go
@@ -17,7 +17,7 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
-// playOptions are those of all verbs that play.
+// playOptions are the options of all commands that play days.
 type playOptions struct {
 	binary, keepDir string
 	seed            uint64
@@ -26,10 +26,10 @@
 
 func (o *playOptions) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
-	f.StringVar(&o.binary, "binary", defaultBinary(), "the node's program")
-	f.StringVar(&o.keepDir, "keep", "", "a directory that exists, for settings and logs of the nodes of plays that break a rule")
-	f.Uint64Var(&o.seed, "seed", 1, "what is drawn goes by it")
-	f.BoolVar(&o.isJSON, "json", false, "print a line of JSON a play")
+	f.StringVar(&o.binary, "binary", defaultBinary(), "path of the node's program, leverdyked")
+	f.StringVar(&o.keepDir, "keep", "", "existing directory in which the settings and logs of days with a broken rule are kept")
+	f.Uint64Var(&o.seed, "seed", 1, "seed of everything random")
+	f.BoolVar(&o.isJSON, "json", false, "print one line of JSON per day played")
 }
 
 func newRun() *cobra.Command {
@@ -58,11 +58,12 @@
 		},
 	}
 	o.addFlags(cmd)
-	cmd.Flags().BoolVar(&isVaried, "vary", false, "draw moments and lengths anew by the seed")
+	cmd.Flags().BoolVar(&isVaried, "vary", false, "replace the times and durations of the faults by random ones that depend on the seed")
 	return cmd
 }
 
-// play plays one day. The logs of one that breaks a rule stay where they are to be kept.
+// play plays one day in a temporary directory. The directory is removed afterwards unless a rule was broken and
+// --keep was given.
 func (o *playOptions) play(ctx context.Context, deployment *scenario.Deployment, day *scenario.Day, seed uint64, progress io.Writer) (*play.Result, error) {
 	dir, err := os.MkdirTemp(o.keepDir, "emulator-")
 	if err != nil {
@@ -85,13 +86,13 @@
 	}
 	isKept = o.keepDir != "" && len(r.Violations) > 0
 	if isKept {
-		_, _ = fmt.Fprintln(progress, "logs are kept in", dir)
+		_, _ = fmt.Fprintln(progress, "settings and logs are kept in", dir)
 		return r, day.Save(dir + "/day.yaml")
 	}
 	return r, nil
 }
 
-// tell prints a result. The error says that a rule was broken.
+// printResult prints a result. It returns a violationError if a rule was broken.
 func (o *playOptions) printResult(w io.Writer, r *play.Result) error {
 	write := report.Screen
 	if o.isJSON {
@@ -106,13 +107,13 @@
 	return nil
 }
 
-// brokenError says that rules were broken.
+// violationError reports how often rules were broken.
 type violationError struct{ count int }
 
-// Error tells how often.
+// Error implements error.
 func (e *violationError) Error() string {
 	return fmt.Sprintf("emulator: rules were broken %d times", e.count)
 }
 
-// IsViolation tells such errors from others by having it.
+// IsViolation marks the error for command.Exit, which gives violations an exit code of their own.
 func (*violationError) IsViolation() {}
--- a/cmd/leverdyke/main.go
+++ b/cmd/leverdyke/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Command leverdyke is the operators' client of a leverdyke cell.
+// Command leverdyke is the operators' client of a leverdyke cluster.
 package main
 
 import (
--- a/cmd/leverdyked/main.go
+++ b/cmd/leverdyked/main.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Command leverdyked is a node of a leverdyke cell: it runs on every entry VM,
-// all alike.
+// Command leverdyked is a node of a leverdyke cluster. One runs on every entry VM, and all have the same role.
 package main
 
 import (
@@ -31,10 +30,11 @@
 )
 
 const (
-	// handOverTime bounds the hand-over, finishTime the requests in progress.
+	// handOverTimeout bounds the hand-over of racks and job shards to other nodes, leaveTimeout the last messages to a
+	// peer and to the log. leaveTimeout also bounds the headers of operators' requests.
 	handOverTimeout = 15 * time.Second
 	leaveTimeout    = 3 * time.Second
-	// heapPercent makes the collector run often: memory is scarcer than time.
+	// gcPercent makes the garbage collector run often: memory is scarcer than processor time.
 	gcPercent = 50
 )
 
@@ -42,9 +42,9 @@
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
-		Use: "leverdyked", Short: "A node of a leverdyke cell", Version: leverdyke.Version,
+		Use: "leverdyked", Short: "A node of a leverdyke cluster", Version: leverdyke.Version,
 		SilenceUsage: true, SilenceErrors: true,
-		Long:    "leverdyked runs on every entry VM. It takes callers' requests, decides what runs on which worker,\nand follows the configuration that operators publish.\n\nExit codes: 0 stopped as asked, 1 failed, 2 the settings are at fault.",
+		Long:    "leverdyked runs on every entry VM. It accepts callers' requests, decides which task runs on which worker,\nand applies the configuration that operators publish.\n\nExit codes: 0 stopped on request, 1 failed, 2 invalid settings.",
 		Example: "  leverdyked run --settings node.yaml\n  leverdyked check --settings node.yaml",
 	}
 	file := ""
@@ -54,7 +54,7 @@
 		RunE:    func(*cobra.Command, []string) error { return runNode(file) },
 	}
 	check := &cobra.Command{
-		Use: "check", Short: "Check a settings file and start nothing", Args: cobra.NoArgs,
+		Use: "check", Short: "Check a settings file without starting a node", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if _, err := settings.Load(file); err != nil {
 				return err
@@ -68,7 +68,7 @@
 		Run: func(cmd *cobra.Command, _ []string) { fmt.Fprintln(cmd.OutOrStdout(), "leverdyked", leverdyke.Version) },
 	}
 	for _, c := range []*cobra.Command{run, check} {
-		c.Flags().StringVarP(&file, "settings", "s", "leverdyked.yaml", "the settings file")
+		c.Flags().StringVarP(&file, "settings", "s", "leverdyked.yaml", "path of the settings file")
 	}
 	logFlags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(logFlags)
@@ -77,7 +77,7 @@
 	return root
 }
 
-// daemon is the process: the node and its two doors.
+// daemon is the node with its two HTTP servers, one for callers and one for operators.
 type daemon struct {
 	settings  *settings.Node
 	node      *entry.Node
@@ -142,8 +142,9 @@
 	return d, nil
 }
 
-// stop is the planned stop: not ready, hand over, finish what is in progress,
-// leave. Nothing in progress is cut off.
+// stop stops the node as planned. The node reports that it is not ready and hands over what it owns. It keeps
+// serving for DrainWait, and then finishes the requests in progress, for at most MaxTimeout. Last, it gives
+// its kept answers to a peer and leaves the cluster.
 func (d *daemon) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
--- a/cmd/leverdyked/platform.go
+++ b/cmd/leverdyked/platform.go
@@ -14,7 +14,7 @@
 	"github.com/leverdyke/leverdyke/platform"
 )
 
-// newPlatform returns the command that runs a node on the users' platform.
+// newPlatform returns the command that runs a node with the services of the users' platform.
 func newPlatform() *cobra.Command {
 	file := ""
 	options := platform.RunOptions{}
@@ -26,7 +26,7 @@
 			if advertise != "" {
 				addr, err := netip.ParseAddrPort(advertise)
 				if err != nil {
-					return fmt.Errorf("leverdyked: advertise: %w", err)
+					return fmt.Errorf("leverdyked: --advertise: %w", err)
 				}
 				options.AdvertiseAddr = addr
 			}
@@ -38,12 +38,12 @@
 			return platform.Run(file, options)
 		},
 	}
-	c.Flags().StringVarP(&file, "settings", "s", platform.SettingsPath(), "the platform's settings file")
-	c.Flags().Uint16Var(&options.MetricsPort, "metrics-port", 0, "the port that serves figures; 0 serves none")
-	c.Flags().StringVar(&advertise, "advertise", "", "address and port at which other nodes reach this one, if not where it listens")
-	c.Flags().DurationVar(&options.ClockShift, "clock-shift", 0, "how far the time of day is ahead, for tests of clocks that differ")
+	c.Flags().StringVarP(&file, "settings", "s", platform.SettingsPath(), "path of the platform's settings file")
+	c.Flags().Uint16Var(&options.MetricsPort, "metrics-port", 0, "port on which metrics are served; 0 serves none")
+	c.Flags().StringVar(&advertise, "advertise", "", "address and port at which other nodes reach this one, if they differ from the listen address")
+	c.Flags().DurationVar(&options.ClockShift, "clock-shift", 0, "how far the wall clock is ahead of the real one, for tests with clocks that differ")
 	check := &cobra.Command{
-		Use: "check", Short: "Check the platform's settings file and start nothing", Args: cobra.NoArgs,
+		Use: "check", Short: "Check the platform's settings file without starting a node", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if _, err := platform.LoadSettings(file); err != nil {
 				return err
@@ -52,7 +52,7 @@
 			return err
 		},
 	}
-	check.Flags().StringVarP(&file, "settings", "s", platform.SettingsPath(), "the platform's settings file")
+	check.Flags().StringVarP(&file, "settings", "s", platform.SettingsPath(), "path of the platform's settings file")
 	c.AddCommand(check)
 	return c
 }
--- a/examples/caller/main.go
+++ b/examples/caller/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Command caller shows how a caller sends a request that may not be repeated:
-// one key for all its tries, and the verdict decides what to do next.
+// Command caller shows how a caller sends a request that must not run twice: all attempts carry the same
+// idempotency key, and the verdict of each answer decides what to do next.
 package main
 
 import (
@@ -34,7 +34,7 @@
 	}
 }
 
-// file sends the deed until it is known what became of it.
+// sendUntilKnown sends the request until its outcome is known. It fails if no answer says so after maxAttempts.
 func sendUntilKnown(url, body string) error {
 	key, err := uuid.NewV7()
 	if err != nil {
@@ -47,16 +47,16 @@
 			fmt.Print(answer)
 			return nil
 		case err == nil && verdict == leverdyke.VerdictNotRun:
-			// Nothing ran: a new key is a new try.
+			// Nothing ran under this key and nothing will, so the next attempt needs a new key.
 			if key, err = uuid.NewV7(); err != nil {
 				return err
 			}
 		}
-		// May have run, or no answer at all: the same key gets the first answer,
-		// and never a second run.
+		// If the request may have run or no answer arrived, the next attempt uses the same key: it gets the
+		// answer of the first run and never causes a second one.
 		time.Sleep(retryInterval)
 	}
-	return fmt.Errorf("caller: what became of %s is not known: ask the register before filing again", key)
+	return fmt.Errorf("caller: the outcome of request %s is unknown: check the register before filing again", key)
 }
 
 func send(url, body, key string) (leverdyke.Verdict, string, error) {
--- a/tools/measure/full_cluster.go
+++ b/tools/measure/full_cluster.go
@@ -11,10 +11,10 @@
 
 const fullClusterWorkers = 24
 
-// counter measures how long callers wait while batches fill the cell and more
-// of them wait.
+// requestsInFullCluster measures how long callers wait while batch tasks occupy the whole cluster and more of
+// them are queued.
 func requestsInFullCluster(binary string) error {
-	fmt.Println("| requests in a full cell | callers | answered/s | wait and service p50 / p99 / p99.9 / max | node's processor (ms a request) | control bytes/s a node |\n|---|---|---|---|---|---|")
+	fmt.Println("| requests in a full cluster | callers | answered/s | wait and service p50 / p99 / p99.9 / max | node's processor (ms a request) | control bytes/s a node |\n|---|---|---|---|---|---|")
 	for _, callers := range []int{1, 24} {
 		err := withCluster(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cluster) error {
 			if err := submit(c, "s", "kind: service\ntasks: 12\neach: {milli_cpu: 100, memory_mib: 10}\nservice: s\nrequest: {milli_cpu: 10, memory_mib: 1}\n"); err != nil {
@@ -26,7 +26,7 @@
 			if err := submit(c, "fill", "kind: batch\nclass: batch\ntasks: 20000\neach: {milli_cpu: 1000, memory_mib: 100}\nrun_time: 4s\n"); err != nil {
 				return err
 			}
-			// Eight slots a VM.
+			// Each worker has eight slots.
 			if err := awaitRunning(c, 8*fullClusterWorkers); err != nil {
 				return err
 			}
@@ -35,7 +35,7 @@
 				return err
 			}
 			r := c.Platform.Oracle.Report()
-			fmt.Printf("| attempts that ended early or in time meanwhile | | %d of %d running | | | |\n", r.Stops-before.Stops, r.Running)
+			fmt.Printf("| attempts that ended meanwhile, stopped or finished | | %d, with %d running at the end | | | |\n", r.Stops-before.Stops, r.Running)
 			return nil
 		})
 		if err != nil {
--- a/tools/measure/load.go
+++ b/tools/measure/load.go
@@ -24,7 +24,7 @@
 
 const loadDuration = 8 * time.Second
 
-// localStatus asks a node about itself alone.
+// localStatus asks a node for its own status only, so that the answer does not depend on other nodes.
 func localStatus(n *standin.Node) (operator.Status, bool) {
 	client := http.Client{Timeout: time.Second}
 	res, err := client.Get("http://" + n.Operators.String() + "/v1/nodes?local=1")
@@ -39,9 +39,11 @@
 	return list[0], true
 }
 
+// rackCompleteLine matches the log line of event LD0303, by which a node reports that it knows all tasks on a rack.
 var rackCompleteLine = regexp.MustCompile(`"LD0303".* detail="([^"]+)"`)
 
-// completions lists how long racks needed to tell all, as the nodes logged it.
+// rackCompletionTimes returns, from the logs of all nodes, how long it took until a new owner knew all tasks that
+// run on its rack.
 func rackCompletionTimes(c *standin.Cluster) []time.Duration {
 	list := []time.Duration{}
 	for _, n := range c.Nodes {
@@ -54,7 +56,7 @@
 	return list
 }
 
-// requests measures callers' requests through three nodes, repeatable and not.
+// requests measures callers' requests through three nodes, repeatable ones and ones that must not run twice.
 func requests(binary string) error {
 	capacity := leverdyke.Resources{MilliCPU: 64000, MemoryMiB: 65536, Slots: 64}
 	fmt.Println("| requests | callers | answered/s | wait and service p50 / p99 / p99.9 / max | node's processor (ms a request) | control bytes/s a node |\n|---|---|---|---|---|---|")
@@ -134,7 +136,7 @@
 	return leverdyke.Verdict(res.Header.Get(leverdyke.VerdictHeader))
 }
 
-// cpuOf adds the processor time of all nodes, in seconds.
+// totalCPUSeconds returns the processor time of all nodes together, in seconds.
 func totalCPUSeconds(c *standin.Cluster) float64 {
 	sum := 0.0
 	for _, n := range c.Nodes {
@@ -143,6 +145,7 @@
 	return sum
 }
 
+// totalControlBytes returns the control traffic of all nodes together, in bytes.
 func totalControlBytes(c *standin.Cluster) float64 {
 	sum := 0.0
 	for _, n := range c.Nodes {
@@ -151,6 +154,7 @@
 	return sum
 }
 
+// metric returns the sum of the values of all lines of a node's metrics that begin with prefix.
 func metric(n *standin.Node, prefix string) float64 {
 	res, err := http.Get("http://" + n.Operators.String() + "/metrics")
 	if err != nil {
@@ -172,7 +176,7 @@
 
 var taskStartedLine = regexp.MustCompile(`"LD0402".*class="(\w+)" waited="([^"]+)"`)
 
-// waits returns how long tasks of a class waited, as the nodes logged it.
+// waits returns how many tasks of a class were started and how long they waited, from the logs of all nodes.
 func waits(c *standin.Cluster, class string) string {
 	h := newHistogram()
 	for _, n := range c.Nodes {
@@ -185,7 +189,7 @@
 	return fmt.Sprintf("%d started, %s", h.TotalCount(), quantiles(h))
 }
 
-// urgent measures how long urgent work waits while batches fill the cell.
+// urgent measures how long urgent tasks wait while batch tasks occupy the whole cluster.
 func urgent(binary string) error {
 	return withCluster(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cluster) error {
 		if err := submit(c, "fill", "kind: batch\nclass: batch\ntasks: 1000\neach: {milli_cpu: 2000, memory_mib: 4096}\nrun_time: 10m\n"); err != nil {
@@ -201,12 +205,12 @@
 		}
 		standin.Await(20*time.Second, func() bool { return strings.HasPrefix(waits(c, "urgent"), "80 ") })
 		r := c.Platform.Oracle.Report()
-		fmt.Printf("| a full cell of 24 workers | p50 / p99 / p99.9 / max |\n|---|---|\n| urgent tasks' wait (limit 3.4 s) | %s |\n| over-commits | %d |\n", waits(c, "urgent"), r.OverCommits)
+		fmt.Printf("| a full cluster of 24 workers | p50 / p99 / p99.9 / max |\n|---|---|\n| urgent tasks' wait (limit 3.4 s) | %s |\n| over-commits | %d |\n", waits(c, "urgent"), r.OverCommits)
 		return nil
 	})
 }
 
-// wave measures 5,000 cancellations at once, and what they cost others.
+// massCancellation measures the cancellation of 5,000 jobs in one call, and how long urgent tasks wait meanwhile.
 func massCancellation(binary string) error {
 	return withCluster(binary, options{nodes: 3, racks: 3, workers: 4, settings: "appends_per_second: 30\n"}, func(c *standin.Cluster) error {
 		const jobs = 5000
--- a/tools/measure/log_outage.go
+++ b/tools/measure/log_outage.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// logOutLease is as short as a deputy, who needs some 5.5 s, allows.
+	// logOutageLease is short, but still long enough for a deputy to keep a rack alive, which takes some 5.5 s.
 	logOutageLease = 8 * time.Second
-	// logOutTasks a second is what the cell of this measurement can run.
+	// logOutageTasksPerSecond is the rate of tasks that the cluster of this measurement can run.
 	logOutageTasksPerSecond = 24
-	// logOutJob is how many of them are one job.
+	// logOutageTasksPerJob is the maximum number of tasks of one job.
 	logOutageTasksPerJob = 10000
 )
 
+// batchName returns the ID of the job whose first task has the given number.
 func batchName(first int) string { return fmt.Sprint("batch-", first) }
 
-// logOut measures what goes on and what is refused while the log is out, with
-// a node killed in the middle.
+// logOutage measures which requests and tasks still run while the log is unavailable, and which are refused. A
+// node is killed halfway through the outage.
 func logOutage(binary string) error {
 	o := options{nodes: 3, racks: 3, workers: 4, settings: fmt.Sprintf("lease: %s\nsync: 500ms\n", logOutageLease)}
 	return withCluster(binary, o, func(c *standin.Cluster) error {
@@ -85,10 +86,10 @@
 		return true
 	})
 	end := c.Platform.Oracle.Report()
-	fmt.Printf("| the log out for %v (%.0f leases of %v), a node killed after half of it | |\n|---|---|\n", *logOutageDuration, float64(*logOutageDuration)/float64(logOutageLease), logOutageLease)
+	fmt.Printf("| log unavailable for %v (%.0f leases of %v), a node killed after half of it | |\n|---|---|\n", *logOutageDuration, float64(*logOutageDuration)/float64(logOutageLease), logOutageLease)
 	fmt.Printf("| repeatable requests answered, not run | %d, %d |\n| once-only requests answered, not run | %d, %d |\n", verdictCounts["plain ran"], verdictCounts["plain not-run"], verdictCounts["deeds ran"], verdictCounts["deeds not-run"])
-	fmt.Printf("| tasks started before the kill, after it | %d, %d |\n| leases lapsed | %d |\n", startsAtKill-before.Starts, r.Starts-startsAtKill, r.LeaseExpirations)
-	fmt.Printf("| most resident memory of a node (MiB) | %.1f |\n| %d tasks done afterwards | %v |\n", maxRSS, tasks, areDone)
+	fmt.Printf("| tasks started before the kill, after it | %d, %d |\n| leases expired | %d |\n", startsAtKill-before.Starts, r.Starts-startsAtKill, r.LeaseExpirations)
+	fmt.Printf("| most resident memory of a node (MiB) | %.1f |\n| all %d tasks ended afterwards | %v |\n", maxRSS, tasks, areDone)
 	fmt.Printf("| starts in all, double runs, over-commits | %d, %d, %d |\n", end.Starts, end.DoubleRuns, end.OverCommits)
 	return nil
 }
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Command measure runs cells of real processes and prints the figures of
-// docs/MEASUREMENTS.md, as tables.
+// Command measure runs clusters of real processes and prints the figures of docs/MEASUREMENTS.md as tables.
 package main
 
 import (
@@ -24,17 +23,17 @@
 
 const timeout = 60 * time.Second
 
-// measure is one thing to measure.
+// measurement is a named measurement that prints its table.
 type measurement struct {
 	name string
 	run  func(binary string) error
 }
 
-var logOutageDuration = flag.Duration("logout", time.Minute, "how long the log is out; 24m has as many leases of 8 s as an hour has of 20 s")
+var logOutageDuration = flag.Duration("logout", time.Minute, "how long the log is unavailable; 24m is as many leases of 8 s as an hour is of 20 s")
 
 func main() {
-	bin := flag.String("bin", "bin", "where the programs are")
-	only := flag.String("only", "", "measure this alone")
+	bin := flag.String("bin", "bin", "directory of the programs")
+	only := flag.String("only", "", "run only the measurement with this name")
 	flag.Parse()
 	for _, m := range []measurement{
 		{"ownerless", ownerless},
@@ -58,14 +57,14 @@
 	}
 }
 
-// options says what a cell for a measurement consists of.
+// options configures the cluster of a measurement.
 type options struct {
 	nodes, racks, workers int
 	capacity              leverdyke.Resources
 	settings              string
 }
 
-// withCell starts a cell with one team, hands it to f, and ends it.
+// withCluster starts a cluster with one team, calls run with it, and closes it.
 func withCluster(binary string, o options, run func(c *standin.Cluster) error) error {
 	dir, err := os.MkdirTemp("", "leverdyke-measure-")
 	if err != nil {
@@ -81,7 +80,7 @@
 	}
 	defer c.Close()
 	if !c.AwaitOwned(timeout, o.racks, 16) {
-		return fmt.Errorf("not all shards have an owner")
+		return fmt.Errorf("not all racks and job shards have an owner")
 	}
 	for _, d := range [][2]string{
 		{"office/head", "waiting: 0.5\npacking: 0.5\n"},
@@ -101,12 +100,12 @@
 
 func awaitRunning(c *standin.Cluster, n int) error {
 	if !standin.Await(timeout, func() bool { return c.Platform.Oracle.Report().Running >= n }) {
-		return fmt.Errorf("%d of %d tasks run", c.Platform.Oracle.Report().Running, n)
+		return fmt.Errorf("%d of %d tasks are running", c.Platform.Oracle.Report().Running, n)
 	}
 	return nil
 }
 
-// status asks one node about itself.
+// status asks a node for the status of all nodes and returns its own.
 func status(n *standin.Node) (operator.Status, bool) {
 	list, err := operator.NewClient([]string{n.Operators.String()}, time.Second, nil).Nodes(context.Background())
 	if err != nil {
@@ -120,9 +119,10 @@
 	return operator.Status{}, false
 }
 
-// newHistogram takes microseconds up to ten minutes.
+// newHistogram returns a histogram of microseconds, up to ten minutes.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
+// quantiles formats the median, the 99th and 99.9th percentiles and the maximum.
 func quantiles(h *hdrhistogram.Histogram) string {
 	parts := []string{}
 	for _, q := range []float64{50, 99, 99.9, 100} {
--- a/tools/measure/mixed.go
+++ b/tools/measure/mixed.go
@@ -24,19 +24,19 @@
 	mixedMilliCPU    = 16000
 )
 
-// mixedJob is a job of one task and when it is submitted.
+// mixedJob is a job of one task, and the time after the start of the measurement at which it is submitted.
 type mixedJob struct {
 	at   time.Duration
 	body string
 }
 
-// mixedJobs makes jobs whose processors add up to load times what there is: a
-// tenth urgent, half normal, the rest large batches.
+// mixedJobs returns jobs whose demand for processors is, on average, load times the capacity: a tenth are
+// urgent, half are normal, and the rest are large batch jobs.
 func mixedJobs(load float64) []mixedJob {
 	r := rand.New(rand.NewSource(1))
 	jobs := []mixedJob{}
 	capacity := float64(mixedRacks * mixedWorkers * mixedMilliCPU)
-	// The mean need of the three kinds below.
+	// The mean demand of the three classes below, in thousandths of a processor.
 	const mean = 0.1*1000 + 0.5*2500 + 0.4*8000
 	rate := load * capacity / (mean * mixedMeanRunTime.Seconds())
 	for at := time.Duration(0); at < mixedDuration; at += time.Duration(r.ExpFloat64() / rate * float64(time.Second)) {
@@ -54,7 +54,7 @@
 	return jobs
 }
 
-// mixed measures waits by class at several loads, through three real nodes.
+// mixed measures how long tasks of each class wait at several loads, with three nodes.
 func mixed(binary string) error {
 	fmt.Println("| offered load | jobs, refused | urgent p50 / p99 / p99.9 / max | normal | batch | mean processors used (%) | processor a node (% of a core) | control bytes/s a node |\n|---|---|---|---|---|---|---|---|")
 	for _, load := range []float64{0.7, 0.9, 1.2} {
@@ -87,7 +87,7 @@
 	for i := range jobs {
 		time.Sleep(time.Until(began.Add(jobs[i].at)))
 		next <- i
-		// The cell is filling up in the first quarter.
+		// Skip the first quarter of the time, in which the cluster is still filling up.
 		if jobs[i].at > mixedDuration/4 && time.Since(sampledAt) > time.Second {
 			sampledAt = time.Now()
 			used += usedFraction(c)
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// usedPart returns the used part of the processors of all workers.
+// usedFraction returns the fraction of the processors of all workers that is in use.
 func usedFraction(c *standin.Cluster) float64 {
 	list, err := c.Client().Workers(context.Background())
 	if err != nil {
--- a/tools/measure/owners.go
+++ b/tools/measure/owners.go
@@ -14,10 +14,9 @@
 	"github.com/leverdyke/leverdyke/internal/standin"
 )
 
-// ownerless measures how long racks are without an owner after a node has gone
-// in three ways.
+// ownerless measures how long racks have no owner after a node was killed, stopped as planned or paused.
 func ownerless(binary string) error {
-	fmt.Println("| how the node goes | without an owner p50 / p99 / p99.9 / max | tasks that lost their lease |\n|---|---|---|")
+	fmt.Println("| signal to the node | without an owner p50 / p99 / p99.9 / max | tasks that lost their lease |\n|---|---|---|")
 	for _, stop := range []struct {
 		name   string
 		signal syscall.Signal
@@ -45,13 +44,14 @@
 	return nil
 }
 
-// goAway takes a node away, waits until the others own all, and brings it back.
+// stopAndRestart sends a signal to the i-th node and records how long it takes until the other nodes own all racks. Then
+// it restarts or resumes the node, and waits until it is ready and no rack has two owners.
 func stopAndRestart(c *standin.Cluster, i int, sig syscall.Signal, durations interface{ RecordValue(int64) error }) error {
 	stopped := c.Nodes[i]
 	began := time.Now()
 	stopped.Signal(sig)
 	if !standin.Await(timeout, func() bool { return racksOwnedWithout(c, i) >= 6 }) {
-		return fmt.Errorf("the others own %d of 6 racks", racksOwnedWithout(c, i))
+		return fmt.Errorf("the other nodes own %d of 6 racks", racksOwnedWithout(c, i))
 	}
 	_ = durations.RecordValue(time.Since(began).Microseconds())
 	if sig == syscall.SIGSTOP {
@@ -62,7 +62,7 @@
 			return err
 		}
 	}
-	// Until it has seen what it no longer owns.
+	// A resumed node counts its former racks as its own until it has seen their new owners.
 	standin.Await(timeout, func() bool {
 		s, ok := status(stopped)
 		return ok && s.IsReady && racksOwnedWithout(c, -1) == 6
@@ -81,6 +81,7 @@
 	return best
 }
 
+// racksOwnedWithout returns how many racks all nodes but one own; -1 excludes none.
 func racksOwnedWithout(c *standin.Cluster, excluded int) int {
 	sum := 0
 	for j, n := range c.Nodes {
@@ -94,7 +95,7 @@
 	return sum
 }
 
-// configInForce measures how long a change takes to be in force at 7 nodes.
+// configPropagation measures how long a configuration change takes until it is in force on all of 7 nodes.
 func configPropagation(binary string) error {
 	return withCluster(binary, options{nodes: 7, racks: 3, workers: 2}, func(c *standin.Cluster) error {
 		h := newHistogram()
@@ -114,15 +115,15 @@
 			}
 			_ = h.RecordValue(time.Since(began).Microseconds())
 		}
-		fmt.Printf("| %d changes, 7 nodes | p50 / p99 / p99.9 / max |\n|---|---|\n| from the operator's call until in force at all | %s |\n", changes, quantiles(h))
+		fmt.Printf("| %d changes, 7 nodes | p50 / p99 / p99.9 / max |\n|---|---|\n| from the operator's call until in force on all nodes | %s |\n", changes, quantiles(h))
 		return nil
 	})
 }
 
-// recovery measures how long the heirs of a killed node need until they know
-// all that runs, at several sizes.
+// recovery measures how long the successors of a killed node take until they know all running tasks, with several
+// numbers of tasks.
 func recovery(binary string) error {
-	fmt.Println("| tasks running | heirs own all racks after | every rack has told all, after the claim (max) |\n|---|---|---|")
+	fmt.Println("| tasks running | successors own all racks after | all tasks of a rack known, after the claim (max) |\n|---|---|---|")
 	for _, tasks := range []int{100, 1000, 10000} {
 		capacity := leverdyke.Resources{MilliCPU: 64000, MemoryMiB: 1 << 20, Slots: 400}
 		err := withCluster(binary, options{nodes: 3, racks: 6, workers: 8, capacity: capacity}, func(c *standin.Cluster) error {
@@ -144,7 +145,7 @@
 			}
 			fmt.Printf("| %d | %v | %v |\n", tasks, time.Duration(h.Max())*time.Microsecond, longest)
 			if got := c.Platform.Oracle.Report(); got.LeaseExpirations+got.DoubleRuns > 0 {
-				return fmt.Errorf("%d leases lapsed, %d double runs", got.LeaseExpirations, got.DoubleRuns)
+				return fmt.Errorf("%d leases expired, %d double runs", got.LeaseExpirations, got.DoubleRuns)
 			}
 			return nil
 		})
--- a/tools/quickstart/main.go
+++ b/tools/quickstart/main.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Command quickstart runs a whole cell on loopback for half a minute and checks
-// that what must always hold did hold.
+// Command quickstart runs a whole cluster on loopback for half a minute and checks the scheduler's guarantees.
 package main
 
 import (
@@ -31,8 +30,8 @@
 )
 
 func main() {
-	bin := flag.String("bin", "bin", "where the programs are")
-	keep := flag.Bool("keep", false, "leave the cell running until interrupted")
+	bin := flag.String("bin", "bin", "directory of the programs")
+	keep := flag.Bool("keep", false, "keep the cluster running until interrupted")
 	flag.Parse()
 	if err := run(*bin, *keep); err != nil {
 		fmt.Fprintln(os.Stderr, "quickstart failed:", err)
@@ -40,7 +39,7 @@
 	}
 }
 
-// tour is one run of the quickstart.
+// quickstart is one run of the quickstart.
 type quickstart struct {
 	cluster  *standin.Cluster
 	bin      string
@@ -66,12 +65,12 @@
 		name string
 		do   func() error
 	}{
-		{"the cell has an owner for every rack and home", q.awaitOwners},
+		{"every rack and job shard has an owner", q.awaitOwners},
 		{"templates and configuration are published", q.publish},
 		{"a service, a batch and an all-at-once job are submitted", q.submit},
 		{"callers' requests go through every node, and one node is killed", q.callAndKill},
 		{"a job is cancelled", q.cancel},
-		{"what must always hold did hold", q.check},
+		{"the guarantees hold", q.check},
 	} {
 		if err := step.do(); err != nil {
 			return fmt.Errorf("%s: %w (logs are in %s)", step.name, err, dir)
@@ -87,12 +86,12 @@
 
 func (q *quickstart) awaitOwners() error {
 	if !q.cluster.AwaitOwned(timeout, racks, jobShards) {
-		return errors.New("not all have an owner")
+		return errors.New("not all racks and job shards have an owner")
 	}
 	return nil
 }
 
-// client runs the operators' client as a person would.
+// client runs the operators' client and returns its output.
 func (q *quickstart) client(args ...string) (string, error) {
 	addrs := []string{}
 	for _, n := range q.cluster.Nodes {
@@ -130,8 +129,7 @@
 	return nil
 }
 
-// callAndKill sends requests through all nodes while one is killed and started
-// again.
+// callAndKill sends requests through all nodes while one of them is killed and started again.
 func (q *quickstart) callAndKill() error {
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
@@ -150,7 +148,7 @@
 	}
 	<-done
 	if !standin.Await(timeout, killed.IsReady) {
-		return errors.New("the killed node does not come back")
+		return errors.New("the killed node is not ready again after its restart")
 	}
 	return nil
 }
@@ -160,12 +158,12 @@
 		return err
 	}
 	if !standin.Await(timeout, func() bool { return q.cluster.Platform.Oracle.Report().Running == 3 }) {
-		return fmt.Errorf("%d tasks run, want the 3 of the service that is left", q.cluster.Platform.Oracle.Report().Running)
+		return fmt.Errorf("%d tasks run, want 3: those of the service that was not cancelled", q.cluster.Platform.Oracle.Report().Running)
 	}
 	return nil
 }
 
-// check prints the table and fails if anything did not hold.
+// check prints tables of the jobs, the workers and the requests, and returns an error if a guarantee was violated.
 func (q *quickstart) check() error {
 	r := q.cluster.Platform.Oracle.Report()
 	jobs, err := q.client("job", "list", "--all")
@@ -178,7 +176,7 @@
 	}
 	fmt.Printf("\n%s\n%s\n", jobs, workers)
 	q.requests.print()
-	fmt.Printf("tasks started %d, requests run %d, over-commits %d, double runs %d, repeated %d, starts on leaving VMs %d, lapsed leases %d\n\n",
+	fmt.Printf("tasks started %d, requests run %d, over-commits %d, double runs %d, repeated %d, starts on leaving VMs %d, expired leases %d\n\n",
 		r.Starts, r.Requests, r.OverCommits, r.DoubleRuns, r.Repeated, r.StartsOnLeaving, r.LeaseExpirations)
 	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving > 0 {
 		return fmt.Errorf("violated: %s", strings.Join(r.Violations, "; "))
@@ -189,10 +187,10 @@
 	return q.requests.verify(q.cluster.Platform.Oracle)
 }
 
-// keep leaves the cell running and says what to try.
+// keepRunning keeps the cluster running until it is interrupted, and prints commands to try.
 func (q *quickstart) keepRunning(dir string) {
 	n := q.cluster.Nodes
-	fmt.Printf("The cell keeps running; Ctrl-C ends it. Logs and settings are in %s. Try:\n\n", dir)
+	fmt.Printf("The cluster keeps running; Ctrl-C ends it. Logs and settings are in %s. Try:\n\n", dir)
 	fmt.Printf("  export LEVERDYKE_NODES=%s,%s\n", n[0].Operators, n[1].Operators)
 	fmt.Printf("  %s/leverdyke node list\n  %s/leverdyke job submit examples/batch.yaml --wait 10s\n", q.bin, q.bin)
 	fmt.Printf("  curl -i http://%s/s/filing-check/hello\n", n[0].Callers)
--- a/tools/quickstart/requests.go
+++ b/tools/quickstart/requests.go
@@ -26,14 +26,14 @@
 	maxMicros    = 60_000_000
 )
 
-// calls is what became of the callers' requests.
+// requestLog records the results of the callers' requests.
 type requestLog struct {
 	mu         sync.Mutex
 	latencies  *hdrhistogram.Histogram
 	verdicts   map[string]int
 	mismatches []string
-	// sent has the keys of requests that may not be repeated, with the verdict
-	// that their caller got.
+	// onceVerdicts has, by idempotency key, the verdict that the caller got for each request that must not run
+	// twice.
 	onceVerdicts map[string]leverdyke.Verdict
 }
 
@@ -47,8 +47,8 @@
 	wg.Wait()
 }
 
-// runCaller sends repeatable and once-only requests in turn, each through
-// another node.
+// sendRequests sends requests until ctx ends, each through the next node. A quarter of them must not run twice; the
+// others are repeatable.
 func (c *requestLog) sendRequests(ctx context.Context, cluster *standin.Cluster, caller int) {
 	for n := caller; ctx.Err() == nil; n++ {
 		node := cluster.Nodes[n%len(cluster.Nodes)]
@@ -61,8 +61,8 @@
 	}
 }
 
-// callOnce sends a request that may not be repeated, and once more through
-// another node under the same key, as a caller does that is in doubt.
+// sendTwice sends a request that must not run twice, and sends it again through another node under the same
+// key, as a caller does that does not know whether the first one ran.
 func (c *requestLog) sendTwice(ctx context.Context, cluster *standin.Cluster, n int) {
 	key, err := uuid.NewV7()
 	if err != nil {
@@ -98,7 +98,7 @@
 	got, err := io.ReadAll(res.Body)
 	verdict := leverdyke.Verdict(res.Header.Get(leverdyke.VerdictHeader))
 	if err != nil {
-		c.record("cut short, and seen to be", 0, "")
+		c.record("answer truncated, and the caller noticed", 0, "")
 		return leverdyke.VerdictMayHaveRun
 	}
 	if verdict != leverdyke.VerdictRan {
@@ -128,12 +128,12 @@
 
 func (c *requestLog) print() {
 	fmt.Printf("requests by verdict: %v\n", c.verdicts)
-	fmt.Printf("request time p50 %v, p99 %v, max %v (the service works 5 ms)\n",
+	fmt.Printf("request time p50 %v, p99 %v, max %v (the service itself takes 5 ms)\n",
 		time.Duration(c.latencies.ValueAtQuantile(50))*time.Microsecond, time.Duration(c.latencies.ValueAtQuantile(99))*time.Microsecond,
 		time.Duration(c.latencies.Max())*time.Microsecond)
 }
 
-// verify compares what callers were told with what ran.
+// verify compares the answers and verdicts that callers got with what ran according to the oracle.
 func (c *requestLog) verify(o *native.Oracle) error {
 	if len(c.mismatches) > 0 {
 		return fmt.Errorf("%d wrong answers, the first: %s", len(c.mismatches), c.mismatches[0])
@@ -141,10 +141,10 @@
 	for key, verdict := range c.onceVerdicts {
 		ran := o.RequestRuns(key)
 		if verdict == leverdyke.VerdictRan && ran != 1 {
-			return fmt.Errorf("request %s was said to have run, and ran %d times", key, ran)
+			return fmt.Errorf("request %s: the verdict is that it ran, but it ran %d times", key, ran)
 		}
 		if verdict == leverdyke.VerdictNotRun && ran != 0 {
-			return fmt.Errorf("request %s was said not to have run, and ran", key)
+			return fmt.Errorf("request %s: the verdict is that it did not run, but it ran", key)
 		}
 	}
 	return nil
