--- a/internal/standin/native/serve.go
+++ b/internal/standin/native/serve.go
@@ -78,7 +78,7 @@
 		if rev == in.Seen && !waitEnded(r.Context(), limit, changed) {
 			continue
 		}
-		// An empty Boot makes the second call renew nothing: the lease counts from the arrival of the request.
+		// An empty Boot makes the second call renew nothing: only the arrival of the request renews the leases.
 		in.Boot = ""
 		report, err = w.Sync(&in)
 		break
--- a/internal/standin/native/worker.go
+++ b/internal/standin/native/worker.go
@@ -56,17 +56,22 @@
 	clock  clock.Service
 	oracle *Oracle
 	// epoch is the highest epoch seen: requests with a lower one are refused. It survives restarts of the VM.
-	epoch            worker.Epoch
-	boot             int
-	clockBase        time.Time
-	rev              uint64
-	tasks            map[worker.Key]*attempt
-	forgotten        map[worker.Key]time.Time
+	epoch worker.Epoch
+	boot  int
+	// clockBase is the zero of the clock that the reports show.
+	clockBase time.Time
+	// rev is the revision of the newest change, by which a caller says what it has seen.
+	rev   uint64
+	tasks map[worker.Key]*attempt
+	// forgotten has the attempts whose end was acknowledged, with the time: they must not start again.
+	forgotten map[worker.Key]time.Time
+	// requestsInFlight counts the requests in progress under each grant.
 	requestsInFlight map[worker.Key]int64
-	leavingAt        time.Time
-	faults           WorkerFaults
-	changed          chan struct{}
-	starts           int
+	// leavingAt is when the worker was informed that its VM is leaving; zero if it was not.
+	leavingAt time.Time
+	faults    WorkerFaults
+	changed   chan struct{}
+	starts    int
 }
 
 type attempt struct {
@@ -74,7 +79,8 @@
 	leaseEnd time.Time
 	began    time.Time
 	finishAt time.Time
-	rev      uint64
+	// rev is the revision of its newest change.
+	rev uint64
 	// isUsageReported means that the reports include the usage of the task.
 	isUsageReported bool
 	// isStopping means that the grant is to stop: new requests are refused, and it ends with the last
--- a/internal/standin/native/worker_test.go
+++ b/internal/standin/native/worker_test.go
@@ -74,7 +74,7 @@
 	c.Advance(ttl / 2)
 	w.Expire()
 	if got := o.Report().LeaseExpirations; got != 1 {
-		t.Errorf("got: %d lapses, want: 1", got)
+		t.Errorf("got: %d expired leases, want: 1", got)
 	}
 }
 
--- a/internal/standin/site/job.go
+++ b/internal/standin/site/job.go
@@ -61,7 +61,7 @@
 	return data, nil
 }
 
-// Submit registers a job with the stand-in and submits it through a node.
+// Submit registers a job with the fake platform and submits it through a node.
 func (s *Site) Submit(ctx context.Context, n *Node, j *Job) (Outcome, error) {
 	body, err := j.body()
 	if err != nil {
--- a/internal/standin/site/machine.go
+++ b/internal/standin/site/machine.go
@@ -46,7 +46,7 @@
 func (m *machine) startNew(id string) *Worker { return m.startIncarnation(id, id, initialClock) }
 
 // restart starts a worker under an ID that was used before, with a given clock reading. Its incarnation gets a
-// number, so that the oracle tells it from the previous one.
+// number, so that the oracle can distinguish it from the previous one.
 func (m *machine) restart(id string, clock time.Duration) *Worker {
 	m.mu.Lock()
 	incarnation := fmt.Sprintf("%s/%d", id, m.incarnations+1)
