--- a/cmd/leverdyke-emulator/hunt.go
+++ b/cmd/leverdyke-emulator/hunt.go
@@ -18,33 +18,34 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
-// maxJobs bounds the days that are played at once: each has processes of its own.
-const maxJobs = 16
+// maxParallel is the maximum number of days played at once: each day starts processes of its own.
+const maxParallel = 16
 
-// hunt plays days that are drawn.
+// hunt plays randomly generated days to find violations of the rules.
 type hunt struct {
 	playOptions
-	days, jobs int
-	length     time.Duration
-	isShrunk   bool
-	deployment *scenario.Deployment
+	dayCount, parallelDays int
+	length                 time.Duration
+	isShrunk               bool
+	deployment             *scenario.Deployment
 
 	mu sync.Mutex
-	// next is the number of the next day, played counts those that were played whole, broken those
-	// that broke a rule.
-	next, played, broken int
-	failed               error
-	out, progress        io.Writer
+	// nextIndex is the index of the next day. playedDays counts the days that were played to the end,
+	// violatedDays those in which a rule was broken.
+	nextIndex, playedDays, violatedDays int
+	// failure is the last error that kept a day from being played. No further day is begun after one.
+	failure       error
+	out, progress io.Writer
 }
 
 func newHunt() *cobra.Command {
 	h := &hunt{}
 	cmd := &cobra.Command{
-		Use: "hunt DEPLOYMENT", Short: "Play days drawn from all kinds of faults, to find broken rules", Args: cobra.ExactArgs(1),
+		Use: "hunt DEPLOYMENT", Short: "Play days with random faults of all kinds, to find broken rules", Args: cobra.ExactArgs(1),
 		Example: "  leverdyke-emulator hunt deploy/emulator/small.yaml --days 20 --jobs 3 --keep /tmp/found",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if h.days < 1 || h.jobs < 1 || h.jobs > maxJobs || h.length < time.Second {
-				return &command.UsageError{Text: fmt.Sprintf("--days %d --jobs %d --length %v (allowed: 1 day or more, 1 to %d jobs, 1s or more)", h.days, h.jobs, h.length, maxJobs)}
+			if h.dayCount < 1 || h.parallelDays < 1 || h.parallelDays > maxParallel || h.length < time.Second {
+				return &command.UsageError{Text: fmt.Sprintf("--days %d --jobs %d --length %v (allowed: 1 day or more, 1 to %d jobs, 1s or more)", h.dayCount, h.parallelDays, h.length, maxParallel)}
 			}
 			deployment, err := scenario.LoadDeployment(args[0])
 			if err != nil {
@@ -54,83 +55,85 @@
 			return h.run(cmd.Context())
 		},
 	}
-	h.add(cmd)
+	h.addFlags(cmd)
 	f := cmd.Flags()
-	f.IntVar(&h.days, "days", 10, "how many days")
-	f.IntVar(&h.jobs, "jobs", 2, "how many are played at once")
-	f.DurationVar(&h.length, "length", 30*time.Second, "how long each is")
-	f.BoolVar(&h.isShrunk, "shrink", false, "play a day that broke a rule again without one fault after the other")
+	f.IntVar(&h.dayCount, "days", 10, "number of days to play")
+	f.IntVar(&h.parallelDays, "jobs", 2, "number of days played at once")
+	f.DurationVar(&h.length, "length", 30*time.Second, "length of each day")
+	f.BoolVar(&h.isShrunk, "shrink", false, "after a day with a broken rule, look for fewer faults that still break one, by playing the day again without each of its faults")
 	return cmd
 }
 
-// run plays the days, some at once.
+// run plays the days, up to parallelDays at once, and prints a summary.
 func (h *hunt) run(ctx context.Context) error {
 	wg := sync.WaitGroup{}
-	for range h.jobs {
-		wg.Go(func() { h.loop(ctx) })
+	for range h.parallelDays {
+		wg.Go(func() { h.playDays(ctx) })
 	}
 	wg.Wait()
-	_, _ = fmt.Fprintf(h.progress, "%d days on %s, %d with a rule broken\n", h.played, h.deployment.Name, h.broken)
+	_, _ = fmt.Fprintf(h.progress, "%d days on %s, %d with a rule broken\n", h.playedDays, h.deployment.Name, h.violatedDays)
 	switch {
-	case h.failed != nil:
-		return h.failed
-	case h.broken > 0:
-		return &brokenError{count: h.broken}
+	case h.failure != nil:
+		return h.failure
+	case h.violatedDays > 0:
+		return &violationError{count: h.violatedDays}
 	}
 	return nil
 }
 
-func (h *hunt) loop(ctx context.Context) {
-	for i, ok := h.take(ctx); ok; i, ok = h.take(ctx) {
+func (h *hunt) playDays(ctx context.Context) {
+	for i, ok := h.nextDay(ctx); ok; i, ok = h.nextDay(ctx) {
 		seed := h.seed + uint64(i)
 		day := scenario.RandomFaultSchedule(fmt.Sprintf("drawn-%d", seed), h.length, rand.New(rand.NewPCG(seed, 2)))
 		r, err := h.play(ctx, h.deployment, day, seed, io.Discard)
-		h.note(r, err)
+		h.record(r, err)
 		if err == nil && len(r.Violations) > 0 && h.isShrunk {
 			h.shrink(ctx, day, seed)
 		}
 	}
 }
 
-// take returns the number of the next day; false when there is none.
-func (h *hunt) take(ctx context.Context) (int, bool) {
+// nextDay returns the index of the next day. It reports false when all days have been begun, a day could not be played, or
+// ctx has ended.
+func (h *hunt) nextDay(ctx context.Context) (int, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.next >= h.days || h.failed != nil || ctx.Err() != nil {
+	if h.nextIndex >= h.dayCount || h.failure != nil || ctx.Err() != nil {
 		return 0, false
 	}
-	h.next++
-	return h.next - 1, true
+	h.nextIndex++
+	return h.nextIndex - 1, true
 }
 
-func (h *hunt) note(r *runner.Result, err error) {
+// record counts a result and prints it. A result without a violation is printed in full only with --json.
+func (h *hunt) record(r *runner.Result, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if err != nil {
-		h.failed = err
+		h.failure = err
 		return
 	}
 	if !r.IsPartial {
-		h.played++
+		h.playedDays++
 	}
 	if len(r.Violations) > 0 {
-		h.broken++
+		h.violatedDays++
 	}
 	if h.isJSON || len(r.Violations) > 0 {
-		_ = h.tell(h.out, r)
+		_ = h.printResult(h.out, r)
 		return
 	}
 	_, _ = fmt.Fprintf(h.progress, "%s: %d faults, all rules held\n", r.Schedule, r.Faults)
 }
 
-// shrink plays a day again without one fault after the other, and tells the least that still breaks a
-// rule.
+// shrink tries to remove the faults of a day one at a time, each time by playing the rest. A fault without which
+// a rule is still broken stays removed. shrink prints the remaining faults.
 func (h *hunt) shrink(ctx context.Context, day *scenario.FaultSchedule, seed uint64) {
 	for i := 0; i < len(day.Faults) && ctx.Err() == nil; {
-		less := day.WithoutFault(i)
-		r, err := h.play(ctx, h.deployment, less, seed, io.Discard)
+		reduced := day.WithoutFault(i)
+		r, err := h.play(ctx, h.deployment, reduced, seed, io.Discard)
 		if err == nil && len(r.Violations) > 0 {
-			day = less
+			day = reduced
 			continue
 		}
 		i++
--- a/cmd/leverdyke-emulator/main.go
+++ b/cmd/leverdyke-emulator/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Command leverdyke-emulator plays days on a deployment: nodes of the product as processes, and
-// workers, store, permission service and callers of its own.
+// Command leverdyke-emulator plays days, which are sequences of load and faults, on a deployment: it runs
+// real nodes as processes and emulates the workers, the store, the permission service and the callers.
 package main
 
 import (
@@ -22,20 +22,20 @@
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	context.AfterFunc(ctx, endAtSecond)
+	context.AfterFunc(ctx, exitOnSecondSignal)
 	command.Exit(newRoot().ExecuteContext(ctx))
 }
 
-// exitSignalled is what shells expect of a process that a signal has ended.
-const exitSignalled = 130
+// exitCodeInterrupted is the exit code that shells expect of a process ended by SIGINT: 128 + 2.
+const exitCodeInterrupted = 130
 
-// endAtSecond waits for a second signal and ends the nodes and this process at once.
-func endAtSecond() {
-	second := make(chan os.Signal, 1)
-	signal.Notify(second, os.Interrupt, syscall.SIGTERM)
-	<-second
+// exitOnSecondSignal waits for a second signal, then kills the nodes and exits without waiting for the day to end.
+func exitOnSecondSignal() {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
+	<-signals
 	runner.KillAll()
-	os.Exit(exitSignalled)
+	os.Exit(exitCodeInterrupted)
 }
 
 func newRoot() *cobra.Command {
@@ -47,11 +47,11 @@
 	return root
 }
 
-// defaultBinary is the node's program beside this one.
+// defaultBinary returns the path of the node's program in the directory of this one.
 func defaultBinary() string {
-	own, err := os.Executable()
+	path, err := os.Executable()
 	if err != nil {
 		return "leverdyked"
 	}
-	return filepath.Join(filepath.Dir(own), "leverdyked")
+	return filepath.Join(filepath.Dir(path), "leverdyked")
 }
--- a/cmd/leverdyke-emulator/run.go
+++ b/cmd/leverdyke-emulator/run.go
@@ -17,19 +17,19 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
-// playOptions are those of all verbs that play.
+// playOptions are the options of all commands that play days.
 type playOptions struct {
-	binary, keep string
-	seed         uint64
-	isJSON       bool
+	binary, keepDir string
+	seed            uint64
+	isJSON          bool
 }
 
-func (o *playOptions) add(cmd *cobra.Command) {
+func (o *playOptions) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
-	f.StringVar(&o.binary, "binary", defaultBinary(), "the node's program")
-	f.StringVar(&o.keep, "keep", "", "a directory that exists, for settings and logs of the nodes of plays that break a rule")
-	f.Uint64Var(&o.seed, "seed", 1, "what is drawn goes by it")
-	f.BoolVar(&o.isJSON, "json", false, "print a line of JSON a play")
+	f.StringVar(&o.binary, "binary", defaultBinary(), "path of the node's program, leverdyked")
+	f.StringVar(&o.keepDir, "keep", "", "existing directory in which the settings and logs of days with a broken rule are kept")
+	f.Uint64Var(&o.seed, "seed", 1, "seed of everything random")
+	f.BoolVar(&o.isJSON, "json", false, "print one line of JSON per day played")
 }
 
 func newRun() *cobra.Command {
@@ -54,17 +54,18 @@
 			if err != nil {
 				return err
 			}
-			return o.tell(cmd.OutOrStdout(), r)
+			return o.printResult(cmd.OutOrStdout(), r)
 		},
 	}
-	o.add(cmd)
-	cmd.Flags().BoolVar(&isVaried, "vary", false, "draw moments and lengths anew by the seed")
+	o.addFlags(cmd)
+	cmd.Flags().BoolVar(&isVaried, "vary", false, "replace the times and durations of the faults by random ones that depend on the seed")
 	return cmd
 }
 
-// play plays one day. The logs of one that breaks a rule stay where they are to be kept.
+// play plays one day in a temporary directory. The directory is removed afterwards unless a rule was broken and
+// --keep was given.
 func (o *playOptions) play(ctx context.Context, deployment *scenario.Deployment, day *scenario.FaultSchedule, seed uint64, progress io.Writer) (*runner.Result, error) {
-	dir, err := os.MkdirTemp(o.keep, "emulator-")
+	dir, err := os.MkdirTemp(o.keepDir, "emulator-")
 	if err != nil {
 		return nil, fmt.Errorf("emulator: %w", err)
 	}
@@ -83,16 +84,16 @@
 	if err != nil {
 		return nil, err
 	}
-	isKept = o.keep != "" && len(r.Violations) > 0
+	isKept = o.keepDir != "" && len(r.Violations) > 0
 	if isKept {
-		_, _ = fmt.Fprintln(progress, "logs are kept in", dir)
+		_, _ = fmt.Fprintln(progress, "settings and logs are kept in", dir)
 		return r, day.Save(dir + "/day.yaml")
 	}
 	return r, nil
 }
 
-// tell prints a result. The error says that a rule was broken.
-func (o *playOptions) tell(w io.Writer, r *runner.Result) error {
+// printResult prints a result. It returns a violationError if a rule was broken.
+func (o *playOptions) printResult(w io.Writer, r *runner.Result) error {
 	write := report.Screen
 	if o.isJSON {
 		write = report.JSON
@@ -101,18 +102,18 @@
 		return err
 	}
 	if len(r.Violations) > 0 {
-		return &brokenError{count: len(r.Violations)}
+		return &violationError{count: len(r.Violations)}
 	}
 	return nil
 }
 
-// brokenError says that rules were broken.
-type brokenError struct{ count int }
+// violationError reports how often rules were broken.
+type violationError struct{ count int }
 
-// Error tells how often.
-func (e *brokenError) Error() string {
+// Error implements error.
+func (e *violationError) Error() string {
 	return fmt.Sprintf("emulator: rules were broken %d times", e.count)
 }
 
-// IsViolation tells such errors from others by having it.
-func (*brokenError) IsViolation() {}
+// IsViolation marks the error for command.Exit, which gives violations an exit code of their own.
+func (*violationError) IsViolation() {}
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -37,7 +37,7 @@
 	if got := cl.runningCount(); got != running {
 		t.Errorf("got: %d running, want: %d", got, running)
 	}
-	if got := cl.oracle.Report().Lapses; got > lapses {
+	if got := cl.oracle.Report().LeaseExpirations; got > lapses {
 		t.Errorf("got: %d expired leases, want: at most %d", got, lapses)
 	}
 	cl.checkInvariants(t)
@@ -124,7 +124,7 @@
 // were restarted elsewhere earlier, they would run twice at once.
 func TestTasksOfAPartitionedWorkerRestartOnlyAfterLeaseExpiry(t *testing.T) {
 	cl := newClusterWithService(t, 6)
-	cl.workers[cl.names[0]].SetFaults(native.WorkerFaults{Mode: native.ModeCut})
+	cl.workers[cl.names[0]].SetFaults(native.WorkerFaults{Mode: native.ModePartitioned})
 	cl.run(3 * testLease)
 	cl.workers[cl.names[0]].SetFaults(native.WorkerFaults{Mode: native.ModeUp})
 	cl.run(5 * time.Second)
@@ -474,7 +474,7 @@
 	cl.run(2 * time.Second)
 	// The worker reports that it is leaving, which must suffice although the
 	// platform's list never says so.
-	cl.workers[cl.names[0]].Leave()
+	cl.workers[cl.names[0]].AnnounceLeaving()
 	// The platform's list says that the worker is leaving, which must suffice
 	// although the worker never reports it.
 	cl.vms[1].Status = vmlist.StatusLeaving
--- a/internal/core/recovery_test.go
+++ b/internal/core/recovery_test.go
@@ -24,7 +24,7 @@
 	cl := newClusterWithService(t, 30)
 	cl.areForgetsLost = true
 	for _, name := range cl.names[:2] {
-		cl.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModeCut})
+		cl.workers[name].SetFaults(native.WorkerFaults{Mode: native.ModePartitioned})
 	}
 	cl.run(3 * testLease)
 	for _, name := range cl.names[:2] {
--- a/internal/emulator/runner/callers.go
+++ b/internal/emulator/runner/callers.go
@@ -129,12 +129,12 @@
 	job := &site.Job{ID: fmt.Sprintf("%016x", p.lastJobID)}
 	for i := range k.Steps {
 		s := &k.Steps[i]
-		step := site.Step{Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB, Takes: s.Duration, Lasts: s.IsLongRunning}
+		step := site.Step{Tasks: s.Tasks, MilliCPU: s.MilliCPU, MemoryMiB: s.MemoryMiB, Duration: s.Duration, IsLongRunning: s.IsLongRunning}
 		if s.IsTaskCountRandom {
 			step.Tasks = p.drawTaskCount(s.Tasks)
 		}
 		if i > 0 {
-			step.After = []int{i - 1}
+			step.DependsOn = []int{i - 1}
 		}
 		job.Steps = append(job.Steps, step)
 	}
@@ -157,7 +157,7 @@
 	open := &openJob{id: job.ID, kind: k, arrivedAt: arrivedAt}
 	p.mu.Lock()
 	for i := range job.Steps {
-		if s := &job.Steps[i]; s.Lasts {
+		if s := &job.Steps[i]; s.IsLongRunning {
 			open.isLongRunning = true
 			p.monitorStep(job.ID, i, s, isCancelled)
 		}
@@ -224,7 +224,7 @@
 func (p *Runner) pollJob(ctx context.Context, j *openJob) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	state, ok := p.site.StateOf(ctx, p.randomNode(), j.id)
+	state, ok := p.site.JobState(ctx, p.randomNode(), j.id)
 	if !ok || !site.IsFinal(state) {
 		return
 	}
--- a/internal/emulator/runner/faults.go
+++ b/internal/emulator/runner/faults.go
@@ -84,13 +84,13 @@
 	case scenario.WorkerRestart:
 		w.Restart(f.Duration, restartedWorkerClock)
 	case scenario.WorkerFailsLongRunning:
-		w.SetFailsLasting(true)
-		w.FailLasting()
-		p.scheduleEnd(f.Duration, func() { w.SetFailsLasting(false) })
+		w.SetFailsLongRunning(true)
+		w.FailLongRunning()
+		p.scheduleEnd(f.Duration, func() { w.SetFailsLongRunning(false) })
 	case scenario.WorkerDropsReplies:
-		w.MuteStarts(affectedStarts)
+		w.DropStartAnswers(affectedStarts)
 	case scenario.WorkerDelaysStarts:
-		w.HoldUpStarts(affectedStarts, f.Duration)
+		w.DelayStarts(affectedStarts, f.Duration)
 	}
 }
 
--- a/internal/emulator/runner/monitor.go
+++ b/internal/emulator/runner/monitor.go
@@ -35,7 +35,7 @@
 	workers := []rules.Worker{}
 	for _, s := range p.site.Snapshot() {
 		workers = append(workers, rules.Worker{
-			ID: s.ID, IsAccepting: s.IsTaking, FreeMilliCPU: s.FreeMilliCPU, FreeMemoryMiB: s.FreeMemoryMiB, Running: s.Running,
+			ID: s.ID, IsAccepting: s.IsAccepting, FreeMilliCPU: s.FreeMilliCPU, FreeMemoryMiB: s.FreeMemoryMiB, Running: s.Running,
 		})
 	}
 	p.mu.Lock()
--- a/internal/emulator/runner/runner.go
+++ b/internal/emulator/runner/runner.go
@@ -87,7 +87,7 @@
 	}
 	d := o.Deployment
 	s, err := site.New(site.Options{
-		Workers: d.Workers.Count, MilliCPU: d.Workers.MilliCPU, MemoryMiB: d.Workers.MemoryMiB, CPUShare: d.Nodes.CPUShare, HasAdvice: d.UsesPermissionService, HasOwnGroup: true,
+		Workers: d.Workers.Count, MilliCPU: d.Workers.MilliCPU, MemoryMiB: d.Workers.MemoryMiB, CPUShare: d.Nodes.CPUShare, HasPermissionService: d.UsesPermissionService, HasOwnGroup: true,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("runner: %w", err)
@@ -232,11 +232,11 @@
 	for i := range d.Deployment.Jobs {
 		r.Kinds = append(r.Kinds, p.counters[d.Deployment.Jobs[i].Name].snapshot())
 	}
-	for _, violation := range p.site.Broken() {
+	for _, violation := range p.site.Violations() {
 		r.Violations = append(r.Violations, rules.Violation{Rule: rules.WorkerInvariants, At: p.now(), Description: violation})
 	}
 	for _, id := range p.refusedJobs {
-		if p.site.HasRun(id) {
+		if p.site.HasStarted(id) {
 			r.Violations = append(r.Violations, rules.Violation{Rule: rules.RefusedNotRun, At: p.now(), Description: "job " + id + " ran although every attempt to submit it was refused"})
 		}
 	}
--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -34,7 +34,7 @@
 	crashing := c.submitCrashing(smallStep(3, 400))
 	seenCrashes := 0
 	c.await("the job with the crashing task fails", func() bool {
-		if n := c.CrashesUnder(crashing + ".0.0.0"); n > seenCrashes {
+		if n := c.CrashesDuring(crashing + ".0.0.0"); n > seenCrashes {
 			seenCrashes = n
 			c.mustSubmit(smallStep(3, 300))
 			atCrash(n)
@@ -166,7 +166,7 @@
 	c.await("the other job succeeds", func() bool { return c.state(healthy) == "succeeded" })
 	// Three crashes right after the task's start are enough to fail the job. On a busy machine answers
 	// take so long that a crash may count only as weak evidence, of which four are needed.
-	if got := c.CrashesUnder(crashing + ".0.0.0"); got < 2 || got > 4 {
+	if got := c.CrashesDuring(crashing + ".0.0.0"); got < 2 || got > 4 {
 		t.Errorf("workers that crashed under the task: got: %d, want: 2 to 4", got)
 	}
 }
--- a/internal/integration/delegates_test.go
+++ b/internal/integration/delegates_test.go
@@ -16,7 +16,7 @@
 // delegates.
 func newDelegateCluster(t *testing.T) *siteCluster {
 	t.Helper()
-	c := newSiteCluster(t, 3, site.Options{Workers: 6, HasAdvice: true, CPUShare: delegateCPUShare})
+	c := newSiteCluster(t, 3, site.Options{Workers: 6, HasPermissionService: true, CPUShare: delegateCPUShare})
 	c.awaitLog("number of nodes that carry", "carriers=2")
 	return c
 }
--- a/internal/integration/durability_test.go
+++ b/internal/integration/durability_test.go
@@ -114,7 +114,7 @@
 			c.replaceWorkers((*site.Worker).Crash)
 			c.powerCycleNodes()
 			c.awaitAll()
-			if c.HasRun(refused) {
+			if c.HasStarted(refused) {
 				t.Error("the refused job: got: run, want: not run")
 			}
 		})
@@ -136,7 +136,7 @@
 			go func() {
 				status, _, _ := c.nodes[0].Do(t.Context(), http.MethodDelete, site.QueuePrefix+id, nil)
 				if status == http.StatusOK {
-					c.NoteShown(id, "cancelled")
+					c.RecordShownState(id, "cancelled")
 				}
 				answered <- status
 			}()
@@ -173,8 +173,8 @@
 	c.Store.SetMode(site.StoreBusy)
 	c.await("the second step runs", func() bool { return c.Starts() == 4 })
 	for _, w := range c.Workers() {
-		pollsBefore := w.Holds()
-		c.await("the worker is polled again", func() bool { return w.Holds() >= pollsBefore+3 })
+		pollsBefore := w.ListingRequests()
+		c.await("the worker is polled again", func() bool { return w.ListingRequests() >= pollsBefore+3 })
 	}
 	c.replaceWorkers(func(w *site.Worker) { w.Drain(); w.Crash() })
 	c.powerCycleNodes()
--- a/internal/integration/faults_test.go
+++ b/internal/integration/faults_test.go
@@ -53,7 +53,7 @@
 var (
 	logUnavailable = fault{
 		"the log is unavailable",
-		func(c *cluster) { c.Platform.Log.SetFaults(native.LogFaults{IsOut: true}) },
+		func(c *cluster) { c.Platform.Log.SetFaults(native.LogFaults{IsUnavailable: true}) },
 		func(c *cluster) { c.Platform.Log.SetFaults(native.LogFaults{}) }, false,
 	}
 	lostLogReplies = fault{
@@ -88,7 +88,7 @@
 	partitionedWorker = fault{
 		"a worker is partitioned for longer than a lease",
 		func(c *cluster) {
-			c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{Mode: native.ModeCut})
+			c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{Mode: native.ModePartitioned})
 		},
 		func(c *cluster) { c.Platform.Worker("r1-z1-k1-w1").SetFaults(native.WorkerFaults{}) }, true,
 	}
@@ -124,7 +124,7 @@
 // says so.
 func (c *cluster) injectFaults(faults ...fault) {
 	c.t.Helper()
-	before := c.Platform.Oracle.Report().Lapses
+	before := c.Platform.Oracle.Report().LeaseExpirations
 	for _, f := range faults {
 		f.begin(c)
 	}
@@ -138,7 +138,7 @@
 	for _, f := range faults {
 		mayExpireLeases = mayExpireLeases || f.mayExpireLeases
 	}
-	if got := c.Platform.Oracle.Report().Lapses - before; got > 0 && !mayExpireLeases {
+	if got := c.Platform.Oracle.Report().LeaseExpirations - before; got > 0 && !mayExpireLeases {
 		c.t.Errorf("got: %d tasks lost their lease, want: 0", got)
 	}
 	if !c.AwaitOwned(waitTimeout, 3, 16) {
@@ -214,7 +214,7 @@
 	}
 	c.stopLoad()
 	c.verify()
-	if got := c.Platform.Oracle.Report().Lapses; got != 0 {
+	if got := c.Platform.Oracle.Report().LeaseExpirations; got != 0 {
 		t.Errorf("got: %d tasks lost their lease, want: 0", got)
 	}
 	if got := c.load.truncatedCount.Load(); got != 0 {
@@ -249,7 +249,7 @@
 		if got := l.send(http.DefaultClient, c.Nodes[1+i%2], "deeds", key, key); got != leverdyke.VerdictRan {
 			t.Errorf("%s at node %d: got: %v, want: %v", key, 1+i%2, got, leverdyke.VerdictRan)
 		}
-		if got := c.Platform.Oracle.RanKeys(key); got != 1 {
+		if got := c.Platform.Oracle.RequestRuns(key); got != 1 {
 			t.Errorf("%s: got: ran %d times, want: 1", key, got)
 		}
 	}
@@ -412,7 +412,7 @@
 // through the nodes of the service's own region.
 func TestTwoRegionsServeTheirOwnJobs(t *testing.T) {
 	t.Parallel()
-	inner, err := standin.NewCell(standin.NewCellOptions{
+	inner, err := standin.NewCluster(standin.NewClusterOptions{
 		Binary: nodeBinary, Dir: t.TempDir(), Nodes: 4, Settings: "lease: 7s\nappends_per_second: 20\n",
 		Platform: native.NewServerOptions{Regions: 2, Zones: 2, Racks: 1, Workers: 2},
 	})
@@ -420,7 +420,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(inner.Close)
-	c := &cluster{Cell: inner, t: t}
+	c := &cluster{Cluster: inner, t: t}
 	if !c.AwaitOwned(waitTimeout, 4, 32) {
 		t.Fatal("not all shards of both regions have an owner")
 	}
--- a/internal/integration/harness_test.go
+++ b/internal/integration/harness_test.go
@@ -59,7 +59,7 @@
 // cluster is a cluster of real node processes whose connections to the log, to each worker and to
 // each other lead through proxies.
 type cluster struct {
-	*standin.Cell
+	*standin.Cluster
 	t *testing.T
 	// testName is the name of the test that created the cluster. t changes with each subtest.
 	testName      string
@@ -96,7 +96,7 @@
 	t.Helper()
 	c := &cluster{t: t, testName: t.Name(), workerProxies: map[string]*toxiproxy.Proxy{}, linkProxies: map[[2]int]*toxiproxy.Proxy{}}
 	var err error
-	c.Cell, err = standin.NewCell(standin.NewCellOptions{
+	c.Cluster, err = standin.NewCluster(standin.NewClusterOptions{
 		Binary: nodeBinary, Dir: t.TempDir(), Nodes: 3,
 		LogVia:   c.proxyLog,
 		LinkVia:  c.proxyLink,
@@ -328,7 +328,7 @@
 		t.Error(w)
 	}
 	for key, verdict := range l.verdictsByKey {
-		ran := o.RanKeys(key)
+		ran := o.RequestRuns(key)
 		if (verdict == leverdyke.VerdictRan && ran != 1) || (verdict == leverdyke.VerdictNotRun && ran != 0) || ran > 1 {
 			t.Errorf("%s: got: ran %d times, want: as its caller's verdict says: %s", key, ran, verdict)
 		}
--- a/internal/integration/links_test.go
+++ b/internal/integration/links_test.go
@@ -119,7 +119,7 @@
 	logs = map[string]*toxiproxy.Proxy{}
 	c = &cluster{t: t, testName: t.Name(), linkProxies: map[[2]int]*toxiproxy.Proxy{}}
 	var err error
-	c.Cell, err = standin.NewCell(standin.NewCellOptions{
+	c.Cluster, err = standin.NewCluster(standin.NewClusterOptions{
 		Binary: nodeBinary, Dir: t.TempDir(), Nodes: 4, Settings: "lease: 7s\nsync: 500ms\nappends_per_second: 20\n",
 		Platform: native.NewServerOptions{Regions: 2, Zones: 1, Racks: 1, Workers: 2},
 		LinkVia:  c.proxyLink,
@@ -194,8 +194,8 @@
 		t.Errorf("got: %d tasks, want: 6", c.running())
 	}
 	r := c.Platform.Oracle.Report()
-	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving+r.Lapses > 0 {
-		t.Errorf("got: violations %v and %d expired leases, want: none", r.Violations, r.Lapses)
+	if r.OverCommits+r.DoubleRuns+r.Repeated+r.StartsOnLeaving+r.LeaseExpirations > 0 {
+		t.Errorf("got: violations %v and %d expired leases, want: none", r.Violations, r.LeaseExpirations)
 	}
 }
 
--- a/internal/integration/restart_test.go
+++ b/internal/integration/restart_test.go
@@ -62,7 +62,7 @@
 func TestSiteWorkersRestartUnderTheSameID(t *testing.T) {
 	for name, clockReading := range map[string]time.Duration{"clock behind": clockBehind, "clock ahead": clockAhead} {
 		t.Run(name, func(t *testing.T) {
-			c := newSiteCluster(t, 3, site.Options{Workers: 6, HasAdvice: true})
+			c := newSiteCluster(t, 3, site.Options{Workers: 6, HasPermissionService: true})
 			c.runRestartScenario(clockReading, func(int) {})
 		})
 	}
@@ -132,7 +132,7 @@
 	c := newSiteCluster(t, 3, site.Options{Workers: 3})
 	for range 3 {
 		for _, w := range c.liveWorkers() {
-			w.HoldUpStarts(3, 1500*time.Millisecond)
+			w.DelayStarts(3, 1500*time.Millisecond)
 		}
 		c.mustSubmit(smallStep(9, 2000))
 		c.await("start orders stay unacknowledged", elapsed(300*time.Millisecond))
--- a/internal/integration/site_test.go
+++ b/internal/integration/site_test.go
@@ -69,7 +69,7 @@
 	for _, n := range c.nodes {
 		n.Kill()
 	}
-	for _, b := range c.Broken() {
+	for _, b := range c.Violations() {
 		c.t.Error(b)
 	}
 	if dir := os.Getenv("LEVERDYKE_LOGS"); dir != "" && c.t.Failed() {
@@ -122,12 +122,12 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if err := c.Know(id, body); err != nil {
+	if err := c.RegisterJob(id, body); err != nil {
 		c.t.Fatal(err)
 	}
 	if c.callerOf != nil {
 		customer, _ := c.callerOf(id)
-		c.KnowCustomer(id, customer)
+		c.SetJobCustomer(id, customer)
 	}
 	status, _, err := n.DoWithKey(c.t.Context(), c.keyFor(id), http.MethodPost, site.QueuePrefix+id, body)
 	if err != nil {
@@ -183,7 +183,7 @@
 		c.t.Error(err)
 	}
 	if isFinal(answer.State) {
-		c.NoteShown(id, answer.State)
+		c.RecordShownState(id, answer.State)
 	}
 	return answer.State
 }
@@ -239,7 +239,7 @@
 }
 
 func TestSiteRunsMultiStepJobs(t *testing.T) {
-	c := newSiteCluster(t, 3, site.Options{HasAdvice: true})
+	c := newSiteCluster(t, 3, site.Options{HasPermissionService: true})
 	for i := range 6 {
 		second := smallStep(2, 100)
 		second.DependsOn = []int{0}
@@ -272,14 +272,14 @@
 // that one ran. Once the worker no longer fails them, all of them must run on it again.
 func TestSiteLongRunningTasksReturnToRecoveredWorker(t *testing.T) {
 	c := newSiteCluster(t, 2, site.Options{Workers: 1})
-	c.Workers()[0].SetFailsLasting(true)
+	c.Workers()[0].SetFailsLongRunning(true)
 	longRunning := smallStep(1, 0)
 	longRunning.Perpetual = true
 	for range 3 {
 		c.mustSubmit(longRunning)
 	}
 	c.await("all have failed", func() bool { return c.Workers()[0].Starts() >= 3 && c.running() == 0 })
-	c.Workers()[0].SetFailsLasting(false)
+	c.Workers()[0].SetFailsLongRunning(false)
 	c.await("all long-running tasks run", func() bool { return c.running() == 3 })
 }
 
@@ -416,7 +416,7 @@
 	c := newSiteCluster(t, 2, site.Options{})
 	for i := range 4 {
 		c.Store.LoseAnswers(i)
-		c.Workers()[i].MuteStarts(1)
+		c.Workers()[i].DropStartAnswers(1)
 		c.mustSubmit(smallStep(3, 200))
 	}
 	c.awaitAll()
--- a/internal/integration/soak_faults_test.go
+++ b/internal/integration/soak_faults_test.go
@@ -78,7 +78,7 @@
 	case 6:
 		w := s.liveWorker()
 		s.logAction("worker does not answer the next starts")
-		w.MuteStarts(1 + s.rng.IntN(4))
+		w.DropStartAnswers(1 + s.rng.IntN(4))
 	case 7:
 		s.version += 1 + s.rng.IntN(3)
 		s.Configure(s.version)
@@ -148,7 +148,7 @@
 	w := s.liveWorker()
 	n, delay := 1+s.rng.IntN(4), s.randomDuration(2*time.Second, 5*time.Second)
 	s.logAction("worker %s executes the next %d starts %v later", w.ID(), n, delay)
-	w.HoldUpStarts(n, delay)
+	w.DelayStarts(n, delay)
 	if s.rng.IntN(2) == 0 {
 		return
 	}
@@ -160,9 +160,9 @@
 func (s *soak) failLongRunning(duration time.Duration) {
 	w := s.liveWorker()
 	s.logAction("worker %s fails long-running tasks for %v", w.ID(), duration)
-	w.SetFailsLasting(true)
-	w.FailLasting()
-	s.schedule(duration, func() { w.SetFailsLasting(false) })
+	w.SetFailsLongRunning(true)
+	w.FailLongRunning()
+	s.schedule(duration, func() { w.SetFailsLongRunning(false) })
 }
 
 // injectSlowStore makes the store slow for a while, in which one or two of the three nodes are killed
--- a/internal/integration/soak_test.go
+++ b/internal/integration/soak_test.go
@@ -191,7 +191,7 @@
 	s.hasBlackouts, s.hasSilences, s.hasSlowStore = seed >= firstBlackoutSeed, seed >= firstSilenceSeed, seed >= firstSlowStoreSeed
 	s.hasCrashes, s.hasRestarts, s.hasDelayedOrders = seed >= firstCrashSeed, seed >= firstRestartSeed, seed >= firstDelayedOrderSeed
 	s.hasDegradedWorkers = seed >= firstDegradedWorkerSeed
-	options := site.Options{Workers: 6, MilliCPU: soakWorkerMilliCPU, MemoryMiB: soakWorkerMemoryMiB, HasAdvice: seed%2 == 0, Via: s.proxyFor}
+	options := site.Options{Workers: 6, MilliCPU: soakWorkerMilliCPU, MemoryMiB: soakWorkerMemoryMiB, HasPermissionService: seed%2 == 0, Via: s.proxyFor}
 	if seed >= firstDelegateSeed {
 		options.CPUShare = delegateCPUShare
 	}
@@ -216,7 +216,7 @@
 		return s.areRunning(longRunning) && s.running() == longRunningTasksPerJob*len(longRunning)
 	})
 	for _, id := range s.refused {
-		if s.HasRun(id) {
+		if s.HasStarted(id) {
 			t.Errorf("job %s ran although its submission was refused", id)
 		}
 	}
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -365,7 +365,7 @@
 	task := h.newTask("j", small, leverdyke.ClassNormal)
 	h.requestStarts(node.StartItem{Task: task})
 	h.advanceSeconds(1)
-	h.workers["w0"].SetFaults(native.WorkerFaults{Mode: native.ModeCut})
+	h.workers["w0"].SetFaults(native.WorkerFaults{Mode: native.ModePartitioned})
 	h.advanceSeconds(30)
 	if got := h.updates[task.Key]; !got.IsLost {
 		t.Fatalf("got: %+v, want: lost", got)
@@ -466,7 +466,7 @@
 // refuse them. The grant ends when its last request has finished.
 func TestGrantsOfLeavingWorkerAreRevoked(t *testing.T) {
 	for name, announceLeaving := range map[string]func(h *harness){
-		"by its own report": func(h *harness) { h.workers["w0"].Leave() },
+		"by its own report": func(h *harness) { h.workers["w0"].AnnounceLeaving() },
 		"by the list": func(h *harness) {
 			h.rack.SetWorkers(h.clock.Now(), []vmlist.VM{{Name: "w0", Status: vmlist.StatusLeaving}})
 		},
--- a/internal/standin/native/server.go
+++ b/internal/standin/native/server.go
@@ -29,27 +29,26 @@
 	maxBody      = 8 << 20
 )
 
-// NewServerOptions says what the stand-in consists of. The zero value is a
-// cell of one worker.
+// NewServerOptions configures a Server. The zero value is a platform with one worker.
 type NewServerOptions struct {
-	// Regions, Zones (a region), Racks (a zone) and Workers (a rack) are at
-	// least 1; 0 means 1.
+	// Regions, Zones (per region), Racks (per zone) and Workers (per rack) are the numbers of each; 0
+	// means 1.
 	Regions, Zones, Racks, Workers int
 	Capacity                       leverdyke.Resources
-	// Retention is how long the log keeps entries; 0 means for ever.
+	// Retention is how long the log keeps entries; 0 means forever.
 	Retention time.Duration
-	// Lag is by how much the list of VMs is late.
+	// Lag is the delay after which a change of status appears in the list of VMs.
 	Lag time.Duration
-	// Listen is where the platform's own interface listens; its zero value
-	// means a free port of the loopback.
+	// Listen is the address of the log, the list of VMs and the fault injection; the zero value means a
+	// free port on loopback.
 	Listen netip.AddrPort
 	Clock  clock.Service
-	// Via returns the address under which the list shows a worker, such as a
-	// proxy's; nil means the worker's own.
+	// Via returns the address at which the list shows a worker that listens at addr, such as a proxy's;
+	// nil means addr itself.
 	Via func(name string, addr netip.AddrPort) (netip.AddrPort, error)
 }
 
-// Server is the stand-in over HTTP. It is safe for concurrent use.
+// Server serves the fake platform over HTTP. It is safe for concurrent use.
 type Server struct {
 	Log    *Log
 	Oracle *Oracle
@@ -57,16 +56,16 @@
 	options NewServerOptions
 	mu      sync.Mutex
 	workers map[string]*Worker
-	// names keeps the order of the list.
+	// names has the workers' names in the order of the list.
 	names   []string
-	list    []vmlist.VM
+	vms     []vmlist.VM
 	version int
 	addr    netip.AddrPort
 	servers []*http.Server
 	done    chan struct{}
 }
 
-// NewServer starts the stand-in on loopback ports.
+// NewServer starts the fake platform. The workers listen on loopback ports.
 func NewServer(options NewServerOptions) (*Server, error) {
 	if options.Clock == nil {
 		options.Clock = clock.Real{}
@@ -88,14 +87,14 @@
 		return nil, err
 	}
 	s.addr = addr
-	go s.loop()
+	go s.runExpiry()
 	return s, nil
 }
 
-// Addr returns where the log, the list and the switches for faults are.
+// Addr returns the address of the log, the list of VMs, the oracle's report and the fault injection.
 func (s *Server) Addr() netip.AddrPort { return s.addr }
 
-// Close ends the stand-in.
+// Close stops all servers. It may be called more than once.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +109,7 @@
 	}
 }
 
-// Worker returns the worker with that name, or nil.
+// Worker returns the worker with the given name, or nil.
 func (s *Server) Worker(name string) *Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -124,11 +123,11 @@
 	return append([]string{}, s.names...)
 }
 
-// SetStatus changes a VM's entry of the list after the lag. StatusLeaving also
-// tells the worker itself, at once.
+// SetStatus changes the status of a VM in the list after the lag. With StatusLeaving, the worker also reports
+// at once that it is leaving.
 func (s *Server) SetStatus(name string, status vmlist.Status) {
 	if w := s.Worker(name); w != nil && status == vmlist.StatusLeaving {
-		w.Leave()
+		w.AnnounceLeaving()
 	}
 	go s.runSetStatus(name, status)
 }
@@ -143,9 +142,9 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i := range s.list {
-		if s.list[i].Name == name {
-			s.list[i].Status = status
+	for i := range s.vms {
+		if s.vms[i].Name == name {
+			s.vms[i].Status = status
 		}
 	}
 	s.version++
@@ -182,7 +181,7 @@
 		}
 		s.workers[name] = w
 		s.names = append(s.names, name)
-		s.list = append(s.list, vmlist.VM{
+		s.vms = append(s.vms, vmlist.VM{
 			Name: name, Addr: addr, Region: fmt.Sprintf("r%d", region+1), Zone: zoneName, Rack: rackName, Status: vmlist.StatusLive,
 		})
 	}
@@ -203,7 +202,7 @@
 	return netip.MustParseAddrPort(l.Addr().String()), nil
 }
 
-func (s *Server) loop() {
+func (s *Server) runExpiry() {
 	ticks, stop := s.options.Clock.Subscribe(expirePeriod)
 	defer stop()
 	for {
@@ -235,8 +234,8 @@
 
 func (s *Server) handleAppend(w http.ResponseWriter, r *http.Request) {
 	faults := s.Log.Faults()
-	if faults.IsOut {
-		hangUp(w)
+	if faults.IsUnavailable {
+		closeConnection(w)
 		return
 	}
 	if faults.Slow > 0 {
@@ -244,7 +243,7 @@
 	}
 	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
-		hangUp(w)
+		closeConnection(w)
 		return
 	}
 	offset, ok := s.Log.Append(data)
@@ -253,7 +252,7 @@
 		return
 	}
 	if s.Log.LoseReply() {
-		hangUp(w)
+		closeConnection(w)
 		return
 	}
 	_, _ = io.WriteString(w, strconv.FormatInt(offset, 10))
@@ -268,20 +267,20 @@
 	}
 	limit := s.options.Clock.After(time.Duration(wait) * time.Millisecond)
 	for {
-		if s.Log.Faults().IsOut {
-			hangUp(w)
+		if s.Log.Faults().IsUnavailable {
+			closeConnection(w)
 			return
 		}
 		page, isTrimmed, changed := s.Log.Page(from)
-		if isTrimmed || len(page.Entries) > 0 || isOver(r.Context(), limit, changed) {
+		if isTrimmed || len(page.Entries) > 0 || waitEnded(r.Context(), limit, changed) {
 			writePage(w, page, isTrimmed)
 			return
 		}
 	}
 }
 
-// isOver waits for a change; it reports true when there will be none in time.
-func isOver(ctx context.Context, limit <-chan time.Time, changed <-chan struct{}) bool {
+// waitEnded waits for a change. It reports true if the limit was reached or the request was cancelled first.
+func waitEnded(ctx context.Context, limit <-chan time.Time, changed <-chan struct{}) bool {
 	select {
 	case <-changed:
 		return false
@@ -307,7 +306,7 @@
 func (s *Server) handleVMs(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	tag := fmt.Sprintf(`"%d"`, s.version)
-	list := append([]vmlist.VM{}, s.list...)
+	list := append([]vmlist.VM{}, s.vms...)
 	s.mu.Unlock()
 	w.Header().Set("Etag", tag)
 	if r.Header.Get("If-None-Match") == tag {
@@ -343,8 +342,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(w http.ResponseWriter) {
+// closeConnection closes the connection without an answer.
+func closeConnection(w http.ResponseWriter) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
 		return
@@ -355,6 +354,7 @@
 	}
 }
 
+// writeFenced answers with status 409 and the highest epoch seen if err is a FencedError, and reports whether it is.
 func writeFenced(w http.ResponseWriter, err error) bool {
 	fenced := &worker.FencedError{}
 	if !errors.As(err, &fenced) {
--- a/internal/standin/native/worker.go
+++ b/internal/standin/native/worker.go
@@ -14,37 +14,40 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// Mode says how a worker VM is reached.
+// Mode says whether a worker VM runs and whether it can be reached.
 type Mode string
 
-// The modes of a worker.
+// The modes of a worker VM.
 const (
-	// ModeUp answers.
+	// ModeUp is a VM that runs and answers.
 	ModeUp Mode = "up"
-	// ModeCut runs its tasks but nobody reaches it.
-	ModeCut Mode = "cut"
-	// ModeDead has lost its tasks and answers nobody.
+	// ModePartitioned is a VM that runs its tasks but cannot be reached.
+	ModePartitioned Mode = "cut"
+	// ModeDead is a VM that has lost its tasks and does not answer.
 	ModeDead Mode = "dead"
 )
 
 const (
+	// leavingGrace is how long after its announcement a leaving worker may still be sent starts.
 	leavingGrace = 5 * time.Second
-	usageLag     = 2 * time.Second
-	failAfter    = 50 * time.Millisecond
+	// usageLag is how long a task runs before its usage is reported.
+	usageLag = 2 * time.Second
+	// failDelay is how long a task runs that fails.
+	failDelay = 50 * time.Millisecond
 )
 
-// WorkerFaults says how a worker misbehaves. Its zero value is a healthy one.
+// WorkerFaults are the faults that a worker injects. The zero value is a healthy worker.
 type WorkerFaults struct {
 	Mode Mode `json:"mode"`
-	// IsFailingAll makes every task fail soon after its start.
+	// IsFailingAll makes every task fail failDelay after its start.
 	IsFailingAll bool `json:"failing_all"`
-	// UsageFactor is real use over declared use; 0 means 1.
+	// UsageFactor is the ratio of actual to declared resource usage; 0 means 1.
 	UsageFactor float64 `json:"usage_factor"`
-	// RunFactor is real run time over declared run time; 0 means 1.
+	// RunFactor is the ratio of actual to declared run time; 0 means 1.
 	RunFactor float64 `json:"run_factor"`
 }
 
-// Worker is a worker VM in memory. It is safe for concurrent use.
+// Worker is a fake worker VM in memory. It is safe for concurrent use.
 type Worker struct {
 	Name     string
 	Capacity leverdyke.Resources
@@ -52,14 +55,19 @@
 	mu     sync.Mutex
 	clock  clock.Service
 	oracle *Oracle
-	// epoch is the fence: it only grows, and outlives restarts of the VM.
-	epoch     worker.Epoch
-	boot      int
-	base      time.Time
-	rev       uint64
-	tasks     map[worker.Key]*attempt
+	// epoch is the highest epoch seen: requests with a lower one are refused. It survives restarts of the VM.
+	epoch worker.Epoch
+	boot  int
+	// clockBase is the zero of the clock that the reports show.
+	clockBase time.Time
+	// rev is the revision of the newest change, by which a caller says what it has seen.
+	rev   uint64
+	tasks map[worker.Key]*attempt
+	// forgotten has the attempts whose end was acknowledged, with the time: they must not start again.
 	forgotten map[worker.Key]time.Time
-	inFlight  map[worker.Key]int64
+	// requestsInFlight counts the requests in progress under each grant.
+	requestsInFlight map[worker.Key]int64
+	// leavingAt is when the worker was informed that its VM is leaving; zero if it was not.
 	leavingAt time.Time
 	faults    WorkerFaults
 	changed   chan struct{}
@@ -68,45 +76,48 @@
 
 type attempt struct {
 	task     worker.Task
-	notAfter time.Time
+	leaseEnd time.Time
 	began    time.Time
-	end      time.Time
-	rev      uint64
-	// isUseTold means that its use has been measured and is in the reports.
-	isUseTold bool
-	// isEnding refuses new requests of a grant until the last one has ended.
-	isEnding bool
+	finishAt time.Time
+	// rev is the revision of its newest change.
+	rev uint64
+	// isUsageReported means that the reports include the usage of the task.
+	isUsageReported bool
+	// isStopping means that the grant is to stop: new requests are refused, and it ends with the last
+	// request in flight.
+	isStopping bool
 }
 
-// NewWorker returns a worker that has just booted.
+// NewWorker returns a worker that has booted once and runs nothing.
 func NewWorker(name string, capacity leverdyke.Resources, c clock.Service, o *Oracle) *Worker {
 	return &Worker{
-		Name: name, Capacity: capacity, clock: c, oracle: o, boot: 1, base: c.Now(), rev: 1,
+		Name: name, Capacity: capacity, clock: c, oracle: o, boot: 1, clockBase: c.Now(), rev: 1,
 		tasks: map[worker.Key]*attempt{}, forgotten: map[worker.Key]time.Time{},
-		inFlight: map[worker.Key]int64{}, changed: make(chan struct{}),
+		requestsInFlight: map[worker.Key]int64{}, changed: make(chan struct{}),
 	}
 }
 
-// SetFaults replaces the faults. ModeDead ends all tasks; leaving it boots anew.
+// SetFaults replaces the injected faults. Changing to ModeDead loses all tasks; the worker has a new boot number
+// from then on.
 func (w *Worker) SetFaults(f WorkerFaults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if f.Mode == ModeDead && w.faults.Mode != ModeDead {
 		for k, a := range w.tasks {
 			if a.task.State == worker.StateRunning {
-				w.oracle.ended(w.Name, k)
+				w.oracle.recordEnd(w.Name, k)
 			}
 		}
 		w.tasks = map[worker.Key]*attempt{}
 		w.forgotten = map[worker.Key]time.Time{}
-		w.inFlight = map[worker.Key]int64{}
+		w.requestsInFlight = map[worker.Key]int64{}
 		w.boot++
 	}
 	w.faults = f
 	w.wake()
 }
 
-// Mode returns how the worker is reached.
+// Mode returns the worker's mode.
 func (w *Worker) Mode() Mode {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,8 +127,8 @@
 	return w.faults.Mode
 }
 
-// Leave tells the worker that its VM is going to leave.
-func (w *Worker) Leave() {
+// AnnounceLeaving informs the worker that its VM is going to leave. Its reports say so from then on.
+func (w *Worker) AnnounceLeaving() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.leavingAt.IsZero() {
@@ -127,11 +138,11 @@
 	w.wake()
 }
 
-// Sync renews leases and reports at once; Changed says when to ask again.
+// Sync renews the leases and returns a report without waiting. A caller that wants to wait for changes uses Changed.
 func (w *Worker) Sync(s *worker.Sync) (*worker.Report, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.fence(s.Epoch); err != nil {
+	if err := w.checkEpoch(s.Epoch); err != nil {
 		return nil, err
 	}
 	now := w.clock.Now()
@@ -149,11 +160,11 @@
 	return w.changed, w.rev
 }
 
-// Start starts attempts.
+// Start starts attempts and returns for each whether it was refused, and why.
 func (w *Worker) Start(s *worker.Start) ([]worker.StartResult, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.fence(s.Epoch); err != nil {
+	if err := w.checkEpoch(s.Epoch); err != nil {
 		return nil, err
 	}
 	now := w.clock.Now()
@@ -162,15 +173,15 @@
 	for i := range s.Tasks {
 		results = append(results, worker.StartResult{Key: s.Tasks[i].Key, Refused: w.start(s, &s.Tasks[i], now)})
 	}
-	// A start is answered here; a report that waits need not tell it again.
+	// The answer already says what was started, so long polls for a report are not woken.
 	return results, nil
 }
 
-// Act does deeds to tasks.
+// Act applies an action, such as a stop, to attempts. Attempts that do not run are skipped.
 func (w *Worker) Act(a *worker.Act) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if err := w.fence(a.Epoch); err != nil {
+	if err := w.checkEpoch(a.Epoch); err != nil {
 		return err
 	}
 	for _, k := range a.Keys {
@@ -180,7 +191,7 @@
 	return nil
 }
 
-// Expire ends what has lapsed or finished by now.
+// Expire ends the attempts whose lease has expired or that have finished.
 func (w *Worker) Expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -189,46 +200,46 @@
 	}
 }
 
-// Begin takes a request under a grant; the function that it returns ends it.
-// An empty refusal means that the request runs.
+// Begin starts a caller's request under a grant. The caller of Begin must call the returned function when the
+// request has ended. A refusal that is not empty says why the request does not run.
 func (w *Worker) Begin(grant worker.Key, onceKey string) (func(), string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.expire(w.clock.Now())
 	a := w.tasks[grant]
-	if a == nil || a.task.State != worker.StateRunning || a.isEnding {
+	if a == nil || a.task.State != worker.StateRunning || a.isStopping {
 		return nil, "no such grant"
 	}
-	if w.inFlight[grant] >= a.task.Each.Slots {
-		w.oracle.overCommitted(w.Name, "requests of grant "+grant.String())
+	if w.requestsInFlight[grant] >= a.task.Each.Slots {
+		w.oracle.recordOverCommit(w.Name, "requests of grant "+grant.String())
 	}
 	if !w.leavingAt.IsZero() && w.clock.Now().Sub(w.leavingAt) > leavingGrace {
-		w.oracle.startedOnLeaving(w.Name, grant)
+		w.oracle.recordStartOnLeaving(w.Name, grant)
 	}
-	w.inFlight[grant]++
-	w.oracle.served(onceKey)
+	w.requestsInFlight[grant]++
+	w.oracle.recordRequest(onceKey)
 	return func() { w.finish(grant) }, ""
 }
 
 func (w *Worker) finish(grant worker.Key) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.inFlight[grant] > 0 {
-		w.inFlight[grant]--
+	if w.requestsInFlight[grant] > 0 {
+		w.requestsInFlight[grant]--
 	}
-	if w.inFlight[grant] > 0 {
+	if w.requestsInFlight[grant] > 0 {
 		return
 	}
-	delete(w.inFlight, grant)
-	if a := w.tasks[grant]; a != nil && a.isEnding && a.task.State == worker.StateRunning {
+	delete(w.requestsInFlight, grant)
+	if a := w.tasks[grant]; a != nil && a.isStopping && a.task.State == worker.StateRunning {
 		w.endAttempt(grant, a, worker.StateStopped)
 		w.wake()
 	}
 }
 
-func (w *Worker) fence(e worker.Epoch) error {
+func (w *Worker) checkEpoch(e worker.Epoch) error {
 	if e < w.epoch {
-		w.oracle.count(func(r *OracleReport) { r.Fenced++ })
+		w.oracle.update(func(r *OracleReport) { r.Fenced++ })
 		return &worker.FencedError{Seen: w.epoch}
 	}
 	w.epoch = e
@@ -241,10 +252,10 @@
 	if s.Boot != w.bootName() {
 		return
 	}
-	until := w.base.Add(time.Duration(s.AsOf)).Add(s.TTL)
+	leaseEnd := w.clockBase.Add(time.Duration(s.AsOf)).Add(s.TTL)
 	for _, a := range w.tasks {
-		if a.task.State == worker.StateRunning && until.After(a.notAfter) {
-			a.notAfter = until
+		if a.task.State == worker.StateRunning && leaseEnd.After(a.leaseEnd) {
+			a.leaseEnd = leaseEnd
 		}
 	}
 }
@@ -262,7 +273,7 @@
 
 func (w *Worker) report(seen uint64, now time.Time) *worker.Report {
 	r := &worker.Report{
-		Boot: w.bootName(), Now: int64(now.Sub(w.base)), Rev: w.rev, IsLeaving: !w.leavingAt.IsZero(), Capacity: w.Capacity,
+		Boot: w.bootName(), Now: int64(now.Sub(w.clockBase)), Rev: w.rev, IsLeaving: !w.leavingAt.IsZero(), Capacity: w.Capacity,
 		IsWhole: seen == 0 || seen > w.rev,
 	}
 	for _, a := range w.tasks {
@@ -270,7 +281,7 @@
 			continue
 		}
 		t := a.task
-		if a.isUseTold {
+		if a.isUsageReported {
 			t.Usage = w.usage(&t)
 		}
 		if !r.IsWhole {
@@ -282,13 +293,13 @@
 }
 
 func (w *Worker) usage(t *worker.Task) leverdyke.Resources {
-	f := w.faults.UsageFactor
-	if f == 0 {
-		f = 1
+	factor := w.faults.UsageFactor
+	if factor == 0 {
+		factor = 1
 	}
 	u := t.Each
-	u.MilliCPU = int64(float64(u.MilliCPU) * f)
-	u.MemoryMiB = int64(float64(u.MemoryMiB) * f)
+	u.MilliCPU = int64(float64(u.MilliCPU) * factor)
+	u.MemoryMiB = int64(float64(u.MemoryMiB) * factor)
 	if t.IsThrottled {
 		u.MilliCPU /= worker.ThrottleDivisor
 	}
@@ -299,9 +310,9 @@
 	if s.Boot != w.bootName() {
 		return "the worker has restarted"
 	}
-	until := w.base.Add(time.Duration(s.AsOf)).Add(s.TTL)
-	if !until.After(now) {
-		return "the lease has run out"
+	leaseEnd := w.clockBase.Add(time.Duration(s.AsOf)).Add(s.TTL)
+	if !leaseEnd.After(now) {
+		return "the lease has expired"
 	}
 	if _, ok := w.tasks[t.Key]; ok {
 		return ""
@@ -311,53 +322,53 @@
 	}
 	if !w.leavingAt.IsZero() {
 		if now.Sub(w.leavingAt) > leavingGrace {
-			w.oracle.startedOnLeaving(w.Name, t.Key)
+			w.oracle.recordStartOnLeaving(w.Name, t.Key)
 		}
 		return "the worker is leaving"
 	}
-	w.checkRoom(t)
-	w.oracle.started(w.Name, t)
+	w.checkCapacity(t)
+	w.oracle.recordStart(w.Name, t)
 	w.starts++
 	w.rev++
-	a := &attempt{task: *t, notAfter: until, began: now, rev: w.rev}
+	a := &attempt{task: *t, leaseEnd: leaseEnd, began: now, rev: w.rev}
 	a.task.State = worker.StateRunning
-	a.end = w.endOf(&a.task, now)
+	a.finishAt = w.finishTime(&a.task, now)
 	w.tasks[t.Key] = a
 	return ""
 }
 
-func (w *Worker) endOf(t *worker.Task, now time.Time) time.Time {
+func (w *Worker) finishTime(t *worker.Task, now time.Time) time.Time {
 	if t.Holder != "" {
 		return time.Time{}
 	}
 	if w.faults.IsFailingAll || strings.Contains(t.Key.Task.Job, "always-fails") {
-		return now.Add(failAfter)
+		return now.Add(failDelay)
 	}
 	if t.RunTime == 0 {
 		return time.Time{}
 	}
-	f := w.faults.RunFactor
-	if f == 0 {
-		f = 1
+	factor := w.faults.RunFactor
+	if factor == 0 {
+		factor = 1
 	}
-	return now.Add(time.Duration(float64(t.RunTime) * f))
+	return now.Add(time.Duration(float64(t.RunTime) * factor))
 }
 
-func (w *Worker) checkRoom(t *worker.Task) {
+func (w *Worker) checkCapacity(t *worker.Task) {
 	used := t.Each
 	for _, a := range w.tasks {
 		if a.task.State == worker.StateRunning {
-			used = used.Add(chargeOf(&a.task))
+			used = used.Add(allocationOf(&a.task))
 		}
 	}
-	if lacks := used.Lacks(w.Capacity); lacks != "" {
-		w.oracle.overCommitted(w.Name, lacks)
+	if missing := used.Lacks(w.Capacity); missing != "" {
+		w.oracle.recordOverCommit(w.Name, missing)
 	}
 }
 
-// chargeOf is what a task takes: a throttled one takes a quarter of its
+// allocationOf returns the resources that a task occupies: a throttled task occupies a quarter of its
 // processors.
-func chargeOf(t *worker.Task) leverdyke.Resources {
+func allocationOf(t *worker.Task) leverdyke.Resources {
 	r := t.Each
 	if t.IsThrottled {
 		r.MilliCPU /= worker.ThrottleDivisor
@@ -379,9 +390,9 @@
 		w.endAttempt(k, a, worker.StateCheckpointed)
 		return
 	case worker.DeedStop:
-		if w.inFlight[k] > 0 {
-			// A grant's requests are finished first; new ones are refused.
-			a.isEnding = true
+		if w.requestsInFlight[k] > 0 {
+			// The requests in flight under the grant finish first, and new ones are refused.
+			a.isStopping = true
 			return
 		}
 		w.endAttempt(k, a, worker.StateStopped)
@@ -392,8 +403,8 @@
 }
 
 func (w *Worker) endAttempt(k worker.Key, a *attempt, s worker.TaskState) {
-	w.oracle.ended(w.Name, k)
-	w.oracle.count(func(r *OracleReport) { r.Stops++ })
+	w.oracle.recordEnd(w.Name, k)
+	w.oracle.update(func(r *OracleReport) { r.Stops++ })
 	w.rev++
 	a.rev = w.rev
 	a.task.State = s
@@ -406,13 +417,13 @@
 			continue
 		}
 		switch {
-		case !now.Before(a.notAfter):
+		case !now.Before(a.leaseEnd):
 			w.endAttempt(k, a, worker.StateStopped)
-			w.oracle.count(func(r *OracleReport) { r.Lapses++ })
-		case !a.end.IsZero() && !now.Before(a.end):
-			w.endAttempt(k, a, w.result(a))
-		case !a.isUseTold && now.Sub(a.began) > usageLag:
-			a.isUseTold = true
+			w.oracle.update(func(r *OracleReport) { r.LeaseExpirations++ })
+		case !a.finishAt.IsZero() && !now.Before(a.finishAt):
+			w.endAttempt(k, a, w.finalState(a))
+		case !a.isUsageReported && now.Sub(a.began) > usageLag:
+			a.isUsageReported = true
 			w.rev++
 			a.rev = w.rev
 		default:
@@ -423,7 +434,7 @@
 	return isChanged
 }
 
-func (w *Worker) result(a *attempt) worker.TaskState {
+func (w *Worker) finalState(a *attempt) worker.TaskState {
 	if w.faults.IsFailingAll || strings.Contains(a.task.Key.Task.Job, "always-fails") {
 		return worker.StateFailed
 	}
@@ -435,14 +446,14 @@
 	w.changed = make(chan struct{})
 }
 
-// Starts returns how many attempts were started here.
+// Starts returns how many attempts were started on the worker.
 func (w *Worker) Starts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.starts
 }
 
-// Running counts the running attempts of a job.
+// Running returns the number of running attempts of a job.
 func (w *Worker) Running(job string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/site/customers.go
+++ b/internal/standin/site/customers.go
@@ -9,56 +9,58 @@
 	"time"
 )
 
-// Customer is one whose callers carry keys.
+// Customer is a customer whose callers authenticate with API keys.
 type Customer struct {
 	Name string
-	// Keys are those in force.
+	// Keys are the API keys that are valid now.
 	Keys []string
-	// MilliCPU is what its tasks may take over all workers; 0 is no limit.
+	// MilliCPU limits the processors, in thousandths, that its tasks may use over all workers; 0 is no limit.
 	MilliCPU int64
 }
 
-// limitGrace is how long after a limit has changed that before it may still be in force.
+// limitGrace is how long after a change the previous limit may still be applied by nodes that have not
+// read the new configuration.
 const limitGrace = 3 * time.Second
 
-// SetCustomers sets the customers of the configurations that are published from now on. With
-// none, callers have no keys.
+// SetCustomers sets the customers for configurations that are published from now on. Without
+// customers, requests need no API key.
 func (s *Site) SetCustomers(customers ...Customer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.customers = customers
 }
 
-// tenants returns the customers in the platform's words, and notes their limits.
-func (s *Site) tenants() []any {
+// tenantEntries returns the customers in the format of the platform's configuration, and sets the limits that the
+// oracle checks.
+func (s *Site) tenantEntries() []any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := []any{}
+	entries := []any{}
 	limits := map[string]int64{}
 	for _, c := range s.customers {
-		out = append(out, map[string]any{"name": c.Name, "apiKeys": c.Keys, "weight": 1, "maxCount": map[string]any{"cpu": c.MilliCPU}})
+		entries = append(entries, map[string]any{"name": c.Name, "apiKeys": c.Keys, "weight": 1, "maxCount": map[string]any{"cpu": c.MilliCPU}})
 		limits[c.Name] = c.MilliCPU
 	}
 	s.oracle.setLimits(limits)
-	return out
+	return entries
 }
 
-// KnowCustomer tells the stand-in whose a job is.
-func (s *Site) KnowCustomer(id, name string) {
+// SetJobCustomer records the customer of a job, so that the oracle counts its tasks against the limit.
+func (s *Site) SetJobCustomer(id, name string) {
 	s.oracle.mu.Lock()
 	defer s.oracle.mu.Unlock()
-	s.oracle.owners[id] = name
+	s.oracle.customerOfJob[id] = name
 }
 
-// PeakOf returns the most processors that a customer had in use at once.
-func (s *Site) PeakOf(name string) int64 {
+// PeakMilliCPU returns the highest number of processors, in thousandths, that a customer used at once.
+func (s *Site) PeakMilliCPU(name string) int64 {
 	s.oracle.mu.Lock()
 	defer s.oracle.mu.Unlock()
 	return s.oracle.peaks[name]
 }
 
-// earlierLimits are limits that were in force until then.
-type earlierLimits struct {
+// previousLimits are limits, by customer, that were in force until a point in time.
+type previousLimits struct {
 	limits map[string]int64
 	until  time.Time
 }
@@ -66,49 +68,50 @@
 func (o *Oracle) setLimits(limits map[string]int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.earlier = append(o.earlier, earlierLimits{o.limits, time.Now()})
+	o.previous = append(o.previous, previousLimits{o.limits, time.Now()})
 	o.limits = limits
 }
 
-// use notes that a run of a customer's job began, and checks the customer's limit; the caller
-// holds the lock.
-func (o *Oracle) use(task, worker string, cpu int64) {
+// addUsage counts a started run against its customer and records a violation if the customer
+// exceeds its limit. Callers must hold the lock.
+func (o *Oracle) addUsage(task, worker string, cpu int64) {
 	job, _, _ := strings.Cut(task, ".")
-	name := o.owners[job]
+	name := o.customerOfJob[job]
 	if name == "" {
 		return
 	}
 	o.used[name] += cpu
-	o.uses[task+" "+worker] = customerUse{name, cpu}
+	o.usageByRun[task+" "+worker] = customerUsage{name, cpu}
 	o.peaks[name] = max(o.peaks[name], o.used[name])
-	if limit := o.limitOf(name); limit > 0 && o.used[name] > limit {
-		o.broken = append(o.broken, fmt.Sprintf("%s on %s brings customer %s over its limit: %d of %d", task, worker, name, o.used[name], limit))
+	if limit := o.effectiveLimit(name); limit > 0 && o.used[name] > limit {
+		o.violations = append(o.violations, fmt.Sprintf("%s on %s brings customer %s over its limit: %d of %d", task, worker, name, o.used[name], limit))
 	}
 }
 
-// customerUse is what a run takes of a customer's limit.
-type customerUse struct {
+// customerUsage is what a run uses of a customer's limit.
+type customerUsage struct {
 	name string
 	cpu  int64
 }
 
-// endUse notes that a run has ended; the caller holds the lock.
-func (o *Oracle) endUse(task, worker string) {
+// removeUsage releases what an ended run used of its customer's limit. Callers must hold the lock.
+func (o *Oracle) removeUsage(task, worker string) {
 	key := task + " " + worker
-	u := o.uses[key]
-	delete(o.uses, key)
+	u := o.usageByRun[key]
+	delete(o.usageByRun, key)
 	o.used[u.name] -= u.cpu
 }
 
-// limitOf returns the highest limit that may be in force, 0 for none.
-func (o *Oracle) limitOf(name string) int64 {
+// effectiveLimit returns the highest limit that a node may still apply: the current one, or one replaced
+// within limitGrace. 0 means no limit.
+func (o *Oracle) effectiveLimit(name string) int64 {
 	limit := o.limits[name]
-	for _, e := range o.earlier {
-		if before, ok := e.limits[name]; ok && time.Since(e.until) < limitGrace {
-			if before == 0 || limit == 0 {
+	for _, p := range o.previous {
+		if old, ok := p.limits[name]; ok && time.Since(p.until) < limitGrace {
+			if old == 0 || limit == 0 {
 				return 0
 			}
-			limit = max(limit, before)
+			limit = max(limit, old)
 		}
 	}
 	return limit
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package site is a small stand-in for the users' platform, for tests and the
-// quickstart: its store, its workers and the service that permits workers, with
-// faults that can be set and an oracle that watches the promises from outside. It
-// knows the platform's names, as platform/ does, and shares no code with it.
+// Package site is a small fake of the users' platform for tests and the emulator: its store, its workers and
+// its permission service, which says which workers may run a step. Faults can be injected, and an oracle
+// checks the scheduler's guarantees from outside. It uses the platform's names, as platform/ does, but
+// shares no code with it.
 package site
 
 import (
@@ -20,36 +20,37 @@
 	"time"
 )
 
-// Names that the stand-in gives.
+// Names of the only service and the only queue.
 const (
 	serviceName = "pool"
-	// QueueHost and QueuePrefix address its only queue.
+	// QueueHost and QueuePrefix are the host and the path prefix of requests to the queue.
 	QueueHost   = "jobs.example"
 	QueuePrefix = "/q/"
 )
 
-// beatPeriod is the time between two entries of a worker.
-const beatPeriod = 500 * time.Millisecond
+// heartbeatPeriod is the time between two heartbeats of a worker, each of which rewrites its entry in the store.
+const heartbeatPeriod = 500 * time.Millisecond
 
-// Options says what the stand-in has. Zero values mean the defaults.
+// Options configures a Site. Zero values mean the defaults.
 type Options struct {
-	// Workers is how many there are; 4 by default.
+	// Workers is the number of workers; 4 by default.
 	Workers int
-	// MilliCPU and MemoryMiB are the room of each; 4,000 by default.
+	// MilliCPU and MemoryMiB are the capacity of each worker; 4,000 by default.
 	MilliCPU, MemoryMiB int64
-	// CPUShare is the part of a processor that the settings of each node name; 0.5 by
-	// default. It is told, not enforced.
+	// CPUShare is the fraction of a processor that the settings grant each node; 0.5 by default. It is
+	// written to the settings, but not enforced.
 	CPUShare float64
-	// HasAdvice means that starts want tickets.
-	HasAdvice bool
-	// HasOwnGroup keeps signals of a terminal from the nodes: whoever started them ends them.
+	// HasPermissionService means that workers refuse start orders without a valid permit.
+	HasPermissionService bool
+	// HasOwnGroup starts each node in a process group of its own, so that signals from the terminal do not
+	// reach it. The process that started the nodes must end them.
 	HasOwnGroup bool
-	// Via returns the address by which nodes reach a service or a worker, for a
-	// proxy between; nil means its own.
+	// Via returns the address at which nodes reach the service, worker or node that listens at addr, such
+	// as a proxy's address; nil means addr itself.
 	Via func(name, addr string) (string, error)
 }
 
-// defaultCPUShare is that of an entry VM.
+// defaultCPUShare is the fraction of a processor that a node has on an entry VM.
 const defaultCPUShare = 0.5
 
 func (s *Site) cpuShare() float64 {
@@ -59,38 +60,38 @@
 	return defaultCPUShare
 }
 
-// Site is the whole stand-in.
+// Site is a fake platform with all its services and workers.
 type Site struct {
 	Store   *Store
 	options Options
 	oracle  *Oracle
 	servers []*http.Server
-	// StoreAddr and AdviceAddr are where the services listen.
-	StoreAddr, AdviceAddr string
+	// StoreAddr and PermissionAddr are the addresses of the store and the permission service.
+	StoreAddr, PermissionAddr string
 
 	mu      sync.Mutex
 	workers []*Worker
-	// customers are those of the next configuration.
+	// customers go into the next configuration that is published.
 	customers []Customer
-	// needs has the steps of the jobs by their job's ID.
-	needs map[string][]stepNeed
+	// steps has the steps of each registered job, by job ID.
+	steps map[string][]stepSpec
 	stop  chan struct{}
 	wg    sync.WaitGroup
 }
 
-// stepNeed is what a task of a step takes, as its job says.
-type stepNeed struct {
-	cpu, mem int64
-	takes    time.Duration
-	lasts    bool
-	// fails makes the task fail, when the job's text is "fail".
+// stepSpec is what a task of a step needs and how it behaves, as its job specifies.
+type stepSpec struct {
+	cpu, mem      int64
+	duration      time.Duration
+	isLongRunning bool
+	// fails makes each task fail; it is set if the job's spec is "fail".
 	fails bool
-	// crashes makes the first task of the step crash each worker that starts it, when the
-	// job's text is "crash".
+	// crashes makes the first task of the step crash each worker that starts it; it is set if the job's
+	// spec is "crash".
 	crashes bool
 }
 
-// New starts a stand-in on loopback.
+// New starts a fake platform on loopback.
 func New(o Options) (*Site, error) {
 	if o.Workers == 0 {
 		o.Workers = 4
@@ -101,13 +102,13 @@
 	if o.MemoryMiB == 0 {
 		o.MemoryMiB = 4000
 	}
-	s := &Site{Store: newStore(), options: o, needs: map[string][]stepNeed{}, stop: make(chan struct{})}
+	s := &Site{Store: newStore(), options: o, steps: map[string][]stepSpec{}, stop: make(chan struct{})}
 	s.oracle = newOracle()
 	var err error
 	if s.StoreAddr, err = s.serve(s.Store); err != nil {
 		return nil, err
 	}
-	if s.AdviceAddr, err = s.serve(http.HandlerFunc(s.serveAdvice)); err != nil {
+	if s.PermissionAddr, err = s.serve(http.HandlerFunc(s.servePermission)); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -118,11 +119,11 @@
 		}
 	}
 	s.wg.Add(1)
-	go s.run()
+	go s.runHeartbeats()
 	return s, nil
 }
 
-// serve starts a server on a free port.
+// serve starts an HTTP server on a free loopback port and returns its address.
 func (s *Site) serve(h http.Handler) (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,7 +135,7 @@
 	return l.Addr().String(), nil
 }
 
-// AddWorker starts a worker on a machine of its own.
+// AddWorker starts the i-th worker on a machine of its own. Two workers share a rack.
 func (s *Site) AddWorker(i int) (*Worker, error) {
 	id := "i-" + strconv.Itoa(i)
 	m := &machine{site: s, name: "m-" + id, rack: "r" + strconv.Itoa(i/2)}
@@ -145,10 +146,10 @@
 	if m.addr, err = s.via(id, addr); err != nil {
 		return nil, err
 	}
-	return m.bear(id), nil
+	return m.startNew(id), nil
 }
 
-// via returns the address by which nodes reach what listens at addr.
+// via returns the address at which nodes reach the service, worker or node that listens at addr.
 func (s *Site) via(name, addr string) (string, error) {
 	if s.options.Via == nil {
 		return addr, nil
@@ -156,17 +157,17 @@
 	return s.options.Via(name, addr)
 }
 
-// Workers returns the workers.
+// Workers returns all workers, dead ones included, in the order of their starts.
 func (s *Site) Workers() []*Worker {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.workers)
 }
 
-// run writes the workers' entries.
-func (s *Site) run() {
+// runHeartbeats sends the heartbeats of all workers until Close.
+func (s *Site) runHeartbeats() {
 	defer s.wg.Done()
-	t := time.NewTicker(beatPeriod)
+	t := time.NewTicker(heartbeatPeriod)
 	defer t.Stop()
 	for {
 		select {
@@ -174,13 +175,13 @@
 			return
 		case <-t.C:
 			for _, w := range s.Workers() {
-				w.beat()
+				w.heartbeat()
 			}
 		}
 	}
 }
 
-// Close ends the stand-in.
+// Close stops all servers and heartbeats. Each node has to be killed separately.
 func (s *Site) Close() {
 	close(s.stop)
 	close(s.Store.closed)
@@ -190,23 +191,23 @@
 	s.wg.Wait()
 }
 
-// Configure publishes a configuration with the one queue.
+// Configure publishes a configuration in which the queue has the path prefix QueuePrefix.
 func (s *Site) Configure(version int) { s.ConfigureQueue(version, QueuePrefix) }
 
-// ConfigureQueue publishes one in which the queue is at another path.
+// ConfigureQueue publishes a configuration in which the queue has another path prefix.
 func (s *Site) ConfigureQueue(version int, prefix string) {
 	route := map[string]any{
 		"name": "q", "host": QueueHost, "pathPrefix": prefix, "service": serviceName, "priority": 0,
 		"maxAttempts": 3, "stretch": 1.5, "targetLatencyMs": 250,
 	}
-	if s.options.HasAdvice {
+	if s.options.HasPermissionService {
 		route["advice"] = map[string]any{"decide_ms": 5, "each_ms": 0.1, "valid_ms": 2000}
 	}
 	config := map[string]any{
 		"version": version, "routes": []any{route}, "services": []any{map[string]any{"name": serviceName}},
 		"limits": map[string]any{"maxHeaderBytes": 16384, "maxBodyBytes": 262144},
 	}
-	if tenants := s.tenants(); len(tenants) > 0 {
+	if tenants := s.tenantEntries(); len(tenants) > 0 {
 		config["tenants"] = tenants
 	}
 	data, err := json.Marshal(config)
@@ -216,9 +217,9 @@
 	s.Store.Put("keyed.op", "config", data)
 }
 
-// Know tells the stand-in of a job's steps, as its caller hands them in, so that
-// workers know how long its tasks take.
-func (s *Site) Know(id string, body []byte) error {
+// RegisterJob records the steps of a job from the body with which it is submitted, so that workers know what
+// its tasks need and how they behave. It has to be called before the job is submitted.
+func (s *Site) RegisterJob(id string, body []byte) error {
 	job := struct {
 		Spec  string `json:"spec"`
 		Steps []struct {
@@ -231,52 +232,52 @@
 	if err := json.Unmarshal(body, &job); err != nil {
 		return fmt.Errorf("site: %w", err)
 	}
-	needs := []stepNeed{}
+	steps := []stepSpec{}
 	for _, step := range job.Steps {
-		needs = append(needs, stepNeed{
+		steps = append(steps, stepSpec{
 			step.CPU, step.MemMb, time.Duration(step.EstimatedMs * float64(time.Millisecond)), step.Perpetual, job.Spec == "fail", job.Spec == "crash",
 		})
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.needs[id] = needs
+	s.steps[id] = steps
 	return nil
 }
 
-// needOf returns what a task takes.
-func (s *Site) needOf(task string) (stepNeed, error) {
+// stepOfTask returns the specification of a task's step.
+func (s *Site) stepOfTask(task string) (stepSpec, error) {
 	parts := strings.Split(task, ".")
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(parts) != 4 {
-		return stepNeed{}, fmt.Errorf("site: task %q: want four parts", task)
+		return stepSpec{}, fmt.Errorf("site: task %q: want a name of four parts between dots", task)
 	}
 	step, err := strconv.Atoi(parts[2])
-	if err != nil || step >= len(s.needs[parts[0]]) {
-		return stepNeed{}, fmt.Errorf("site: task %q was never handed in", task)
+	if err != nil || step >= len(s.steps[parts[0]]) {
+		return stepSpec{}, fmt.Errorf("site: task %q: its job was not registered", task)
 	}
-	return s.needs[parts[0]][step], nil
+	return s.steps[parts[0]][step], nil
 }
 
-// Broken returns the promises that were seen broken.
-func (s *Site) Broken() []string { return s.oracle.list() }
+// Violations returns a text for each violation of a guarantee that the oracle has found.
+func (s *Site) Violations() []string { return s.oracle.listViolations() }
 
-// CrashesUnder returns how many workers crashed under a task.
-func (s *Site) CrashesUnder(task string) int { return s.oracle.crashesUnder(task) }
+// CrashesDuring returns how many workers crashed while they ran a task.
+func (s *Site) CrashesDuring(task string) int { return s.oracle.crashesDuring(task) }
 
-// HasRun reports whether any task of a job ever began.
-func (s *Site) HasRun(job string) bool { return s.oracle.hasRun(job) }
+// HasStarted reports whether any task of a job was ever started.
+func (s *Site) HasStarted(job string) bool { return s.oracle.hasStarted(job) }
 
-// NoteShown notes the final state of a job that a caller was shown. A start of one
-// of its tasks from then on counts as broken.
-func (s *Site) NoteShown(job, state string) { s.oracle.shown(job, state) }
+// RecordShownState records the final state of a job that a caller was shown. From then on, a start of one of
+// its tasks or another final state is a violation.
+func (s *Site) RecordShownState(job, state string) { s.oracle.recordShownState(job, state) }
 
-// Starts returns how many runs began.
+// Starts returns how many runs were started.
 func (s *Site) Starts() int { return s.oracle.starts() }
 
-// serveAdvice permits every other worker for all steps, and two of three of the
-// others for each.
-func (s *Site) serveAdvice(w http.ResponseWriter, r *http.Request) {
+// servePermission answers a permission query with the permitted workers and their permits. Permits decides
+// which workers these are.
+func (s *Site) servePermission(w http.ResponseWriter, r *http.Request) {
 	body := struct {
 		Step    string   `json:"step"`
 		Workers []string `json:"workers"`
@@ -285,24 +286,24 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	good := [][2]string{}
+	permitted := [][2]string{}
 	for _, id := range body.Workers {
 		if s.Permits(body.Step, id) {
-			good = append(good, [2]string{id, ticketFor(body.Step, s.startOf(id))})
+			permitted = append(permitted, [2]string{id, permitFor(body.Step, s.incarnationOf(id))})
 		}
 	}
-	writeJSON(w, http.StatusOK, map[string]any{"good": good, "valid_ms": 2000})
+	writeJSON(w, http.StatusOK, map[string]any{"good": permitted, "valid_ms": 2000})
 }
 
-// startOf returns the newest start of a worker.
-func (s *Site) startOf(id string) string {
-	start := id
+// incarnationOf returns the newest incarnation of a worker.
+func (s *Site) incarnationOf(id string) string {
+	incarnation := id
 	for _, w := range s.Workers() {
 		if w.id == id {
-			start = w.startName
+			incarnation = w.incarnation
 		}
 	}
-	return start
+	return incarnation
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/tools/measure/load.go
+++ b/tools/measure/load.go
@@ -22,9 +22,9 @@
 	"github.com/leverdyke/leverdyke/internal/standin"
 )
 
-const loadTime = 8 * time.Second
+const loadDuration = 8 * time.Second
 
-// localStatus asks a node about itself alone.
+// localStatus asks a node for its own status only, so that the answer does not depend on other nodes.
 func localStatus(n *standin.Node) (operator.Status, bool) {
 	client := http.Client{Timeout: time.Second}
 	res, err := client.Get("http://" + n.Operators.String() + "/v1/nodes?local=1")
@@ -39,13 +39,15 @@
 	return list[0], true
 }
 
-var completed = regexp.MustCompile(`"LD0303".* detail="([^"]+)"`)
+// rackCompleteLine matches the log line of event LD0303, by which a node reports that it knows all tasks on a rack.
+var rackCompleteLine = regexp.MustCompile(`"LD0303".* detail="([^"]+)"`)
 
-// completions lists how long racks needed to tell all, as the nodes logged it.
-func completions(c *standin.Cell) []time.Duration {
+// rackCompletionTimes returns, from the logs of all nodes, how long it took until a new owner knew all tasks that
+// run on its rack.
+func rackCompletionTimes(c *standin.Cluster) []time.Duration {
 	list := []time.Duration{}
 	for _, n := range c.Nodes {
-		for _, m := range completed.FindAllStringSubmatch(n.Log(), -1) {
+		for _, m := range rackCompleteLine.FindAllStringSubmatch(n.Log(), -1) {
 			if d, err := time.ParseDuration(m[1]); err == nil {
 				list = append(list, d)
 			}
@@ -54,7 +56,7 @@
 	return list
 }
 
-// requests measures callers' requests through three nodes, repeatable and not.
+// requests measures callers' requests through three nodes, repeatable ones and ones that must not run twice.
 func requests(binary string) error {
 	capacity := leverdyke.Resources{MilliCPU: 64000, MemoryMiB: 65536, Slots: 64}
 	fmt.Println("| requests | callers | answered/s | wait and service p50 / p99 / p99.9 / max | node's processor (ms a request) | control bytes/s a node |\n|---|---|---|---|---|---|")
@@ -63,7 +65,7 @@
 		isOnce  bool
 		callers int
 	}{{"repeatable", false, 1}, {"once-only", true, 1}, {"repeatable", false, 48}, {"once-only", true, 48}} {
-		err := withCell(binary, options{nodes: 3, racks: 3, workers: 4, capacity: capacity}, func(c *standin.Cell) error {
+		err := withCluster(binary, options{nodes: 3, racks: 3, workers: 4, capacity: capacity}, func(c *standin.Cluster) error {
 			job := fmt.Sprintf("kind: service\ntasks: 12\neach: {milli_cpu: 100, memory_mib: 10}\nservice: s\nrequest: {milli_cpu: 10, memory_mib: 1}\nrequest_once: %v\n", kind.isOnce)
 			if err := submit(c, "s", job); err != nil {
 				return err
@@ -80,12 +82,12 @@
 	return nil
 }
 
-func loadRequests(c *standin.Cell, name string, isOnce bool, callers int) error {
+func loadRequests(c *standin.Cluster, name string, isOnce bool, callers int) error {
 	h := newHistogram()
 	mu := sync.Mutex{}
 	refused := 0
-	cpu, control := cpuOf(c), controlOf(c)
-	ctx, cancel := context.WithTimeout(context.Background(), loadTime)
+	cpu, control := totalCPUSeconds(c), totalControlBytes(c)
+	ctx, cancel := context.WithTimeout(context.Background(), loadDuration)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	wg := sync.WaitGroup{}
@@ -93,7 +95,7 @@
 		wg.Go(func() {
 			for n := i; ctx.Err() == nil; n++ {
 				began := time.Now()
-				verdict := callOnce(client, c.Nodes[n%len(c.Nodes)], isOnce)
+				verdict := sendRequest(client, c.Nodes[n%len(c.Nodes)], isOnce)
 				mu.Lock()
 				if verdict == leverdyke.VerdictRan {
 					_ = h.RecordValue(time.Since(began).Microseconds())
@@ -106,15 +108,15 @@
 	}
 	wg.Wait()
 	count := float64(h.TotalCount())
-	fmt.Printf("| %s | %d | %.0f (%d refused) | %s | %.2f | %.0f |\n", name, callers, count/loadTime.Seconds(), refused, quantiles(h),
-		1000*(cpuOf(c)-cpu)/max(count, 1), (controlOf(c)-control)/loadTime.Seconds()/float64(len(c.Nodes)))
+	fmt.Printf("| %s | %d | %.0f (%d refused) | %s | %.2f | %.0f |\n", name, callers, count/loadDuration.Seconds(), refused, quantiles(h),
+		1000*(totalCPUSeconds(c)-cpu)/max(count, 1), (totalControlBytes(c)-control)/loadDuration.Seconds()/float64(len(c.Nodes)))
 	if r := c.Platform.Oracle.Report(); r.OverCommits+r.Repeated > 0 {
 		return errors.New(strings.Join(r.Violations, "; "))
 	}
 	return nil
 }
 
-func callOnce(client *http.Client, n *standin.Node, isOnce bool) leverdyke.Verdict {
+func sendRequest(client *http.Client, n *standin.Node, isOnce bool) leverdyke.Verdict {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.Callers.String()+"/s/s/x", strings.NewReader("body"))
 	if err != nil {
 		return ""
@@ -134,8 +136,8 @@
 	return leverdyke.Verdict(res.Header.Get(leverdyke.VerdictHeader))
 }
 
-// cpuOf adds the processor time of all nodes, in seconds.
-func cpuOf(c *standin.Cell) float64 {
+// totalCPUSeconds returns the processor time of all nodes together, in seconds.
+func totalCPUSeconds(c *standin.Cluster) float64 {
 	sum := 0.0
 	for _, n := range c.Nodes {
 		sum += metric(n, `leverdyke_load{what="cpu_seconds"`)
@@ -143,7 +145,8 @@
 	return sum
 }
 
-func controlOf(c *standin.Cell) float64 {
+// totalControlBytes returns the control traffic of all nodes together, in bytes.
+func totalControlBytes(c *standin.Cluster) float64 {
 	sum := 0.0
 	for _, n := range c.Nodes {
 		sum += metric(n, "leverdyke_control")
@@ -151,6 +154,7 @@
 	return sum
 }
 
+// metric returns the sum of the values of all lines of a node's metrics that begin with prefix.
 func metric(n *standin.Node, prefix string) float64 {
 	res, err := http.Get("http://" + n.Operators.String() + "/metrics")
 	if err != nil {
@@ -170,13 +174,13 @@
 	return sum
 }
 
-var startedLine = regexp.MustCompile(`"LD0402".*class="(\w+)" waited="([^"]+)"`)
+var taskStartedLine = regexp.MustCompile(`"LD0402".*class="(\w+)" waited="([^"]+)"`)
 
-// waits returns how long tasks of a class waited, as the nodes logged it.
-func waits(c *standin.Cell, class string) string {
+// waits returns how many tasks of a class were started and how long they waited, from the logs of all nodes.
+func waits(c *standin.Cluster, class string) string {
 	h := newHistogram()
 	for _, n := range c.Nodes {
-		for _, m := range startedLine.FindAllStringSubmatch(n.Log(), -1) {
+		for _, m := range taskStartedLine.FindAllStringSubmatch(n.Log(), -1) {
 			if d, err := time.ParseDuration(m[2]); err == nil && m[1] == class {
 				_ = h.RecordValue(d.Microseconds())
 			}
@@ -185,9 +189,9 @@
 	return fmt.Sprintf("%d started, %s", h.TotalCount(), quantiles(h))
 }
 
-// urgent measures how long urgent work waits while batches fill the cell.
+// urgent measures how long urgent tasks wait while batch tasks occupy the whole cluster.
 func urgent(binary string) error {
-	return withCell(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cell) error {
+	return withCluster(binary, options{nodes: 3, racks: 6, workers: 4}, func(c *standin.Cluster) error {
 		if err := submit(c, "fill", "kind: batch\nclass: batch\ntasks: 1000\neach: {milli_cpu: 2000, memory_mib: 4096}\nrun_time: 10m\n"); err != nil {
 			return err
 		}
@@ -201,14 +205,14 @@
 		}
 		standin.Await(20*time.Second, func() bool { return strings.HasPrefix(waits(c, "urgent"), "80 ") })
 		r := c.Platform.Oracle.Report()
-		fmt.Printf("| a full cell of 24 workers | p50 / p99 / p99.9 / max |\n|---|---|\n| urgent tasks' wait (limit 3.4 s) | %s |\n| over-commits | %d |\n", waits(c, "urgent"), r.OverCommits)
+		fmt.Printf("| a full cluster of 24 workers | p50 / p99 / p99.9 / max |\n|---|---|\n| urgent tasks' wait (limit 3.4 s) | %s |\n| over-commits | %d |\n", waits(c, "urgent"), r.OverCommits)
 		return nil
 	})
 }
 
-// wave measures 5,000 cancellations at once, and what they cost others.
-func wave(binary string) error {
-	return withCell(binary, options{nodes: 3, racks: 3, workers: 4, settings: "appends_per_second: 30\n"}, func(c *standin.Cell) error {
+// massCancellation measures the cancellation of 5,000 jobs in one call, and how long urgent tasks wait meanwhile.
+func massCancellation(binary string) error {
+	return withCluster(binary, options{nodes: 3, racks: 3, workers: 4, settings: "appends_per_second: 30\n"}, func(c *standin.Cluster) error {
 		const jobs = 5000
 		ids := make([]string, jobs)
 		next := make(chan int, jobs)
@@ -245,14 +249,14 @@
 				return err
 			}
 		}
-		took := <-done
+		duration := <-done
 		standin.Await(20*time.Second, func() bool { return strings.HasPrefix(waits(c, "urgent"), "20 ") })
-		fmt.Printf("| 5,000 cancellations in one call | |\n|---|---|\n| the call | %v |\n| wait of 20 urgent tasks submitted meanwhile, p50 / p99 / p99.9 / max | %s |\n", took, waits(c, "urgent"))
+		fmt.Printf("| 5,000 cancellations in one call | |\n|---|---|\n| the call | %v |\n| wait of 20 urgent tasks submitted meanwhile, p50 / p99 / p99.9 / max | %s |\n", duration, waits(c, "urgent"))
 		return nil
 	})
 }
 
-func callService(n *standin.Node, service string) leverdyke.Verdict {
+func requestService(n *standin.Node, service string) leverdyke.Verdict {
 	req, err := http.NewRequest(http.MethodPost, "http://"+n.Callers.String()+"/s/"+service+"/x", strings.NewReader("body"))
 	if err != nil {
 		return ""
--- a/tools/measure/main.go
+++ b/tools/measure/main.go
@@ -1,8 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Command measure runs cells of real processes and prints the figures of
-// docs/MEASUREMENTS.md, as tables.
+// Command measure runs clusters of real processes and prints the figures of docs/MEASUREMENTS.md as tables.
 package main
 
 import (
@@ -22,57 +21,57 @@
 	"github.com/leverdyke/leverdyke/internal/standin/native"
 )
 
-const patience = 60 * time.Second
+const timeout = 60 * time.Second
 
-// measure is one thing to measure.
-type measure struct {
+// measurement is a named measurement that prints its table.
+type measurement struct {
 	name string
-	do   func(binary string) error
+	run  func(binary string) error
 }
 
-var logOutTime = flag.Duration("logout", time.Minute, "how long the log is out; 24m has as many leases of 8 s as an hour has of 20 s")
+var logOutageDuration = flag.Duration("logout", time.Minute, "how long the log is unavailable; 24m is as many leases of 8 s as an hour is of 20 s")
 
 func main() {
-	bin := flag.String("bin", "bin", "where the programs are")
-	only := flag.String("only", "", "measure this alone")
+	bin := flag.String("bin", "bin", "directory of the programs")
+	only := flag.String("only", "", "run only the measurement with this name")
 	flag.Parse()
-	for _, m := range []measure{
+	for _, m := range []measurement{
 		{"ownerless", ownerless},
-		{"config", configInForce},
+		{"config", configPropagation},
 		{"requests", requests},
 		{"recovery", recovery},
 		{"urgent", urgent},
-		{"wave", wave},
+		{"wave", massCancellation},
 		{"mixed", mixed},
-		{"counter", counter},
-		{"logout", logOut},
+		{"counter", requestsInFullCluster},
+		{"logout", logOutage},
 	} {
 		if *only != "" && *only != m.name {
 			continue
 		}
 		fmt.Printf("\n### %s\n\n", m.name)
-		if err := m.do(filepath.Join(*bin, "leverdyked")); err != nil {
+		if err := m.run(filepath.Join(*bin, "leverdyked")); err != nil {
 			fmt.Fprintf(os.Stderr, "measure %s: %v\n", m.name, err)
 			os.Exit(1)
 		}
 	}
 }
 
-// options says what a cell for a measurement consists of.
+// options configures the cluster of a measurement.
 type options struct {
 	nodes, racks, workers int
 	capacity              leverdyke.Resources
 	settings              string
 }
 
-// withCell starts a cell with one team, hands it to f, and ends it.
-func withCell(binary string, o options, f func(c *standin.Cell) error) error {
+// withCluster starts a cluster with one team, calls run with it, and closes it.
+func withCluster(binary string, o options, run func(c *standin.Cluster) error) error {
 	dir, err := os.MkdirTemp("", "leverdyke-measure-")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	c, err := standin.NewCell(standin.NewCellOptions{
+	c, err := standin.NewCluster(standin.NewClusterOptions{
 		Binary: binary, Dir: dir, Nodes: o.nodes, Settings: o.settings,
 		Platform: native.NewServerOptions{Zones: 1, Racks: o.racks, Workers: o.workers, Capacity: o.capacity},
 	})
@@ -80,8 +79,8 @@
 		return err
 	}
 	defer c.Close()
-	if !c.AwaitOwned(patience, o.racks, 16) {
-		return fmt.Errorf("not all shards have an owner")
+	if !c.AwaitOwned(timeout, o.racks, 16) {
+		return fmt.Errorf("not all racks and job shards have an owner")
 	}
 	for _, d := range [][2]string{
 		{"office/head", "waiting: 0.5\npacking: 0.5\n"},
@@ -91,22 +90,22 @@
 			return err
 		}
 	}
-	return f(c)
+	return run(c)
 }
 
-func submit(c *standin.Cell, id, body string) error {
+func submit(c *standin.Cluster, id, body string) error {
 	_, err := c.Client().Submit(context.Background(), &operator.SubmitRequest{ID: id, File: id, Body: "team: t\n" + body})
 	return err
 }
 
-func awaitRunning(c *standin.Cell, n int) error {
-	if !standin.Await(patience, func() bool { return c.Platform.Oracle.Report().Running >= n }) {
-		return fmt.Errorf("%d of %d tasks run", c.Platform.Oracle.Report().Running, n)
+func awaitRunning(c *standin.Cluster, n int) error {
+	if !standin.Await(timeout, func() bool { return c.Platform.Oracle.Report().Running >= n }) {
+		return fmt.Errorf("%d of %d tasks are running", c.Platform.Oracle.Report().Running, n)
 	}
 	return nil
 }
 
-// status asks one node about itself.
+// status asks a node for the status of all nodes and returns its own.
 func status(n *standin.Node) (operator.Status, bool) {
 	list, err := operator.NewClient([]string{n.Operators.String()}, time.Second, nil).Nodes(context.Background())
 	if err != nil {
@@ -120,9 +119,10 @@
 	return operator.Status{}, false
 }
 
-// newHistogram takes microseconds up to ten minutes.
+// newHistogram returns a histogram of microseconds, up to ten minutes.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 600_000_000, 3) }
 
+// quantiles formats the median, the 99th and 99.9th percentiles and the maximum.
 func quantiles(h *hdrhistogram.Histogram) string {
 	parts := []string{}
 	for _, q := range []float64{50, 99, 99.9, 100} {
