--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -25,9 +25,9 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/caller"
 	"github.com/leverdyke/leverdyke/internal/front"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/metrics"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/once"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
@@ -35,13 +35,13 @@
 // fakeKeys is the log's table of keys, shared by several handlers.
 type fakeKeys struct {
 	mu     *sync.Mutex
-	owners map[once.Key]*fakeKeys
-	table  *once.Table
-	fate   once.Fate
+	owners map[idempotency.Key]*fakeKeys
+	table  *idempotency.Table
+	fate   idempotency.Fate
 	claims int
 }
 
-func (k *fakeKeys) ClaimKey(_ context.Context, key once.Key) (once.Fate, state.NodeID) {
+func (k *fakeKeys) ClaimKey(_ context.Context, key idempotency.Key) (idempotency.Fate, state.NodeID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.claims++
@@ -49,13 +49,13 @@
 		return k.fate, ""
 	}
 	if k.owners[key] != nil {
-		return once.FateLost, "other"
+		return idempotency.FateLost, "other"
 	}
 	k.owners[key] = k
-	return once.FateWon, "self"
+	return idempotency.FateWon, "self"
 }
 
-func (k *fakeKeys) FetchAnswer(ctx context.Context, _ state.NodeID, key once.Key) (node.SavedAnswer, bool) {
+func (k *fakeKeys) FetchAnswer(ctx context.Context, _ state.NodeID, key idempotency.Key) (node.SavedAnswer, bool) {
 	k.mu.Lock()
 	owner := k.owners[key]
 	k.mu.Unlock()
@@ -70,14 +70,14 @@
 	return a, ok && a.Verdict != ""
 }
 
-func (k *fakeKeys) Answers() *once.Table { return k.table }
+func (k *fakeKeys) Answers() *idempotency.Table { return k.table }
 
 // newFakeKeys returns the keys of n nodes of one cell.
 func newFakeKeys(n int) []*fakeKeys {
-	mu, owners := &sync.Mutex{}, map[once.Key]*fakeKeys{}
+	mu, owners := &sync.Mutex{}, map[idempotency.Key]*fakeKeys{}
 	list := []*fakeKeys{}
 	for range n {
-		list = append(list, &fakeKeys{mu: mu, owners: owners, table: once.NewTable(once.NewTableOptions{})})
+		list = append(list, &fakeKeys{mu: mu, owners: owners, table: idempotency.NewTable(idempotency.NewTableOptions{})})
 	}
 	return list
 }
@@ -373,7 +373,7 @@
 func TestLogOutRefusesOnceOnlyAsNotRun(t *testing.T) {
 	runs := atomic.Int32{}
 	w := newWorker(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
-	for _, fate := range []once.Fate{once.FateNotTaken, once.FateOpen} {
+	for _, fate := range []idempotency.Fate{idempotency.FateNotTaken, idempotency.FateOpen} {
 		keys := newFakeKeys(1)[0]
 		keys.fate = fate
 		s := newFront(t, true, keys, w)
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -16,8 +16,8 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/front"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/once"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -26,27 +26,27 @@
 
 // Keys settles who may run a key, and finds the first answer.
 type Keys interface {
-	ClaimKey(ctx context.Context, key once.Key) (once.Fate, state.NodeID)
-	FetchAnswer(ctx context.Context, from state.NodeID, key once.Key) (node.SavedAnswer, bool)
-	Answers() *once.Table
+	ClaimKey(ctx context.Context, key idempotency.Key) (idempotency.Fate, state.NodeID)
+	FetchAnswer(ctx context.Context, from state.NodeID, key idempotency.Key) (node.SavedAnswer, bool)
+	Answers() *idempotency.Table
 }
 
 // parseKey reads an idempotency key. A key says when it was made, so that one
 // that is older than what is remembered is known to be so.
-func parseKey(text string, now time.Time) (once.Key, *leverdyke.Error) {
+func parseKey(text string, now time.Time) (idempotency.Key, *leverdyke.Error) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != 7 {
-		return once.Key{}, leverdyke.NotRun(KeyHeader+": this service's requests may not be repeated; a UUID of version 7 is needed", 0)
+		return idempotency.Key{}, leverdyke.NotRun(KeyHeader+": this service's requests may not be repeated; a UUID of version 7 is needed", 0)
 	}
 	seconds, nanos := id.Time().UnixTime()
 	made := time.Unix(seconds, nanos)
 	if made.Sub(now) > maxKeyAhead {
-		return once.Key{}, leverdyke.NotRun(KeyHeader+": the key's time is in the future", 0)
+		return idempotency.Key{}, leverdyke.NotRun(KeyHeader+": the key's time is in the future", 0)
 	}
 	if now.Sub(made) > state.OnceWindowMillis*time.Millisecond {
-		return once.Key{}, leverdyke.MayHaveRun("the key is older than what is remembered: nobody can say whether it ran", nil)
+		return idempotency.Key{}, leverdyke.MayHaveRun("the key is older than what is remembered: nobody can say whether it ran", nil)
 	}
-	return once.Key(id), nil
+	return idempotency.Key(id), nil
 }
 
 // serveOnce runs a request that may not be repeated at most once, and gives
@@ -80,7 +80,7 @@
 }
 
 // replayLocal waits for the answer of the request that was first here.
-func (h *Handler) replayLocal(ctx context.Context, w http.ResponseWriter, e *once.Entry, digest uint64) {
+func (h *Handler) replayLocal(ctx context.Context, w http.ResponseWriter, e *idempotency.Entry, digest uint64) {
 	a, ok := e.Wait(ctx)
 	if !ok {
 		h.refuse(w, leverdyke.MayHaveRun("the first request with this key is still in progress", nil))
@@ -115,7 +115,7 @@
 
 // runOnce gets the slot first, then the key, and only then sends: a request
 // that finds no slot leaves no trace, and its key can be used again.
-func (h *Handler) runOnce(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, key once.Key, e *once.Entry) {
+func (h *Handler) runOnce(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, key idempotency.Key, e *idempotency.Entry) {
 	table := h.options.Keys.Answers()
 	slot, problem := h.options.Router.Acquire(ctx, x.service, x.class)
 	if problem != nil {
@@ -125,12 +125,12 @@
 	}
 	fate, owner := h.options.Keys.ClaimKey(ctx, key)
 	switch fate {
-	case once.FateWon:
-	case once.FateLost:
+	case idempotency.FateWon:
+	case idempotency.FateLost:
 		slot.Release(false)
 		h.replayFrom(ctx, w, owner, key, e)
 		return
-	case once.FateOpen:
+	case idempotency.FateOpen:
 		slot.Release(false)
 		// The key may yet get into the log as this process's; it is not sent.
 		table.End(e, node.SavedAnswer{Verdict: leverdyke.VerdictNotRun, Digest: e.Digest})
@@ -148,7 +148,7 @@
 
 // sendWon sends a request whose key this node has won. It goes to another
 // worker only after a refusal that proves that nothing ran.
-func (h *Handler) sendWon(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, slot *front.Slot, e *once.Entry) {
+func (h *Handler) sendWon(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, slot *front.Slot, e *idempotency.Entry) {
 	// The answer is for the caller's retry too: it is fetched to its end even if
 	// the caller goes away.
 	stay, cancel := context.WithTimeout(context.WithoutCancel(ctx), h.options.MaxTimeout)
@@ -179,7 +179,7 @@
 }
 
 // replayFrom gets the answer from the node that was first.
-func (h *Handler) replayFrom(ctx context.Context, w http.ResponseWriter, owner state.NodeID, key once.Key, e *once.Entry) {
+func (h *Handler) replayFrom(ctx context.Context, w http.ResponseWriter, owner state.NodeID, key idempotency.Key, e *idempotency.Entry) {
 	events.Log(events.OnceKeyElsewhere, "node", owner)
 	a, ok := h.options.Keys.FetchAnswer(ctx, owner, key)
 	if !ok {
@@ -191,7 +191,7 @@
 
 // copyAndKeep sends the answer on and keeps it for a retry. Whatever becomes
 // of the caller's connection, the answer is read to its end.
-func (h *Handler) copyAndKeep(w http.ResponseWriter, res *http.Response, x *exchange, e *once.Entry) {
+func (h *Handler) copyAndKeep(w http.ResponseWriter, res *http.Response, x *exchange, e *idempotency.Entry) {
 	kept := &keeper{ResponseWriter: w}
 	saved := node.SavedAnswer{Verdict: leverdyke.VerdictMayHaveRun, Digest: e.Digest}
 	defer func() { h.options.Keys.Answers().End(e, saved) }()
@@ -241,7 +241,7 @@
 
 // Write passes p on and keeps it.
 func (k *keeper) Write(p []byte) (int, error) {
-	if k.body.Len()+len(p) > once.MaxAnswerBytes {
+	if k.body.Len()+len(p) > idempotency.MaxAnswerBytes {
 		k.isTooLong = true
 		k.body.Reset()
 	}
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -8,8 +8,8 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/events"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/once"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -30,7 +30,7 @@
 // reply must have room for one. If that process stops, is silent or has ended,
 // all nodes of the region are asked: it may have given its answers to one of
 // them. The returned number is for GiveUpOnce.
-func (c *Core) AskOnce(first state.NodeID, key once.Key, reply chan node.OnceReply) uint64 {
+func (c *Core) AskOnce(first state.NodeID, key idempotency.Key, reply chan node.OnceReply) uint64 {
 	c.onceID++
 	id := c.onceID
 	peers := []state.NodeID{first}
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"github.com/leverdyke/leverdyke"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/once"
 )
 
 // A node that refused a retry must not speak for the one that was first: only
@@ -27,7 +27,7 @@
 		"another: ran":       {other, leverdyke.VerdictRan, true},
 	} {
 		reply := make(chan node.OnceReply, 1)
-		id := asker.core.AskOnce(first.id(), once.Key{1}, reply)
+		id := asker.core.AskOnce(first.id(), idempotency.Key{1}, reply)
 		asker.core.OnMessage(&node.Envelope{From: c.from.hello(), Message: node.Message{
 			OnceReply: &node.OnceReply{ID: id, IsKnown: true, Answer: node.SavedAnswer{Verdict: c.verdict}},
 		}})
@@ -45,7 +45,7 @@
 	first.core.Drain()
 	w.run(20 * step)
 	reply := make(chan node.OnceReply, 1)
-	id := asker.core.AskOnce(first.id(), once.Key{1}, reply)
+	id := asker.core.AskOnce(first.id(), idempotency.Key{1}, reply)
 	isAsked := false
 	for i := range heir.inbox {
 		isAsked = isAsked || heir.inbox[i].OnceAsk != nil
--- a/internal/core/once.go
+++ b/internal/core/once.go
@@ -6,37 +6,37 @@
 import (
 	"errors"
 
-	"github.com/leverdyke/leverdyke/internal/once"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
 // KeyResult says what the log says of an idempotency key, and who has it.
 type KeyResult struct {
-	Fate  once.Fate
+	Fate  idempotency.Fate
 	Owner state.Owner
 }
 
 // ClaimKey puts a key into the log; done is called with its fate, never
 // FateOpen.
-func (c *Core) ClaimKey(key once.Key, done func(KeyResult)) {
+func (c *Core) ClaimKey(key idempotency.Key, done func(KeyResult)) {
 	if owner, ok := c.state.Keys[key]; ok {
-		done(KeyResult{once.FateLost, owner})
+		done(KeyResult{idempotency.FateLost, owner})
 		return
 	}
 	if !c.IsJoined() || c.isLogOut(c.now()) || len(c.state.Keys) >= state.MaxKeys {
-		done(KeyResult{Fate: once.FateNotTaken})
+		done(KeyResult{Fate: idempotency.FateNotTaken})
 		return
 	}
 	c.Append(state.Record{Once: &state.Once{Key: key}}, func(err error) {
 		switch {
 		case err == nil:
-			done(KeyResult{Fate: once.FateWon})
+			done(KeyResult{Fate: idempotency.FateWon})
 		case errors.Is(err, state.ErrLost):
-			done(KeyResult{once.FateLost, c.state.Keys[key]})
+			done(KeyResult{idempotency.FateLost, c.state.Keys[key]})
 		default:
 			// Neither an append that was not made nor a batch that the fold
 			// drops lets this process run the request.
-			done(KeyResult{Fate: once.FateNotTaken})
+			done(KeyResult{Fate: idempotency.FateNotTaken})
 		}
 	})
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -14,7 +14,7 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/core"
-	"github.com/leverdyke/leverdyke/internal/once"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/standin/native"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/vmlist"
@@ -321,9 +321,9 @@
 	w := newWorld(worldOptions{nodes: 1, racks: 1, workers: 1, seed: 3})
 	w.ready(t)
 	c := w.nodes[0].core
-	claim := func(n int) once.Fate {
-		fate := once.Fate("")
-		c.ClaimKey(once.Key{byte(n >> 16), byte(n >> 8), byte(n)}, func(r core.KeyResult) { fate = r.Fate })
+	claim := func(n int) idempotency.Fate {
+		fate := idempotency.Fate("")
+		c.ClaimKey(idempotency.Key{byte(n >> 16), byte(n >> 8), byte(n)}, func(r core.KeyResult) { fate = r.Fate })
 		for range 20 {
 			if fate != "" {
 				break
@@ -332,17 +332,17 @@
 		}
 		return fate
 	}
-	if got := claim(0); got != once.FateWon {
-		t.Errorf("the first: got: %v, want: %v", got, once.FateWon)
+	if got := claim(0); got != idempotency.FateWon {
+		t.Errorf("the first: got: %v, want: %v", got, idempotency.FateWon)
 	}
 	for i := range state.MaxKeys {
-		c.State().Keys[once.Key{0xff, byte(i >> 8), byte(i)}] = state.Owner{}
+		c.State().Keys[idempotency.Key{0xff, byte(i >> 8), byte(i)}] = state.Owner{}
 	}
-	if got := claim(1); got != once.FateNotTaken {
-		t.Errorf("one too many: got: %v, want: %v", got, once.FateNotTaken)
+	if got := claim(1); got != idempotency.FateNotTaken {
+		t.Errorf("one too many: got: %v, want: %v", got, idempotency.FateNotTaken)
 	}
-	if got := claim(0); got != once.FateLost {
-		t.Errorf("a remembered one: got: %v, want: %v", got, once.FateLost)
+	if got := claim(0); got != idempotency.FateLost {
+		t.Errorf("a remembered one: got: %v, want: %v", got, idempotency.FateLost)
 	}
 }
 
--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -17,11 +17,11 @@
 	"github.com/leverdyke/leverdyke/internal/core"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/front"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/journal"
 	"github.com/leverdyke/leverdyke/internal/logservice"
 	"github.com/leverdyke/leverdyke/internal/metrics"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/once"
 	"github.com/leverdyke/leverdyke/internal/ring"
 	"github.com/leverdyke/leverdyke/internal/settings"
 	"github.com/leverdyke/leverdyke/internal/state"
@@ -53,7 +53,7 @@
 	metrics   *metrics.Set
 	transport *http.Transport
 	vms       *vmlist.Client
-	answers   *once.Table
+	answers   *idempotency.Table
 	// core belongs to the goroutine of loop; everybody else sends it events.
 	core *core.Core
 }
@@ -69,7 +69,7 @@
 	n := &Node{
 		settings: s, clock: c, events: ring.NewRing[event](eventRing), done: make(chan struct{}), cancel: cancel, ctx: ctx,
 		owner:   state.Owner{Node: state.NodeID(s.LinkAddr.String()), Incarnation: uint64(time.Now().UnixNano())},
-		metrics: m, answers: once.NewTable(once.NewTableOptions{}), vms: vmlist.NewClient(s.VMListAddr),
+		metrics: m, answers: idempotency.NewTable(idempotency.NewTableOptions{}), vms: vmlist.NewClient(s.VMListAddr),
 	}
 	n.transport = worker.NewTransport(func(sent, received int) { n.countControl("worker", sent, received) })
 	hello := node.Hello{Node: n.owner.Node, Incarnation: n.owner.Incarnation, Zone: s.Zone, Region: s.Region}
--- a/internal/entry/once.go
+++ b/internal/entry/once.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke/internal/core"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/once"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -18,22 +18,22 @@
 // ClaimKey puts a key into the log and says who has it. After FateNotTaken
 // nothing was run under the key by this call; FateOpen means that ctx ended
 // before the log had answered, and that nothing was sent.
-func (n *Node) ClaimKey(ctx context.Context, key once.Key) (once.Fate, state.NodeID) {
+func (n *Node) ClaimKey(ctx context.Context, key idempotency.Key) (idempotency.Fate, state.NodeID) {
 	reply := make(chan core.KeyResult, 1)
 	n.put(func(c *core.Core) { c.ClaimKey(key, func(r core.KeyResult) { reply <- r }) })
 	select {
 	case r := <-reply:
 		return r.Fate, r.Owner.Node
 	case <-ctx.Done():
-		return once.FateOpen, ""
+		return idempotency.FateOpen, ""
 	case <-n.done:
-		return once.FateNotTaken, ""
+		return idempotency.FateNotTaken, ""
 	}
 }
 
 // FetchAnswer asks the node that was first to have a key for its answer; false
 // means that the answer is not known.
-func (n *Node) FetchAnswer(ctx context.Context, from state.NodeID, key once.Key) (node.SavedAnswer, bool) {
+func (n *Node) FetchAnswer(ctx context.Context, from state.NodeID, key idempotency.Key) (node.SavedAnswer, bool) {
 	reply := make(chan node.OnceReply, 1)
 	id := ask(n, func(c *core.Core) uint64 { return c.AskOnce(from, key, reply) })
 	select {
@@ -59,7 +59,7 @@
 	go n.runAnswerOnce(from, m.ID, e)
 }
 
-func (n *Node) runAnswerOnce(from state.NodeID, id uint64, e *once.Entry) {
+func (n *Node) runAnswerOnce(from state.NodeID, id uint64, e *idempotency.Entry) {
 	defer n.wg.Done()
 	ctx, cancel := context.WithTimeout(n.ctx, onceAskTimeout)
 	defer cancel()
@@ -85,4 +85,4 @@
 }
 
 // Answers returns the answers that are kept for callers' retries.
-func (n *Node) Answers() *once.Table { return n.answers }
+func (n *Node) Answers() *idempotency.Table { return n.answers }
--- a/internal/once/table.go
+++ b/internal/idempotency/table.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package once keeps the answers to requests that may not be repeated, so that
+// Package idempotency keeps the answers to requests that may not be repeated, so that
 // a caller's retry gets the first answer and never a second run.
-package once
+package idempotency
 
 import (
 	"container/list"
