--- a/cmd/leverdyked/main.go
+++ b/cmd/leverdyked/main.go
@@ -23,9 +23,9 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/caller"
 	"github.com/leverdyke/leverdyke/internal/command"
-	"github.com/leverdyke/leverdyke/internal/entry"
 	"github.com/leverdyke/leverdyke/internal/listen"
 	"github.com/leverdyke/leverdyke/internal/metrics"
+	"github.com/leverdyke/leverdyke/internal/nodeserver"
 	"github.com/leverdyke/leverdyke/internal/operator"
 	"github.com/leverdyke/leverdyke/internal/settings"
 )
@@ -80,7 +80,7 @@
 // daemon is the process: the node and its two doors.
 type daemon struct {
 	settings  *settings.Node
-	node      *entry.Node
+	node      *nodeserver.Node
 	handler   *caller.Handler
 	callers   *http.Server
 	operators *http.Server
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := entry.NewNode(s, m)
+	n, err := nodeserver.NewNode(s, m)
 	if err != nil {
 		return nil, err
 	}
@@ -160,7 +160,7 @@
 	d.node.Close()
 }
 
-func registerGauges(m *metrics.Set, n *entry.Node) error {
+func registerGauges(m *metrics.Set, n *nodeserver.Node) error {
 	if err := m.Gauge("leverdyke.packing", "resource", n.Packing); err != nil {
 		return err
 	}
--- a/internal/entry/node.go
+++ b/internal/nodeserver/node.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package entry assembles a node: it joins the duties of an entry VM, which
+// Package nodeserver assembles a node: it joins the duties of an entry VM, which
 // talk to the peers' packages, with the decisions, which are pure.
-package entry
+package nodeserver
 
 import (
 	"context"
@@ -76,7 +76,7 @@
 	links, err := node.NewLinks(s.LinkAddr, hello, c, n)
 	if err != nil {
 		cancel()
-		return nil, fmt.Errorf("entry: %w", err)
+		return nil, fmt.Errorf("nodeserver: %w", err)
 	}
 	n.links = links
 	n.router = front.NewRouter(front.NewRouterOptions{Zone: s.Zone, Clock: c})
