--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -20,8 +20,8 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/metrics"
+	"github.com/leverdyke/leverdyke/internal/router"
 )
 
 // The headers of callers.
@@ -46,8 +46,8 @@
 
 // Router gives slots.
 type Router interface {
-	Info(service string) (front.Info, bool)
-	Acquire(ctx context.Context, service string, class leverdyke.Class) (*front.Slot, *leverdyke.Error)
+	Info(service string) (router.Info, bool)
+	Acquire(ctx context.Context, service string, class leverdyke.Class) (*router.Slot, *leverdyke.Error)
 }
 
 // NewHandlerOptions says what a handler needs. Router, Keys, Metrics and
@@ -268,7 +268,7 @@
 
 // send makes one round trip. The body has no way to be rewound, so that the
 // transport never sends it twice.
-func (h *Handler) send(ctx context.Context, r *http.Request, x *exchange, slot *front.Slot) (*http.Response, *leverdyke.Error) {
+func (h *Handler) send(ctx context.Context, r *http.Request, x *exchange, slot *router.Slot) (*http.Response, *leverdyke.Error) {
 	var body io.Reader = bytes.NewReader(x.body)
 	if x.rest != nil {
 		body = io.MultiReader(body, x.rest)
--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -24,10 +24,10 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/caller"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/metrics"
 	"github.com/leverdyke/leverdyke/internal/node"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
@@ -95,8 +95,8 @@
 // grants lead to the workers.
 func newFront(t *testing.T, isOnce bool, keys *fakeKeys, workers ...string) *httptest.Server {
 	t.Helper()
-	r := front.NewRouter(front.NewRouterOptions{Idle: time.Hour})
-	r.SetServices(map[string]front.Info{"s": {IsOnce: isOnce}})
+	r := router.NewRouter(router.NewRouterOptions{Idle: time.Hour})
+	r.SetServices(map[string]router.Info{"s": {IsOnce: isOnce}})
 	for i, w := range workers {
 		r.OnGrant(grantFor(t, "s", w, uint64(i+1), 4))
 	}
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -15,9 +15,9 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/node"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -148,7 +148,7 @@
 
 // sendWon sends a request whose key this node has won. It goes to another
 // worker only after a refusal that proves that nothing ran.
-func (h *Handler) sendWon(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, slot *front.Slot, e *idempotency.Entry) {
+func (h *Handler) sendWon(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, slot *router.Slot, e *idempotency.Entry) {
 	// The answer is for the caller's retry too: it is fetched to its end even if
 	// the caller goes away.
 	stay, cancel := context.WithTimeout(context.WithoutCancel(ctx), h.options.MaxTimeout)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,7 +16,6 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/home"
 	"github.com/leverdyke/leverdyke/internal/membership"
 	"github.com/leverdyke/leverdyke/internal/node"
@@ -24,6 +23,7 @@
 	"github.com/leverdyke/leverdyke/internal/placement"
 	"github.com/leverdyke/leverdyke/internal/policy"
 	"github.com/leverdyke/leverdyke/internal/rack"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/tail"
 	"github.com/leverdyke/leverdyke/internal/vmlist"
@@ -106,7 +106,7 @@
 	Lease time.Duration
 	// SnapshotEvery is after how many batches a snapshot is written.
 	SnapshotEvery int64
-	Router        *front.Router
+	Router        *router.Router
 	Meter         Meter
 }
 
--- a/internal/core/fakenode_test.go
+++ b/internal/core/fakenode_test.go
@@ -11,9 +11,9 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/core"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/journal"
 	"github.com/leverdyke/leverdyke/internal/node"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
@@ -29,7 +29,7 @@
 	incarnation   uint64
 	snapshotEvery int64
 	core          *core.Core
-	router        *front.Router
+	router        *router.Router
 	isPaused      bool
 	inbox         []node.Envelope
 	links         []*fakeLink
@@ -76,7 +76,7 @@
 	n.next, n.seq, n.failingSince, n.vmsAt, n.isPaused = 0, 0, time.Time{}, time.Time{}, false
 	n.seen = map[string]uint64{}
 	zone := n.hello().Zone
-	n.router = front.NewRouter(front.NewRouterOptions{Zone: zone, Clock: n.world.clock})
+	n.router = router.NewRouter(router.NewRouterOptions{Zone: zone, Clock: n.world.clock})
 	n.core = core.NewCore(n, core.NewCoreOptions{
 		Self: state.Owner{Node: n.id(), Incarnation: n.incarnation}, Link: n.addr, Operators: n.addr, Region: region, Zone: zone,
 		Lease: worldLease, SnapshotEvery: n.snapshotEvery, Router: n.router,
--- a/internal/core/fold.go
+++ b/internal/core/fold.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/journal"
 	"github.com/leverdyke/leverdyke/internal/ownership"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/tail"
 )
@@ -169,13 +169,13 @@
 }
 
 func (c *Core) listServices() {
-	infos := map[string]front.Info{}
+	infos := map[string]router.Info{}
 	for _, j := range c.state.Jobs {
 		// A node knows the rooms of its own region only: a request for another
 		// region's service is refused at once.
 		if j.Spec.Service != "" && !j.IsEnded && j.Spec.Region == c.options.Region {
 			old := infos[j.Spec.Service]
-			infos[j.Spec.Service] = front.Info{IsOnce: old.IsOnce || j.Spec.IsRequestOnce}
+			infos[j.Spec.Service] = router.Info{IsOnce: old.IsOnce || j.Spec.IsRequestOnce}
 		}
 	}
 	c.options.Router.SetServices(infos)
--- a/internal/core/lost_test.go
+++ b/internal/core/lost_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
-	"github.com/leverdyke/leverdyke/internal/front"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/standin/native"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
@@ -59,9 +59,9 @@
 }
 
 // acquire takes a slot of a service through a node's router.
-func (w *world) acquire(t *testing.T, n *fakeNode, service string) *front.Slot {
+func (w *world) acquire(t *testing.T, n *fakeNode, service string) *router.Slot {
 	t.Helper()
-	slots := make(chan *front.Slot, 1)
+	slots := make(chan *router.Slot, 1)
 	go func() {
 		s, _ := n.router.Acquire(context.Background(), service, leverdyke.ClassNormal)
 		slots <- s
--- a/internal/nodeserver/node.go
+++ b/internal/nodeserver/node.go
@@ -16,13 +16,13 @@
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/core"
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/journal"
 	"github.com/leverdyke/leverdyke/internal/logservice"
 	"github.com/leverdyke/leverdyke/internal/metrics"
 	"github.com/leverdyke/leverdyke/internal/node"
 	"github.com/leverdyke/leverdyke/internal/ring"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/settings"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/vmlist"
@@ -49,7 +49,7 @@
 	links     *node.Links
 	reader    *journal.Reader
 	writer    *journal.Writer
-	router    *front.Router
+	router    *router.Router
 	metrics   *metrics.Set
 	transport *http.Transport
 	vms       *vmlist.Client
@@ -79,7 +79,7 @@
 		return nil, fmt.Errorf("nodeserver: %w", err)
 	}
 	n.links = links
-	n.router = front.NewRouter(front.NewRouterOptions{Zone: s.Zone, Clock: c})
+	n.router = router.NewRouter(router.NewRouterOptions{Zone: s.Zone, Clock: c})
 	log := logservice.NewClient(s.LogAddr, func(sent, received int) { n.countControl("log", sent, received) })
 	n.writer = journal.NewWriter(log, n.owner, journal.NewWriterOptions{
 		AppendsPerSecond: s.AppendsPerSecond, Clock: c, Appended: func() { n.reader.Wake() }, Settle: func(f func()) { n.put(func(*core.Core) { f() }) },
@@ -118,7 +118,7 @@
 }
 
 // Router returns what gives callers' requests their slots.
-func (n *Node) Router() *front.Router { return n.router }
+func (n *Node) Router() *router.Router { return n.router }
 
 // put hands an event to the core; it waits for room, and drops the event when
 // the node closes.
--- a/internal/front/grants.go
+++ b/internal/router/grants.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package front
+package router
 
 import (
 	"maps"
--- a/internal/front/router.go
+++ b/internal/router/router.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package front gives callers' requests their slots: it reuses the grants that
+// Package router gives callers' requests their slots: it reuses the grants that
 // racks' owners gave to this node, queues within bounds, and refuses early.
-package front
+package router
 
 import (
 	"cmp"
--- a/internal/front/router_test.go
+++ b/internal/router/router_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package front_test
+package router_test
 
 import (
 	"context"
@@ -11,16 +11,16 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/clock"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/node"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-func newRouter(maxWaiting int) (*front.Router, *clock.Fake) {
+func newRouter(maxWaiting int) (*router.Router, *clock.Fake) {
 	c := clock.NewFake()
-	r := front.NewRouter(front.NewRouterOptions{Zone: "near", MaxWaiting: maxWaiting, Clock: c})
-	r.SetServices(map[string]front.Info{"s": {}})
+	r := router.NewRouter(router.NewRouterOptions{Zone: "near", MaxWaiting: maxWaiting, Clock: c})
+	r.SetServices(map[string]router.Info{"s": {}})
 	return r, c
 }
 
@@ -31,7 +31,7 @@
 	}
 }
 
-func acquire(t *testing.T, r *front.Router) *front.Slot {
+func acquire(t *testing.T, r *router.Router) *router.Slot {
 	t.Helper()
 	s, err := r.Acquire(context.Background(), "s", leverdyke.ClassNormal)
 	if err != nil {
@@ -57,7 +57,7 @@
 }
 
 // wait starts a request that waits, and returns once it does.
-func wait(t *testing.T, r *front.Router, class leverdyke.Class) chan *leverdyke.Error {
+func wait(t *testing.T, r *router.Router, class leverdyke.Class) chan *leverdyke.Error {
 	t.Helper()
 	select {
 	case <-r.Nudge():
@@ -282,7 +282,7 @@
 	}
 	returned := 0
 	for range 100 {
-		slots := []*front.Slot{}
+		slots := []*router.Slot{}
 		for range 9 {
 			slots = append(slots, acquire(t, r))
 		}
