--- a/internal/events/sink.go
+++ b/internal/events/sink.go
@@ -11,7 +11,7 @@
 
 	"k8s.io/klog/v2"
 
-	"github.com/leverdyke/leverdyke/internal/ring"
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 )
 
 // sinkLines is how many lines may wait to be written.
@@ -21,7 +21,7 @@
 // dropped and counted: logging never holds up a decision.
 type Sink struct {
 	out     io.Writer
-	lines   *ring.Ring[[]byte]
+	lines   *boundedqueue.Queue[[]byte]
 	dropped atomic.Int64
 	done    chan struct{}
 	ended   chan struct{}
@@ -29,7 +29,7 @@
 
 // NewSink makes klog write to out through a Sink.
 func NewSink(out io.Writer) (*Sink, error) {
-	s := &Sink{out: out, lines: ring.NewRing[[]byte](sinkLines), done: make(chan struct{}), ended: make(chan struct{})}
+	s := &Sink{out: out, lines: boundedqueue.NewQueue[[]byte](sinkLines), done: make(chan struct{}), ended: make(chan struct{})}
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	for name, value := range map[string]string{"logtostderr": "false", "alsologtostderr": "false", "stderrthreshold": "FATAL", "one_output": "true"} {
@@ -65,7 +65,7 @@
 	told := int64(0)
 	for {
 		select {
-		case line := <-s.lines.Out():
+		case line := <-s.lines.Items():
 			s.write(line)
 		case <-s.done:
 			s.drain()
@@ -81,7 +81,7 @@
 func (s *Sink) drain() {
 	for {
 		select {
-		case line := <-s.lines.Out():
+		case line := <-s.lines.Items():
 			s.write(line)
 		default:
 			return
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/logservice"
-	"github.com/leverdyke/leverdyke/internal/ring"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -63,7 +63,7 @@
 	log     Log
 	owner   state.Owner
 	options NewWriterOptions
-	queue   *ring.Ring[queued]
+	queue   *boundedqueue.Queue[queued]
 
 	mu sync.Mutex
 	// inFlight has the callbacks of each batch that was handed to the log.
@@ -104,7 +104,7 @@
 		options.Settle = func(f func()) { f() }
 	}
 	return &Writer{
-		log: log, owner: owner, options: options, queue: ring.NewRing[queued](maxQueued),
+		log: log, owner: owner, options: options, queue: boundedqueue.NewQueue[queued](maxQueued),
 		inFlight: map[uint64][]Done{}, foldedCh: make(chan struct{}),
 		tokens: appendBurst, refilled: options.Clock.Now(),
 	}
@@ -196,7 +196,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-w.queue.Out():
+		case first := <-w.queue.Items():
 			w.awaitShare(ctx)
 			w.runBatch(ctx, first)
 		}
@@ -249,7 +249,7 @@
 
 func (w *Writer) next() (queued, bool) {
 	select {
-	case q := <-w.queue.Out():
+	case q := <-w.queue.Items():
 		return q, true
 	default:
 		return queued{}, false
--- a/internal/link/conn.go
+++ b/internal/link/conn.go
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 	"github.com/leverdyke/leverdyke/internal/codec"
 	"github.com/leverdyke/leverdyke/internal/frame"
 	"github.com/leverdyke/leverdyke/internal/progress"
-	"github.com/leverdyke/leverdyke/internal/ring"
 )
 
 // Kind names a message; its body has one type.
@@ -70,7 +70,7 @@
 type Conn struct {
 	conn    net.Conn
 	handler Handler
-	out     *ring.Ring[*message]
+	out     *boundedqueue.Queue[*message]
 	ctx     context.Context
 	cancel  context.CancelFunc
 	slots   chan struct{}
@@ -84,7 +84,7 @@
 func NewConn(c net.Conn, h Handler) *Conn {
 	ctx, cancel := context.WithCancel(context.Background())
 	conn := &Conn{
-		conn: c, handler: h, out: ring.NewRing[*message](outboundFrames), ctx: ctx, cancel: cancel,
+		conn: c, handler: h, out: boundedqueue.NewQueue[*message](outboundFrames), ctx: ctx, cancel: cancel,
 		slots: make(chan struct{}, maxCalls), waiting: map[uint64]waiter{},
 	}
 	if t, ok := c.(*net.TCPConn); ok {
@@ -189,7 +189,7 @@
 		select {
 		case <-c.ctx.Done():
 			return
-		case m := <-c.out.Out():
+		case m := <-c.out.Items():
 			var err error
 			if buf, err = c.gather(buf[:0], m); err != nil {
 				return
@@ -209,7 +209,7 @@
 	buf, err := frame.Append(buf, m)
 	for err == nil && len(buf) < gatherBytes {
 		select {
-		case next := <-c.out.Out():
+		case next := <-c.out.Items():
 			buf, err = frame.Append(buf, next)
 		default:
 			return buf, nil
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 	"github.com/leverdyke/leverdyke/internal/clock"
-	"github.com/leverdyke/leverdyke/internal/ring"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -64,7 +64,7 @@
 	links *Links
 	node  state.NodeID
 	addr  netip.AddrPort
-	ring  *ring.Ring[*Message]
+	ring  *boundedqueue.Queue[*Message]
 	stop  context.CancelFunc
 }
 
@@ -111,7 +111,7 @@
 		return
 	}
 	ctx, stop := context.WithCancel(l.ctx)
-	o := &outgoing{links: l, node: peer, addr: addr, ring: ring.NewRing[*Message](outboundFrames), stop: stop}
+	o := &outgoing{links: l, node: peer, addr: addr, ring: boundedqueue.NewQueue[*Message](outboundFrames), stop: stop}
 	l.peers[peer] = o
 	l.wg.Add(1)
 	go o.loop(ctx)
@@ -226,7 +226,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-o.ring.Out():
+		case m := <-o.ring.Items():
 			if o.write(c, m) != nil {
 				return
 			}
@@ -239,7 +239,7 @@
 func (o *outgoing) dropQueued() {
 	for {
 		select {
-		case <-o.ring.Out():
+		case <-o.ring.Items():
 		default:
 			return
 		}
--- a/internal/nodeserver/node.go
+++ b/internal/nodeserver/node.go
@@ -13,6 +13,7 @@
 	"sync"
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/core"
 	"github.com/leverdyke/leverdyke/internal/events"
@@ -21,7 +22,6 @@
 	"github.com/leverdyke/leverdyke/internal/logservice"
 	"github.com/leverdyke/leverdyke/internal/metrics"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/ring"
 	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/settings"
 	"github.com/leverdyke/leverdyke/internal/state"
@@ -40,7 +40,7 @@
 	settings *settings.Node
 	clock    clock.Service
 	owner    state.Owner
-	events   *ring.Ring[event]
+	events   *boundedqueue.Queue[event]
 	done     chan struct{}
 	cancel   context.CancelFunc
 	ctx      context.Context
@@ -67,7 +67,7 @@
 	c := clock.Real{}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
-		settings: s, clock: c, events: ring.NewRing[event](eventRing), done: make(chan struct{}), cancel: cancel, ctx: ctx,
+		settings: s, clock: c, events: boundedqueue.NewQueue[event](eventRing), done: make(chan struct{}), cancel: cancel, ctx: ctx,
 		owner:   state.Owner{Node: state.NodeID(s.LinkAddr.String()), Incarnation: uint64(time.Now().UnixNano())},
 		metrics: m, answers: idempotency.NewTable(idempotency.NewTableOptions{}), vms: vmlist.NewClient(s.VMListAddr),
 	}
@@ -136,7 +136,7 @@
 			n.core.Tick()
 		case <-n.router.Nudge():
 			n.core.PlanGrants()
-		case e := <-n.events.Out():
+		case e := <-n.events.Items():
 			e(n.core)
 			n.drainEvents()
 		}
@@ -150,7 +150,7 @@
 	const burst = 64
 	for range burst {
 		select {
-		case e := <-n.events.Out():
+		case e := <-n.events.Items():
 			e(n.core)
 		default:
 			return
--- a/internal/nodeserver/workers.go
+++ b/internal/nodeserver/workers.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 	"github.com/leverdyke/leverdyke/internal/core"
 	"github.com/leverdyke/leverdyke/internal/rack"
-	"github.com/leverdyke/leverdyke/internal/ring"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
@@ -32,7 +32,7 @@
 	epoch  worker.Epoch
 	id     worker.ID
 	client *worker.Client
-	orders *ring.Ring[workerOrder]
+	orders *boundedqueue.Queue[workerOrder]
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -55,7 +55,7 @@
 func newWorkerLink(n *Node, rack state.ShardID, epoch worker.Epoch, id worker.ID, addr netip.AddrPort) *workerLink {
 	ctx, cancel := context.WithCancel(n.ctx)
 	l := &workerLink{
-		node: n, rack: rack, epoch: epoch, id: id, orders: ring.NewRing[workerOrder](workerOrders), ctx: ctx, cancel: cancel,
+		node: n, rack: rack, epoch: epoch, id: id, orders: boundedqueue.NewQueue[workerOrder](workerOrders), ctx: ctx, cancel: cancel,
 		client: worker.NewClient(addr, n.transport),
 	}
 	n.wg.Add(2)
@@ -141,7 +141,7 @@
 		select {
 		case <-l.ctx.Done():
 			return
-		case o := <-l.orders.Out():
+		case o := <-l.orders.Items():
 			l.give(o)
 		}
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 	"github.com/leverdyke/leverdyke/internal/carrier"
 	"github.com/leverdyke/leverdyke/internal/dispatch"
 	"github.com/leverdyke/leverdyke/internal/events"
 	"github.com/leverdyke/leverdyke/internal/order"
 	"github.com/leverdyke/leverdyke/internal/quota"
-	"github.com/leverdyke/leverdyke/internal/ring"
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
@@ -28,7 +28,7 @@
 	engine  *dispatch.Engine
 	// router is used by the loop only.
 	router *carrier.Router
-	inbox  *ring.Ring[event]
+	inbox  *boundedqueue.Queue[event]
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
@@ -110,7 +110,7 @@
 			Log: options.Log, NodeZone: options.NodeZone, StopTime: options.StopTime, HeartbeatInterval: options.Heartbeat,
 		}),
 		router: carrier.NewRouter(options.DirectWorkers, options.Claim.Record.Epoch),
-		inbox:  ring.NewRing[event](inboxSize), ctx: ctx, cancel: cancel,
+		inbox:  boundedqueue.NewQueue[event](inboxSize), ctx: ctx, cancel: cancel,
 		writes: make(chan *write, 1), loaded: make(chan struct{}),
 		pendingSubmits: map[work.JobID][]chan error{}, pendingCancels: map[work.JobID][]chan error{},
 		recordOffset: options.Claim.Offset, heartbeatSeq: options.Claim.Record.HeartbeatSeq, persistedAt: options.Clock.Now(),
@@ -184,7 +184,7 @@
 		select {
 		case <-o.ctx.Done():
 			return
-		case ev := <-o.inbox.Out():
+		case ev := <-o.inbox.Items():
 			if o.ctx.Err() != nil {
 				// Another node may be the owner: no more requests are answered.
 				return
@@ -217,7 +217,7 @@
 func (o *Owner) drainInbox() {
 	for range maxEventsPerCycle {
 		select {
-		case ev := <-o.inbox.Out():
+		case ev := <-o.inbox.Items():
 			ev.apply(o)
 		default:
 			return
