--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -37,11 +37,11 @@
 	mu     *sync.Mutex
 	owners map[idempotency.Key]*fakeKeys
 	table  *idempotency.Table
-	fate   idempotency.Fate
+	fate   idempotency.ClaimOutcome
 	claims int
 }
 
-func (k *fakeKeys) ClaimKey(_ context.Context, key idempotency.Key) (idempotency.Fate, state.NodeID) {
+func (k *fakeKeys) ClaimKey(_ context.Context, key idempotency.Key) (idempotency.ClaimOutcome, state.NodeID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.claims++
@@ -49,10 +49,10 @@
 		return k.fate, ""
 	}
 	if k.owners[key] != nil {
-		return idempotency.FateLost, "other"
+		return idempotency.ClaimLost, "other"
 	}
 	k.owners[key] = k
-	return idempotency.FateWon, "self"
+	return idempotency.ClaimWon, "self"
 }
 
 func (k *fakeKeys) FetchAnswer(ctx context.Context, _ state.NodeID, key idempotency.Key) (node.SavedAnswer, bool) {
@@ -373,7 +373,7 @@
 func TestLogOutRefusesOnceOnlyAsNotRun(t *testing.T) {
 	runs := atomic.Int32{}
 	w := newWorker(t, func(http.ResponseWriter, *http.Request) { runs.Add(1) })
-	for _, fate := range []idempotency.Fate{idempotency.FateNotTaken, idempotency.FateOpen} {
+	for _, fate := range []idempotency.ClaimOutcome{idempotency.ClaimNotRecorded, idempotency.ClaimUnknown} {
 		keys := newFakeKeys(1)[0]
 		keys.fate = fate
 		s := newFront(t, true, keys, w)
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -26,7 +26,7 @@
 
 // Keys settles who may run a key, and finds the first answer.
 type Keys interface {
-	ClaimKey(ctx context.Context, key idempotency.Key) (idempotency.Fate, state.NodeID)
+	ClaimKey(ctx context.Context, key idempotency.Key) (idempotency.ClaimOutcome, state.NodeID)
 	FetchAnswer(ctx context.Context, from state.NodeID, key idempotency.Key) (node.SavedAnswer, bool)
 	Answers() *idempotency.Table
 }
@@ -125,15 +125,15 @@
 	}
 	fate, owner := h.options.Keys.ClaimKey(ctx, key)
 	switch fate {
-	case idempotency.FateWon:
-	case idempotency.FateLost:
+	case idempotency.ClaimWon:
+	case idempotency.ClaimLost:
 		slot.Release(false)
 		h.replayFrom(ctx, w, owner, key, e)
 		return
-	case idempotency.FateOpen:
+	case idempotency.ClaimUnknown:
 		slot.Release(false)
 		// The key may yet get into the log as this process's; it is not sent.
-		table.End(e, node.SavedAnswer{Verdict: leverdyke.VerdictNotRun, Digest: e.Digest})
+		table.Complete(e, node.SavedAnswer{Verdict: leverdyke.VerdictNotRun, Digest: e.Digest})
 		h.refuse(w, leverdyke.NotRun("the log did not take the key in time: use a new key to try again", 1))
 		return
 	default:
@@ -174,7 +174,7 @@
 			break
 		}
 	}
-	h.options.Keys.Answers().End(e, node.SavedAnswer{Verdict: last.Verdict, Digest: e.Digest})
+	h.options.Keys.Answers().Complete(e, node.SavedAnswer{Verdict: last.Verdict, Digest: e.Digest})
 	h.refuse(w, last)
 }
 
@@ -194,7 +194,7 @@
 func (h *Handler) copyAndKeep(w http.ResponseWriter, res *http.Response, x *exchange, e *idempotency.Entry) {
 	kept := &keeper{ResponseWriter: w}
 	saved := node.SavedAnswer{Verdict: leverdyke.VerdictMayHaveRun, Digest: e.Digest}
-	defer func() { h.options.Keys.Answers().End(e, saved) }()
+	defer func() { h.options.Keys.Answers().Complete(e, saved) }()
 	copyHeader(w.Header(), res.Header)
 	w.Header().Set(leverdyke.VerdictHeader, string(leverdyke.VerdictRan))
 	w.WriteHeader(res.StatusCode)
--- a/internal/core/once.go
+++ b/internal/core/once.go
@@ -12,7 +12,7 @@
 
 // KeyResult says what the log says of an idempotency key, and who has it.
 type KeyResult struct {
-	Fate  idempotency.Fate
+	Fate  idempotency.ClaimOutcome
 	Owner state.Owner
 }
 
@@ -20,23 +20,23 @@
 // FateOpen.
 func (c *Core) ClaimKey(key idempotency.Key, done func(KeyResult)) {
 	if owner, ok := c.state.Keys[key]; ok {
-		done(KeyResult{idempotency.FateLost, owner})
+		done(KeyResult{idempotency.ClaimLost, owner})
 		return
 	}
 	if !c.IsJoined() || c.isLogOut(c.now()) || len(c.state.Keys) >= state.MaxKeys {
-		done(KeyResult{Fate: idempotency.FateNotTaken})
+		done(KeyResult{Fate: idempotency.ClaimNotRecorded})
 		return
 	}
 	c.Append(state.Record{Once: &state.Once{Key: key}}, func(err error) {
 		switch {
 		case err == nil:
-			done(KeyResult{Fate: idempotency.FateWon})
+			done(KeyResult{Fate: idempotency.ClaimWon})
 		case errors.Is(err, state.ErrLost):
-			done(KeyResult{idempotency.FateLost, c.state.Keys[key]})
+			done(KeyResult{idempotency.ClaimLost, c.state.Keys[key]})
 		default:
 			// Neither an append that was not made nor a batch that the fold
 			// drops lets this process run the request.
-			done(KeyResult{Fate: idempotency.FateNotTaken})
+			done(KeyResult{Fate: idempotency.ClaimNotRecorded})
 		}
 	})
 }
--- a/internal/core/world_test.go
+++ b/internal/core/world_test.go
@@ -321,8 +321,8 @@
 	w := newWorld(worldOptions{nodes: 1, racks: 1, workers: 1, seed: 3})
 	w.ready(t)
 	c := w.nodes[0].core
-	claim := func(n int) idempotency.Fate {
-		fate := idempotency.Fate("")
+	claim := func(n int) idempotency.ClaimOutcome {
+		fate := idempotency.ClaimOutcome("")
 		c.ClaimKey(idempotency.Key{byte(n >> 16), byte(n >> 8), byte(n)}, func(r core.KeyResult) { fate = r.Fate })
 		for range 20 {
 			if fate != "" {
@@ -332,17 +332,17 @@
 		}
 		return fate
 	}
-	if got := claim(0); got != idempotency.FateWon {
-		t.Errorf("the first: got: %v, want: %v", got, idempotency.FateWon)
+	if got := claim(0); got != idempotency.ClaimWon {
+		t.Errorf("the first: got: %v, want: %v", got, idempotency.ClaimWon)
 	}
 	for i := range state.MaxKeys {
 		c.State().Keys[idempotency.Key{0xff, byte(i >> 8), byte(i)}] = state.Owner{}
 	}
-	if got := claim(1); got != idempotency.FateNotTaken {
-		t.Errorf("one too many: got: %v, want: %v", got, idempotency.FateNotTaken)
+	if got := claim(1); got != idempotency.ClaimNotRecorded {
+		t.Errorf("one too many: got: %v, want: %v", got, idempotency.ClaimNotRecorded)
 	}
-	if got := claim(0); got != idempotency.FateLost {
-		t.Errorf("a remembered one: got: %v, want: %v", got, idempotency.FateLost)
+	if got := claim(0); got != idempotency.ClaimLost {
+		t.Errorf("a remembered one: got: %v, want: %v", got, idempotency.ClaimLost)
 	}
 }
 
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -23,19 +23,19 @@
 // Key is an idempotency key.
 type Key = [16]byte
 
-// Fate says what the log says of a key.
-type Fate string
+// ClaimOutcome says what the log says of a key.
+type ClaimOutcome string
 
 // The fates of a key.
 const (
-	// FateWon means that this process may send the request, once.
-	FateWon Fate = "won"
-	// FateLost means that a process was first to have it.
-	FateLost Fate = "lost"
-	// FateNotTaken means that the log did not take it, and will not.
-	FateNotTaken Fate = "not-taken"
-	// FateOpen means that it is not known whether the log has it.
-	FateOpen Fate = "open"
+	// ClaimWon means that this process may send the request, once.
+	ClaimWon ClaimOutcome = "won"
+	// ClaimLost means that a process was first to have it.
+	ClaimLost ClaimOutcome = "lost"
+	// ClaimNotRecorded means that the log did not take it, and will not.
+	ClaimNotRecorded ClaimOutcome = "not-taken"
+	// ClaimUnknown means that it is not known whether the log has it.
+	ClaimUnknown ClaimOutcome = "open"
 )
 
 // NewTableOptions sets the bounds. The zero value works.
@@ -48,11 +48,11 @@
 // Table has the keys that this process was the first to run. It is safe for
 // concurrent use.
 type Table struct {
-	mu      sync.Mutex
-	options NewTableOptions
-	entries map[Key]*Entry
-	order   *list.List
-	bytes   int
+	mu        sync.Mutex
+	options   NewTableOptions
+	entries   map[Key]*Entry
+	completed *list.List
+	bytes     int
 }
 
 // Entry is a key that this process runs or has run.
@@ -72,7 +72,7 @@
 	if options.MaxBytes == 0 {
 		options.MaxBytes = defaultMaxBytes
 	}
-	return &Table{options: options, entries: map[Key]*Entry{}, order: list.New()}
+	return &Table{options: options, entries: map[Key]*Entry{}, completed: list.New()}
 }
 
 // Begin returns the entry of a key, and whether it is new: then the caller has
@@ -105,28 +105,28 @@
 	close(e.done)
 }
 
-// End sets the answer and drops the oldest answers beyond the bound.
-func (t *Table) End(e *Entry, a node.SavedAnswer) {
+// Complete sets the answer and drops the oldest answers beyond the bound.
+func (t *Table) Complete(e *Entry, a node.SavedAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e.answer = a
 	e.bytes += len(a.Body)
 	close(e.done)
-	e.element = t.order.PushBack(e)
+	e.element = t.completed.PushBack(e)
 	t.bytes += e.bytes
-	for t.bytes > t.options.MaxBytes && t.order.Len() > 0 {
-		oldest, _ := t.order.Remove(t.order.Front()).(*Entry)
+	for t.bytes > t.options.MaxBytes && t.completed.Len() > 0 {
+		oldest, _ := t.completed.Remove(t.completed.Front()).(*Entry)
 		t.bytes -= oldest.bytes
 		delete(t.entries, oldest.key)
 	}
 }
 
-// Kept returns the answers, oldest first.
-func (t *Table) Kept() []node.KeptAnswer {
+// Completed returns the answers, oldest first.
+func (t *Table) Completed() []node.KeptAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := make([]node.KeptAnswer, 0, t.order.Len())
-	for el := t.order.Front(); el != nil; el = el.Next() {
+	list := make([]node.KeptAnswer, 0, t.completed.Len())
+	for el := t.completed.Front(); el != nil; el = el.Next() {
 		if e, ok := el.Value.(*Entry); ok {
 			list = append(list, node.KeptAnswer{Key: e.key, Answer: e.answer})
 		}
@@ -134,13 +134,13 @@
 	return list
 }
 
-// Keep adds answers that another node had kept. A key that is here already
+// Import adds answers that another node had kept. A key that is here already
 // stays as it is.
-func (t *Table) Keep(list []node.KeptAnswer) {
+func (t *Table) Import(list []node.KeptAnswer) {
 	for i := range list {
 		e, isNew := t.Begin(list[i].Key, list[i].Answer.Digest)
 		if isNew {
-			t.End(e, list[i].Answer)
+			t.Complete(e, list[i].Answer)
 		}
 	}
 }
--- a/internal/nodeserver/idempotency.go
+++ b/internal/nodeserver/idempotency.go
@@ -18,16 +18,16 @@
 // ClaimKey puts a key into the log and says who has it. After FateNotTaken
 // nothing was run under the key by this call; FateOpen means that ctx ended
 // before the log had answered, and that nothing was sent.
-func (n *Node) ClaimKey(ctx context.Context, key idempotency.Key) (idempotency.Fate, state.NodeID) {
+func (n *Node) ClaimKey(ctx context.Context, key idempotency.Key) (idempotency.ClaimOutcome, state.NodeID) {
 	reply := make(chan core.KeyResult, 1)
 	n.put(func(c *core.Core) { c.ClaimKey(key, func(r core.KeyResult) { reply <- r }) })
 	select {
 	case r := <-reply:
 		return r.Fate, r.Owner.Node
 	case <-ctx.Done():
-		return idempotency.FateOpen, ""
+		return idempotency.ClaimUnknown, ""
 	case <-n.done:
-		return idempotency.FateNotTaken, ""
+		return idempotency.ClaimNotRecorded, ""
 	}
 }
 
@@ -69,13 +69,13 @@
 }
 
 // KeepAnswers keeps the answers of a peer that stops.
-func (n *Node) KeepAnswers(list []node.KeptAnswer) { n.answers.Keep(list) }
+func (n *Node) KeepAnswers(list []node.KeptAnswer) { n.answers.Import(list) }
 
 // GiveAnswers gives this node's kept answers to a peer before the node stops;
 // it returns when the peer has them, or ctx ends.
 func (n *Node) GiveAnswers(ctx context.Context) {
 	given := make(chan struct{})
-	list := n.answers.Kept()
+	list := n.answers.Completed()
 	n.put(func(c *core.Core) { c.GiveAnswers(list, func() { close(given) }) })
 	select {
 	case <-given:
