--- a/internal/boundedqueue/queue.go
+++ b/internal/boundedqueue/queue.go
@@ -1,39 +1,41 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package boundedqueue joins goroutines by bounded queues that refuse when full.
+// Package boundedqueue provides FIFO queues of bounded length between goroutines. A
+// full queue refuses further items or makes the sender wait.
 package boundedqueue
 
-// Queue is a bounded queue between duties. It is safe for concurrent use.
+// Queue is a FIFO queue of bounded length. It is safe for concurrent use.
 type Queue[T any] struct {
 	ch chan T
 }
 
-// NewQueue returns a ring that holds at most size entries; size is at least 1.
+// NewQueue returns a queue for at most size items; a size below 1 counts as 1.
 func NewQueue[T any](size int) *Queue[T] { return &Queue[T]{ch: make(chan T, max(size, 1))} }
 
-// TryPut adds v and reports whether there was room.
-func (r *Queue[T]) TryPut(v T) bool {
+// TryPut appends v and reports true, or reports false at once if the queue is full.
+func (q *Queue[T]) TryPut(v T) bool {
 	select {
-	case r.ch <- v:
+	case q.ch <- v:
 		return true
 	default:
 		return false
 	}
 }
 
-// Put adds v; it waits for room until done is closed and then reports false.
-func (r *Queue[T]) Put(v T, done <-chan struct{}) bool {
+// Put appends v and reports true. While the queue is full it waits; it reports false if
+// done is closed before there is space.
+func (q *Queue[T]) Put(v T, done <-chan struct{}) bool {
 	select {
-	case r.ch <- v:
+	case q.ch <- v:
 		return true
 	case <-done:
 		return false
 	}
 }
 
-// Items returns the channel from which the owner of the ring takes entries.
-func (r *Queue[T]) Items() <-chan T { return r.ch }
+// Items returns the channel from which the consumer receives the items in order.
+func (q *Queue[T]) Items() <-chan T { return q.ch }
 
-// Len returns how many entries wait; it is a snapshot.
-func (r *Queue[T]) Len() int { return len(r.ch) }
+// Len returns the number of queued items. It may change before the caller uses it.
+func (q *Queue[T]) Len() int { return len(q.ch) }
--- a/internal/idempotency/table.go
+++ b/internal/idempotency/table.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package idempotency keeps the answers to requests that may not be repeated, so that
-// a caller's retry gets the first answer and never a second run.
+// Package idempotency stores the answers to requests that may not be executed twice.
+// A caller's retry with the same idempotency key gets the answer to the first request
+// and does not execute it again.
 package idempotency
 
 import (
@@ -15,52 +16,60 @@
 
 const (
 	defaultMaxBytes = 2 << 20
-	// MaxAnswerBytes is the longest body that is kept for a retry.
+	// MaxAnswerBytes is the length of the longest response body that is stored for
+	// retries.
 	MaxAnswerBytes = 64 << 10
-	entryBytes     = 256
+	// entryBytes is the memory charged for an entry in addition to its body.
+	entryBytes = 256
 )
 
 // Key is an idempotency key.
 type Key = [16]byte
 
-// ClaimOutcome says what the log says of a key.
+// ClaimOutcome is the result of a process's attempt to claim a key by a record in the
+// log. The first record for a key wins.
 type ClaimOutcome string
 
-// The fates of a key.
+// The outcomes of a claim.
 const (
-	// ClaimWon means that this process may send the request, once.
+	// ClaimWon means that this process's record is the first one for the key: it may
+	// send the request, once.
 	ClaimWon ClaimOutcome = "won"
-	// ClaimLost means that a process was first to have it.
+	// ClaimLost means that the log already has a record for the key.
 	ClaimLost ClaimOutcome = "lost"
-	// ClaimNotRecorded means that the log did not take it, and will not.
+	// ClaimNotRecorded means that this claim has no effect and will have none: this
+	// process may not send the request.
 	ClaimNotRecorded ClaimOutcome = "not-taken"
-	// ClaimUnknown means that it is not known whether the log has it.
+	// ClaimUnknown means that it is not known whether the log has the record.
 	ClaimUnknown ClaimOutcome = "open"
 )
 
-// NewTableOptions sets the bounds. The zero value works.
+// NewTableOptions bounds a table. Zero values mean the defaults.
 type NewTableOptions struct {
-	// MaxBytes bounds what is kept; 0 means 2 MiB. What is dropped first is the
-	// oldest answer; that the key was used stays in the log.
+	// MaxBytes bounds the memory for completed entries; 0 means 2 MiB. The oldest
+	// answers are evicted first. The log still records that their keys were used.
 	MaxBytes int
 }
 
-// Table has the keys that this process was the first to run. It is safe for
-// concurrent use.
+// Table holds the keys of the requests that this process runs or has run, with their
+// answers. It is safe for concurrent use.
 type Table struct {
-	mu        sync.Mutex
-	options   NewTableOptions
-	entries   map[Key]*Entry
+	mu      sync.Mutex
+	options NewTableOptions
+	entries map[Key]*Entry
+	// completed lists the entries with an answer in order of completion; bytes is the
+	// sum of their sizes.
 	completed *list.List
 	bytes     int
 }
 
-// Entry is a key that this process runs or has run.
+// Entry is the record of one key.
 type Entry struct {
 	key Key
-	// Digest is of the request; it never changes.
+	// Digest is the hash of the request for which the entry was created; it never
+	// changes.
 	Digest uint64
-	// done is closed when answer is set, which happens once.
+	// done is closed once answer is set.
 	done    chan struct{}
 	answer  node.SavedAnswer
 	element *list.Element
@@ -75,8 +84,8 @@
 	return &Table{options: options, entries: map[Key]*Entry{}, completed: list.New()}
 }
 
-// Begin returns the entry of a key, and whether it is new: then the caller has
-// to End or Abandon it.
+// Begin returns the entry of a key and whether this call created it. The caller must
+// pass an entry that it created to either Complete or Abandon.
 func (t *Table) Begin(key Key, digest uint64) (*Entry, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -95,8 +104,8 @@
 	return t.entries[key]
 }
 
-// Abandon removes an entry whose key was not won; those who wait for it are
-// told that there is no answer here.
+// Abandon removes an entry for which this process has not claimed the key. It passes a to the
+// requests that wait for the entry, and does not store it for later retries.
 func (t *Table) Abandon(e *Entry, a node.SavedAnswer) {
 	t.mu.Lock()
 	delete(t.entries, e.key)
@@ -105,7 +114,8 @@
 	close(e.done)
 }
 
-// Complete sets the answer and drops the oldest answers beyond the bound.
+// Complete stores the answer of an entry, passes it to the requests that wait for it,
+// and evicts the oldest answers while the table exceeds its bound.
 func (t *Table) Complete(e *Entry, a node.SavedAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -121,7 +131,7 @@
 	}
 }
 
-// Completed returns the answers, oldest first.
+// Completed returns the stored answers, oldest first.
 func (t *Table) Completed() []node.KeptAnswer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,8 +144,8 @@
 	return list
 }
 
-// Import adds answers that another node had kept. A key that is here already
-// stays as it is.
+// Import adds answers that another node has stored. It skips keys that the table
+// already has.
 func (t *Table) Import(list []node.KeptAnswer) {
 	for i := range list {
 		e, isNew := t.Begin(list[i].Key, list[i].Answer.Digest)
@@ -145,7 +155,7 @@
 	}
 }
 
-// Wait returns the answer when there is one; false means that ctx ended first.
+// Wait waits for the answer and returns it; false means that ctx ended first.
 func (e *Entry) Wait(ctx context.Context) (node.SavedAnswer, bool) {
 	select {
 	case <-e.done:
