--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -82,7 +82,7 @@
 type WorkerLink interface {
 	// Start reports false when the order is surely not given.
 	Start(o *rack.StartOrder) bool
-	Act(deed worker.Deed, keys []worker.Key)
+	Act(deed worker.Action, keys []worker.Key)
 	Forget(keys []worker.Key)
 	Stop()
 }
--- a/internal/core/fakelink_test.go
+++ b/internal/core/fakelink_test.go
@@ -39,8 +39,8 @@
 	return true
 }
 
-func (l *fakeLink) Act(deed worker.Deed, keys []worker.Key) {
-	l.acts = append(l.acts, worker.Act{Epoch: l.epoch, Deed: deed, Keys: keys})
+func (l *fakeLink) Act(deed worker.Action, keys []worker.Key) {
+	l.acts = append(l.acts, worker.Act{Epoch: l.epoch, Action: deed, Keys: keys})
 }
 
 func (l *fakeLink) Forget(keys []worker.Key) {
@@ -71,7 +71,7 @@
 		return
 	}
 	rep, err := target.Sync(&worker.Sync{
-		Epoch: l.epoch, Boot: l.boot, AsOf: l.asOf, TTL: worldLease, Seen: l.seen, Forget: l.forgets,
+		Epoch: l.epoch, Incarnation: l.boot, AsOf: l.asOf, TTL: worldLease, SinceRevision: l.seen, Forget: l.forgets,
 	})
 	if !isAnswered {
 		l.node.core.OnSilent(l.rack, l.epoch, l.id)
@@ -81,9 +81,9 @@
 		return
 	}
 	l.forgets = nil
-	isNewBoot := l.boot != "" && l.boot != rep.Boot
-	l.boot, l.asOf, l.seen = rep.Boot, rep.Now, rep.Rev
-	if isNewBoot && !rep.IsWhole {
+	isNewBoot := l.boot != "" && l.boot != rep.Incarnation
+	l.boot, l.asOf, l.seen = rep.Incarnation, rep.Now, rep.Revision
+	if isNewBoot && !rep.IsFullList {
 		l.seen = 0
 	}
 	l.node.core.OnReport(l.rack, l.epoch, l.id, rep)
@@ -97,7 +97,7 @@
 			l.node.core.OnStartFailed(l.rack, l.epoch, l.id, o.Tasks)
 			continue
 		}
-		results, err := target.Start(&worker.Start{Epoch: l.epoch, Boot: o.Boot, AsOf: o.AsOf, TTL: worldLease, Tasks: o.Tasks})
+		results, err := target.Start(&worker.Start{Epoch: l.epoch, Incarnation: o.Boot, AsOf: o.AsOf, TTL: worldLease, Tasks: o.Tasks})
 		if !isAnswered {
 			l.node.core.OnStartFailed(l.rack, l.epoch, l.id, o.Tasks)
 			continue
--- a/internal/health/detector.go
+++ b/internal/health/detector.go
@@ -108,7 +108,7 @@
 // task that is placed there is the probe instead.
 func (d *Detector) Ended(now time.Time, id worker.ID, k worker.Key, s worker.TaskState, workers int) Finding {
 	switch s {
-	case worker.StateDone:
+	case worker.StateSucceeded:
 		return d.succeeded(id)
 	case worker.StateFailed:
 		return d.failed(now, id, k, workers)
--- a/internal/health/detector_test.go
+++ b/internal/health/detector_test.go
@@ -35,7 +35,7 @@
 	if f := fail(j, begin, "w", 2); f != (health.Finding{}) || j.IsEjected(begin, "w") {
 		t.Errorf("two: got: %+v, want: nothing yet", f)
 	}
-	j.Ended(begin, "w", key("good"), worker.StateDone, workers)
+	j.Ended(begin, "w", key("good"), worker.StateSucceeded, workers)
 	if f := fail(j, begin, "w", 2); f.EjectedFor != 0 {
 		t.Errorf("two after a success: got: %+v, want: nothing yet", f)
 	}
@@ -55,7 +55,7 @@
 		isEjected bool
 		want      health.Finding
 	}{
-		"it succeeds":        {worker.StateDone, false, health.Finding{IsReadmitted: true}},
+		"it succeeds":        {worker.StateSucceeded, false, health.Finding{IsReadmitted: true}},
 		"it fails":           {worker.StateFailed, true, health.Finding{IsWorkerAtFault: true, EjectedFor: 40 * time.Second}},
 		"it is stopped":      {worker.StateStopped, false, health.Finding{}},
 		"it is checkpointed": {worker.StateCheckpointed, false, health.Finding{}},
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -162,7 +162,7 @@
 		end  worker.TaskState
 		want leverdyke.TaskState
 	}{
-		"done":                        {done, worker.StateDone, leverdyke.TaskDone},
+		"done":                        {done, worker.StateSucceeded, leverdyke.TaskDone},
 		"failed, not to be repeated":  {once, worker.StateFailed, leverdyke.TaskFailed},
 		"stopped, not to be repeated": {once, worker.StateStopped, leverdyke.TaskUnknown},
 	} {
@@ -304,7 +304,7 @@
 					h.OnAnswer(now, &node.Answer{Home: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Results: []node.AnswerResult{{Key: k, Worker: "w"}}})
 					if k.Task.Job == "batch" {
 						started++
-						h.OnNews(now, &node.News{Home: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.NewsItem{{Key: k, State: worker.StateDone, Worker: "w"}}})
+						h.OnNews(now, &node.News{Home: homeID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.NewsItem{{Key: k, State: worker.StateSucceeded, Worker: "w"}}})
 					}
 				}
 			}
--- a/internal/home/job.go
+++ b/internal/home/job.go
@@ -153,7 +153,7 @@
 func (h *Home) sendStops(stops map[state.ShardID][]worker.Key) {
 	for _, rack := range h.order {
 		if keys := stops[rack]; len(keys) > 0 {
-			h.toRack(rack, node.Message{Deed: &node.Deed{Home: h.ID, HomeEpoch: h.Epoch, Rack: rack, Deed: worker.DeedStop, Keys: keys}})
+			h.toRack(rack, node.Message{Deed: &node.Deed{Home: h.ID, HomeEpoch: h.Epoch, Rack: rack, Deed: worker.ActionStop, Keys: keys}})
 		}
 	}
 }
--- a/internal/home/news.go
+++ b/internal/home/news.go
@@ -167,7 +167,7 @@
 
 func (h *Home) stop(rack state.ShardID, k worker.Key) {
 	h.toRack(rack, node.Message{Deed: &node.Deed{
-		Home: h.ID, HomeEpoch: h.Epoch, Rack: rack, Deed: worker.DeedStop, Keys: []worker.Key{k},
+		Home: h.ID, HomeEpoch: h.Epoch, Rack: rack, Deed: worker.ActionStop, Keys: []worker.Key{k},
 	}})
 }
 
@@ -178,11 +178,11 @@
 	h.noteFreed(j, t.rack)
 	isService := j.spec.Kind == leverdyke.KindService
 	switch {
-	case item.State == worker.StateDone && !isService:
+	case item.State == worker.StateSucceeded && !isService:
 		h.setPhase(j, i, phaseFinal)
 		h.final(j, i, leverdyke.TaskDone, &item.Key, 0, "")
 		return false
-	case item.State == worker.StateDone || item.State == worker.StateFailed:
+	case item.State == worker.StateSucceeded || item.State == worker.StateFailed:
 		return h.onFailure(now, j, i, item)
 	case j.spec.IsOnce:
 		h.setPhase(j, i, phaseFinal)
--- a/internal/home/scan.go
+++ b/internal/home/scan.go
@@ -290,7 +290,7 @@
 func (h *Home) askItem(now time.Time, j *job, i int) node.AskItem {
 	w := h.policy(j)
 	t := worker.Task{
-		Key: j.key(i), Home: string(h.ID), Each: j.spec.Each, Class: j.spec.Class, IsOnce: j.spec.IsOnce,
+		Key: j.key(i), JobShard: string(h.ID), Declared: j.spec.Each, Class: j.spec.Class, IsOnce: j.spec.IsOnce,
 		Service: j.spec.Service, Request: j.spec.Request, IsRequestOnce: j.spec.IsRequestOnce, RunTime: j.spec.RunTime,
 	}
 	return node.AskItem{
--- a/internal/home/unsure.go
+++ b/internal/home/unsure.go
@@ -28,7 +28,7 @@
 	if j.spec.IsOnce {
 		return false
 	}
-	return item.State != worker.StateDone || j.spec.Kind == leverdyke.KindService
+	return item.State != worker.StateSucceeded || j.spec.Kind == leverdyke.KindService
 }
 
 // keepEnd keeps the end of the newest attempt until every rack has told what
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -163,7 +163,7 @@
 	Home      state.ShardID `msgpack:"h"`
 	HomeEpoch uint64        `msgpack:"e"`
 	Rack      state.ShardID `msgpack:"r"`
-	Deed      worker.Deed   `msgpack:"d"`
+	Deed      worker.Action `msgpack:"d"`
 	Keys      []worker.Key  `msgpack:"k"`
 }
 
--- a/internal/nodeserver/workers.go
+++ b/internal/nodeserver/workers.go
@@ -48,7 +48,7 @@
 // workerOrder is either a start or a deed.
 type workerOrder struct {
 	start *rack.StartOrder
-	deed  worker.Deed
+	deed  worker.Action
 	keys  []worker.Key
 }
 
@@ -71,7 +71,7 @@
 func (l *workerLink) Start(o *rack.StartOrder) bool { return l.orders.TryPut(workerOrder{start: o}) }
 
 // Act queues a deed; one that finds no room is ordered again by the rack.
-func (l *workerLink) Act(deed worker.Deed, keys []worker.Key) {
+func (l *workerLink) Act(deed worker.Action, keys []worker.Key) {
 	l.orders.TryPut(workerOrder{deed: deed, keys: keys})
 }
 
@@ -99,7 +99,7 @@
 func (l *workerLink) sync() bool {
 	l.mu.Lock()
 	s := &worker.Sync{
-		Epoch: l.epoch, Boot: l.boot, AsOf: l.asOf, TTL: l.node.settings.Lease, Seen: l.seen,
+		Epoch: l.epoch, Incarnation: l.boot, AsOf: l.asOf, TTL: l.node.settings.Lease, SinceRevision: l.seen,
 		Wait: l.node.settings.Sync, Forget: l.forgets,
 	}
 	l.mu.Unlock()
@@ -115,9 +115,9 @@
 	}
 	l.mu.Lock()
 	l.forgets = l.forgets[len(s.Forget):]
-	isNewBoot := l.boot != rep.Boot && l.boot != ""
-	l.boot, l.asOf, l.seen = rep.Boot, rep.Now, rep.Rev
-	if isNewBoot && !rep.IsWhole {
+	isNewBoot := l.boot != rep.Incarnation && l.boot != ""
+	l.boot, l.asOf, l.seen = rep.Incarnation, rep.Now, rep.Revision
+	if isNewBoot && !rep.IsFullList {
 		l.seen = 0
 	}
 	l.mu.Unlock()
@@ -151,12 +151,12 @@
 	ctx, cancel := context.WithTimeout(l.ctx, commandTimeout)
 	defer cancel()
 	if o.deed != "" {
-		if err := l.client.Act(ctx, &worker.Act{Epoch: l.epoch, Deed: o.deed, Keys: o.keys}); err != nil && l.ctx.Err() == nil {
+		if err := l.client.Act(ctx, &worker.Act{Epoch: l.epoch, Action: o.deed, Keys: o.keys}); err != nil && l.ctx.Err() == nil {
 			l.failed(err)
 		}
 		return
 	}
-	s := &worker.Start{Epoch: l.epoch, Boot: o.start.Boot, AsOf: o.start.AsOf, TTL: l.node.settings.Lease, Tasks: o.start.Tasks}
+	s := &worker.Start{Epoch: l.epoch, Incarnation: o.start.Boot, AsOf: o.start.AsOf, TTL: l.node.settings.Lease, Tasks: o.start.Tasks}
 	results, err := l.client.Start(ctx, s)
 	if l.ctx.Err() != nil {
 		return
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -28,7 +28,7 @@
 // Push is what to do to one victim.
 type Push struct {
 	Key  worker.Key
-	Deed worker.Deed
+	Deed worker.Action
 }
 
 // Preempt returns the gentlest deeds that free need on a VM with free left, or
@@ -64,7 +64,7 @@
 			continue
 		}
 		free.MilliCPU += v.Charge.MilliCPU - v.Charge.MilliCPU/worker.ThrottleDivisor
-		pushes = append(pushes, Push{v.Key, worker.DeedThrottle})
+		pushes = append(pushes, Push{v.Key, worker.ActionThrottle})
 	}
 	if !need.FitsIn(free) || len(pushes) == 0 {
 		return nil
@@ -92,7 +92,7 @@
 			free = free.Sub(taken[i].Charge)
 			continue
 		}
-		pushes = append(pushes, Push{taken[i].Key, worker.DeedCheckpoint})
+		pushes = append(pushes, Push{taken[i].Key, worker.ActionCheckpoint})
 	}
 	return pushes
 }
--- a/internal/rack/asks.go
+++ b/internal/rack/asks.go
@@ -235,7 +235,7 @@
 // if more was needed than the task declares.
 func (r *Rack) refuseForRoom(p pendingAsk) {
 	result := node.AnswerResult{Key: p.item.Task.Key, Refused: whyNoRoom}
-	if need := r.expected(&p.item.Task); need != p.item.Task.Each {
+	if need := r.expected(&p.item.Task); need != p.item.Task.Declared {
 		result.Expected = &need
 	}
 	r.refuse(p.ask, result)
--- a/internal/rack/bench_test.go
+++ b/internal/rack/bench_test.go
@@ -37,7 +37,7 @@
 	for i := range b.N {
 		began := time.Now()
 		at := placement.BestRack(placement.Fill, each, views, i, 8)
-		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, Home: string(home), Each: each}
+		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, JobShard: string(home), Declared: each}
 		racks[at].OnAsk(&node.Ask{Home: home, HomeEpoch: 1, RackEpoch: epoch, Items: []node.AskItem{{Task: task, Packing: 1}}})
 		racks[at].Flush(now)
 		_ = h.RecordValue(time.Since(began).Nanoseconds())
@@ -66,9 +66,9 @@
 		}
 		owner.SetWorkers(now, list)
 		for w := range list {
-			rep := &worker.Report{Boot: "1", Rev: 1, IsWhole: true, Capacity: capacity}
+			rep := &worker.Report{Incarnation: "1", Revision: 1, IsFullList: true, Capacity: capacity}
 			for i := range tasksEach {
-				t := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: fmt.Sprintf("j%d-%d", r, w), Index: i}, Attempt: 1}, Home: string(home), Each: each, State: worker.StateRunning}
+				t := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: fmt.Sprintf("j%d-%d", r, w), Index: i}, Attempt: 1}, JobShard: string(home), Declared: each, State: worker.StateRunning}
 				rep.Tasks = append(rep.Tasks, t)
 			}
 			owner.OnReport(now, worker.ID(list[w].Name), rep)
--- a/internal/rack/grants.go
+++ b/internal/rack/grants.go
@@ -44,7 +44,7 @@
 	key := worker.Key{Attempt: r.nextGrant}
 	key.Task.Job = fmt.Sprintf("grant-%d", r.Epoch)
 	t := worker.Task{
-		Key: key, Holder: string(to), Each: replica.Request.Times(slots), Class: m.Class,
+		Key: key, Holder: string(to), Declared: replica.Request.Times(slots), Class: m.Class,
 		Service: m.Service, Request: replica.Request, IsRequestOnce: replica.IsRequestOnce, State: worker.StateRunning,
 	}
 	h := &held{task: t, vm: v, phase: phaseStarting, since: now, told: now}
@@ -86,7 +86,7 @@
 func (r *Rack) tellGrant(h *held) {
 	g := &node.Grant{
 		Rack: r.ID, RackEpoch: r.Epoch, Key: h.task.Key, Service: h.task.Service, Worker: h.vm.id,
-		Addr: h.vm.addr, Zone: h.vm.zone, Slots: int(h.task.Each.Slots), IsOnce: h.task.IsRequestOnce,
+		Addr: h.vm.addr, Zone: h.vm.zone, Slots: int(h.task.Declared.Slots), IsOnce: h.task.IsRequestOnce,
 	}
 	r.out.ToNode = append(r.out.ToNode, NodeMessage{state.NodeID(h.task.Holder), node.Message{Grant: g}})
 }
@@ -145,9 +145,9 @@
 	if h.phase == phaseEnded || h.deed != "" {
 		return
 	}
-	h.deed = worker.DeedStop
+	h.deed = worker.ActionStop
 	h.told = now
-	r.out.Acts = append(r.out.Acts, ActOrder{h.vm.id, worker.DeedStop, []worker.Key{h.task.Key}})
+	r.out.Acts = append(r.out.Acts, ActOrder{h.vm.id, worker.ActionStop, []worker.Key{h.task.Key}})
 }
 
 // checkGrants asks the holders of grants whether they have them. Without this,
--- a/internal/rack/holds.go
+++ b/internal/rack/holds.go
@@ -89,7 +89,7 @@
 // bestFor returns the worker that the need fills best, or nil.
 func (r *Rack) bestFor(now time.Time, need leverdyke.Resources) *vm {
 	// A run time, since only services pass a VM that is kept for another task.
-	item := &node.AskItem{Task: worker.Task{Each: need, Class: leverdyke.ClassBatch, RunTime: 1}, Packing: 1}
+	item := &node.AskItem{Task: worker.Task{Declared: need, Class: leverdyke.ClassBatch, RunTime: 1}, Packing: 1}
 	best, _ := r.choose(now, item)
 	return best
 }
--- a/internal/rack/news.go
+++ b/internal/rack/news.go
@@ -40,7 +40,7 @@
 func (r *Rack) tellWhole(home state.ShardID) {
 	n := &node.News{Home: home, Rack: r.ID, RackEpoch: r.Epoch, IsWhole: true, IsComplete: r.IsComplete()}
 	for _, h := range sortedHeld(r.held) {
-		if h.task.Home == string(home) {
+		if h.task.JobShard == string(home) {
 			n.Items = append(n.Items, newsItem(h))
 		}
 	}
@@ -57,7 +57,7 @@
 
 // tellNews tells the home of one attempt, joined with others for it.
 func (r *Rack) tellNews(h *held) {
-	home := state.ShardID(h.task.Home)
+	home := state.ShardID(h.task.JobShard)
 	for i := range r.out.ToHome {
 		m := &r.out.ToHome[i]
 		if m.Home == home && m.Message.News != nil && !m.Message.News.IsWhole {
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -132,7 +132,7 @@
 	// second one may follow it, since a refusal of the first would not hold.
 	isOrdered bool
 	// deed is what was ordered and has not shown in a report; empty for none.
-	deed worker.Deed
+	deed worker.Action
 	// asked is the home's ask that waits for the start; nil for none.
 	asked *node.Ask
 }
@@ -161,7 +161,7 @@
 // ActOrder does a deed on a worker.
 type ActOrder struct {
 	Worker worker.ID
-	Deed   worker.Deed
+	Deed   worker.Action
 	Keys   []worker.Key
 }
 
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -82,7 +82,7 @@
 		s := &worker.Sync{Epoch: epoch, TTL: b.rack.TTL(), Forget: b.forgets[id]}
 		delete(b.forgets, id)
 		if r := b.reports[id]; r != nil {
-			s.Boot, s.AsOf, s.Seen = r.Boot, r.Now, r.Rev
+			s.Incarnation, s.AsOf, s.SinceRevision = r.Incarnation, r.Now, r.Revision
 		}
 		rep, err := b.workers[id].Sync(s)
 		if err != nil {
@@ -105,7 +105,7 @@
 		if b.isMute {
 			continue
 		}
-		results, err := b.workers[o.Worker].Start(&worker.Start{Epoch: epoch, Boot: o.Boot, AsOf: o.AsOf, TTL: b.rack.TTL(), Tasks: o.Tasks})
+		results, err := b.workers[o.Worker].Start(&worker.Start{Epoch: epoch, Incarnation: o.Boot, AsOf: o.AsOf, TTL: b.rack.TTL(), Tasks: o.Tasks})
 		if err != nil {
 			b.t.Fatal(err)
 		}
@@ -115,7 +115,7 @@
 		b.forgets[f.Worker] = append(b.forgets[f.Worker], f.Keys...)
 	}
 	for _, o := range out.Acts {
-		if err := b.workers[o.Worker].Act(&worker.Act{Epoch: epoch, Deed: o.Deed, Keys: o.Keys}); err != nil {
+		if err := b.workers[o.Worker].Act(&worker.Act{Epoch: epoch, Action: o.Deed, Keys: o.Keys}); err != nil {
 			b.t.Fatal(err)
 		}
 	}
@@ -159,7 +159,7 @@
 func (b *bench) task(job string, each leverdyke.Resources, class leverdyke.Class) worker.Task {
 	b.attempt++
 	return worker.Task{
-		Key: worker.Key{Task: leverdyke.TaskID{Job: job, Index: int(b.attempt)}, Attempt: b.attempt}, Home: string(home), Each: each, Class: class,
+		Key: worker.Key{Task: leverdyke.TaskID{Job: job, Index: int(b.attempt)}, Attempt: b.attempt}, JobShard: string(home), Declared: each, Class: class,
 	}
 }
 
@@ -219,7 +219,7 @@
 	if got := b.answers[big.Key]; got.Refused == "" {
 		t.Fatalf("got: %+v, want: refused", got)
 	}
-	big.Each = small
+	big.Declared = small
 	b.ask(node.AskItem{Task: big})
 	if b.starts != 0 {
 		t.Errorf("got: %d starts, want: 0", b.starts)
@@ -233,7 +233,7 @@
 	b.run(4)
 	// The report of its use comes with the next change.
 	b.ask(node.AskItem{Task: b.task("other", leverdyke.Resources{MilliCPU: 1, MemoryMiB: 1, Slots: 1}, leverdyke.ClassNormal)})
-	b.reports["w0"].Rev = 0
+	b.reports["w0"].Revision = 0
 	b.sync()
 	room := b.rack.Room(b.clock.Now())
 	if got, want := room.Free.MilliCPU, int64(4000-3000-1); got > want {
--- a/internal/rack/reports.go
+++ b/internal/rack/reports.go
@@ -19,7 +19,7 @@
 	if v == nil {
 		return
 	}
-	isNewBoot := v.boot != "" && v.boot != rep.Boot
+	isNewBoot := v.boot != "" && v.boot != rep.Incarnation
 	if isNewBoot {
 		// The restart ended all that ran there.
 		r.loseAll(now, v)
@@ -32,12 +32,12 @@
 	}
 	r.isChanged = r.isChanged || v.isSilent
 	v.isSilent = false
-	v.boot, v.asOf, v.heardAt = rep.Boot, rep.Now, now
+	v.boot, v.asOf, v.heardAt = rep.Incarnation, rep.Now, now
 	v.capacity, v.isLeaving = rep.Capacity, rep.IsLeaving
 	for i := range rep.Tasks {
 		r.observe(now, v, &rep.Tasks[i])
 	}
-	if !rep.IsWhole {
+	if !rep.IsFullList {
 		return
 	}
 	r.dropMissing(now, v, rep)
@@ -58,11 +58,11 @@
 		return
 	}
 	r.isChanged = true
-	isOwnThrottle := h.deed == worker.DeedUnthrottle && t.IsThrottled
+	isOwnThrottle := h.deed == worker.ActionUnthrottle && t.IsThrottled
 	if !isOwnThrottle {
 		h.task.IsThrottled = t.IsThrottled
 	}
-	if (h.deed == worker.DeedThrottle && t.IsThrottled) || (h.deed == worker.DeedUnthrottle && !t.IsThrottled) {
+	if (h.deed == worker.ActionThrottle && t.IsThrottled) || (h.deed == worker.ActionUnthrottle && !t.IsThrottled) {
 		h.deed = ""
 	}
 	h.task.Usage = t.Usage
@@ -80,10 +80,10 @@
 		// Nothing that this owner does not know may run on a worker that has
 		// told all: its lease was taken to have lapsed. It must end.
 		r.event(EventLateTask, v.id, t.Key, "")
-		r.out.Acts = append(r.out.Acts, ActOrder{v.id, worker.DeedStop, []worker.Key{t.Key}})
+		r.out.Acts = append(r.out.Acts, ActOrder{v.id, worker.ActionStop, []worker.Key{t.Key}})
 		return
 	}
-	if t.Home == "" && t.Holder == "" {
+	if t.JobShard == "" && t.Holder == "" {
 		// The end of an attempt that was forgotten here while the worker was out
 		// of reach. Left in its list, it would be news to every later owner.
 		r.out.Forgets = append(r.out.Forgets, ForgetOrder{v.id, []worker.Key{t.Key}})
@@ -280,7 +280,7 @@
 // retryOrders gives again what a worker has not confirmed. Orders are keyed by
 // attempt, so that a second copy does nothing.
 func (r *Rack) retryOrders(now time.Time, v *vm) {
-	acts := map[worker.Deed][]worker.Key{}
+	acts := map[worker.Action][]worker.Key{}
 	for _, h := range sortedHeld(v.held) {
 		if h.phase == phaseEnded || now.Sub(h.told) < retryPeriod {
 			continue
@@ -296,7 +296,7 @@
 			acts[deed] = append(acts[deed], h.task.Key)
 		}
 	}
-	for _, d := range []worker.Deed{worker.DeedUnthrottle, worker.DeedThrottle, worker.DeedCheckpoint, worker.DeedStop} {
+	for _, d := range []worker.Action{worker.ActionUnthrottle, worker.ActionThrottle, worker.ActionCheckpoint, worker.ActionStop} {
 		if len(acts[d]) > 0 {
 			r.out.Acts = append(r.out.Acts, ActOrder{v.id, d, acts[d]})
 		}
--- a/internal/rack/sizes.go
+++ b/internal/rack/sizes.go
@@ -17,7 +17,7 @@
 // learn takes the use that an attempt has reported.
 func (r *Rack) learn(h *held) {
 	if h.task.Holder == "" {
-		r.learned.Report(h.task.Key.Task.Job, h.task.Each, h.task.Usage)
+		r.learned.Report(h.task.Key.Task.Job, h.task.Declared, h.task.Usage)
 	}
 }
 
@@ -27,7 +27,7 @@
 	for _, v := range r.vms {
 		largest = largest.Max(v.capacity)
 	}
-	return r.learned.Expected(t.Key.Task.Job, t.Each, largest)
+	return r.learned.Expected(t.Key.Task.Job, t.Declared, largest)
 }
 
 // relieve pushes tasks off the VMs whose tasks use more than there is, because
--- a/internal/rack/sizes_test.go
+++ b/internal/rack/sizes_test.go
@@ -83,7 +83,7 @@
 			}
 			delete(running, key)
 			b.rack.OnNewsAck(&node.NewsAck{Home: home, Keys: []worker.Key{key}})
-			if news.State == worker.StateDone {
+			if news.State == worker.StateSucceeded {
 				ended++
 				continue
 			}
--- a/internal/rack/urgent.go
+++ b/internal/rack/urgent.go
@@ -75,7 +75,7 @@
 	cost := 0
 	for _, p := range pushes {
 		cost++
-		if p.Deed != worker.DeedThrottle {
+		if p.Deed != worker.ActionThrottle {
 			cost += 10
 		}
 	}
@@ -150,9 +150,9 @@
 
 // escalate returns the deed to order again: a checkpoint that does not come
 // about becomes a stop.
-func (r *Rack) escalate(now time.Time, h *held) worker.Deed {
-	if h.deed == worker.DeedCheckpoint && now.Sub(h.since) > checkpointPatience {
-		h.deed = worker.DeedStop
+func (r *Rack) escalate(now time.Time, h *held) worker.Action {
+	if h.deed == worker.ActionCheckpoint && now.Sub(h.since) > checkpointPatience {
+		h.deed = worker.ActionStop
 	}
 	return h.deed
 }
@@ -174,8 +174,8 @@
 			h.task.IsThrottled = true
 			continue
 		}
-		h.deed = worker.DeedUnthrottle
+		h.deed = worker.ActionUnthrottle
 		h.told = now
-		r.out.Acts = append(r.out.Acts, ActOrder{h.vm.id, worker.DeedUnthrottle, []worker.Key{h.task.Key}})
+		r.out.Acts = append(r.out.Acts, ActOrder{h.vm.id, worker.ActionUnthrottle, []worker.Key{h.task.Key}})
 	}
 }
--- a/internal/standin/native/serve.go
+++ b/internal/standin/native/serve.go
@@ -71,14 +71,14 @@
 		return
 	}
 	limit := s.options.Clock.After(in.Wait)
-	isQuiet := in.Seen != 0 && len(report.Tasks) == 0 && !report.IsWhole
+	isQuiet := in.SinceRevision != 0 && len(report.Tasks) == 0 && !report.IsFullList
 	for isQuiet {
 		changed, rev := w.Changed()
-		if rev == in.Seen && !isOver(r.Context(), limit, changed) {
+		if rev == in.SinceRevision && !isOver(r.Context(), limit, changed) {
 			continue
 		}
 		// Ask again without renewing: the lease goes by when Sync arrived.
-		in.Boot = ""
+		in.Incarnation = ""
 		report, err = w.Sync(&in)
 		break
 	}
--- a/internal/standin/native/worker.go
+++ b/internal/standin/native/worker.go
@@ -138,7 +138,7 @@
 	w.expire(now)
 	w.renew(s)
 	w.forget(s.Forget, now)
-	return w.report(s.Seen, now), nil
+	return w.report(s.SinceRevision, now), nil
 }
 
 // Changed returns a channel that is closed at the next change, and the current
@@ -174,7 +174,7 @@
 		return err
 	}
 	for _, k := range a.Keys {
-		w.act(a.Deed, k)
+		w.act(a.Action, k)
 	}
 	w.wake()
 	return nil
@@ -199,7 +199,7 @@
 	if a == nil || a.task.State != worker.StateRunning || a.isEnding {
 		return nil, "no such grant"
 	}
-	if w.inFlight[grant] >= a.task.Each.Slots {
+	if w.inFlight[grant] >= a.task.Declared.Slots {
 		w.oracle.overCommitted(w.Name, "requests of grant "+grant.String())
 	}
 	if !w.leavingAt.IsZero() && w.clock.Now().Sub(w.leavingAt) > leavingGrace {
@@ -238,7 +238,7 @@
 func (w *Worker) bootName() string { return fmt.Sprintf("%s#%d", w.Name, w.boot) }
 
 func (w *Worker) renew(s *worker.Sync) {
-	if s.Boot != w.bootName() {
+	if s.Incarnation != w.bootName() {
 		return
 	}
 	until := w.base.Add(time.Duration(s.AsOf)).Add(s.TTL)
@@ -262,18 +262,18 @@
 
 func (w *Worker) report(seen uint64, now time.Time) *worker.Report {
 	r := &worker.Report{
-		Boot: w.bootName(), Now: int64(now.Sub(w.base)), Rev: w.rev, IsLeaving: !w.leavingAt.IsZero(), Capacity: w.Capacity,
-		IsWhole: seen == 0 || seen > w.rev,
+		Incarnation: w.bootName(), Now: int64(now.Sub(w.base)), Revision: w.rev, IsLeaving: !w.leavingAt.IsZero(), Capacity: w.Capacity,
+		IsFullList: seen == 0 || seen > w.rev,
 	}
 	for _, a := range w.tasks {
-		if !r.IsWhole && a.rev <= seen {
+		if !r.IsFullList && a.rev <= seen {
 			continue
 		}
 		t := a.task
 		if a.isUseTold {
 			t.Usage = w.usage(&t)
 		}
-		if !r.IsWhole {
+		if !r.IsFullList {
 			t = worker.Task{Key: t.Key, State: t.State, Usage: t.Usage, IsThrottled: t.IsThrottled}
 		}
 		r.Tasks = append(r.Tasks, t)
@@ -286,7 +286,7 @@
 	if f == 0 {
 		f = 1
 	}
-	u := t.Each
+	u := t.Declared
 	u.MilliCPU = int64(float64(u.MilliCPU) * f)
 	u.MemoryMiB = int64(float64(u.MemoryMiB) * f)
 	if t.IsThrottled {
@@ -296,7 +296,7 @@
 }
 
 func (w *Worker) start(s *worker.Start, t *worker.Task, now time.Time) string {
-	if s.Boot != w.bootName() {
+	if s.Incarnation != w.bootName() {
 		return "the worker has restarted"
 	}
 	until := w.base.Add(time.Duration(s.AsOf)).Add(s.TTL)
@@ -344,7 +344,7 @@
 }
 
 func (w *Worker) checkRoom(t *worker.Task) {
-	used := t.Each
+	used := t.Declared
 	for _, a := range w.tasks {
 		if a.task.State == worker.StateRunning {
 			used = used.Add(chargeOf(&a.task))
@@ -358,27 +358,27 @@
 // chargeOf is what a task takes: a throttled one takes a quarter of its
 // processors.
 func chargeOf(t *worker.Task) leverdyke.Resources {
-	r := t.Each
+	r := t.Declared
 	if t.IsThrottled {
 		r.MilliCPU /= worker.ThrottleDivisor
 	}
 	return r
 }
 
-func (w *Worker) act(d worker.Deed, k worker.Key) {
+func (w *Worker) act(d worker.Action, k worker.Key) {
 	a := w.tasks[k]
 	if a == nil || a.task.State != worker.StateRunning {
 		return
 	}
 	switch d {
-	case worker.DeedThrottle:
+	case worker.ActionThrottle:
 		a.task.IsThrottled = true
-	case worker.DeedUnthrottle:
+	case worker.ActionUnthrottle:
 		a.task.IsThrottled = false
-	case worker.DeedCheckpoint:
+	case worker.ActionCheckpoint:
 		w.endAttempt(k, a, worker.StateCheckpointed)
 		return
-	case worker.DeedStop:
+	case worker.ActionStop:
 		if w.inFlight[k] > 0 {
 			// A grant's requests are finished first; new ones are refused.
 			a.isEnding = true
@@ -427,7 +427,7 @@
 	if w.faults.IsFailingAll || strings.Contains(a.task.Key.Task.Job, "always-fails") {
 		return worker.StateFailed
 	}
-	return worker.StateDone
+	return worker.StateSucceeded
 }
 
 func (w *Worker) wake() {
--- a/internal/standin/native/worker_test.go
+++ b/internal/standin/native/worker_test.go
@@ -23,14 +23,14 @@
 
 func newTask(index int, attempt uint64) worker.Task {
 	return worker.Task{
-		Key:  worker.Key{Task: leverdyke.TaskID{Job: "j", Index: index}, Attempt: attempt},
-		Each: leverdyke.Resources{MilliCPU: 100, MemoryMiB: 100, Slots: 1},
+		Key:      worker.Key{Task: leverdyke.TaskID{Job: "j", Index: index}, Attempt: attempt},
+		Declared: leverdyke.Resources{MilliCPU: 100, MemoryMiB: 100, Slots: 1},
 	}
 }
 
 func start(t *testing.T, w *native.Worker, rep *worker.Report, epoch worker.Epoch, task worker.Task) string {
 	t.Helper()
-	results, err := w.Start(&worker.Start{Epoch: epoch, Boot: rep.Boot, AsOf: rep.Now, TTL: ttl, Tasks: []worker.Task{task}})
+	results, err := w.Start(&worker.Start{Epoch: epoch, Incarnation: rep.Incarnation, AsOf: rep.Now, TTL: ttl, Tasks: []worker.Task{task}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,7 +69,7 @@
 	}
 	c.Advance(ttl / 2)
 	// A renewal that was under way for long renews by when it was based.
-	sync(t, w, &worker.Sync{Epoch: 1, Boot: rep.Boot, AsOf: rep.Now, TTL: ttl})
+	sync(t, w, &worker.Sync{Epoch: 1, Incarnation: rep.Incarnation, AsOf: rep.Now, TTL: ttl})
 	c.Advance(ttl / 2)
 	w.Expire()
 	if got := o.Report().Lapses; got != 1 {
@@ -93,7 +93,7 @@
 	for range 3 {
 		start(t, w, rep, 1, task)
 	}
-	if err := w.Act(&worker.Act{Epoch: 1, Deed: worker.DeedStop, Keys: []worker.Key{task.Key}}); err != nil {
+	if err := w.Act(&worker.Act{Epoch: 1, Action: worker.ActionStop, Keys: []worker.Key{task.Key}}); err != nil {
 		t.Fatal(err)
 	}
 	sync(t, w, &worker.Sync{Epoch: 1, Forget: []worker.Key{task.Key}})
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -18,44 +18,49 @@
 )
 
 const (
-	// EpochHeader carries the fencing epoch of a refusal.
+	// EpochHeader is the response header in which a worker that refuses a command as
+	// fenced names the epoch that it obeys.
 	EpochHeader = "Worker-Epoch"
-	// GrantHeader carries the grant under which a request is sent.
+	// GrantHeader is the request header that names the grant of slots under which a
+	// request is sent.
 	GrantHeader   = "Worker-Grant"
 	maxReplyBytes = 4 << 20
 )
 
-// Client talks HTTP to one worker. It is safe for concurrent use.
+// Client sends commands to one worker over HTTP. It is safe for concurrent use.
 type Client struct {
-	base   string
-	client *http.Client
+	baseURL string
+	client  *http.Client
 }
 
 // NewClient returns a client for the worker at addr.
 func NewClient(addr netip.AddrPort, transport http.RoundTripper) *Client {
-	return &Client{base: "http://" + addr.String(), client: &http.Client{Transport: transport}}
+	return &Client{baseURL: "http://" + addr.String(), client: &http.Client{Transport: transport}}
 }
 
-// NewTransport returns the transport that all clients of a node share; count,
-// which may be nil, is told the bytes on its connections.
-func NewTransport(count netcount.Counter) *http.Transport {
-	return &http.Transport{DialContext: netcount.Dial(count), MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute, WriteBufferSize: 1024, ReadBufferSize: 1024, DisableCompression: true}
+// NewTransport returns the HTTP transport that all clients of a node share. counter
+// counts the bytes sent and received on its connections; it may be nil.
+func NewTransport(counter netcount.Counter) *http.Transport {
+	return &http.Transport{DialContext: netcount.Dial(counter), MaxIdleConnsPerHost: 2, IdleConnTimeout: time.Minute, WriteBufferSize: 1024, ReadBufferSize: 1024, DisableCompression: true}
 }
 
-// Sync renews and reports. FencedError means that the epoch is too low.
+// Sync renews the leases of the worker's tasks and returns the worker's report. A
+// *FencedError means that the worker obeys a higher epoch than that of s.
 func (c *Client) Sync(ctx context.Context, s *Sync) (*Report, error) {
 	r := &Report{}
 	return r, c.post(ctx, "/v1/sync", s, r)
 }
 
-// Start starts attempts. After an error other than FencedError, each may have
-// been started; the same command may be sent again.
+// Start makes the worker start attempts. After an error other than *FencedError each
+// of them may have been started. Sending the same command again is safe, since a
+// worker starts an attempt only once.
 func (c *Client) Start(ctx context.Context, s *Start) ([]StartResult, error) {
 	results := []StartResult{}
 	return results, c.post(ctx, "/v1/start", s, &results)
 }
 
-// Act does a deed to running tasks; the next report shows what became of it.
+// Act makes the worker carry out an action on running tasks. The reply only confirms
+// that the command arrived; the following reports show its effect.
 func (c *Client) Act(ctx context.Context, a *Act) error {
 	return c.post(ctx, "/v1/act", a, nil)
 }
@@ -65,7 +70,7 @@
 	if err != nil {
 		return fmt.Errorf("worker: %w", err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+path, bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.baseURL+path, bytes.NewReader(data))
 	if err != nil {
 		return fmt.Errorf("worker: %w", err)
 	}
@@ -84,14 +89,14 @@
 
 func decodeReply(res *http.Response, path string, body []byte, out any) error {
 	if res.StatusCode == http.StatusConflict {
-		seen, err := strconv.ParseUint(res.Header.Get(EpochHeader), 10, 64)
+		epoch, err := strconv.ParseUint(res.Header.Get(EpochHeader), 10, 64)
 		if err != nil {
-			return fmt.Errorf("worker: %s: refused without an epoch: %w", path, err)
+			return fmt.Errorf("worker: %s: refused with status 409, but its Worker-Epoch header is no number: %w", path, err)
 		}
-		return &FencedError{Seen: Epoch(seen)}
+		return &FencedError{Seen: Epoch(epoch)}
 	}
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("worker: %s: status %d", path, res.StatusCode)
+		return fmt.Errorf("worker: %s: unexpected HTTP status %d", path, res.StatusCode)
 	}
 	if out == nil {
 		return nil
--- a/internal/worker/types.go
+++ b/internal/worker/types.go
@@ -52,7 +52,7 @@
 // The states of an attempt on a worker.
 const (
 	StateRunning      TaskState = "running"
-	StateDone         TaskState = "done"
+	StateSucceeded    TaskState = "done"
 	StateFailed       TaskState = "failed"
 	StateStopped      TaskState = "stopped"
 	StateCheckpointed TaskState = "checkpointed"
@@ -61,12 +61,12 @@
 // Task is an attempt, with all that a new owner must know of it.
 type Task struct {
 	Key Key `json:"k"`
-	// Home is the shard that decides about the job; empty for a grant.
-	Home string `json:"h,omitempty"`
+	// JobShard is the shard that decides about the job; empty for a grant.
+	JobShard string `json:"h,omitempty"`
 	// Holder is the node that uses a grant; empty for a task.
 	Holder string `json:"n,omitempty"`
-	// Each is the declared size; a grant's is the sum of its slots.
-	Each leverdyke.Resources `json:"e,omitzero"`
+	// Declared is the declared size; a grant's is the sum of its slots.
+	Declared leverdyke.Resources `json:"e,omitzero"`
 	// Usage is the last reported use, which lags; zero means none yet.
 	Usage leverdyke.Resources `json:"u,omitzero"`
 	Class leverdyke.Class     `json:"c,omitempty"`
@@ -84,14 +84,14 @@
 // Sync renews the leases of all of a worker's tasks and asks for news.
 type Sync struct {
 	Epoch Epoch `json:"e"`
-	// Boot and AsOf repeat the last report's. Leases are renewed to AsOf plus
+	// Incarnation and AsOf repeat the last report's. Leases are renewed to AsOf plus
 	// TTL on the worker's own clock, so that a message that was under way for
-	// long renews nothing. An empty Boot renews nothing.
-	Boot string        `json:"b"`
-	AsOf int64         `json:"n"`
-	TTL  time.Duration `json:"l"`
-	// Seen is the last revision known; 0 asks for the whole list.
-	Seen uint64 `json:"r"`
+	// long renews nothing. An empty Incarnation renews nothing.
+	Incarnation string        `json:"b"`
+	AsOf        int64         `json:"n"`
+	TTL         time.Duration `json:"l"`
+	// SinceRevision is the last revision known; 0 asks for the whole list.
+	SinceRevision uint64 `json:"r"`
 	// Wait is how long the worker may hold the answer when nothing changed.
 	Wait   time.Duration `json:"w"`
 	Forget []Key         `json:"f,omitempty"`
@@ -99,15 +99,15 @@
 
 // Report is a worker's answer to a Sync.
 type Report struct {
-	// Boot changes when the worker restarts, which ends all its tasks.
-	Boot string `json:"b"`
+	// Incarnation changes when the worker restarts, which ends all its tasks.
+	Incarnation string `json:"b"`
 	// Now is the worker's clock in nanoseconds.
 	Now int64 `json:"n"`
-	// Rev grows with each change of the list.
-	Rev uint64 `json:"r"`
-	// IsWhole says that Tasks is the whole list, not the changes since Seen, of
+	// Revision grows with each change of the list.
+	Revision uint64 `json:"r"`
+	// IsFullList says that Tasks is the whole list, not the changes since Seen, of
 	// which only Key, State, Usage and IsThrottled are set.
-	IsWhole     bool                `json:"w,omitempty"`
+	IsFullList  bool                `json:"w,omitempty"`
 	IsLeaving   bool                `json:"x,omitempty"`
 	Capacity    leverdyke.Resources `json:"c"`
 	Connections int                 `json:"cn,omitempty"`
@@ -116,11 +116,11 @@
 
 // Start gives new attempts to a worker, under the lease that AsOf and TTL say.
 type Start struct {
-	Epoch Epoch         `json:"e"`
-	Boot  string        `json:"b"`
-	AsOf  int64         `json:"n"`
-	TTL   time.Duration `json:"l"`
-	Tasks []Task        `json:"t"`
+	Epoch       Epoch         `json:"e"`
+	Incarnation string        `json:"b"`
+	AsOf        int64         `json:"n"`
+	TTL         time.Duration `json:"l"`
+	Tasks       []Task        `json:"t"`
 }
 
 // StartResult says what became of one attempt.
@@ -131,22 +131,22 @@
 	Refused string `json:"x,omitempty"`
 }
 
-// Deed is something that a worker does to a running task.
-type Deed string
+// Action is something that a worker does to a running task.
+type Action string
 
 // The deeds, gentlest first.
 const (
-	DeedThrottle   Deed = "throttle"
-	DeedUnthrottle Deed = "unthrottle"
-	DeedCheckpoint Deed = "checkpoint"
-	DeedStop       Deed = "stop"
+	ActionThrottle   Action = "throttle"
+	ActionUnthrottle Action = "unthrottle"
+	ActionCheckpoint Action = "checkpoint"
+	ActionStop       Action = "stop"
 )
 
 // Act tells a worker to do something to its tasks.
 type Act struct {
-	Epoch Epoch `json:"e"`
-	Deed  Deed  `json:"d"`
-	Keys  []Key `json:"k"`
+	Epoch  Epoch  `json:"e"`
+	Action Action `json:"d"`
+	Keys   []Key  `json:"k"`
 }
 
 // FencedError says that the worker obeys a higher epoch.
@@ -167,9 +167,9 @@
 // declared and what was reported, since declared sizes are often wrong. A
 // throttled task's processors count by the quarter.
 func (t *Task) Charge() leverdyke.Resources {
-	r := t.Each.Max(t.Usage)
-	r.Slots = t.Each.Slots
-	r.Accelerators = t.Each.Accelerators
+	r := t.Declared.Max(t.Usage)
+	r.Slots = t.Declared.Slots
+	r.Accelerators = t.Declared.Accelerators
 	if t.IsThrottled {
 		r.MilliCPU /= ThrottleDivisor
 	}
