--- a/internal/worker/types.go
+++ b/internal/worker/types.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package worker is the adapter for backend servers: the commands that an
-// owner gives and the reports that it gets.
+// Package worker is the adapter for backend servers: the commands that the owner of a
+// rack sends to its workers, and the workers' reports.
 //
-// What the adapter assumes of a worker: it refuses commands of a lower epoch
-// than it has seen; it ends a task whose lease has run out on its own clock; it
-// starts an attempt once, however often it is told; it keeps an ended task in
-// its list until it is told to forget it. Decision 0003 says what is lost if a
-// real worker lacks one of these.
+// The adapter relies on four properties of a worker. It refuses a command whose epoch
+// is lower than the highest that it has seen. It stops a task whose lease has expired
+// by the worker's own clock. It starts an attempt only once, however often the command
+// to start it arrives. It lists an ended task in its reports until a Sync names the
+// task in Forget. Decision 0003 says what is lost if a real worker lacks one of these.
 package worker
 
 import (
@@ -21,32 +21,34 @@
 // ID names a worker VM.
 type ID string
 
-// Epoch orders the owners of a rack: the claim's epoch, then the deputy's
-// place. A worker obeys the highest that it has seen.
+// Epoch is the fencing token in the commands of a rack's owner. The epoch of the
+// claim to the rack is in the upper bits and the deputy's number in the lowest 8 bits,
+// so that a deputy supersedes the owner for which it steps in, and the next claim
+// supersedes both. A worker obeys the highest epoch that it has seen.
 type Epoch uint64
 
 const deputyBits = 8
 
-// NewEpoch returns the epoch of a claim for its owner (deputy 0) or for its
-// n-th deputy (from 1 to 255).
+// NewEpoch returns the epoch for a claim's owner (deputy is 0) or for its n-th deputy
+// (deputy is n, from 1 to 255).
 func NewEpoch(claim uint64, deputy int) Epoch {
 	return Epoch(claim<<deputyBits | uint64(deputy))
 }
 
-// Claim returns the claim's part of the epoch.
+// Claim returns the epoch of the claim, without the deputy's number.
 func (e Epoch) Claim() uint64 { return uint64(e) >> deputyBits }
 
-// Key names an attempt of a task, or a grant of slots.
+// Key identifies an attempt of a task, or a grant of slots.
 type Key struct {
 	Task leverdyke.TaskID `json:"t"`
-	// Attempt grows with each attempt of the task, from 1.
+	// Attempt numbers the attempts of the task, from 1.
 	Attempt uint64 `json:"a"`
 }
 
-// String returns the key as logs show it.
+// String returns the key in the form that logs use: job/index.attempt.
 func (k Key) String() string { return fmt.Sprintf("%s/%d.%d", k.Task.Job, k.Task.Index, k.Attempt) }
 
-// TaskState is what the worker says of an attempt.
+// TaskState is the state of an attempt as the worker reports it.
 type TaskState string
 
 // The states of an attempt on a worker.
@@ -58,63 +60,75 @@
 	StateCheckpointed TaskState = "checkpointed"
 )
 
-// Task is an attempt, with all that a new owner must know of it.
+// Task is an attempt of a task, or a grant of slots, on a worker. Workers report it in
+// full, so that a new owner of the rack learns from the reports all that it needs.
 type Task struct {
 	Key Key `json:"k"`
-	// JobShard is the shard that decides about the job; empty for a grant.
+	// JobShard is the shard that owns the job; empty for a grant.
 	JobShard string `json:"h,omitempty"`
-	// Holder is the node that uses a grant; empty for a task.
+	// Holder is the node to which the slots of a grant are granted; empty for a task.
 	Holder string `json:"n,omitempty"`
-	// Declared is the declared size; a grant's is the sum of its slots.
+	// Declared is the size that the job declares for the task; for a grant it is the
+	// sum of its slots.
 	Declared leverdyke.Resources `json:"e,omitzero"`
-	// Usage is the last reported use, which lags; zero means none yet.
+	// Usage is the last reported usage, which lags behind the real one; zero means
+	// that none has been reported yet.
 	Usage leverdyke.Resources `json:"u,omitzero"`
 	Class leverdyke.Class     `json:"c,omitempty"`
-	// IsOnce forbids preemption: the task may not start again.
+	// IsOnce forbids preemption, because the task may not be started a second time.
 	IsOnce  bool   `json:"o,omitempty"`
 	Service string `json:"s,omitempty"`
-	// Request is what one request of the service needs.
-	Request       leverdyke.Resources `json:"q,omitzero"`
-	IsRequestOnce bool                `json:"qo,omitempty"`
-	RunTime       time.Duration       `json:"d,omitempty"`
-	State         TaskState           `json:"st"`
-	IsThrottled   bool                `json:"th,omitempty"`
+	// Request is the resources that one request of the service needs.
+	Request leverdyke.Resources `json:"q,omitzero"`
+	// IsRequestOnce means that requests of the service that change something may not
+	// be repeated.
+	IsRequestOnce bool          `json:"qo,omitempty"`
+	RunTime       time.Duration `json:"d,omitempty"`
+	State         TaskState     `json:"st"`
+	IsThrottled   bool          `json:"th,omitempty"`
 }
 
-// Sync renews the leases of all of a worker's tasks and asks for news.
+// Sync renews the leases of all tasks of a worker and asks for changes of its task
+// list.
 type Sync struct {
 	Epoch Epoch `json:"e"`
-	// Incarnation and AsOf repeat the last report's. Leases are renewed to AsOf plus
-	// TTL on the worker's own clock, so that a message that was under way for
-	// long renews nothing. An empty Incarnation renews nothing.
+	// Incarnation and AsOf are Incarnation and Now of the worker's last report. The
+	// leases are renewed until AsOf plus TTL by the worker's own clock, so that a
+	// message that was delayed for long renews nothing. An empty Incarnation renews
+	// nothing.
 	Incarnation string        `json:"b"`
 	AsOf        int64         `json:"n"`
 	TTL         time.Duration `json:"l"`
-	// SinceRevision is the last revision known; 0 asks for the whole list.
+	// SinceRevision is the revision of the last report; 0 asks for the full list.
 	SinceRevision uint64 `json:"r"`
-	// Wait is how long the worker may hold the answer when nothing changed.
-	Wait   time.Duration `json:"w"`
-	Forget []Key         `json:"f,omitempty"`
+	// Wait is how long the worker may delay its answer while nothing changes (a long
+	// poll).
+	Wait time.Duration `json:"w"`
+	// Forget names ended tasks that the worker may remove from its list, because their
+	// end has been processed.
+	Forget []Key `json:"f,omitempty"`
 }
 
 // Report is a worker's answer to a Sync.
 type Report struct {
 	// Incarnation changes when the worker restarts, which ends all its tasks.
 	Incarnation string `json:"b"`
-	// Now is the worker's clock in nanoseconds.
+	// Now is the time by the worker's own clock in nanoseconds.
 	Now int64 `json:"n"`
-	// Revision grows with each change of the list.
+	// Revision grows with each change of the task list.
 	Revision uint64 `json:"r"`
-	// IsFullList says that Tasks is the whole list, not the changes since Seen, of
-	// which only Key, State, Usage and IsThrottled are set.
-	IsFullList  bool                `json:"w,omitempty"`
+	// IsFullList means that Tasks is the full list. Otherwise Tasks has the changes
+	// since Sync.SinceRevision, with only Key, State, Usage and IsThrottled set.
+	IsFullList bool `json:"w,omitempty"`
+	// IsLeaving means that the platform is about to remove the VM.
 	IsLeaving   bool                `json:"x,omitempty"`
 	Capacity    leverdyke.Resources `json:"c"`
 	Connections int                 `json:"cn,omitempty"`
 	Tasks       []Task              `json:"t,omitempty"`
 }
 
-// Start gives new attempts to a worker, under the lease that AsOf and TTL say.
+// Start makes a worker start new attempts. As in Sync, their leases last until AsOf
+// plus TTL by the worker's own clock.
 type Start struct {
 	Epoch       Epoch         `json:"e"`
 	Incarnation string        `json:"b"`
@@ -123,18 +137,18 @@
 	Tasks       []Task        `json:"t"`
 }
 
-// StartResult says what became of one attempt.
+// StartResult is the result of a Start for one attempt.
 type StartResult struct {
 	Key Key `json:"k"`
-	// Refused is why it was not and will not be started by this command; empty
-	// means that it runs, or ran before.
+	// Refused is the reason why this command has not started the attempt and will not;
+	// empty means that the attempt runs, or has run before.
 	Refused string `json:"x,omitempty"`
 }
 
-// Action is something that a worker does to a running task.
+// Action is an action of a worker on a running task.
 type Action string
 
-// The deeds, gentlest first.
+// The actions, the least disruptive first.
 const (
 	ActionThrottle   Action = "throttle"
 	ActionUnthrottle Action = "unthrottle"
@@ -142,30 +156,31 @@
 	ActionStop       Action = "stop"
 )
 
-// Act tells a worker to do something to its tasks.
+// Act makes a worker carry out an action on some of its tasks.
 type Act struct {
 	Epoch  Epoch  `json:"e"`
 	Action Action `json:"d"`
 	Keys   []Key  `json:"k"`
 }
 
-// FencedError says that the worker obeys a higher epoch.
+// FencedError means that the worker refused a command because it obeys a higher epoch.
 type FencedError struct {
 	// Seen is the epoch that the worker obeys.
 	Seen Epoch
 }
 
-// Error returns the text of the error.
+// Error implements the error interface.
 func (e *FencedError) Error() string {
-	return fmt.Sprintf("worker: fenced: the worker obeys epoch %d", e.Seen)
+	return fmt.Sprintf("worker: command refused as fenced: the worker obeys epoch %d", e.Seen)
 }
 
-// ThrottleDivisor is by how much a throttled task's processors shrink.
+// ThrottleDivisor is the factor by which throttling reduces the processors of a task.
 const ThrottleDivisor = 4
 
-// Charge is what the task counts for on its worker: the larger of what was
-// declared and what was reported, since declared sizes are often wrong. A
-// throttled task's processors count by the quarter.
+// Charge returns the resources that the task occupies on its worker: for processors
+// and memory the larger of declared size and reported usage, since declared sizes are
+// often wrong; for slots and accelerators the declared size. A throttled task is
+// charged for a quarter of its processors.
 func (t *Task) Charge() leverdyke.Resources {
 	r := t.Declared.Max(t.Usage)
 	r.Slots = t.Declared.Slots
