--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -320,7 +320,7 @@
 func (c *Core) noteGoneNodes() {
 	for i := range c.vms {
 		vm := &c.vms[i]
-		if vm.Rack != "" || vm.Status != vmlist.StatusGone {
+		if vm.Rack != "" || vm.Status != vmlist.StatusRemoved {
 			continue
 		}
 		id := state.NodeID(vm.Addr.String())
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -19,8 +19,8 @@
 
 const headerBytes = 4
 
-// ErrBad means that the bytes on a link are no frame.
-var ErrBad = errors.New("frame: bad frame")
+// ErrInvalid means that the bytes on a link are no frame.
+var ErrInvalid = errors.New("frame: bad frame")
 
 // Append appends v to buf as one frame.
 func Append(buf []byte, v any) ([]byte, error) {
@@ -29,7 +29,7 @@
 		return buf, fmt.Errorf("frame: cannot encode: %w", err)
 	}
 	if len(data) > MaxBytes {
-		return buf, fmt.Errorf("%w: %d bytes are more than %d", ErrBad, len(data), MaxBytes)
+		return buf, fmt.Errorf("%w: %d bytes are more than %d", ErrInvalid, len(data), MaxBytes)
 	}
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(data)))
 	return append(buf, data...), nil
@@ -44,14 +44,14 @@
 	}
 	n := binary.BigEndian.Uint32(head[:])
 	if n == 0 || n > MaxBytes {
-		return 0, fmt.Errorf("%w: a length of %d bytes", ErrBad, n)
+		return 0, fmt.Errorf("%w: a length of %d bytes", ErrInvalid, n)
 	}
 	data := make([]byte, n)
 	if _, err := io.ReadFull(r, data); err != nil {
 		return 0, fmt.Errorf("frame: read: %w", err)
 	}
 	if err := codec.Unmarshal(data, v); err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrBad, err)
+		return 0, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	return int(n) + headerBytes, nil
 }
--- a/internal/node/frame.go
+++ b/internal/node/frame.go
@@ -10,7 +10,7 @@
 )
 
 // ErrFrame means that the bytes on a link are no frame; the link is closed.
-var ErrFrame = frame.ErrBad
+var ErrFrame = frame.ErrInvalid
 
 // AppendFrame appends m to buf as one frame.
 func AppendFrame(buf []byte, m *Message) ([]byte, error) { return frame.Append(buf, m) }
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -254,10 +254,10 @@
 	for i := range list {
 		e := &list[i]
 		id := worker.ID(e.Name)
-		listed[id] = e.Status != vmlist.StatusGone
+		listed[id] = e.Status != vmlist.StatusRemoved
 		v := r.vms[id]
 		if v == nil {
-			if e.Status == vmlist.StatusGone {
+			if e.Status == vmlist.StatusRemoved {
 				continue
 			}
 			v = &vm{id: id, addr: e.Addr, zone: e.Zone, addedAt: now, held: map[worker.Key]*held{}}
--- a/internal/vmlist/client.go
+++ b/internal/vmlist/client.go
@@ -22,7 +22,7 @@
 const (
 	StatusLive    Status = "live"
 	StatusLeaving Status = "leaving"
-	StatusGone    Status = "gone"
+	StatusRemoved Status = "gone"
 )
 
 // VM is an entry of the list.
@@ -41,14 +41,14 @@
 
 // Client reads the list over HTTP. It is safe for concurrent use.
 type Client struct {
-	url    string
-	etag   string
-	client *http.Client
+	url        string
+	etag       string
+	httpClient *http.Client
 }
 
 // NewClient returns a client for the list at addr.
 func NewClient(addr netip.AddrPort) *Client {
-	return &Client{url: "http://" + addr.String() + "/v1/vms", client: &http.Client{}}
+	return &Client{url: "http://" + addr.String() + "/v1/vms", httpClient: &http.Client{}}
 }
 
 // List returns the list, or nil when it has not changed since the last call.
@@ -61,7 +61,7 @@
 	if c.etag != "" {
 		req.Header.Set("If-None-Match", c.etag)
 	}
-	res, err := c.client.Do(req)
+	res, err := c.httpClient.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("vmlist: %w", err)
 	}
