--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package frame carries values as msgpack with their length in front, the form
-// in which nodes talk over TCP.
+// Package frame encodes the messages between nodes for TCP: each frame is a 4-byte
+// big-endian length followed by a value in msgpack.
 package frame
 
 import (
@@ -14,22 +14,23 @@
 	"github.com/leverdyke/leverdyke/internal/codec"
 )
 
-// MaxBytes is the longest frame that is sent or taken.
+// MaxBytes is the length of the longest value that is sent or accepted in a frame.
 const MaxBytes = 8 << 20
 
 const headerBytes = 4
 
-// ErrInvalid means that the bytes on a link are no frame.
-var ErrInvalid = errors.New("frame: bad frame")
+// ErrInvalid means that a value does not fit into a frame, or that received bytes are
+// no valid frame.
+var ErrInvalid = errors.New("frame: invalid frame")
 
-// Append appends v to buf as one frame.
+// Append encodes v as one frame and appends it to buf.
 func Append(buf []byte, v any) ([]byte, error) {
 	data, err := codec.MarshalCompact(v)
 	if err != nil {
 		return buf, fmt.Errorf("frame: cannot encode: %w", err)
 	}
 	if len(data) > MaxBytes {
-		return buf, fmt.Errorf("%w: %d bytes are more than %d", ErrInvalid, len(data), MaxBytes)
+		return buf, fmt.Errorf("%w: the value has %d bytes, the limit is %d", ErrInvalid, len(data), MaxBytes)
 	}
 	buf = binary.BigEndian.AppendUint32(buf, uint32(len(data)))
 	return append(buf, data...), nil
@@ -38,13 +39,13 @@
 // Read reads one frame into v and returns its length on the wire. Errors other
 // than the reader's own are ErrBad.
 func Read(r io.Reader, v any) (int, error) {
-	head := [headerBytes]byte{}
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	header := [headerBytes]byte{}
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return 0, fmt.Errorf("frame: read: %w", err)
 	}
-	n := binary.BigEndian.Uint32(head[:])
+	n := binary.BigEndian.Uint32(header[:])
 	if n == 0 || n > MaxBytes {
-		return 0, fmt.Errorf("%w: a length of %d bytes", ErrInvalid, n)
+		return 0, fmt.Errorf("%w: length field is %d bytes", ErrInvalid, n)
 	}
 	data := make([]byte, n)
 	if _, err := io.ReadFull(r, data); err != nil {
--- a/internal/vmlist/client.go
+++ b/internal/vmlist/client.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package vmlist is the adapter for the platform's list of VMs, which lags.
+// Package vmlist is the adapter for the platform's list of VMs. The list lags behind
+// the real state of the VMs.
 package vmlist
 
 import (
@@ -15,10 +16,10 @@
 
 const maxListBytes = 4 << 20
 
-// Status is what the platform says of a VM.
+// Status is the platform's status of a VM.
 type Status string
 
-// The statuses of a VM. A VM that the list had and has no more is gone.
+// The statuses of a VM. A VM that was in the list and no longer is counts as removed.
 const (
 	StatusLive    Status = "live"
 	StatusLeaving Status = "leaving"
@@ -27,10 +28,10 @@
 
 // VM is an entry of the list.
 type VM struct {
-	// Name is unique and is never used for another VM.
+	// Name is unique and is never reused for another VM.
 	Name string `json:"name"`
-	// Addr is where a worker takes commands; for an entry VM, where it takes
-	// links from other nodes.
+	// Addr is the address at which a worker VM accepts commands, or at which an entry
+	// VM accepts links from other nodes. Entry VMs run the scheduler's nodes.
 	Addr   netip.AddrPort `json:"addr"`
 	Region string         `json:"region"`
 	Zone   string         `json:"zone"`
@@ -39,20 +40,20 @@
 	Status Status `json:"status"`
 }
 
-// Client reads the list over HTTP. It is safe for concurrent use.
+// Client reads the list over HTTP. Only one goroutine may use it.
 type Client struct {
-	url        string
+	url string
+	// etag is the ETag of the last list; the platform answers 304 while it is current.
 	etag       string
 	httpClient *http.Client
 }
 
-// NewClient returns a client for the list at addr.
+// NewClient returns a client for the platform's VM list service at addr.
 func NewClient(addr netip.AddrPort) *Client {
 	return &Client{url: "http://" + addr.String() + "/v1/vms", httpClient: &http.Client{}}
 }
 
-// List returns the list, or nil when it has not changed since the last call.
-// It is for one goroutine.
+// List returns the list, or nil if it has not changed since the last successful call.
 func (c *Client) List(ctx context.Context) ([]VM, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
@@ -70,7 +71,7 @@
 		return nil, nil
 	}
 	if res.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("vmlist: status %d", res.StatusCode)
+		return nil, fmt.Errorf("vmlist: unexpected HTTP status %d", res.StatusCode)
 	}
 	vms := []VM{}
 	if err := json.NewDecoder(io.LimitReader(res.Body, maxListBytes)).Decode(&vms); err != nil {
