--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -36,8 +36,9 @@
 	return append(buf, data...), nil
 }
 
-// Read reads one frame into v and returns its length on the wire. Errors other
-// than the reader's own are ErrBad.
+// Read reads one frame into v and returns the number of bytes that the frame took on
+// the wire. It wraps and returns the errors of r; bytes that are no valid frame give
+// ErrInvalid.
 func Read(r io.Reader, v any) (int, error) {
 	header := [headerBytes]byte{}
 	if _, err := io.ReadFull(r, header[:]); err != nil {
