--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -185,8 +185,8 @@
 	return storeReply{Response: response}, nil
 }
 
-// HandleNotice handles a notification from another node.
-func (n *Node) HandleNotice(from *link.Conn, kind link.Kind, body []byte) {
+// HandleNotification handles a notification from another node.
+func (n *Node) HandleNotification(from *link.Conn, kind link.Kind, body []byte) {
 	switch kind {
 	case kindOwnerHeartbeat:
 		b := ownerHeartbeat{}
--- a/internal/link/conn.go
+++ b/internal/link/conn.go
@@ -33,15 +33,15 @@
 	Body    []byte
 	// Failure is set in a reply to a call that failed.
 	Failure string
-	// Patience is how long the caller waits for the reply; 0 means for as long as
+	// Timeout is how long the caller waits for the reply; 0 means for as long as
 	// the connection lasts.
-	Patience time.Duration
+	Timeout time.Duration
 }
 
 // Bounds of a connection.
 const (
-	// outboundFrames is how many frames may wait; a peer that does not read is cut.
-	outboundFrames = 4096
+	// maxQueuedFrames is how many frames may wait; a peer that does not read is cut.
+	maxQueuedFrames = 4096
 	// maxCalls is how many calls of a peer may be in progress.
 	maxCalls = 2048
 	// keepAlive finds a machine that lost its power, besides the beats.
@@ -63,35 +63,35 @@
 type Handler interface {
 	// HandleCall returns the body of the reply.
 	HandleCall(ctx context.Context, from *Conn, kind Kind, body []byte) (any, error)
-	HandleNotice(from *Conn, kind Kind, body []byte)
+	HandleNotification(from *Conn, kind Kind, body []byte)
 }
 
 // Conn is a connection to a peer. It is safe for concurrent use.
 type Conn struct {
-	conn    net.Conn
-	handler Handler
-	out     *boundedqueue.Queue[*message]
-	ctx     context.Context
-	cancel  context.CancelFunc
-	slots   chan struct{}
+	conn      net.Conn
+	handler   Handler
+	outbound  *boundedqueue.Queue[*message]
+	ctx       context.Context
+	cancel    context.CancelFunc
+	callSlots chan struct{}
 
 	mu      sync.Mutex
 	nextID  uint64
-	waiting map[uint64]waiter
+	pending map[uint64]pendingCall
 }
 
 // NewConn takes over an open connection.
 func NewConn(c net.Conn, h Handler) *Conn {
 	ctx, cancel := context.WithCancel(context.Background())
 	conn := &Conn{
-		conn: c, handler: h, out: boundedqueue.NewQueue[*message](outboundFrames), ctx: ctx, cancel: cancel,
-		slots: make(chan struct{}, maxCalls), waiting: map[uint64]waiter{},
+		conn: c, handler: h, outbound: boundedqueue.NewQueue[*message](maxQueuedFrames), ctx: ctx, cancel: cancel,
+		callSlots: make(chan struct{}, maxCalls), pending: map[uint64]pendingCall{},
 	}
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAlive, Interval: keepAlive, Count: 3})
 	}
-	go conn.runReads()
-	go conn.runWrites()
+	go conn.readLoop()
+	go conn.writeLoop()
 	return conn
 }
 
@@ -128,13 +128,13 @@
 	if err != nil {
 		return err
 	}
-	id, ch := c.expect(ctx)
-	defer c.forget(id)
-	if !c.send(&message{ID: id, Kind: kind, Body: body, Patience: patienceOf(ctx)}) {
+	id, replies := c.registerCall(ctx)
+	defer c.unregisterCall(id)
+	if !c.send(&message{ID: id, Kind: kind, Body: body, Timeout: timeoutOf(ctx)}) {
 		return ErrClosed
 	}
 	select {
-	case m := <-ch:
+	case m := <-replies:
 		if m.Failure != "" {
 			return &CallError{m.Failure}
 		}
@@ -146,8 +146,8 @@
 	}
 }
 
-// patienceOf returns how long ctx still lasts; 0 when it has no end.
-func patienceOf(ctx context.Context) time.Duration {
+// timeoutOf returns how long ctx still lasts; 0 when it has no end.
+func timeoutOf(ctx context.Context) time.Duration {
 	left, ok := progress.TimeLeft(ctx)
 	if !ok {
 		return 0
@@ -155,43 +155,43 @@
 	return max(left, time.Nanosecond)
 }
 
-func (c *Conn) expect(ctx context.Context) (uint64, chan *message) {
+func (c *Conn) registerCall(ctx context.Context) (uint64, chan *message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nextID++
-	ch := make(chan *message, 1)
-	c.waiting[c.nextID] = waiter{ctx, ch}
-	return c.nextID, ch
+	replies := make(chan *message, 1)
+	c.pending[c.nextID] = pendingCall{ctx, replies}
+	return c.nextID, replies
 }
 
-func (c *Conn) forget(id uint64) {
+func (c *Conn) unregisterCall(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 }
 
 func (c *Conn) send(m *message) bool {
 	if c.ctx.Err() != nil {
 		return false
 	}
-	if c.out.TryPut(m) {
+	if c.outbound.TryPut(m) {
 		return true
 	}
 	c.Close()
 	return false
 }
 
-// runWrites sends what is queued until the connection is closed.
-func (c *Conn) runWrites() {
+// writeLoop sends what is queued until the connection is closed.
+func (c *Conn) writeLoop() {
 	defer c.Close()
 	buf := []byte{}
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case m := <-c.out.Items():
+		case m := <-c.outbound.Items():
 			var err error
-			if buf, err = c.gather(buf[:0], m); err != nil {
+			if buf, err = c.appendQueued(buf[:0], m); err != nil {
 				return
 			}
 			if err := c.write(buf); err != nil {
@@ -201,15 +201,15 @@
 	}
 }
 
-// gatherBytes is about how much one write carries.
-const gatherBytes = 64 << 10
+// batchBytes is about how much one write carries.
+const batchBytes = 64 << 10
 
-// gather appends a frame and what else waits.
-func (c *Conn) gather(buf []byte, m *message) ([]byte, error) {
+// appendQueued appends a frame and what else waits.
+func (c *Conn) appendQueued(buf []byte, m *message) ([]byte, error) {
 	buf, err := frame.Append(buf, m)
-	for err == nil && len(buf) < gatherBytes {
+	for err == nil && len(buf) < batchBytes {
 		select {
-		case next := <-c.out.Items():
+		case next := <-c.outbound.Items():
 			buf, err = frame.Append(buf, next)
 		default:
 			return buf, nil
@@ -218,48 +218,48 @@
 	return buf, err
 }
 
-// runReads takes what comes until the connection is closed.
-func (c *Conn) runReads() {
+// readLoop takes what comes until the connection is closed.
+func (c *Conn) readLoop() {
 	defer c.Close()
-	from := &frameMeter{conn: c}
-	r := bufio.NewReaderSize(from, 8<<10)
+	source := &progressReader{conn: c}
+	r := bufio.NewReaderSize(source, 8<<10)
 	for {
-		from.begin()
+		source.beginFrame()
 		m := &message{}
 		if _, err := frame.Read(r, m); err != nil {
 			return
 		}
-		c.take(m)
+		c.dispatch(m)
 	}
 }
 
-func (c *Conn) take(m *message) {
+func (c *Conn) dispatch(m *message) {
 	switch {
 	case m.IsReply:
 		c.mu.Lock()
-		w, ok := c.waiting[m.ID]
+		call, ok := c.pending[m.ID]
 		c.mu.Unlock()
 		if ok {
-			w.reply <- m
+			call.reply <- m
 		}
 	case m.ID == 0:
-		c.handler.HandleNotice(c, m.Kind, m.Body)
+		c.handler.HandleNotification(c, m.Kind, m.Body)
 	default:
 		select {
-		case c.slots <- struct{}{}:
-			go c.runCall(m)
+		case c.callSlots <- struct{}{}:
+			go c.serveCall(m)
 		default:
 			c.send(&message{ID: m.ID, Kind: m.Kind, IsReply: true, Failure: "too many calls are in progress"})
 		}
 	}
 }
 
-func (c *Conn) runCall(m *message) {
-	defer func() { <-c.slots }()
+func (c *Conn) serveCall(m *message) {
+	defer func() { <-c.callSlots }()
 	ctx := c.ctx
-	if m.Patience > 0 {
+	if m.Timeout > 0 {
 		// Not by progress: the caller does not hear of it before the reply begins.
-		bounded, cancel := context.WithTimeout(ctx, m.Patience)
+		bounded, cancel := context.WithTimeout(ctx, m.Timeout)
 		defer cancel()
 		ctx = bounded
 	}
--- a/internal/link/conn_test.go
+++ b/internal/link/conn_test.go
@@ -20,21 +20,21 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-// handler answers a call with what it got, or fails, and passes notices on.
-type handler struct {
+// echoHandler answers a call with what it got, or fails, and passes notices on.
+type echoHandler struct {
 	notices  chan string
 	blocked  chan struct{}
 	released chan struct{}
 }
 
-func (h *handler) HandleCall(ctx context.Context, _ *link.Conn, kind link.Kind, body []byte) (any, error) {
+func (h *echoHandler) HandleCall(ctx context.Context, _ *link.Conn, kind link.Kind, body []byte) (any, error) {
 	text := ""
 	if err := codec.Unmarshal(body, &text); err != nil {
 		return nil, err
 	}
 	switch kind {
 	case "long":
-		return strings.Repeat(text, longText), nil
+		return strings.Repeat(text, longReplyRepeats), nil
 	case "fail":
 		return nil, errors.New("no " + text)
 	case "block":
@@ -46,28 +46,28 @@
 	return text + "!", nil
 }
 
-func (h *handler) HandleNotice(_ *link.Conn, _ link.Kind, body []byte) {
+func (h *echoHandler) HandleNotification(_ *link.Conn, _ link.Kind, body []byte) {
 	text := ""
 	if codec.Unmarshal(body, &text) == nil {
 		h.notices <- text
 	}
 }
 
-// longText is how often a long reply repeats what was asked.
-const longText = 200 << 10
+// longReplyRepeats is how often a long reply repeats what was asked.
+const longReplyRepeats = 200 << 10
 
-func newPair(t *testing.T) (*link.Conn, *link.Conn, *handler) {
+func newConnPair(t *testing.T) (*link.Conn, *link.Conn, *echoHandler) {
 	t.Helper()
 	a, b := net.Pipe()
-	h := &handler{notices: make(chan string, 1), blocked: make(chan struct{}), released: make(chan struct{})}
+	h := &echoHandler{notices: make(chan string, 1), blocked: make(chan struct{}), released: make(chan struct{})}
 	left, right := link.NewConn(a, h), link.NewConn(b, h)
 	t.Cleanup(left.Close)
 	t.Cleanup(right.Close)
 	return left, right, h
 }
 
-func TestCallsGoBothWays(t *testing.T) {
-	left, right, _ := newPair(t)
+func TestCallsWorkInBothDirections(t *testing.T) {
+	left, right, _ := newConnPair(t)
 	for _, c := range []*link.Conn{left, right} {
 		got := ""
 		if err := c.Call(t.Context(), "echo", "hello", &got); err != nil || got != "hello!" {
@@ -76,8 +76,8 @@
 	}
 }
 
-func TestAFailedCallTellsThePeersReason(t *testing.T) {
-	left, _, _ := newPair(t)
+func TestFailedCallReturnsThePeersReason(t *testing.T) {
+	left, _, _ := newConnPair(t)
 	got := ""
 	e := &link.CallError{}
 	if err := left.Call(t.Context(), "fail", "bread", &got); !errors.As(err, &e) || e.Reason != "no bread" {
@@ -85,8 +85,8 @@
 	}
 }
 
-func TestNoticesArrive(t *testing.T) {
-	left, _, h := newPair(t)
+func TestNotificationIsDelivered(t *testing.T) {
+	left, _, h := newConnPair(t)
 	if !left.Notify("note", "x") {
 		t.Fatal("got: dropped, want: sent")
 	}
@@ -95,8 +95,8 @@
 	}
 }
 
-func TestAClosedLinkEndsItsCalls(t *testing.T) {
-	left, right, h := newPair(t)
+func TestClosingALinkFailsItsPendingCalls(t *testing.T) {
+	left, right, h := newConnPair(t)
 	failed := make(chan error, 1)
 	go func() {
 		got := ""
@@ -113,17 +113,17 @@
 	}
 }
 
-func TestForeignBytesCloseTheLink(_ *testing.T) {
+func TestInvalidFrameClosesTheLink(_ *testing.T) {
 	a, b := net.Pipe()
-	c := link.NewConn(a, &handler{})
+	c := link.NewConn(a, &echoHandler{})
 	go func() { _, _ = b.Write([]byte{0xff, 0xff, 0xff, 0xff, 1, 2, 3}) }()
 	<-c.Done()
 }
 
 // Calls for the store that nobody waited for any more held all connections of
 // the peers, which then read no configuration for eight seconds.
-func TestAPeerGivesUpWithItsCaller(t *testing.T) {
-	left, _, h := newPair(t)
+func TestPeerCancelsACallWhenItsCallerTimesOut(t *testing.T) {
+	left, _, h := newConnPair(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	got := ""
@@ -134,84 +134,84 @@
 	<-h.released
 }
 
-// reader is a peer that reads something large for its caller.
-type reader struct {
-	// moved is closed once the first byte has come, gone once the caller has given up.
-	moved, gone chan struct{}
-	// left is how long the peer would go on after the next byte.
-	left chan time.Duration
+// slowReader is a peer that reads something large for its caller.
+type slowReader struct {
+	// firstByteReceived is closed once the first byte has come, callerTimedOut once the caller has given up.
+	firstByteReceived, callerTimedOut chan struct{}
+	// timeLeft is how long the peer would go on after the next byte.
+	timeLeft chan time.Duration
 }
 
-func (r *reader) HandleCall(ctx context.Context, _ *link.Conn, _ link.Kind, _ []byte) (any, error) {
+func (r *slowReader) HandleCall(ctx context.Context, _ *link.Conn, _ link.Kind, _ []byte) (any, error) {
 	progress.Note(ctx, 1)
-	close(r.moved)
-	<-r.gone
+	close(r.firstByteReceived)
+	<-r.callerTimedOut
 	progress.Note(ctx, 1)
 	left, _ := progress.TimeLeft(ctx)
-	r.left <- left
+	r.timeLeft <- left
 	return nil, ctx.Err()
 }
 
-func (*reader) HandleNotice(*link.Conn, link.Kind, []byte) {}
+func (*slowReader) HandleNotification(*link.Conn, link.Kind, []byte) {}
 
 // A peer that read 1 MB from the store for a node that had given up went on to the
 // end, held a connection to the store meanwhile, and sent the whole over the link of
 // that node, which had asked six others for it again.
-func TestAPeerThatReadsGivesUpWithItsCaller(t *testing.T) {
-	const first = 50 * time.Millisecond
+func TestPeerCancelsAReadInProgressWhenItsCallerTimesOut(t *testing.T) {
+	const firstTimeout = 50 * time.Millisecond
 	near, far := net.Pipe()
-	r := &reader{moved: make(chan struct{}), gone: make(chan struct{}), left: make(chan time.Duration, 1)}
-	left, right := link.NewConn(near, &handler{}), link.NewConn(far, r)
+	r := &slowReader{firstByteReceived: make(chan struct{}), callerTimedOut: make(chan struct{}), timeLeft: make(chan time.Duration, 1)}
+	left, right := link.NewConn(near, &echoHandler{}), link.NewConn(far, r)
 	t.Cleanup(left.Close)
 	t.Cleanup(right.Close)
 	c := clock.NewFake()
-	ctx, cancel := progress.WithClock(t.Context(), c, first, progress.Stall)
+	ctx, cancel := progress.WithClock(t.Context(), c, firstTimeout, progress.Stall)
 	defer cancel()
 	go func() {
-		<-r.moved
-		c.Advance(first + progress.Stall)
+		<-r.firstByteReceived
+		c.Advance(firstTimeout + progress.Stall)
 	}()
 	got := ""
 	if err := left.Call(ctx, "read", "x", &got); err == nil {
 		t.Errorf("got: %q, want: an error", got)
 	}
-	close(r.gone)
-	if got := <-r.left; got > first {
-		t.Errorf("the peer goes on: got: %v, want: %v at most", got, first)
+	close(r.callerTimedOut)
+	if got := <-r.timeLeft; got > firstTimeout {
+		t.Errorf("the peer goes on: got: %v, want: %v at most", got, firstTimeout)
 	}
 }
 
-// piecewise lets what is written pass in pieces, each followed by a word.
-type piecewise struct {
+// chunkedConn lets what is written pass in pieces, each followed by a word.
+type chunkedConn struct {
 	net.Conn
-	size  int
-	after func(n int)
+	chunkSize  int
+	afterChunk func(n int)
 }
 
-func (p *piecewise) Write(b []byte) (int, error) {
+func (p *chunkedConn) Write(b []byte) (int, error) {
 	written := 0
-	for piece := range slices.Chunk(b, p.size) {
-		n, err := p.Conn.Write(piece)
+	for chunk := range slices.Chunk(b, p.chunkSize) {
+		n, err := p.Conn.Write(chunk)
 		if written += n; err != nil {
 			return written, err
 		}
-		p.after(written)
+		p.afterChunk(written)
 	}
 	return written, nil
 }
 
 // A page of 1 MB that came through a peer over a link of 10 Mbit/s took longer
 // than its reader waited.
-func TestALongReplyGoesOnWhileBytesCome(t *testing.T) {
-	const first = time.Second
+func TestLongReplyIsNotTimedOutWhileBytesArrive(t *testing.T) {
+	const firstTimeout = time.Second
 	c := clock.NewFake()
-	ctx, cancel := progress.WithClock(t.Context(), c, first, progress.Stall)
+	ctx, cancel := progress.WithClock(t.Context(), c, firstTimeout, progress.Stall)
 	defer cancel()
 	near, far := net.Pipe()
 	moved := int64(0)
-	slow := &piecewise{Conn: far, size: 4 << 10}
-	slow.after = func(n int) {
-		if n <= 4*slow.size {
+	slow := &chunkedConn{Conn: far, chunkSize: 4 << 10}
+	slow.afterChunk = func(n int) {
+		if n <= 4*slow.chunkSize {
 			// A frame counts as long from here on.
 			return
 		}
@@ -219,43 +219,43 @@
 		moved = progress.Bytes(ctx)
 		c.Advance(progress.Stall - 1)
 	}
-	left, right := link.NewConn(near, &handler{}), link.NewConn(slow, &handler{})
+	left, right := link.NewConn(near, &echoHandler{}), link.NewConn(slow, &echoHandler{})
 	t.Cleanup(left.Close)
 	t.Cleanup(right.Close)
 	got := ""
-	if err := left.Call(ctx, "long", "x", &got); err != nil || len(got) != longText {
-		t.Errorf("got: %d bytes, %v, want: %d", len(got), err, longText)
+	if err := left.Call(ctx, "long", "x", &got); err != nil || len(got) != longReplyRepeats {
+		t.Errorf("got: %d bytes, %v, want: %d", len(got), err, longReplyRepeats)
 	}
 }
 
-// deadlines notes the most bytes that were written under one deadline.
-type deadlines struct {
+// deadlineRecorder notes the most bytes that were written under one deadline.
+type deadlineRecorder struct {
 	net.Conn
-	mu          sync.Mutex
-	since, most int
+	mu                            sync.Mutex
+	sinceDeadline, maxPerDeadline int
 }
 
-func (d *deadlines) SetWriteDeadline(at time.Time) error {
+func (d *deadlineRecorder) SetWriteDeadline(at time.Time) error {
 	d.mu.Lock()
-	d.since = 0
+	d.sinceDeadline = 0
 	d.mu.Unlock()
 	return d.Conn.SetWriteDeadline(at)
 }
 
-func (d *deadlines) Write(b []byte) (int, error) {
+func (d *deadlineRecorder) Write(b []byte) (int, error) {
 	d.mu.Lock()
-	d.since += len(b)
-	d.most = max(d.most, d.since)
+	d.sinceDeadline += len(b)
+	d.maxPerDeadline = max(d.maxPerDeadline, d.sinceDeadline)
 	d.mu.Unlock()
 	return d.Conn.Write(b)
 }
 
 // Links on which 820 KB went to 27 nodes at once were closed: no frame was allowed
 // more than 2 s, whatever its size.
-func TestALongFrameHasTheTimeThatItsPiecesNeed(t *testing.T) {
+func TestLongFrameGetsAWriteDeadlinePerChunk(t *testing.T) {
 	near, far := net.Pipe()
-	d := &deadlines{Conn: far}
-	left, right := link.NewConn(near, &handler{}), link.NewConn(d, &handler{})
+	d := &deadlineRecorder{Conn: far}
+	left, right := link.NewConn(near, &echoHandler{}), link.NewConn(d, &echoHandler{})
 	t.Cleanup(left.Close)
 	t.Cleanup(right.Close)
 	got := ""
@@ -266,7 +266,7 @@
 	const want = 25 << 10
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.most > want {
-		t.Errorf("bytes under one deadline: got: %d, want: %d at most", d.most, want)
+	if d.maxPerDeadline > want {
+		t.Errorf("bytes under one deadline: got: %d, want: %d at most", d.maxPerDeadline, want)
 	}
 }
--- a/internal/link/long.go
+++ b/internal/link/longframe.go
@@ -20,59 +20,59 @@
 	// region reads within milliseconds, and 10 Mbit/s take 13 ms. A long frame takes
 	// as long as its pieces do.
 	writeTimeout = 2 * time.Second
-	// writePiece is in bytes.
-	writePiece = 16 << 10
+	// writeChunk is in bytes.
+	writeChunk = 16 << 10
 	// shortFrameReads is how many reads of the socket suffice for a frame that has
 	// come whole: one fills the buffer of runReads (8 KB), the other brings what is
 	// beyond it. A further read means that the frame comes in parts: a long one.
 	shortFrameReads = 2
 )
 
-// waiter is a call that waits for its reply.
-type waiter struct {
+// pendingCall is a call that waits for its reply.
+type pendingCall struct {
 	// ctx is the caller's; what moves for the call is noted in it.
 	ctx   context.Context
 	reply chan *message
 }
 
-// noteMoved gives all calls that wait more time.
-func (c *Conn) noteMoved(bytes int) {
+// recordProgress gives all calls that wait more time.
+func (c *Conn) recordProgress(bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range c.waiting {
-		progress.Note(w.ctx, bytes)
+	for _, call := range c.pending {
+		progress.Note(call.ctx, bytes)
 	}
 }
 
 // write sends bytes in pieces, for as long as they leave.
 func (c *Conn) write(buf []byte) error {
-	for piece := range slices.Chunk(buf, writePiece) {
+	for chunk := range slices.Chunk(buf, writeChunk) {
 		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := c.conn.Write(piece); err != nil {
+		if _, err := c.conn.Write(chunk); err != nil {
 			return err
 		}
-		if len(buf) > len(piece) {
-			c.noteMoved(len(piece))
+		if len(buf) > len(chunk) {
+			c.recordProgress(len(chunk))
 		}
 	}
 	return nil
 }
 
-// frameMeter reads a connection, and notes what comes of a long frame.
-type frameMeter struct {
+// progressReader reads a connection, and notes what comes of a long frame.
+type progressReader struct {
 	conn *Conn
 	// reads counts those of the frame that comes.
 	reads int
 }
 
-// begin says that the next frame is read.
-func (m *frameMeter) begin() { m.reads = 0 }
+// beginFrame says that the next frame is read.
+func (m *progressReader) beginFrame() { m.reads = 0 }
 
 // Read reads, and notes that bytes of a long frame came.
-func (m *frameMeter) Read(b []byte) (int, error) {
+func (m *progressReader) Read(b []byte) (int, error) {
 	n, err := m.conn.conn.Read(b)
 	if m.reads++; m.reads > shortFrameReads && n > 0 {
-		m.conn.noteMoved(n)
+		m.conn.recordProgress(n)
 	}
 	return n, err
 }
