--- a/internal/link/conn.go
+++ b/internal/link/conn.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package link has calls between nodes over one TCP connection, in both
-// directions, with typed bodies.
+// Package link multiplexes remote procedure calls and notifications between two nodes
+// over one TCP connection, in both directions.
 package link
 
 import (
@@ -21,45 +21,51 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-// Kind names a message; its body has one type.
+// Kind is the kind of a message, which determines the type of its body.
 type Kind string
 
-// message is what a frame carries.
+// message is the content of one frame. It is encoded as an array, so that the order of
+// its fields is part of the protocol and their names are not.
 type message struct {
-	// ID joins a reply to its call; 0 marks a notification.
+	// ID matches a reply to its call; 0 marks a notification.
 	ID      uint64
 	Kind    Kind
 	IsReply bool
 	Body    []byte
-	// Failure is set in a reply to a call that failed.
+	// Failure is the error text in a reply to a call that failed; otherwise it is
+	// empty.
 	Failure string
-	// Timeout is how long the caller waits for the reply; 0 means for as long as
-	// the connection lasts.
+	// Timeout is how long the caller waits for the reply; 0 means as long as the
+	// connection is open.
 	Timeout time.Duration
 }
 
 // Bounds of a connection.
 const (
-	// maxQueuedFrames is how many frames may wait; a peer that does not read is cut.
+	// maxQueuedFrames is how many frames may wait to be sent. The connection is closed
+	// when the queue overflows, because then the peer does not read.
 	maxQueuedFrames = 4096
-	// maxCalls is how many calls of a peer may be in progress.
+	// maxCalls is how many calls from the peer may be in progress at once.
 	maxCalls = 2048
-	// keepAlive finds a machine that lost its power, besides the beats.
+	// keepAlive is the period of the TCP keep-alive probes. In addition to the nodes'
+	// heartbeats, they detect a machine that has lost power.
 	keepAlive = time.Second
 )
 
-// ErrClosed means that the connection is closed. A call that had been sent may
-// have been carried out.
-var ErrClosed = errors.New("link: closed")
+// ErrClosed means that the connection is closed. The peer may nevertheless have carried
+// out a call that was sent before.
+var ErrClosed = errors.New("link: connection closed")
 
-// CallError is the failure that a peer told.
+// CallError means that the peer answered a call with a failure. Reason is the peer's
+// error text.
 type CallError struct{ Reason string }
 
-// Error returns the text of the error.
-func (e *CallError) Error() string { return "link: the peer says: " + e.Reason }
+// Error implements the error interface.
+func (e *CallError) Error() string { return "link: peer reported failure: " + e.Reason }
 
-// Handler takes what a peer sends. Calls come on goroutines of their own,
-// notifications one after the other.
+// Handler handles the messages of a peer. Each call is handled in a goroutine of its
+// own. Notifications are handled one after the other in the goroutine that reads the
+// connection: while HandleNotification blocks, no other message is read.
 type Handler interface {
 	// HandleCall returns the body of the reply.
 	HandleCall(ctx context.Context, from *Conn, kind Kind, body []byte) (any, error)
@@ -80,7 +86,7 @@
 	pending map[uint64]pendingCall
 }
 
-// NewConn takes over an open connection.
+// NewConn starts the protocol on an open connection, which the Conn then owns.
 func NewConn(c net.Conn, h Handler) *Conn {
 	ctx, cancel := context.WithCancel(context.Background())
 	conn := &Conn{
@@ -105,24 +111,25 @@
 	return NewConn(c, h), nil
 }
 
-// Close closes the connection. Calls in progress end with ErrClosed.
+// Close closes the connection. Calls in progress return ErrClosed.
 func (c *Conn) Close() {
 	c.cancel()
 	_ = c.conn.Close()
 }
 
-// Done is closed when the connection is.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Conn) Done() <-chan struct{} { return c.ctx.Done() }
 
-// Notify sends a notification. It reports false when it was dropped.
+// Notify queues a notification. It reports false if the notification was dropped,
+// because it could not be encoded, the connection is closed, or the queue is full.
 func (c *Conn) Notify(kind Kind, v any) bool {
 	body, err := codec.MarshalCompact(v)
 	return err == nil && c.send(&message{Kind: kind, Body: body})
 }
 
-// Call sends a call and waits for its reply, which it reads into reply. The
-// peer works on it no longer than ctx lasts. Any error but *CallError leaves
-// open whether the peer carried it out.
+// Call sends a call, waits for its reply and decodes it into reply. The peer learns how
+// much time ctx has left and cancels the call after that. After any error other than
+// *CallError it is unknown whether the peer has carried out the call.
 func (c *Conn) Call(ctx context.Context, kind Kind, v, reply any) error {
 	body, err := codec.MarshalCompact(v)
 	if err != nil {
@@ -146,7 +153,8 @@
 	}
 }
 
-// timeoutOf returns how long ctx still lasts; 0 when it has no end.
+// timeoutOf returns how much time ctx has left, at least 1 ns, or 0 if it has no
+// deadline.
 func timeoutOf(ctx context.Context) time.Duration {
 	left, ok := progress.TimeLeft(ctx)
 	if !ok {
@@ -155,6 +163,7 @@
 	return max(left, time.Nanosecond)
 }
 
+// registerCall returns a new ID and the channel that receives the reply with this ID.
 func (c *Conn) registerCall(ctx context.Context) (uint64, chan *message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,6 +179,8 @@
 	delete(c.pending, id)
 }
 
+// send queues a message. It reports false if the connection is closed; if the queue is
+// full, it closes the connection.
 func (c *Conn) send(m *message) bool {
 	if c.ctx.Err() != nil {
 		return false
@@ -181,7 +192,7 @@
 	return false
 }
 
-// writeLoop sends what is queued until the connection is closed.
+// writeLoop sends the queued frames until the connection is closed.
 func (c *Conn) writeLoop() {
 	defer c.Close()
 	buf := []byte{}
@@ -201,10 +212,12 @@
 	}
 }
 
-// batchBytes is about how much one write carries.
+// batchBytes is the size at which a batch of frames for one call of write is full. The
+// last frame of a batch may exceed it.
 const batchBytes = 64 << 10
 
-// appendQueued appends a frame and what else waits.
+// appendQueued encodes m and further queued messages into buf, until the queue is empty
+// or the batch is full.
 func (c *Conn) appendQueued(buf []byte, m *message) ([]byte, error) {
 	buf, err := frame.Append(buf, m)
 	for err == nil && len(buf) < batchBytes {
@@ -218,7 +231,7 @@
 	return buf, err
 }
 
-// readLoop takes what comes until the connection is closed.
+// readLoop reads and dispatches messages until the connection is closed.
 func (c *Conn) readLoop() {
 	defer c.Close()
 	source := &progressReader{conn: c}
@@ -233,6 +246,8 @@
 	}
 }
 
+// dispatch passes a reply to its pending call, a notification to the handler, and a call
+// to a goroutine of its own. It refuses a call beyond maxCalls.
 func (c *Conn) dispatch(m *message) {
 	switch {
 	case m.IsReply:
@@ -249,16 +264,18 @@
 		case c.callSlots <- struct{}{}:
 			go c.serveCall(m)
 		default:
-			c.send(&message{ID: m.ID, Kind: m.Kind, IsReply: true, Failure: "too many calls are in progress"})
+			c.send(&message{ID: m.ID, Kind: m.Kind, IsReply: true, Failure: "call refused: too many calls of this peer are in progress"})
 		}
 	}
 }
 
+// serveCall runs the handler for a call and queues the reply.
 func (c *Conn) serveCall(m *message) {
 	defer func() { <-c.callSlots }()
 	ctx := c.ctx
 	if m.Timeout > 0 {
-		// Not by progress: the caller does not hear of it before the reply begins.
+		// The time is not extended while the call makes progress, because the caller
+		// sees no progress before the reply begins, and times out regardless.
 		bounded, cancel := context.WithTimeout(ctx, m.Timeout)
 		defer cancel()
 		ctx = bounded
--- a/internal/link/conn_test.go
+++ b/internal/link/conn_test.go
@@ -20,9 +20,13 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-// echoHandler answers a call with what it got, or fails, and passes notices on.
+// echoHandler answers a call of kind "echo" with its body and an exclamation mark, one
+// of kind "long" with a long repetition of its body, and one of kind "fail" with an
+// error. It blocks a call of kind "block" until the call is cancelled. It sends the
+// bodies of notifications to notifications.
 type echoHandler struct {
-	notices  chan string
+	notifications chan string
+	// blocked is closed when a call blocks, released when it has been cancelled.
 	blocked  chan struct{}
 	released chan struct{}
 }
@@ -49,17 +53,17 @@
 func (h *echoHandler) HandleNotification(_ *link.Conn, _ link.Kind, body []byte) {
 	text := ""
 	if codec.Unmarshal(body, &text) == nil {
-		h.notices <- text
+		h.notifications <- text
 	}
 }
 
-// longReplyRepeats is how often a long reply repeats what was asked.
+// longReplyRepeats is how often a reply to a call of kind "long" repeats its body.
 const longReplyRepeats = 200 << 10
 
 func newConnPair(t *testing.T) (*link.Conn, *link.Conn, *echoHandler) {
 	t.Helper()
 	a, b := net.Pipe()
-	h := &echoHandler{notices: make(chan string, 1), blocked: make(chan struct{}), released: make(chan struct{})}
+	h := &echoHandler{notifications: make(chan string, 1), blocked: make(chan struct{}), released: make(chan struct{})}
 	left, right := link.NewConn(a, h), link.NewConn(b, h)
 	t.Cleanup(left.Close)
 	t.Cleanup(right.Close)
@@ -90,7 +94,7 @@
 	if !left.Notify("note", "x") {
 		t.Fatal("got: dropped, want: sent")
 	}
-	if got := <-h.notices; got != "x" {
+	if got := <-h.notifications; got != "x" {
 		t.Errorf("got: %q, want: x", got)
 	}
 }
@@ -109,7 +113,7 @@
 	}
 	<-left.Done()
 	if left.Notify("note", "x") {
-		t.Error("a notice on a closed link: got: sent, want: dropped")
+		t.Error("a notification on a closed link: got: sent, want: dropped")
 	}
 }
 
@@ -120,8 +124,9 @@
 	<-c.Done()
 }
 
-// Calls for the store that nobody waited for any more held all connections of
-// the peers, which then read no configuration for eight seconds.
+// Guards against a peer that goes on with a call after its caller has timed out. Such
+// calls for the store occupied all store connections of the peers, which then could
+// not read the configuration for eight seconds.
 func TestPeerCancelsACallWhenItsCallerTimesOut(t *testing.T) {
 	left, _, h := newConnPair(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -134,11 +139,13 @@
 	<-h.released
 }
 
-// slowReader is a peer that reads something large for its caller.
+// slowReader is a peer that handles a call by reading something large from elsewhere.
 type slowReader struct {
-	// firstByteReceived is closed once the first byte has come, callerTimedOut once the caller has given up.
+	// firstByteReceived is closed when the peer has read the first byte,
+	// callerTimedOut when the caller has timed out.
 	firstByteReceived, callerTimedOut chan struct{}
-	// timeLeft is how long the peer would go on after the next byte.
+	// timeLeft receives how much time the call has left after the peer has read the
+	// next byte.
 	timeLeft chan time.Duration
 }
 
@@ -154,9 +161,10 @@
 
 func (*slowReader) HandleNotification(*link.Conn, link.Kind, []byte) {}
 
-// A peer that read 1 MB from the store for a node that had given up went on to the
-// end, held a connection to the store meanwhile, and sent the whole over the link of
-// that node, which had asked six others for it again.
+// Guards against a peer whose read for a caller extends its own timeout after the caller
+// has timed out. A peer that read 1 MB from the store for such a caller read it to the
+// end, occupied a store connection meanwhile, and sent all of it over the link of the
+// caller, which had already repeated the request to six other nodes.
 func TestPeerCancelsAReadInProgressWhenItsCallerTimesOut(t *testing.T) {
 	const firstTimeout = 50 * time.Millisecond
 	near, far := net.Pipe()
@@ -177,31 +185,32 @@
 	}
 	close(r.callerTimedOut)
 	if got := <-r.timeLeft; got > firstTimeout {
-		t.Errorf("the peer goes on: got: %v, want: %v at most", got, firstTimeout)
+		t.Errorf("time left of the call at the peer: got: %v, want: %v at most", got, firstTimeout)
 	}
 }
 
-// chunkedConn lets what is written pass in pieces, each followed by a word.
+// chunkedConn passes on what is written in chunks of chunkSize bytes, and calls afterChunk
+// after each with the number of bytes of this write that have been passed on.
 type chunkedConn struct {
 	net.Conn
 	chunkSize  int
 	afterChunk func(n int)
 }
 
-func (p *chunkedConn) Write(b []byte) (int, error) {
+func (c *chunkedConn) Write(b []byte) (int, error) {
 	written := 0
-	for chunk := range slices.Chunk(b, p.chunkSize) {
-		n, err := p.Conn.Write(chunk)
+	for chunk := range slices.Chunk(b, c.chunkSize) {
+		n, err := c.Conn.Write(chunk)
 		if written += n; err != nil {
 			return written, err
 		}
-		p.afterChunk(written)
+		c.afterChunk(written)
 	}
 	return written, nil
 }
 
-// A page of 1 MB that came through a peer over a link of 10 Mbit/s took longer
-// than its reader waited.
+// Guards against a call that times out although its reply is arriving. A page of 1 MB
+// that a peer sent over a link of 10 Mbit/s took longer than the reader's timeout.
 func TestLongReplyIsNotTimedOutWhileBytesArrive(t *testing.T) {
 	const firstTimeout = time.Second
 	c := clock.NewFake()
@@ -212,10 +221,10 @@
 	slow := &chunkedConn{Conn: far, chunkSize: 4 << 10}
 	slow.afterChunk = func(n int) {
 		if n <= 4*slow.chunkSize {
-			// A frame counts as long from here on.
+			// The receiver does not yet count the frame as long.
 			return
 		}
-		await.True(t, "bytes come", func() bool { return progress.Bytes(ctx) > moved })
+		await.True(t, "bytes arrive", func() bool { return progress.Bytes(ctx) > moved })
 		moved = progress.Bytes(ctx)
 		c.Advance(progress.Stall - 1)
 	}
@@ -228,7 +237,8 @@
 	}
 }
 
-// deadlineRecorder notes the most bytes that were written under one deadline.
+// deadlineRecorder records the largest number of bytes that were written under one write
+// deadline.
 type deadlineRecorder struct {
 	net.Conn
 	mu                            sync.Mutex
@@ -250,8 +260,9 @@
 	return d.Conn.Write(b)
 }
 
-// Links on which 820 KB went to 27 nodes at once were closed: no frame was allowed
-// more than 2 s, whatever its size.
+// Guards against a write deadline for a whole frame, whatever its size. Links over which
+// 820 KB were sent to 27 nodes at once were closed, because each frame had to be
+// written within 2 s.
 func TestLongFrameGetsAWriteDeadlinePerChunk(t *testing.T) {
 	near, far := net.Pipe()
 	d := &deadlineRecorder{Conn: far}
@@ -262,7 +273,8 @@
 	if err := left.Call(t.Context(), "long", "x", &got); err != nil {
 		t.Fatal(err)
 	}
-	// 10 Mbit/s carry 2.5 MB in the 2 s of a deadline; a hundredth must suffice.
+	// A link of 10 Mbit/s carries 2.5 MB within the 2 s of one deadline. A hundredth of
+	// that per deadline leaves enough margin when many links share the bandwidth.
 	const want = 25 << 10
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/link/longframe.go
+++ b/internal/link/longframe.go
@@ -11,31 +11,33 @@
 	"github.com/leverdyke/leverdyke/internal/progress"
 )
 
-// A long frame is one that takes several reads or writes. While its bytes move, all
-// calls that wait on the connection have more time (package progress): the call or
-// the reply of each may be in it, or behind it.
+// A long frame is one that takes several reads or writes of the socket. Bytes of a long
+// frame that are read or written count as progress (see package progress) of all calls
+// that wait for a reply on the connection, and so extend their timeouts: the call or
+// the reply of any of them may be in this frame, or queued behind it.
 
 const (
-	// writeTimeout is how long writePiece may take to leave: a peer in the same
-	// region reads within milliseconds, and 10 Mbit/s take 13 ms. A long frame takes
-	// as long as its pieces do.
+	// writeTimeout bounds the write of one chunk, not of a whole frame, so that a long
+	// frame gets the time that its size needs. It is ample: a peer in the same region
+	// reads within milliseconds, and a link of 10 Mbit/s carries a chunk in 13 ms.
 	writeTimeout = 2 * time.Second
-	// writeChunk is in bytes.
+	// writeChunk is the size in bytes of the chunks in which data is written.
 	writeChunk = 16 << 10
 	// shortFrameReads is how many reads of the socket suffice for a frame that has
-	// come whole: one fills the buffer of runReads (8 KB), the other brings what is
-	// beyond it. A further read means that the frame comes in parts: a long one.
+	// arrived completely: one fills the buffer of readLoop (8 KB), the second gets the
+	// rest. A frame that needs a third read is arriving in parts and counts as long.
 	shortFrameReads = 2
 )
 
 // pendingCall is a call that waits for its reply.
 type pendingCall struct {
-	// ctx is the caller's; what moves for the call is noted in it.
+	// ctx is the caller's context, in which the progress of the call is recorded.
 	ctx   context.Context
 	reply chan *message
 }
 
-// recordProgress gives all calls that wait more time.
+// recordProgress records the transfer of bytes as progress of all pending calls, which
+// extends their timeouts.
 func (c *Conn) recordProgress(bytes int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,7 +46,8 @@
 	}
 }
 
-// write sends bytes in pieces, for as long as they leave.
+// write sends buf in chunks, each with a deadline of its own. It fails when a chunk
+// does not leave within writeTimeout.
 func (c *Conn) write(buf []byte) error {
 	for chunk := range slices.Chunk(buf, writeChunk) {
 		_ = c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -58,17 +61,18 @@
 	return nil
 }
 
-// progressReader reads a connection, and notes what comes of a long frame.
+// progressReader reads from a connection and records the bytes of long frames as
+// progress.
 type progressReader struct {
 	conn *Conn
-	// reads counts those of the frame that comes.
+	// reads counts the reads for the current frame.
 	reads int
 }
 
-// beginFrame says that the next frame is read.
+// beginFrame marks the start of a new frame.
 func (m *progressReader) beginFrame() { m.reads = 0 }
 
-// Read reads, and notes that bytes of a long frame came.
+// Read implements io.Reader.
 func (m *progressReader) Read(b []byte) (int, error) {
 	n, err := m.conn.conn.Read(b)
 	if m.reads++; m.reads > shortFrameReads && n > 0 {
