--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -95,7 +95,7 @@
 // grants lead to the workers.
 func newFront(t *testing.T, isOnce bool, keys *fakeKeys, workers ...string) *httptest.Server {
 	t.Helper()
-	r := router.NewRouter(router.NewRouterOptions{Idle: time.Hour})
+	r := router.NewRouter(router.NewRouterOptions{IdleTimeout: time.Hour})
 	r.SetServices(map[string]router.Info{"s": {IsOnce: isOnce}})
 	for i, w := range workers {
 		r.OnGrant(grantFor(t, "s", w, uint64(i+1), 4))
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -171,11 +171,11 @@
 // PlanGrants asks for the slots that callers' requests wait for.
 func (c *Core) PlanGrants() {
 	p := c.options.Router.Plan()
-	for i := range p.Asks {
-		c.sendToRack(p.Asks[i].Rack, &node.Message{GrantAsk: &p.Asks[i]})
+	for i := range p.GrantRequests {
+		c.sendToRack(p.GrantRequests[i].Rack, &node.Message{GrantAsk: &p.GrantRequests[i]})
 	}
-	for i := range p.Done {
-		c.sendToRack(p.Done[i].Rack, &node.Message{GrantDone: &p.Done[i]})
+	for i := range p.GrantReturns {
+		c.sendToRack(p.GrantReturns[i].Rack, &node.Message{GrantDone: &p.GrantReturns[i]})
 	}
 }
 
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -59,7 +59,7 @@
 
 // onGrantCheck returns the grants that this node does not have.
 func (c *Core) onGrantCheck(m *node.GrantCheck) {
-	for _, k := range c.options.Router.Lacking(m.Keys) {
+	for _, k := range c.options.Router.MissingGrants(m.Keys) {
 		c.sendToRack(m.Rack, &node.Message{GrantDone: &node.GrantDone{Rack: m.Rack, Key: k}})
 	}
 }
@@ -203,7 +203,7 @@
 		c.rackCapacity[room.Rack] = c.rackCapacity[room.Rack].Max(room.Capacity)
 	}
 	c.rooms[room.Rack] = room
-	c.options.Router.OnRoom(room)
+	c.options.Router.OnCapacity(room)
 	for _, id := range sorted(c.homes) {
 		c.homes[id].OnRoom(room)
 	}
--- a/internal/nodeserver/node.go
+++ b/internal/nodeserver/node.go
@@ -134,7 +134,7 @@
 			return
 		case <-ticks:
 			n.core.Tick()
-		case <-n.router.Nudge():
+		case <-n.router.PlanDue():
 			n.core.PlanGrants()
 		case e := <-n.events.Items():
 			e(n.core)
--- a/internal/router/grants.go
+++ b/internal/router/grants.go
@@ -14,16 +14,16 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// trimHeadroom is the part of the busiest moment's slots that is kept on top.
-const trimHeadroom = 4
+// headroomDivisor is the part of the busiest moment's slots that is kept on top.
+const headroomDivisor = 4
 
-// maxDoublings keeps the doubled time of shut within its type.
-const maxDoublings = 8
+// maxBackoffDoublings keeps the doubled time of shut within its type.
+const maxBackoffDoublings = 8
 
 // Plan is what the router wants of the racks' owners.
 type Plan struct {
-	Asks []node.GrantAsk
-	Done []node.GrantDone
+	GrantRequests []node.GrantAsk
+	GrantReturns  []node.GrantDone
 }
 
 // OnGrant takes a grant, or its refusal.
@@ -31,56 +31,56 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.service(g.Service)
-	s.answered(g.Rack)
+	s.endGrantRequest(g.Rack)
 	now := r.options.Clock.Now()
 	if g.Refused != "" {
-		s.shut(now, g.Rack)
+		s.backOff(now, g.Rack)
 		return
 	}
 	if slices.ContainsFunc(s.grants, func(o *grant) bool { return o.Key == g.Key }) {
 		return
 	}
-	s.grants = append(s.grants, &grant{Grant: *g, usedAt: now})
-	if room := s.rooms[g.Rack]; room != nil {
-		room.slots -= g.Slots
-		room.refusals = 0
+	s.grants = append(s.grants, &grant{Grant: *g, lastUsedAt: now})
+	if capacity := s.capacities[g.Rack]; capacity != nil {
+		capacity.slots -= g.Slots
+		capacity.consecutiveRefusals = 0
 	}
-	r.serve(s)
+	r.assignSlots(s)
 	if len(s.waiting) > 0 {
-		r.wake()
+		r.signalPlan()
 	}
 }
 
-// answered ends an ask; what it was for counts as free at the rack again.
-func (s *service) answered(rack state.ShardID) {
-	if room := s.rooms[rack]; room != nil {
-		room.slots += s.asked[rack].slots
+// endGrantRequest ends an ask; what it was for counts as free at the rack again.
+func (s *service) endGrantRequest(rack state.ShardID) {
+	if capacity := s.capacities[rack]; capacity != nil {
+		capacity.slots += s.grantRequests[rack].slots
 	}
-	delete(s.asked, rack)
+	delete(s.grantRequests, rack)
 }
 
-// shut keeps from asking a rack for a while. What the rack told stays: the rack
+// backOff keeps from asking a rack for a while. What the rack told stays: the rack
 // tells no more if it is the same after a moment without room.
-func (s *service) shut(now time.Time, rack state.ShardID) {
-	room := s.rooms[rack]
-	if room == nil {
+func (s *service) backOff(now time.Time, rack state.ShardID) {
+	capacity := s.capacities[rack]
+	if capacity == nil {
 		return
 	}
-	room.shutUntil = now.Add(min(firstShut<<min(room.refusals, maxDoublings), lastShut))
-	room.refusals++
+	capacity.backoffUntil = now.Add(min(initialBackoff<<min(capacity.consecutiveRefusals, maxBackoffDoublings), maxBackoff))
+	capacity.consecutiveRefusals++
 }
 
-// Lacking returns those of the grants that the router does not have.
-func (r *Router) Lacking(keys []worker.Key) []worker.Key {
+// MissingGrants returns those of the grants that the router does not have.
+func (r *Router) MissingGrants(keys []worker.Key) []worker.Key {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	has := map[worker.Key]bool{}
+	held := map[worker.Key]bool{}
 	for _, s := range r.services {
 		for _, g := range s.grants {
-			has[g.Key] = true
+			held[g.Key] = true
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(keys), func(k worker.Key) bool { return has[k] })
+	return slices.DeleteFunc(slices.Clone(keys), func(k worker.Key) bool { return held[k] })
 }
 
 // OnRecall takes an owner's wish to have a grant back.
@@ -94,7 +94,7 @@
 			}
 		}
 	}
-	r.wake()
+	r.signalPlan()
 }
 
 // Plan returns the grants to ask for and to give back.
@@ -105,21 +105,21 @@
 	p := Plan{}
 	for _, name := range slices.Sorted(maps.Keys(r.services)) {
 		s := r.services[name]
-		r.trim(now, s)
-		r.dropGrants(now, s, &p)
-		r.planAsks(now, name, s, &p)
+		r.recallSurplus(now, s)
+		r.returnGrants(now, s, &p)
+		r.planGrantRequests(now, name, s, &p)
 	}
 	return p
 }
 
-// trim recalls the grants that were not needed lately, even at the busiest
+// recallSurplus recalls the grants that were not needed lately, even at the busiest
 // moment. Requests go to the least loaded grant, so that none of too many would
 // ever be idle.
-func (r *Router) trim(now time.Time, s *service) {
-	if s.trimmedAt.IsZero() {
-		s.trimmedAt = now
+func (r *Router) recallSurplus(now time.Time, s *service) {
+	if s.surplusCheckedAt.IsZero() {
+		s.surplusCheckedAt = now
 	}
-	if now.Sub(s.trimmedAt) < r.options.Idle || len(s.waiting) > 0 {
+	if now.Sub(s.surplusCheckedAt) < r.options.IdleTimeout || len(s.waiting) > 0 {
 		return
 	}
 	total := 0
@@ -128,62 +128,62 @@
 			total += g.Slots
 		}
 	}
-	spare := total - (s.peak + s.peak/trimHeadroom + 1)
+	surplus := total - (s.peakInUse + s.peakInUse/headroomDivisor + 1)
 	for _, g := range slices.Backward(s.grants) {
-		if !g.isRecalled && g.Slots <= spare {
+		if !g.isRecalled && g.Slots <= surplus {
 			g.isRecalled = true
-			spare -= g.Slots
+			surplus -= g.Slots
 		}
 	}
-	s.peak, s.trimmedAt = s.inUse, now
+	s.peakInUse, s.surplusCheckedAt = s.inUse, now
 }
 
-// dropGrants returns the grants that are recalled or idle, and of which no
+// returnGrants returns the grants that are recalled or idle, and of which no
 // request is in progress.
-func (r *Router) dropGrants(now time.Time, s *service, p *Plan) {
+func (r *Router) returnGrants(now time.Time, s *service, p *Plan) {
 	s.grants = slices.DeleteFunc(s.grants, func(g *grant) bool {
-		isIdle := now.Sub(g.usedAt) >= r.options.Idle
+		isIdle := now.Sub(g.lastUsedAt) >= r.options.IdleTimeout
 		if g.inUse > 0 || (!g.isRecalled && !isIdle) {
 			return false
 		}
-		p.Done = append(p.Done, node.GrantDone{Rack: g.Rack, Key: g.Key})
-		if room := s.rooms[g.Rack]; room != nil {
-			room.slots += g.Slots
+		p.GrantReturns = append(p.GrantReturns, node.GrantDone{Rack: g.Rack, Key: g.Key})
+		if capacity := s.capacities[g.Rack]; capacity != nil {
+			capacity.slots += g.Slots
 		}
 		return true
 	})
 }
 
-// planAsks asks for slots for those who wait, near racks first, then those
+// planGrantRequests asks for slots for those who wait, near racks first, then those
 // with the most room.
-func (r *Router) planAsks(now time.Time, name string, s *service, p *Plan) {
-	for rack, a := range s.asked {
-		if now.Sub(a.at) > askPatience {
-			s.answered(rack)
-			s.shut(now, rack)
+func (r *Router) planGrantRequests(now time.Time, name string, s *service, p *Plan) {
+	for rack, a := range s.grantRequests {
+		if now.Sub(a.sentAt) > grantRequestTimeout {
+			s.endGrantRequest(rack)
+			s.backOff(now, rack)
 		}
 	}
-	need := len(s.waiting) - s.awaited(now)
-	for need > 0 && len(s.asked) < asksAtOnce {
+	need := len(s.waiting) - s.expectedSlots(now)
+	for need > 0 && len(s.grantRequests) < maxGrantRequests {
 		class := s.waiting[0].class
-		rack, room := r.bestRoom(now, s, class)
-		if room == nil {
+		rack, capacity := r.bestRack(now, s, class)
+		if capacity == nil {
 			return
 		}
-		n := min(need, room.available(class))
-		s.asked[rack] = ask{n, now}
-		room.slots -= n
+		n := min(need, capacity.available(class))
+		s.grantRequests[rack] = grantRequest{n, now}
+		capacity.slots -= n
 		need -= n
-		p.Asks = append(p.Asks, node.GrantAsk{Rack: rack, Service: name, Slots: n, Class: class})
+		p.GrantRequests = append(p.GrantRequests, node.GrantAsk{Rack: rack, Service: name, Slots: n, Class: class})
 	}
 }
 
-// awaited is how many slots are asked for and may come any moment. An ask that
+// expectedSlots is how many slots are asked for and may come any moment. An ask that
 // takes longer does not keep from asking another rack.
-func (s *service) awaited(now time.Time) int {
+func (s *service) expectedSlots(now time.Time) int {
 	slots := 0
-	for _, a := range s.asked {
-		if now.Sub(a.at) < hedgeAfter {
+	for _, a := range s.grantRequests {
+		if now.Sub(a.sentAt) < hedgeDelay {
 			slots += a.slots
 		}
 	}
@@ -192,31 +192,31 @@
 
 // available is for how many requests of a class the rack may be asked: none but
 // batches can be pushed aside for a request, and not for a batch's.
-func (m *rackRoom) available(class leverdyke.Class) int {
+func (c *rackCapacity) available(class leverdyke.Class) int {
 	if class == leverdyke.ClassBatch {
-		return m.slots
+		return c.slots
 	}
-	return m.slots + m.yield
+	return c.slots + c.preemptibleSlots
 }
 
-func (r *Router) bestRoom(now time.Time, s *service, class leverdyke.Class) (state.ShardID, *rackRoom) {
-	var best *rackRoom
+func (r *Router) bestRack(now time.Time, s *service, class leverdyke.Class) (state.ShardID, *rackCapacity) {
+	var best *rackCapacity
 	id := state.ShardID("")
-	for rack, room := range s.rooms {
-		_, isAsked := s.asked[rack]
-		if isAsked || room.available(class) <= 0 || now.Before(room.shutUntil) {
+	for rack, capacity := range s.capacities {
+		_, isPending := s.grantRequests[rack]
+		if isPending || capacity.available(class) <= 0 || now.Before(capacity.backoffUntil) {
 			continue
 		}
-		if best == nil || r.isBetterRoom(room, best) || (!r.isBetterRoom(best, room) && rack < id) {
-			best, id = room, rack
+		if best == nil || r.isBetterRack(capacity, best) || (!r.isBetterRack(best, capacity) && rack < id) {
+			best, id = capacity, rack
 		}
 	}
 	return id, best
 }
 
-func (r *Router) isBetterRoom(a, b *rackRoom) bool {
-	if freeA, freeB := a.slots > 0, b.slots > 0; freeA != freeB {
-		return freeA
+func (r *Router) isBetterRack(a, b *rackCapacity) bool {
+	if hasFreeA, hasFreeB := a.slots > 0, b.slots > 0; hasFreeA != hasFreeB {
+		return hasFreeA
 	}
 	nearA, nearB := a.zone == r.options.Zone, b.zone == r.options.Zone
 	if nearA != nearB {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -27,27 +27,27 @@
 	// MaxWaiting bounds the requests that wait for a slot of one service; 0
 	// means 512.
 	MaxWaiting int
-	// Idle is how long a grant may be unused before it is given back; 0 means
+	// IdleTimeout is how long a grant may be unused before it is given back; 0 means
 	// 2 s.
-	Idle  time.Duration
-	Clock clock.Service
+	IdleTimeout time.Duration
+	Clock       clock.Service
 }
 
 const (
-	defaultMaxWaiting = 512
-	defaultIdle       = 2 * time.Second
-	// asksAtOnce bounds the unanswered asks for one service.
-	asksAtOnce  = 4
-	askPatience = time.Second
-	// hedgeAfter is how long an unanswered ask keeps from asking other racks.
-	hedgeAfter = 50 * time.Millisecond
-	// firstShut is how long a rack is not asked after a refusal; it doubles with
+	defaultMaxWaiting  = 512
+	defaultIdleTimeout = 2 * time.Second
+	// maxGrantRequests bounds the unanswered asks for one service.
+	maxGrantRequests    = 4
+	grantRequestTimeout = time.Second
+	// hedgeDelay is how long an unanswered ask keeps from asking other racks.
+	hedgeDelay = 50 * time.Millisecond
+	// initialBackoff is how long a rack is not asked after a refusal; it doubles with
 	// each further one up to lastShut.
-	firstShut    = 150 * time.Millisecond
-	lastShut     = 2400 * time.Millisecond
-	serviceGuess = 20 * time.Millisecond
-	// estimateShare is the weight of the newest service time in the estimate.
-	estimateShare = 0.1
+	initialBackoff     = 150 * time.Millisecond
+	maxBackoff         = 2400 * time.Millisecond
+	initialServiceTime = 20 * time.Millisecond
+	// serviceTimeWeight is the weight of the newest service time in the estimate.
+	serviceTimeWeight = 0.1
 )
 
 // Router has the grants and the waiting requests of a node. It is safe for
@@ -57,8 +57,8 @@
 
 	mu       sync.Mutex
 	services map[string]*service
-	// nudge wakes the duty that asks for grants.
-	nudge chan struct{}
+	// planDue wakes the duty that asks for grants.
+	planDue chan struct{}
 }
 
 // Info is what the accepted jobs say of a service.
@@ -68,46 +68,46 @@
 }
 
 type service struct {
-	info     Info
-	isListed bool
-	grants   []*grant
-	waiting  []*waiter
-	// rooms has the racks that run the service, as they last said.
-	rooms map[state.ShardID]*rackRoom
-	// asked has the unanswered asks by rack.
-	asked map[state.ShardID]ask
-	// inUse is how many requests are in progress, peak the most of them since
+	info      Info
+	isDefined bool
+	grants    []*grant
+	waiting   []*waiter
+	// capacities has the racks that run the service, as they last said.
+	capacities map[state.ShardID]*rackCapacity
+	// grantRequests has the unanswered asks by rack.
+	grantRequests map[state.ShardID]grantRequest
+	// inUse is how many requests are in progress, peakInUse the most of them since
 	// trimmedAt.
-	inUse, peak int
-	trimmedAt   time.Time
-	// perRequest estimates how long one request holds a slot.
-	perRequest time.Duration
-	sequence   uint64
+	inUse, peakInUse int
+	surplusCheckedAt time.Time
+	// serviceTime estimates how long one request holds a slot.
+	serviceTime time.Duration
+	sequence    uint64
 }
 
-// rackRoom is what a rack last told of a service.
-type rackRoom struct {
+// rackCapacity is what a rack last told of a service.
+type rackCapacity struct {
 	// slots is what was told less what this node has asked for and got since.
 	slots int
-	// yield counts further slots for which batches can be pushed aside.
-	yield int
-	zone  string
-	// refusals counts the refusals in a row; shutUntil is until when nothing is
+	// preemptibleSlots counts further slots for which batches can be pushed aside.
+	preemptibleSlots int
+	zone             string
+	// consecutiveRefusals counts the consecutiveRefusals in a row; shutUntil is until when nothing is
 	// asked after the last one.
-	refusals  int
-	shutUntil time.Time
+	consecutiveRefusals int
+	backoffUntil        time.Time
 }
 
-// ask is an ask for slots that has not been answered.
-type ask struct {
-	slots int
-	at    time.Time
+// grantRequest is an grantRequest for slots that has not been answered.
+type grantRequest struct {
+	slots  int
+	sentAt time.Time
 }
 
 type grant struct {
 	node.Grant
-	inUse  int
-	usedAt time.Time
+	inUse      int
+	lastUsedAt time.Time
 	// isRecalled means that no request takes it any more.
 	isRecalled bool
 }
@@ -116,10 +116,10 @@
 	class    leverdyke.Class
 	sequence uint64
 	// ready gets the slot, or the error that ends the wait.
-	ready chan acquired
+	ready chan acquireResult
 }
 
-type acquired struct {
+type acquireResult struct {
 	slot *Slot
 	err  *leverdyke.Error
 }
@@ -132,10 +132,10 @@
 	Grant    worker.Key
 	RunnerUp worker.ID
 
-	router  *Router
-	service *service
-	grant   *grant
-	began   time.Time
+	router     *Router
+	service    *service
+	grant      *grant
+	acquiredAt time.Time
 }
 
 // NewRouter returns a router without grants.
@@ -143,28 +143,28 @@
 	if options.MaxWaiting == 0 {
 		options.MaxWaiting = defaultMaxWaiting
 	}
-	if options.Idle == 0 {
-		options.Idle = defaultIdle
+	if options.IdleTimeout == 0 {
+		options.IdleTimeout = defaultIdleTimeout
 	}
 	if options.Clock == nil {
 		options.Clock = clock.Real{}
 	}
-	return &Router{options: options, services: map[string]*service{}, nudge: make(chan struct{}, 1)}
+	return &Router{options: options, services: map[string]*service{}, planDue: make(chan struct{}, 1)}
 }
 
-// Nudge returns the channel that is fed when Plan has something to do at once.
-func (r *Router) Nudge() <-chan struct{} { return r.nudge }
+// PlanDue returns the channel that is fed when Plan has something to do at once.
+func (r *Router) PlanDue() <-chan struct{} { return r.planDue }
 
 // SetServices tells the router which services there are.
 func (r *Router) SetServices(infos map[string]Info) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for name, s := range r.services {
-		_, s.isListed = infos[name]
+		_, s.isDefined = infos[name]
 	}
 	for name, info := range infos {
 		s := r.service(name)
-		s.isListed, s.info = true, info
+		s.isDefined, s.info = true, info
 	}
 }
 
@@ -173,7 +173,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.services[name]
-	if s == nil || !s.isListed {
+	if s == nil || !s.isDefined {
 		return Info{}, false
 	}
 	return s.info, true
@@ -182,22 +182,22 @@
 func (r *Router) service(name string) *service {
 	s := r.services[name]
 	if s == nil {
-		s = &service{rooms: map[state.ShardID]*rackRoom{}, asked: map[state.ShardID]ask{}, perRequest: serviceGuess}
+		s = &service{capacities: map[state.ShardID]*rackCapacity{}, grantRequests: map[state.ShardID]grantRequest{}, serviceTime: initialServiceTime}
 		r.services[name] = s
 	}
 	return s
 }
 
-// OnRoom takes a rack's summary.
-func (r *Router) OnRoom(room *node.Room) {
+// OnCapacity takes a rack's summary.
+func (r *Router) OnCapacity(summary *node.Room) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.services {
-		delete(s.rooms, room.Rack)
+		delete(s.capacities, summary.Rack)
 	}
-	for _, sr := range room.Services {
-		s := r.service(sr.Service)
-		s.rooms[room.Rack] = &rackRoom{slots: sr.Slots, yield: sr.Yield, zone: room.Zone}
+	for _, sc := range summary.Services {
+		s := r.service(sc.Service)
+		s.capacities[summary.Rack] = &rackCapacity{slots: sc.Slots, preemptibleSlots: sc.Yield, zone: summary.Zone}
 	}
 }
 
@@ -206,12 +206,12 @@
 func (r *Router) Acquire(ctx context.Context, name string, class leverdyke.Class) (*Slot, *leverdyke.Error) {
 	r.mu.Lock()
 	s := r.services[name]
-	if s == nil || !s.isListed {
+	if s == nil || !s.isDefined {
 		r.mu.Unlock()
 		return nil, leverdyke.NotRun("there is no service named "+name+" in this region", 0)
 	}
 	if len(s.waiting) == 0 {
-		if slot := r.take(s); slot != nil {
+		if slot := r.takeSlot(s); slot != nil {
 			r.mu.Unlock()
 			return slot, nil
 		}
@@ -221,18 +221,18 @@
 	if err != nil {
 		return nil, err
 	}
-	r.wake()
+	r.signalPlan()
 	select {
 	case a := <-w.ready:
 		return a.slot, a.err
 	case <-ctx.Done():
-		return nil, r.giveUp(s, w)
+		return nil, r.abandonWait(s, w)
 	}
 }
 
 // enqueue adds a waiter, in place of a less urgent one if the queue is full.
 func (r *Router) enqueue(ctx context.Context, s *service, class leverdyke.Class) (*waiter, *leverdyke.Error) {
-	wait := s.estimate(class)
+	wait := s.estimateWait(class)
 	if deadline, ok := ctx.Deadline(); ok && wait > deadline.Sub(r.options.Clock.Now()) {
 		return nil, leverdyke.NotRun("the deadline is shorter than the queue", seconds(wait))
 	}
@@ -240,7 +240,7 @@
 		return nil, leverdyke.NotRun("the queue of the service is full", seconds(wait))
 	}
 	s.sequence++
-	w := &waiter{class: class, sequence: s.sequence, ready: make(chan acquired, 1)}
+	w := &waiter{class: class, sequence: s.sequence, ready: make(chan acquireResult, 1)}
 	at, _ := slices.BinarySearchFunc(s.waiting, w, compareWaiters)
 	s.waiting = slices.Insert(s.waiting, at, w)
 	return w, nil
@@ -258,12 +258,12 @@
 		return false
 	}
 	s.waiting = s.waiting[:len(s.waiting)-1]
-	last.ready <- acquired{err: leverdyke.NotRun("more urgent requests took its place", retryAfter)}
+	last.ready <- acquireResult{err: leverdyke.NotRun("more urgent requests took its place", retryAfter)}
 	return true
 }
 
-// estimate is how long a new request of the class would wait.
-func (s *service) estimate(class leverdyke.Class) time.Duration {
+// estimateWait is how long a new request of the class would wait.
+func (s *service) estimateWait(class leverdyke.Class) time.Duration {
 	slots, ahead := 0, 0
 	for _, g := range s.grants {
 		slots += g.Slots
@@ -273,13 +273,13 @@
 			ahead++
 		}
 	}
-	return time.Duration(ahead) * s.perRequest / time.Duration(max(slots, 1))
+	return time.Duration(ahead) * s.serviceTime / time.Duration(max(slots, 1))
 }
 
 func seconds(d time.Duration) int { return int(d/time.Second) + 1 }
 
-// giveUp takes a waiter out whose caller is gone or whose time is over.
-func (r *Router) giveUp(s *service, w *waiter) *leverdyke.Error {
+// abandonWait takes a waiter out whose caller is gone or whose time is over.
+func (r *Router) abandonWait(s *service, w *waiter) *leverdyke.Error {
 	r.mu.Lock()
 	i := slices.Index(s.waiting, w)
 	if i >= 0 {
@@ -295,17 +295,17 @@
 	return leverdyke.NotRun("no slot became free in time", 1)
 }
 
-// take uses the least loaded grant; of equals a near one, then the one used
+// takeSlot uses the least loaded grant; of equals a near one, then the one used
 // last, so that others become idle and can be given back.
-func (r *Router) take(s *service) *Slot {
+func (r *Router) takeSlot(s *service) *Slot {
 	var best, second *grant
 	for _, g := range s.grants {
 		if g.isRecalled || g.inUse >= g.Slots {
 			continue
 		}
-		if best == nil || r.isBetter(g, best) {
+		if best == nil || r.isBetterGrant(g, best) {
 			best, second = g, best
-		} else if second == nil || r.isBetter(g, second) {
+		} else if second == nil || r.isBetterGrant(g, second) {
 			second = g
 		}
 	}
@@ -315,16 +315,16 @@
 	now := r.options.Clock.Now()
 	best.inUse++
 	s.inUse++
-	s.peak = max(s.peak, s.inUse)
-	best.usedAt = now
-	slot := &Slot{Worker: best.Worker, Addr: best.Addr, Grant: best.Key, router: r, service: s, grant: best, began: now}
+	s.peakInUse = max(s.peakInUse, s.inUse)
+	best.lastUsedAt = now
+	slot := &Slot{Worker: best.Worker, Addr: best.Addr, Grant: best.Key, router: r, service: s, grant: best, acquiredAt: now}
 	if second != nil {
 		slot.RunnerUp = second.Worker
 	}
 	return slot
 }
 
-func (r *Router) isBetter(a, b *grant) bool {
+func (r *Router) isBetterGrant(a, b *grant) bool {
 	loadA, loadB := a.inUse*b.Slots, b.inUse*a.Slots
 	if loadA != loadB {
 		return loadA < loadB
@@ -333,7 +333,7 @@
 	if nearA != nearB {
 		return nearA
 	}
-	return a.usedAt.After(b.usedAt)
+	return a.lastUsedAt.After(b.lastUsedAt)
 }
 
 // Release gives the slot back. isBad means that the worker did not accept the
@@ -345,35 +345,35 @@
 	now := r.options.Clock.Now()
 	s.grant.inUse--
 	s.service.inUse--
-	s.grant.usedAt = now
+	s.grant.lastUsedAt = now
 	if isBad {
 		s.grant.isRecalled = true
 	} else {
-		took := now.Sub(s.began)
-		s.service.perRequest += time.Duration(estimateShare * float64(took-s.service.perRequest))
+		elapsed := now.Sub(s.acquiredAt)
+		s.service.serviceTime += time.Duration(serviceTimeWeight * float64(elapsed-s.service.serviceTime))
 	}
-	r.serve(s.service)
+	r.assignSlots(s.service)
 	if s.grant.isRecalled && s.grant.inUse == 0 {
-		r.wake()
+		r.signalPlan()
 	}
 }
 
-// serve hands free slots to those who wait.
-func (r *Router) serve(s *service) {
+// assignSlots hands free slots to those who wait.
+func (r *Router) assignSlots(s *service) {
 	for len(s.waiting) > 0 {
-		slot := r.take(s)
+		slot := r.takeSlot(s)
 		if slot == nil {
 			return
 		}
 		w := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		w.ready <- acquired{slot: slot}
+		w.ready <- acquireResult{slot: slot}
 	}
 }
 
-func (r *Router) wake() {
+func (r *Router) signalPlan() {
 	select {
-	case r.nudge <- struct{}{}:
+	case r.planDue <- struct{}{}:
 	default:
 	}
 }
