--- a/internal/router/grants.go
+++ b/internal/router/grants.go
@@ -14,19 +14,21 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// headroomDivisor is the part of the busiest moment's slots that is kept on top.
+// headroomDivisor sets the headroom that is kept above the peak usage: a quarter of it,
+// and one slot more.
 const headroomDivisor = 4
 
-// maxBackoffDoublings keeps the doubled time of shut within its type.
+// maxBackoffDoublings keeps the shifted backoff from overflowing.
 const maxBackoffDoublings = 8
 
-// Plan is what the router wants of the racks' owners.
+// Plan lists the messages that the router wants to be sent to the owners of racks.
 type Plan struct {
 	GrantRequests []node.GrantAsk
 	GrantReturns  []node.GrantDone
 }
 
-// OnGrant takes a grant, or its refusal.
+// OnGrant processes the answer to a grant request: a grant, or a refusal. A grant that the
+// router already has is ignored.
 func (r *Router) OnGrant(g *node.Grant) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,7 +53,8 @@
 	}
 }
 
-// endGrantRequest ends an ask; what it was for counts as free at the rack again.
+// endGrantRequest removes the pending grant request to a rack and counts its slots as free
+// again.
 func (s *service) endGrantRequest(rack state.ShardID) {
 	if capacity := s.capacities[rack]; capacity != nil {
 		capacity.slots += s.grantRequests[rack].slots
@@ -59,8 +62,9 @@
 	delete(s.grantRequests, rack)
 }
 
-// backOff keeps from asking a rack for a while. What the rack told stays: the rack
-// tells no more if it is the same after a moment without room.
+// backOff stops grant requests to a rack for a while. The rack's reported capacity is
+// kept: a rack reports only changes, and so does not report again if it had no free
+// capacity for just a moment.
 func (s *service) backOff(now time.Time, rack state.ShardID) {
 	capacity := s.capacities[rack]
 	if capacity == nil {
@@ -70,7 +74,7 @@
 	capacity.consecutiveRefusals++
 }
 
-// MissingGrants returns those of the grants that the router does not have.
+// MissingGrants returns those of the keys for which the router has no grant.
 func (r *Router) MissingGrants(keys []worker.Key) []worker.Key {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +87,7 @@
 	return slices.DeleteFunc(slices.Clone(keys), func(k worker.Key) bool { return held[k] })
 }
 
-// OnRecall takes an owner's wish to have a grant back.
+// OnRecall processes the request of a rack's owner to return a grant once it is unused.
 func (r *Router) OnRecall(k worker.Key) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +101,8 @@
 	r.signalPlan()
 }
 
-// Plan returns the grants to ask for and to give back.
+// Plan returns the grants to request and to return. The caller must send these messages:
+// the router counts them as sent.
 func (r *Router) Plan() Plan {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,9 +117,9 @@
 	return p
 }
 
-// recallSurplus recalls the grants that were not needed lately, even at the busiest
-// moment. Requests go to the least loaded grant, so that none of too many would
-// ever be idle.
+// recallSurplus marks as recalled the grants that even the peak usage since the last check
+// did not need, with headroom. Idle time alone would not find them: requests go to the
+// least loaded grant and so are spread over all of them, and none would become idle.
 func (r *Router) recallSurplus(now time.Time, s *service) {
 	if s.surplusCheckedAt.IsZero() {
 		s.surplusCheckedAt = now
@@ -138,8 +143,8 @@
 	s.peakInUse, s.surplusCheckedAt = s.inUse, now
 }
 
-// returnGrants returns the grants that are recalled or idle, and of which no
-// request is in progress.
+// returnGrants removes the grants without a request in progress that are recalled or have
+// been idle for too long, and adds them to the plan.
 func (r *Router) returnGrants(now time.Time, s *service, p *Plan) {
 	s.grants = slices.DeleteFunc(s.grants, func(g *grant) bool {
 		isIdle := now.Sub(g.lastUsedAt) >= r.options.IdleTimeout
@@ -154,8 +159,8 @@
 	})
 }
 
-// planGrantRequests asks for slots for those who wait, near racks first, then those
-// with the most room.
+// planGrantRequests requests slots for the waiting requests from the best racks (see
+// bestRack). A rack that has not answered in time counts as having refused.
 func (r *Router) planGrantRequests(now time.Time, name string, s *service, p *Plan) {
 	for rack, a := range s.grantRequests {
 		if now.Sub(a.sentAt) > grantRequestTimeout {
@@ -178,8 +183,9 @@
 	}
 }
 
-// expectedSlots is how many slots are asked for and may come any moment. An ask that
-// takes longer does not keep from asking another rack.
+// expectedSlots returns the number of requested slots that are likely to arrive soon.
+// Requests that have been pending for longer than hedgeDelay do not count, so that their
+// slots are requested from another rack as well.
 func (s *service) expectedSlots(now time.Time) int {
 	slots := 0
 	for _, a := range s.grantRequests {
@@ -190,8 +196,8 @@
 	return slots
 }
 
-// available is for how many requests of a class the rack may be asked: none but
-// batches can be pushed aside for a request, and not for a batch's.
+// available returns for how many requests of a class slots may be requested from the rack.
+// A rack can preempt batch tasks for a request, but not for a request of class batch.
 func (c *rackCapacity) available(class leverdyke.Class) int {
 	if class == leverdyke.ClassBatch {
 		return c.slots
@@ -199,6 +205,9 @@
 	return c.slots + c.preemptibleSlots
 }
 
+// bestRack returns the rack to which the next grant request goes, or nil if there is no
+// rack with available slots, no pending request and no backoff. Among equals it chooses
+// the one with the lowest ID, so that the choice is deterministic.
 func (r *Router) bestRack(now time.Time, s *service, class leverdyke.Class) (state.ShardID, *rackCapacity) {
 	var best *rackCapacity
 	id := state.ShardID("")
@@ -214,6 +223,8 @@
 	return id, best
 }
 
+// isBetterRack prefers racks with free slots to those that would have to preempt, then
+// racks in this node's zone, then those with more free slots.
 func (r *Router) isBetterRack(a, b *rackCapacity) bool {
 	if hasFreeA, hasFreeB := a.slots > 0, b.slots > 0; hasFreeA != hasFreeB {
 		return hasFreeA
@@ -225,8 +236,8 @@
 	return a.slots > b.slots
 }
 
-// Load returns how many requests wait, are in progress, and how many slots
-// are held.
+// Load returns the numbers of waiting requests, of requests in progress, and of granted
+// slots.
 func (r *Router) Load() (waiting, inUse, slots int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,8 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package router gives callers' requests their slots: it reuses the grants that
-// racks' owners gave to this node, queues within bounds, and refuses early.
+// Package router assigns slots on workers to callers' requests. It uses the grants of
+// slots that the owners of racks have given to this node, requests further grants for
+// requests that wait, bounds the queue of waiting requests, and refuses a request early
+// if it cannot get a slot in time.
 package router
 
 import (
@@ -20,15 +22,14 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
-// NewRouterOptions sets the bounds. Zero values mean the defaults.
+// NewRouterOptions configures a router. Zero values mean the defaults.
 type NewRouterOptions struct {
 	// Zone is this node's availability zone; workers there are preferred.
 	Zone string
-	// MaxWaiting bounds the requests that wait for a slot of one service; 0
-	// means 512.
+	// MaxWaiting bounds the queue of requests that wait for a slot of one service; 0 means
+	// 512.
 	MaxWaiting int
-	// IdleTimeout is how long a grant may be unused before it is given back; 0 means
-	// 2 s.
+	// IdleTimeout is how long a grant may be unused before it is returned; 0 means 2 s.
 	IdleTimeout time.Duration
 	Clock       clock.Service
 }
@@ -36,97 +37,110 @@
 const (
 	defaultMaxWaiting  = 512
 	defaultIdleTimeout = 2 * time.Second
-	// maxGrantRequests bounds the unanswered asks for one service.
+	// maxGrantRequests bounds the unanswered grant requests for one service.
 	maxGrantRequests    = 4
 	grantRequestTimeout = time.Second
-	// hedgeDelay is how long an unanswered ask keeps from asking other racks.
+	// hedgeDelay is how long the slots of an unanswered grant request are counted on. After
+	// that the router requests them from another rack as well.
 	hedgeDelay = 50 * time.Millisecond
-	// initialBackoff is how long a rack is not asked after a refusal; it doubles with
-	// each further one up to lastShut.
-	initialBackoff     = 150 * time.Millisecond
-	maxBackoff         = 2400 * time.Millisecond
+	// initialBackoff is how long the router sends no grant request to a rack after a
+	// refusal. It doubles with each further refusal in a row, up to maxBackoff.
+	initialBackoff = 150 * time.Millisecond
+	maxBackoff     = 2400 * time.Millisecond
+	// initialServiceTime is the initial value of the moving average of service times.
 	initialServiceTime = 20 * time.Millisecond
-	// serviceTimeWeight is the weight of the newest service time in the estimate.
+	// serviceTimeWeight is the weight of the newest service time in the moving average.
 	serviceTimeWeight = 0.1
 )
 
-// Router has the grants and the waiting requests of a node. It is safe for
-// concurrent use.
+// Router holds the grants and the waiting requests of a node. It is safe for concurrent
+// use.
 type Router struct {
 	options NewRouterOptions
 
 	mu       sync.Mutex
 	services map[string]*service
-	// planDue wakes the duty that asks for grants.
+	// planDue holds a value when Plan has to be called without waiting for the next tick.
 	planDue chan struct{}
 }
 
-// Info is what the accepted jobs say of a service.
+// Info is what the accepted jobs specify about a service.
 type Info struct {
-	// IsOnce means that requests that change something may not be repeated.
+	// IsOnce means that requests of the service that change something may not be repeated.
 	IsOnce bool
 }
 
+// service is the state of one service. isDefined means that the last call of SetServices
+// listed it; the state is kept after that for the grants that are still in use.
 type service struct {
 	info      Info
 	isDefined bool
 	grants    []*grant
 	waiting   []*waiter
-	// capacities has the racks that run the service, as they last said.
+	// capacities has the last reported capacity for this service of each rack that runs
+	// it.
 	capacities map[state.ShardID]*rackCapacity
-	// grantRequests has the unanswered asks by rack.
+	// grantRequests has the unanswered grant request of each rack.
 	grantRequests map[state.ShardID]grantRequest
-	// inUse is how many requests are in progress, peakInUse the most of them since
-	// trimmedAt.
+	// inUse is how many requests are in progress. peakInUse is its maximum since
+	// surplusCheckedAt.
 	inUse, peakInUse int
 	surplusCheckedAt time.Time
-	// serviceTime estimates how long one request holds a slot.
+	// serviceTime is a moving average of how long one request occupies a slot.
 	serviceTime time.Duration
 	sequence    uint64
 }
 
-// rackCapacity is what a rack last told of a service.
+// rackCapacity is the capacity of a rack for one service.
 type rackCapacity struct {
-	// slots is what was told less what this node has asked for and got since.
+	// slots is the last reported number of free slots, less those that this node has
+	// requested or been granted since.
 	slots int
-	// preemptibleSlots counts further slots for which batches can be pushed aside.
+	// preemptibleSlots counts the further slots that the rack can free by preempting batch
+	// tasks.
 	preemptibleSlots int
 	zone             string
-	// consecutiveRefusals counts the consecutiveRefusals in a row; shutUntil is until when nothing is
-	// asked after the last one.
+	// consecutiveRefusals counts the refusals since the last grant or report. No grant
+	// request is sent to the rack before backoffUntil.
 	consecutiveRefusals int
 	backoffUntil        time.Time
 }
 
-// grantRequest is an grantRequest for slots that has not been answered.
+// grantRequest is an unanswered request to a rack for slots.
 type grantRequest struct {
 	slots  int
 	sentAt time.Time
 }
 
+// grant is a grant of slots on one worker, and its use.
 type grant struct {
 	node.Grant
 	inUse      int
 	lastUsedAt time.Time
-	// isRecalled means that no request takes it any more.
+	// isRecalled means that no further request may use the grant, so that it is returned
+	// once it is unused.
 	isRecalled bool
 }
 
+// waiter is a request that waits for a slot.
 type waiter struct {
 	class    leverdyke.Class
 	sequence uint64
-	// ready gets the slot, or the error that ends the wait.
+	// ready receives the slot, or the error that ends the wait.
 	ready chan acquireResult
 }
 
+// acquireResult ends a wait: exactly one of its fields is set.
 type acquireResult struct {
 	slot *Slot
 	err  *leverdyke.Error
 }
 
-// Slot is the right to send one request to a worker.
+// Slot is the permission to send one request to a worker.
 type Slot struct {
-	// Worker, Addr and Grant say where the request goes and under what right.
+	// Worker and Addr are the destination of the request. Grant is the key of the grant
+	// that covers it, which the request names. RunnerUp is the worker that would have been
+	// chosen next; it is logged.
 	Worker   worker.ID
 	Addr     netip.AddrPort
 	Grant    worker.Key
@@ -152,10 +166,11 @@
 	return &Router{options: options, services: map[string]*service{}, planDue: make(chan struct{}, 1)}
 }
 
-// PlanDue returns the channel that is fed when Plan has something to do at once.
+// PlanDue returns a channel that receives a value when the caller should call Plan at
+// once instead of at its next tick.
 func (r *Router) PlanDue() <-chan struct{} { return r.planDue }
 
-// SetServices tells the router which services there are.
+// SetServices replaces the set of the services that accepted jobs define.
 func (r *Router) SetServices(infos map[string]Info) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -168,7 +183,8 @@
 	}
 }
 
-// Info returns what is known of a service; false means that there is none.
+// Info returns what the accepted jobs specify about a service; false means that no job
+// defines it.
 func (r *Router) Info(name string) (Info, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,6 +195,7 @@
 	return s.info, true
 }
 
+// service returns the state of a service, which it creates if there is none.
 func (r *Router) service(name string) *service {
 	s := r.services[name]
 	if s == nil {
@@ -188,7 +205,8 @@
 	return s
 }
 
-// OnCapacity takes a rack's summary.
+// OnCapacity processes a report of a rack's free capacity, which replaces the rack's
+// earlier reports and ends its backoff.
 func (r *Router) OnCapacity(summary *node.Room) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,8 +219,9 @@
 	}
 }
 
-// Acquire returns a slot for one request. It waits in the service's queue,
-// within its bound and until ctx ends; all its errors are not-run.
+// Acquire returns a slot for one request. If none is free, it waits in the queue of the
+// service until ctx ends or a more urgent request displaces it. All its errors have the
+// verdict not-run.
 func (r *Router) Acquire(ctx context.Context, name string, class leverdyke.Class) (*Slot, *leverdyke.Error) {
 	r.mu.Lock()
 	s := r.services[name]
@@ -230,7 +249,8 @@
 	}
 }
 
-// enqueue adds a waiter, in place of a less urgent one if the queue is full.
+// enqueue adds a waiter. If the queue is full, the waiter displaces a less urgent one or
+// is refused. It is also refused if it would probably wait beyond the deadline of ctx.
 func (r *Router) enqueue(ctx context.Context, s *service, class leverdyke.Class) (*waiter, *leverdyke.Error) {
 	wait := s.estimateWait(class)
 	if deadline, ok := ctx.Deadline(); ok && wait > deadline.Sub(r.options.Clock.Now()) {
@@ -246,12 +266,13 @@
 	return w, nil
 }
 
+// compareWaiters orders waiters by urgency, then by arrival.
 func compareWaiters(a, b *waiter) int {
 	return cmp.Or(cmp.Compare(a.class.Rank(), b.class.Rank()), cmp.Compare(a.sequence, b.sequence))
 }
 
-// shed refuses the last and least urgent waiter if it is less urgent than the
-// newcomer.
+// shed removes the last waiter of the queue if the class of a new request is more urgent,
+// and reports whether it did.
 func shed(s *service, class leverdyke.Class, retryAfter int) bool {
 	last := s.waiting[len(s.waiting)-1]
 	if last.class.Rank() <= class.Rank() {
@@ -262,7 +283,8 @@
 	return true
 }
 
-// estimateWait is how long a new request of the class would wait.
+// estimateWait estimates how long a new request of the class would wait: the service time
+// of all waiters of its class or a more urgent one, divided by the granted slots.
 func (s *service) estimateWait(class leverdyke.Class) time.Duration {
 	slots, ahead := 0, 0
 	for _, g := range s.grants {
@@ -276,9 +298,11 @@
 	return time.Duration(ahead) * s.serviceTime / time.Duration(max(slots, 1))
 }
 
+// seconds returns the whole seconds of d plus one, so that a retry after them is never too
+// early.
 func seconds(d time.Duration) int { return int(d/time.Second) + 1 }
 
-// abandonWait takes a waiter out whose caller is gone or whose time is over.
+// abandonWait removes a waiter whose caller has disconnected or whose deadline has passed.
 func (r *Router) abandonWait(s *service, w *waiter) *leverdyke.Error {
 	r.mu.Lock()
 	i := slices.Index(s.waiting, w)
@@ -287,7 +311,8 @@
 	}
 	r.mu.Unlock()
 	if i < 0 {
-		// A slot was on its way: it goes to the next.
+		// The waiter was no longer in the queue: it had just been assigned a slot, which goes to
+		// the next waiter, or had been displaced.
 		if a := <-w.ready; a.slot != nil {
 			a.slot.Release(false)
 		}
@@ -295,8 +320,9 @@
 	return leverdyke.NotRun("no slot became free in time", 1)
 }
 
-// takeSlot uses the least loaded grant; of equals a near one, then the one used
-// last, so that others become idle and can be given back.
+// takeSlot takes a slot of the least loaded grant. Among equally loaded grants it prefers
+// one in this node's zone, and then the one that was used last, so that others become
+// idle and are returned. It returns nil if no slot is free.
 func (r *Router) takeSlot(s *service) *Slot {
 	var best, second *grant
 	for _, g := range s.grants {
@@ -324,6 +350,8 @@
 	return slot
 }
 
+// isBetterGrant reports whether a is to be preferred to b, in the order of takeSlot. Load
+// is compared as a fraction of the slots.
 func (r *Router) isBetterGrant(a, b *grant) bool {
 	loadA, loadB := a.inUse*b.Slots, b.inUse*a.Slots
 	if loadA != loadB {
@@ -336,8 +364,8 @@
 	return a.lastUsedAt.After(b.lastUsedAt)
 }
 
-// Release gives the slot back. isBad means that the worker did not accept the
-// grant or could not be reached: the grant is not used again.
+// Release frees the slot. isBad means that the worker refused the grant or could not be
+// reached: then no further request uses the grant.
 func (s *Slot) Release(isBad bool) {
 	r := s.router
 	r.mu.Lock()
@@ -358,7 +386,7 @@
 	}
 }
 
-// assignSlots hands free slots to those who wait.
+// assignSlots assigns free slots to waiters, the most urgent first.
 func (r *Router) assignSlots(s *service) {
 	for len(s.waiting) > 0 {
 		slot := r.takeSlot(s)
@@ -371,6 +399,7 @@
 	}
 }
 
+// signalPlan makes PlanDue receive a value, if none is pending.
 func (r *Router) signalPlan() {
 	select {
 	case r.planDue <- struct{}{}:
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -17,6 +17,8 @@
 	"github.com/leverdyke/leverdyke/internal/worker"
 )
 
+// newRouter returns a router in zone near that knows a service s. maxWaiting bounds its
+// queue; 0 means the default.
 func newRouter(maxWaiting int) (*router.Router, *clock.Fake) {
 	c := clock.NewFake()
 	r := router.NewRouter(router.NewRouterOptions{Zone: "near", MaxWaiting: maxWaiting, Clock: c})
@@ -24,6 +26,7 @@
 	return r, c
 }
 
+// newGrant returns a grant of slots of service s on a worker named like its zone.
 func newGrant(attempt uint64, zone string, slots int) *node.Grant {
 	return &node.Grant{
 		Rack: "rack/r1/k", Service: "s", Worker: worker.ID(zone), Zone: zone, Slots: slots,
@@ -40,6 +43,8 @@
 	return s
 }
 
+// Requests go to the grant with the smallest used share of its slots, and among equals to
+// the one in the router's own zone.
 func TestSlotComesFromLeastLoadedThenNearestGrant(t *testing.T) {
 	r, _ := newRouter(0)
 	r.OnGrant(newGrant(1, "far", 2))
@@ -56,7 +61,8 @@
 	}
 }
 
-// startWaiting starts a request that waits, and returns once it does.
+// startWaiting starts a request and returns once it is queued or has ended. The channel
+// receives the request's result.
 func startWaiting(t *testing.T, r *router.Router, class leverdyke.Class) chan *leverdyke.Error {
 	t.Helper()
 	select {
@@ -71,7 +77,7 @@
 		}
 		done <- err
 	}()
-	// A request nudges when it has been queued.
+	// Acquire signals PlanDue when it has queued the request.
 	select {
 	case err := <-done:
 		done <- err
@@ -80,16 +86,18 @@
 	return done
 }
 
+// In a full queue a more urgent request displaces the least urgent one, whose caller is told
+// when to retry. A request that is not more urgent than any in the queue is refused.
 func TestFullQueueShedsLeastUrgentRequest(t *testing.T) {
 	r, _ := newRouter(2)
 	first := startWaiting(t, r, leverdyke.ClassNormal)
 	batch := startWaiting(t, r, leverdyke.ClassBatch)
 	urgent := startWaiting(t, r, leverdyke.ClassUrgent)
 	if err := <-batch; err == nil || err.Verdict != leverdyke.VerdictNotRun || err.RetryAfterSeconds == 0 {
-		t.Errorf("the batch request: got: %v, want: not-run with a time to come back", err)
+		t.Errorf("the batch request: got: %v, want: not-run with a retry time", err)
 	}
 	if _, err := r.Acquire(context.Background(), "s", leverdyke.ClassBatch); err == nil || err.Verdict != leverdyke.VerdictNotRun {
-		t.Errorf("one more: got: %v, want: not-run", err)
+		t.Errorf("another batch request: got: %v, want: not-run", err)
 	}
 	r.OnGrant(newGrant(1, "near", 1))
 	for name, done := range map[string]chan *leverdyke.Error{"first": first, "urgent": urgent} {
@@ -99,6 +107,8 @@
 	}
 }
 
+// Guards against requests that wait in the queue although their deadline will certainly
+// pass before a slot becomes free.
 func TestRequestIsRefusedAtOnceIfItsDeadlineIsShorterThanTheQueue(t *testing.T) {
 	r, c := newRouter(0)
 	r.OnGrant(newGrant(1, "near", 1))
@@ -111,10 +121,12 @@
 	defer cancel()
 	_, err := r.Acquire(ctx, "s", leverdyke.ClassNormal)
 	if err == nil || err.Verdict != leverdyke.VerdictNotRun || err.RetryAfterSeconds < 10 {
-		t.Errorf("got: %v, want: not-run at once, with the time of the queue", err)
+		t.Errorf("got: %v, want: not-run at once, with a retry time of the queue's length", err)
 	}
 }
 
+// Guards against the return of a grant while a request uses it, and against grants that are
+// never returned.
 func TestIdleAndRecalledGrantsAreReturnedOnlyWhenUnused(t *testing.T) {
 	r, c := newRouter(0)
 	r.OnGrant(newGrant(1, "near", 2))
@@ -134,7 +146,7 @@
 	r.OnGrant(newGrant(2, "near", 2))
 	acquire(t, r).Release(false)
 	if got := r.Plan().GrantReturns; len(got) != 0 {
-		t.Errorf("used just now: got: %v, want: none", got)
+		t.Errorf("just used: got: %v, want: none", got)
 	}
 	c.Advance(3 * time.Second)
 	if got := r.Plan().GrantReturns; len(got) != 1 {
@@ -142,6 +154,8 @@
 	}
 }
 
+// A rack in the router's own zone comes before one with more free slots elsewhere. A rack
+// that has refused or not answered is queried again after its backoff.
 func TestGrantsAreRequestedFromNearRacksFirst(t *testing.T) {
 	r, c := newRouter(0)
 	for _, capacity := range []node.Room{
@@ -154,23 +168,24 @@
 	startWaiting(t, r, leverdyke.ClassNormal)
 	requests := r.Plan().GrantRequests
 	if len(requests) != 2 || requests[0].Rack != "rack/r1/b" || requests[1].Rack != "rack/r1/a" {
-		t.Fatalf("got: %+v, want: the near rack, then the far one", requests)
+		t.Fatalf("requests: got: %+v, want: the near rack, then the far one", requests)
 	}
 	if again := r.Plan().GrantRequests; len(again) != 0 {
-		t.Errorf("unanswered: got: %+v, want: none", again)
+		t.Errorf("requests while two are unanswered: got: %+v, want: none", again)
 	}
 	r.OnGrant(&node.Grant{Rack: "rack/r1/b", Service: "s", Refused: "no room"})
 	c.Advance(2 * time.Second)
 	if again := r.Plan().GrantRequests; len(again) != 1 || again[0].Rack != "rack/r1/b" {
-		t.Errorf("after a refusal and a silence: got: %+v, want: the near one, which has answered", again)
+		t.Errorf("after a refusal and a timeout: got: %+v, want: the near rack, whose backoff has ended", again)
 	}
 	c.Advance(200 * time.Millisecond)
 	if again := r.Plan().GrantRequests; len(again) != 1 || again[0].Rack != "rack/r1/a" {
-		t.Errorf("a moment later: got: %+v, want: the silent one as well", again)
+		t.Errorf("200 ms later: got: %+v, want: the far rack, which had not answered, as well", again)
 	}
 }
 
-// One waiting request asks one rack, and another only if that does not answer.
+// Guards against more slots being requested than requests wait: while one rack may still
+// answer, no second one is queried for the same request.
 func TestOneWaitingRequestQueriesOneRackAtATime(t *testing.T) {
 	r, c := newRouter(0)
 	for _, rack := range []state.ShardID{"rack/r1/a", "rack/r1/b", "rack/r1/c"} {
@@ -178,16 +193,17 @@
 	}
 	startWaiting(t, r, leverdyke.ClassNormal)
 	if got := len(r.Plan().GrantRequests) + len(r.Plan().GrantRequests); got != 1 {
-		t.Errorf("got: %d asks, want: 1", got)
+		t.Errorf("got: %d grant requests, want: 1", got)
 	}
 	c.Advance(60 * time.Millisecond)
 	if got := len(r.Plan().GrantRequests); got != 1 {
-		t.Errorf("without an answer: got: %d more asks, want: 1", got)
+		t.Errorf("without an answer: got: %d more grant requests, want: 1", got)
 	}
 }
 
-// A rack that told of room, was full for a moment and is as before tells
-// nothing more: what it told must count again.
+// Guards against a rack that is never queried again after a refusal. A rack reports its
+// capacity only when it changes: one that was full for a moment and then is as before sends
+// no report, so its last report must count again after a backoff.
 func TestRackIsQueriedAgainAfterBackoffFollowingARefusal(t *testing.T) {
 	r, c := newRouter(0)
 	r.OnCapacity(&node.Room{Rack: "rack/r1/a", Zone: "near", Services: []node.ServiceRoom{{Service: "s", Slots: 4}}})
@@ -202,21 +218,23 @@
 		c.Advance(100 * time.Millisecond)
 	}
 	if n := len(queriedAt); n < 6 || n > 9 {
-		t.Errorf("got: asked at %v, want: 6 to 9 times in 10 s, ever more rarely", queriedAt)
+		t.Errorf("got: queried at %v, want: 6 to 9 times in 10 s, at growing intervals", queriedAt)
 	}
 	r.OnCapacity(&node.Room{Rack: "rack/r1/a", Zone: "near", Services: []node.ServiceRoom{{Service: "s", Slots: 4}}})
 	if got := len(r.Plan().GrantRequests); got != 1 {
-		t.Errorf("after a new summary: got: %d asks, want: 1 at once", got)
+		t.Errorf("after a new capacity report: got: %d grant requests, want: 1 at once", got)
 	}
 }
 
+// Guards against slots that are lost to the count of free slots when their grant is
+// returned: the rack would look full after the first round.
 func TestReturnedSlotsCountAsFreeAgain(t *testing.T) {
 	r, c := newRouter(0)
 	r.OnCapacity(&node.Room{Rack: "rack/r1/k", Zone: "near", Services: []node.ServiceRoom{{Service: "s", Slots: 1}}})
 	for i := range 5 {
 		done := startWaiting(t, r, leverdyke.ClassNormal)
 		if got := len(r.Plan().GrantRequests); got != 1 {
-			t.Fatalf("round %d: got: %d asks, want: 1", i, got)
+			t.Fatalf("round %d: got: %d grant requests, want: 1", i, got)
 		}
 		r.OnGrant(newGrant(uint64(i+1), "near", 1))
 		if err := <-done; err != nil {
@@ -224,11 +242,13 @@
 		}
 		c.Advance(3 * time.Second)
 		if got := len(r.Plan().GrantReturns); got != 1 {
-			t.Fatalf("round %d: got: %d grants given back, want: 1", i, got)
+			t.Fatalf("round %d: got: %d grants returned, want: 1", i, got)
 		}
 	}
 }
 
+// Guards against a cancelled request that stays in the queue, or keeps a slot that was
+// assigned to it while it was being cancelled.
 func TestCancelledRequestLeavesTheQueue(t *testing.T) {
 	r, _ := newRouter(0)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -249,6 +269,8 @@
 	}
 }
 
+// A rack that would have to preempt batch tasks is queried only after racks with free slots,
+// and not at all for a request of class batch.
 func TestRacksThatMustPreemptBatchTasksAreQueriedLast(t *testing.T) {
 	for class, want := range map[leverdyke.Class][]state.ShardID{
 		leverdyke.ClassUrgent: {"rack/r1/free", "rack/r1/full"},
@@ -264,7 +286,7 @@
 		for _, a := range r.Plan().GrantRequests {
 			got = append(got, a.Rack)
 			if a.Class != class {
-				t.Errorf("got: an ask of class %v, want: %v", a.Class, class)
+				t.Errorf("got: a grant request of class %v, want: %v", a.Class, class)
 			}
 		}
 		if !slices.Equal(got, want) {
@@ -273,8 +295,9 @@
 	}
 }
 
-// Requests spread over all grants: what even the busiest moment did not need is
-// given back, and nothing that it did.
+// Guards against surplus grants that are kept for ever. Requests spread over all grants, so
+// that none becomes idle: those beyond the peak usage with its headroom must be returned,
+// and no others.
 func TestGrantsBeyondPeakUsageAreReturned(t *testing.T) {
 	r, c := newRouter(0)
 	for i := range 8 {
@@ -292,9 +315,9 @@
 		}
 		returned += len(r.Plan().GrantReturns)
 	}
-	// Nine at once, two on top and one: three grants of four.
+	// The peak of 9 plus a quarter of it (2) plus 1 is 12 slots: three grants of four.
 	if returned != 5 {
-		t.Errorf("got: %d of 8 grants given back in 5 s, want: 5", returned)
+		t.Errorf("got: %d of 8 grants returned in 5 s, want: 5", returned)
 	}
 	if _, _, slots := r.Load(); slots != 12 {
 		t.Errorf("got: %d slots left, want: 12", slots)
