--- a/cmd/leverdyked/main.go
+++ b/cmd/leverdyked/main.go
@@ -154,14 +154,14 @@
 	_ = d.callers.Shutdown(finish)
 	leave, cancelLeave := context.WithTimeout(context.Background(), leaveTime)
 	defer cancelLeave()
-	d.node.GiveAnswers(leave)
+	d.node.HandOverAnswers(leave)
 	d.node.Leave(leave)
 	_ = d.operators.Close()
 	d.node.Close()
 }
 
 func registerGauges(m *metrics.Set, n *nodeserver.Node) error {
-	if err := m.Gauge("leverdyke.packing", "resource", n.Packing); err != nil {
+	if err := m.Gauge("leverdyke.packing", "resource", n.Utilization); err != nil {
 		return err
 	}
 	if err := m.Gauge("leverdyke.load", "what", n.Load); err != nil {
--- a/internal/nodeserver/gauges.go
+++ b/internal/nodeserver/gauges.go
@@ -9,26 +9,26 @@
 	"github.com/leverdyke/leverdyke/internal/core"
 )
 
-// Packing returns the used part of each resource of the racks that this node
+// Utilization returns the used part of each resource of the racks that this node
 // owns, from 0 to 1.
-func (n *Node) Packing() map[string]float64 {
-	return ask(n, func(c *core.Core) map[string]float64 {
+func (n *Node) Utilization() map[string]float64 {
+	return query(n, func(c *core.Core) map[string]float64 {
 		used, capacity := c.Used()
-		parts := map[string]float64{}
+		fractions := map[string]float64{}
 		for _, d := range []struct {
-			name       string
-			part, full int64
+			name              string
+			usedAmount, total int64
 		}{
 			{"processors", used.MilliCPU, capacity.MilliCPU},
 			{"memory", used.MemoryMiB, capacity.MemoryMiB},
 			{"accelerators", used.Accelerators, capacity.Accelerators},
 			{"slots", used.Slots, capacity.Slots},
 		} {
-			if d.full > 0 {
-				parts[d.name] = float64(d.part) / float64(d.full)
+			if d.total > 0 {
+				fractions[d.name] = float64(d.usedAmount) / float64(d.total)
 			}
 		}
-		return parts
+		return fractions
 	})
 }
 
--- a/internal/nodeserver/idempotency.go
+++ b/internal/nodeserver/idempotency.go
@@ -13,14 +13,14 @@
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
-const onceAskTimeout = 5 * time.Second
+const answerQueryTimeout = 5 * time.Second
 
 // ClaimKey puts a key into the log and says who has it. After FateNotTaken
 // nothing was run under the key by this call; FateOpen means that ctx ended
 // before the log had answered, and that nothing was sent.
 func (n *Node) ClaimKey(ctx context.Context, key idempotency.Key) (idempotency.ClaimOutcome, state.NodeID) {
 	reply := make(chan core.KeyResult, 1)
-	n.put(func(c *core.Core) { c.ClaimKey(key, func(r core.KeyResult) { reply <- r }) })
+	n.enqueue(func(c *core.Core) { c.ClaimKey(key, func(r core.KeyResult) { reply <- r }) })
 	select {
 	case r := <-reply:
 		return r.Fate, r.Owner.Node
@@ -35,15 +35,15 @@
 // means that the answer is not known.
 func (n *Node) FetchAnswer(ctx context.Context, from state.NodeID, key idempotency.Key) (node.SavedAnswer, bool) {
 	reply := make(chan node.OnceReply, 1)
-	id := ask(n, func(c *core.Core) uint64 { return c.AskOnce(from, key, reply) })
+	id := query(n, func(c *core.Core) uint64 { return c.AskOnce(from, key, reply) })
 	select {
 	case r := <-reply:
 		return r.Answer, r.IsKnown
-	case <-n.clock.After(onceAskTimeout):
+	case <-n.clock.After(answerQueryTimeout):
 	case <-ctx.Done():
 	case <-n.done:
 	}
-	n.put(func(c *core.Core) { c.GiveUpOnce(id) })
+	n.enqueue(func(c *core.Core) { c.GiveUpOnce(id) })
 	return node.SavedAnswer{}, false
 }
 
@@ -56,12 +56,12 @@
 		return
 	}
 	n.wg.Add(1)
-	go n.runAnswerOnce(from, m.ID, e)
+	go n.sendAnswer(from, m.ID, e)
 }
 
-func (n *Node) runAnswerOnce(from state.NodeID, id uint64, e *idempotency.Entry) {
+func (n *Node) sendAnswer(from state.NodeID, id uint64, e *idempotency.Entry) {
 	defer n.wg.Done()
-	ctx, cancel := context.WithTimeout(n.ctx, onceAskTimeout)
+	ctx, cancel := context.WithTimeout(n.ctx, answerQueryTimeout)
 	defer cancel()
 	a, ok := e.Wait(ctx)
 	isKnown := ok && a.Verdict != ""
@@ -71,14 +71,14 @@
 // KeepAnswers keeps the answers of a peer that stops.
 func (n *Node) KeepAnswers(list []node.KeptAnswer) { n.answers.Import(list) }
 
-// GiveAnswers gives this node's kept answers to a peer before the node stops;
+// HandOverAnswers gives this node's kept answers to a peer before the node stops;
 // it returns when the peer has them, or ctx ends.
-func (n *Node) GiveAnswers(ctx context.Context) {
-	given := make(chan struct{})
+func (n *Node) HandOverAnswers(ctx context.Context) {
+	delivered := make(chan struct{})
 	list := n.answers.Completed()
-	n.put(func(c *core.Core) { c.GiveAnswers(list, func() { close(given) }) })
+	n.enqueue(func(c *core.Core) { c.GiveAnswers(list, func() { close(delivered) }) })
 	select {
-	case <-given:
+	case <-delivered:
 	case <-ctx.Done():
 	case <-n.done:
 	}
--- a/internal/nodeserver/node.go
+++ b/internal/nodeserver/node.go
@@ -30,21 +30,21 @@
 )
 
 const (
-	eventRing    = 4096
-	tickPeriod   = 50 * time.Millisecond
-	vmListPeriod = 2 * time.Second
+	eventQueueSize = 4096
+	tickPeriod     = 50 * time.Millisecond
+	vmListPeriod   = 2 * time.Second
 )
 
 // Node is one entry VM's process.
 type Node struct {
-	settings *settings.Node
-	clock    clock.Service
-	owner    state.Owner
-	events   *boundedqueue.Queue[event]
-	done     chan struct{}
-	cancel   context.CancelFunc
-	ctx      context.Context
-	wg       sync.WaitGroup
+	settings   *settings.Node
+	clock      clock.Service
+	owner      state.Owner
+	eventQueue *boundedqueue.Queue[event]
+	done       chan struct{}
+	cancel     context.CancelFunc
+	ctx        context.Context
+	wg         sync.WaitGroup
 
 	links     *node.Links
 	reader    *journal.Reader
@@ -67,11 +67,11 @@
 	c := clock.Real{}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &Node{
-		settings: s, clock: c, events: boundedqueue.NewQueue[event](eventRing), done: make(chan struct{}), cancel: cancel, ctx: ctx,
+		settings: s, clock: c, eventQueue: boundedqueue.NewQueue[event](eventQueueSize), done: make(chan struct{}), cancel: cancel, ctx: ctx,
 		owner:   state.Owner{Node: state.NodeID(s.LinkAddr.String()), Incarnation: uint64(time.Now().UnixNano())},
 		metrics: m, answers: idempotency.NewTable(idempotency.NewTableOptions{}), vms: vmlist.NewClient(s.VMListAddr),
 	}
-	n.transport = worker.NewTransport(func(sent, received int) { n.countControl("worker", sent, received) })
+	n.transport = worker.NewTransport(func(sent, received int) { n.countControlBytes("worker", sent, received) })
 	hello := node.Hello{Node: n.owner.Node, Incarnation: n.owner.Incarnation, Zone: s.Zone, Region: s.Region}
 	links, err := node.NewLinks(s.LinkAddr, hello, c, n)
 	if err != nil {
@@ -80,11 +80,11 @@
 	}
 	n.links = links
 	n.router = router.NewRouter(router.NewRouterOptions{Zone: s.Zone, Clock: c})
-	log := logservice.NewClient(s.LogAddr, func(sent, received int) { n.countControl("log", sent, received) })
+	log := logservice.NewClient(s.LogAddr, func(sent, received int) { n.countControlBytes("log", sent, received) })
 	n.writer = journal.NewWriter(log, n.owner, journal.NewWriterOptions{
-		AppendsPerSecond: s.AppendsPerSecond, Clock: c, Appended: func() { n.reader.Wake() }, Settle: func(f func()) { n.put(func(*core.Core) { f() }) },
+		AppendsPerSecond: s.AppendsPerSecond, Clock: c, Appended: func() { n.reader.Wake() }, Settle: func(f func()) { n.enqueue(func(*core.Core) { f() }) },
 	})
-	n.reader = journal.NewReader(log, c, n.writer.IsAwaited, func(t journal.Tailed) { n.put(func(c *core.Core) { c.OnTailed(&t) }) })
+	n.reader = journal.NewReader(log, c, n.writer.IsAwaited, func(t journal.Tailed) { n.enqueue(func(c *core.Core) { c.OnTailed(&t) }) })
 	n.core = core.NewCore(n, core.NewCoreOptions{
 		Self: n.owner, Link: s.LinkAddr, Operators: s.OperatorsAddr, Region: s.Region, Zone: s.Zone, Peers: s.PeerAddrs,
 		Lease: s.Lease, SnapshotEvery: s.SnapshotEvery, Router: n.router, Meter: m,
@@ -95,7 +95,7 @@
 
 func (n *Node) start() {
 	for _, run := range []func(){
-		n.loop, n.runVMList,
+		n.eventLoop, n.runVMList,
 		func() { n.reader.Run(n.ctx) },
 		func() { n.writer.Run(n.ctx) },
 	} {
@@ -120,12 +120,12 @@
 // Router returns what gives callers' requests their slots.
 func (n *Node) Router() *router.Router { return n.router }
 
-// put hands an event to the core; it waits for room, and drops the event when
+// enqueue hands an event to the core; it waits for room, and drops the event when
 // the node closes.
-func (n *Node) put(e event) { n.events.Put(e, n.done) }
+func (n *Node) enqueue(e event) { n.eventQueue.Put(e, n.done) }
 
-// loop is the one goroutine that decides.
-func (n *Node) loop() {
+// eventLoop is the one goroutine that decides.
+func (n *Node) eventLoop() {
 	ticks, stop := n.clock.Subscribe(tickPeriod)
 	defer stop()
 	for {
@@ -136,7 +136,7 @@
 			n.core.Tick()
 		case <-n.router.PlanDue():
 			n.core.PlanGrants()
-		case e := <-n.events.Items():
+		case e := <-n.eventQueue.Items():
 			e(n.core)
 			n.drainEvents()
 		}
@@ -147,10 +147,10 @@
 // drainEvents takes what else waits, within a bound, so that asks that came
 // together are settled together.
 func (n *Node) drainEvents() {
-	const burst = 64
-	for range burst {
+	const maxEvents = 64
+	for range maxEvents {
 		select {
-		case e := <-n.events.Items():
+		case e := <-n.eventQueue.Items():
 			e(n.core)
 		default:
 			return
@@ -170,7 +170,7 @@
 		case err != nil:
 			events.Log(events.VMListFailed, "err", err.Error())
 		case list != nil:
-			n.put(func(c *core.Core) { c.OnVMs(list) })
+			n.enqueue(func(c *core.Core) { c.OnVMs(list) })
 		}
 		select {
 		case <-n.done:
@@ -181,7 +181,7 @@
 }
 
 // Deliver takes a message from a peer.
-func (n *Node) Deliver(e node.Envelope) { n.put(func(c *core.Core) { c.OnMessage(&e) }) }
+func (n *Node) Deliver(e node.Envelope) { n.enqueue(func(c *core.Core) { c.OnMessage(&e) }) }
 
 // BadFrame notes that a link was closed because of its bytes.
 func (n *Node) BadFrame(from netip.AddrPort, err error) {
@@ -189,9 +189,9 @@
 }
 
 // Counted counts the bytes of a frame.
-func (n *Node) Counted(sent, received int) { n.countControl("node", sent, received) }
+func (n *Node) Counted(sent, received int) { n.countControlBytes("node", sent, received) }
 
-func (n *Node) countControl(peer string, sent, received int) {
+func (n *Node) countControlBytes(peer string, sent, received int) {
 	n.metrics.Control(metrics.Sent, peer, sent)
 	n.metrics.Control(metrics.Received, peer, received)
 }
--- a/internal/nodeserver/operators.go
+++ b/internal/nodeserver/operators.go
@@ -22,34 +22,34 @@
 )
 
 const (
-	maxJobID      = 64
-	retryLogOut   = 5
-	maxCancelWave = 50000
+	maxJobID          = 64
+	retryAfterSeconds = 5
+	maxCancelJobs     = 50000
 )
 
-// ask runs f in the core's goroutine and returns its result; the zero value
+// query runs f in the core's goroutine and returns its result; the zero value
 // when the node closes.
-func ask[T any](n *Node, f func(c *core.Core) T) T {
+func query[T any](n *Node, f func(c *core.Core) T) T {
 	reply := make(chan T, 1)
-	n.put(func(c *core.Core) { reply <- f(c) })
+	n.enqueue(func(c *core.Core) { reply <- f(c) })
 	select {
 	case v := <-reply:
 		return v
 	case <-n.done:
-		var none T
-		return none
+		var zero T
+		return zero
 	}
 }
 
-// append puts records into the log and waits until they are folded here. The
+// appendRecords puts records into the log and waits until they are folded here. The
 // error of each record that had no effect is its own; nil for the others.
-func (n *Node) append(ctx context.Context, records []state.Record) ([]error, error) {
+func (n *Node) appendRecords(ctx context.Context, records []state.Record) ([]error, error) {
 	type result struct {
 		i   int
 		err error
 	}
 	results := make(chan result, len(records))
-	n.put(func(c *core.Core) {
+	n.enqueue(func(c *core.Core) {
 		if !c.IsJoined() {
 			for i := range records {
 				results <- result{i, state.ErrNotTaken}
@@ -74,15 +74,15 @@
 	return errs, nil
 }
 
-// notTaken turns a record's error into one with a verdict.
-func notTaken(err error) error {
+// appendError turns a record's error into one with a verdict.
+func appendError(err error) error {
 	if err == nil || errors.Is(err, state.ErrConflict) {
 		return err
 	}
 	if errors.Is(err, state.ErrUnseen) {
 		return leverdyke.MayHaveRun("the change is in the log, but this node did not see what became of it: look, or send it again", err)
 	}
-	e := leverdyke.NotRun("the change was not accepted", retryLogOut)
+	e := leverdyke.NotRun("the change was not accepted", retryAfterSeconds)
 	e.Err = err
 	return e
 }
@@ -96,17 +96,17 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := ask(n, func(c *core.Core) error { return c.CheckSubmit(r.File, spec) }); err != nil {
+	if err := query(n, func(c *core.Core) error { return c.CheckSubmit(r.File, spec) }); err != nil {
 		return nil, err
 	}
-	errs, err := n.append(ctx, []state.Record{{Submit: &state.Submit{Spec: *spec}}})
+	errs, err := n.appendRecords(ctx, []state.Record{{Submit: &state.Submit{Spec: *spec}}})
 	if err != nil {
 		return nil, err
 	}
 	if errs[0] != nil {
-		return nil, notTaken(errs[0])
+		return nil, appendError(errs[0])
 	}
-	offset := ask(n, func(c *core.Core) int64 {
+	offset := query(n, func(c *core.Core) int64 {
 		if j := c.State().Jobs[r.ID]; j != nil {
 			return j.Offset
 		}
@@ -116,13 +116,13 @@
 }
 
 func (n *Node) template(name string) *policy.Template {
-	return ask(n, func(c *core.Core) *policy.Template { return c.Policies().Template(name) })
+	return query(n, func(c *core.Core) *policy.Template { return c.Policies().Template(name) })
 }
 
 // Cancel cancels jobs. Those that do not exist are left out of the count.
 func (n *Node) Cancel(ctx context.Context, ids []string) (int, error) {
-	if len(ids) > maxCancelWave {
-		return 0, &document.FieldError{File: "ids", Problem: fmt.Sprintf("%d are too many", len(ids)), Allowed: fmt.Sprint(maxCancelWave)}
+	if len(ids) > maxCancelJobs {
+		return 0, &document.FieldError{File: "ids", Problem: fmt.Sprintf("%d are too many", len(ids)), Allowed: fmt.Sprint(maxCancelJobs)}
 	}
 	// Which jobs there are is for the log to say: this node may not have read all of
 	// it yet.
@@ -130,7 +130,7 @@
 	for _, id := range ids {
 		records = append(records, state.Record{Cancel: &state.Cancel{Job: id}})
 	}
-	errs, err := n.append(ctx, records)
+	errs, err := n.appendRecords(ctx, records)
 	if err != nil {
 		return 0, err
 	}
@@ -139,7 +139,7 @@
 		switch {
 		case errors.Is(err, state.ErrUnknown):
 		case err != nil:
-			return cancelled, notTaken(err)
+			return cancelled, appendError(err)
 		default:
 			cancelled++
 		}
@@ -149,19 +149,19 @@
 
 // Publish replaces a document: it is in force here before this returns.
 func (n *Node) Publish(ctx context.Context, doc string, r *operator.PublishRequest) (*operator.Doc, error) {
-	errs, err := n.append(ctx, []state.Record{{Publish: &state.Publish{Doc: doc, Base: r.Base, Body: []byte(r.Body), Author: r.Author}}})
+	errs, err := n.appendRecords(ctx, []state.Record{{Publish: &state.Publish{Doc: doc, Base: r.Base, Body: []byte(r.Body), Author: r.Author}}})
 	if err != nil {
 		return nil, err
 	}
 	if errs[0] != nil {
-		return nil, notTaken(errs[0])
+		return nil, appendError(errs[0])
 	}
 	return n.Doc(doc), nil
 }
 
 // Docs lists the documents in force here, without their bodies.
 func (n *Node) Docs() []operator.Doc {
-	return ask(n, func(c *core.Core) []operator.Doc {
+	return query(n, func(c *core.Core) []operator.Doc {
 		list := []operator.Doc{}
 		for _, name := range slices.Sorted(maps.Keys(c.State().Docs)) {
 			d := docOf(name, c.State().Docs[name])
@@ -174,7 +174,7 @@
 
 // Doc returns a document in force here, or nil.
 func (n *Node) Doc(name string) *operator.Doc {
-	return ask(n, func(c *core.Core) *operator.Doc {
+	return query(n, func(c *core.Core) *operator.Doc {
 		d := c.State().Docs[name]
 		if d == nil {
 			return nil
@@ -193,7 +193,7 @@
 
 // Jobs lists the jobs that the log knows, without their tasks.
 func (n *Node) Jobs() []operator.Job {
-	list := ask(n, func(c *core.Core) []operator.Job {
+	list := query(n, func(c *core.Core) []operator.Job {
 		list := []operator.Job{}
 		for _, j := range c.State().Jobs {
 			list = append(list, *jobOf(j))
@@ -222,7 +222,7 @@
 		job   *operator.Job
 		owner string
 	}
-	f := ask(n, func(c *core.Core) found {
+	f := query(n, func(c *core.Core) found {
 		j := c.State().Jobs[id]
 		if j == nil {
 			return found{}
@@ -243,7 +243,7 @@
 
 // Status returns what the node says of itself.
 func (n *Node) Status() operator.Status {
-	return ask(n, func(c *core.Core) operator.Status {
+	return query(n, func(c *core.Core) operator.Status {
 		v := c.View()
 		s := operator.Status{
 			Node: string(n.owner.Node), Region: n.settings.Region, Zone: n.settings.Zone, Incarnation: n.owner.Incarnation,
@@ -258,7 +258,7 @@
 
 // Workers lists the workers of the racks that this node owns.
 func (n *Node) Workers() []operator.Worker {
-	return ask(n, func(c *core.Core) []operator.Worker { return c.Workers() })
+	return query(n, func(c *core.Core) []operator.Worker { return c.Workers() })
 }
 
 // Retire records that a node's process has ended, on an operator's word. A node
@@ -268,23 +268,23 @@
 		leave *state.Leave
 		err   error
 	}
-	f := ask(n, func(c *core.Core) found {
+	f := query(n, func(c *core.Core) found {
 		leave, err := c.CheckRetire(state.NodeID(id))
 		return found{leave, err}
 	})
 	if f.err != nil {
 		return f.err
 	}
-	errs, err := n.append(ctx, []state.Record{{Leave: f.leave}})
+	errs, err := n.appendRecords(ctx, []state.Record{{Leave: f.leave}})
 	if err != nil {
 		return err
 	}
-	return notTaken(errs[0])
+	return appendError(errs[0])
 }
 
 // Peers lists the operators' addresses of all members.
 func (n *Node) Peers() []string {
-	return ask(n, func(c *core.Core) []string {
+	return query(n, func(c *core.Core) []string {
 		list := []string{}
 		for _, m := range c.State().Members {
 			if !m.HasLeft {
@@ -300,15 +300,15 @@
 func (n *Node) Self() string { return n.settings.OperatorsAddr.String() }
 
 // IsReady reports whether the balancer should send requests here.
-func (n *Node) IsReady() bool { return ask(n, func(c *core.Core) bool { return c.IsReady() }) }
+func (n *Node) IsReady() bool { return query(n, func(c *core.Core) bool { return c.IsReady() }) }
 
 // Drain makes the node not ready, gives all that it owns to others and leaves
 // the cell. It returns when that is done, or ctx ends.
 func (n *Node) Drain(ctx context.Context) {
-	n.put(func(c *core.Core) { c.Drain() })
+	n.enqueue(func(c *core.Core) { c.Drain() })
 	ticks, stop := n.clock.Subscribe(tickPeriod)
 	defer stop()
-	for !ask(n, func(c *core.Core) bool { return c.IsHandedOver() }) {
+	for !query(n, func(c *core.Core) bool { return c.IsHandedOver() }) {
 		select {
 		case <-ctx.Done():
 			return
@@ -321,12 +321,12 @@
 
 // Leave tells the log that this process ends.
 func (n *Node) Leave(ctx context.Context) {
-	left := make(chan struct{})
-	n.put(func(c *core.Core) {
-		c.Append(state.Record{Leave: &state.Leave{Node: n.owner.Node, Incarnation: n.owner.Incarnation}}, func(error) { close(left) })
+	recorded := make(chan struct{})
+	n.enqueue(func(c *core.Core) {
+		c.Append(state.Record{Leave: &state.Leave{Node: n.owner.Node, Incarnation: n.owner.Incarnation}}, func(error) { close(recorded) })
 	})
 	select {
-	case <-left:
+	case <-recorded:
 	case <-ctx.Done():
 	case <-n.done:
 	}
--- a/internal/nodeserver/workers.go
+++ b/internal/nodeserver/workers.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	workerOrders   = 256
-	commandTimeout = 2 * time.Second
-	syncSlack      = 3 * time.Second
-	syncPause      = 300 * time.Millisecond
+	orderQueueSize   = 256
+	commandTimeout   = 2 * time.Second
+	syncTimeoutSlack = 3 * time.Second
+	syncRetryDelay   = 300 * time.Millisecond
 )
 
 // workerLink has the two duties of one owned worker: one renews leases and
@@ -37,30 +37,30 @@
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// boot and asOf are the last report's; forgets what the worker is still to
+	// incarnation and asOf are the last report's; forgets what the worker is still to
 	// forget.
-	boot    string
-	asOf    int64
-	seen    uint64
-	forgets []worker.Key
+	incarnation string
+	asOf        int64
+	revision    uint64
+	toForget    []worker.Key
 }
 
 // workerOrder is either a start or a deed.
 type workerOrder struct {
-	start *rack.StartOrder
-	deed  worker.Action
-	keys  []worker.Key
+	start  *rack.StartOrder
+	action worker.Action
+	keys   []worker.Key
 }
 
 func newWorkerLink(n *Node, rack state.ShardID, epoch worker.Epoch, id worker.ID, addr netip.AddrPort) *workerLink {
 	ctx, cancel := context.WithCancel(n.ctx)
 	l := &workerLink{
-		node: n, rack: rack, epoch: epoch, id: id, orders: boundedqueue.NewQueue[workerOrder](workerOrders), ctx: ctx, cancel: cancel,
+		node: n, rack: rack, epoch: epoch, id: id, orders: boundedqueue.NewQueue[workerOrder](orderQueueSize), ctx: ctx, cancel: cancel,
 		client: worker.NewClient(addr, n.transport),
 	}
 	n.wg.Add(2)
-	go l.loop()
-	go l.loopOrders()
+	go l.syncLoop()
+	go l.orderLoop()
 	return l
 }
 
@@ -71,19 +71,19 @@
 func (l *workerLink) Start(o *rack.StartOrder) bool { return l.orders.TryPut(workerOrder{start: o}) }
 
 // Act queues a deed; one that finds no room is ordered again by the rack.
-func (l *workerLink) Act(deed worker.Action, keys []worker.Key) {
-	l.orders.TryPut(workerOrder{deed: deed, keys: keys})
+func (l *workerLink) Act(action worker.Action, keys []worker.Key) {
+	l.orders.TryPut(workerOrder{action: action, keys: keys})
 }
 
 // Forget lets the worker forget ended attempts, with the next sync.
 func (l *workerLink) Forget(keys []worker.Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.forgets = append(l.forgets, keys...)
+	l.toForget = append(l.toForget, keys...)
 }
 
-// loop renews all of the worker's leases with each sync.
-func (l *workerLink) loop() {
+// syncLoop renews all of the worker's leases with each sync.
+func (l *workerLink) syncLoop() {
 	defer l.node.wg.Done()
 	for l.ctx.Err() == nil {
 		if l.sync() {
@@ -91,7 +91,7 @@
 		}
 		select {
 		case <-l.ctx.Done():
-		case <-l.node.clock.After(syncPause):
+		case <-l.node.clock.After(syncRetryDelay):
 		}
 	}
 }
@@ -99,60 +99,60 @@
 func (l *workerLink) sync() bool {
 	l.mu.Lock()
 	s := &worker.Sync{
-		Epoch: l.epoch, Incarnation: l.boot, AsOf: l.asOf, TTL: l.node.settings.Lease, SinceRevision: l.seen,
-		Wait: l.node.settings.Sync, Forget: l.forgets,
+		Epoch: l.epoch, Incarnation: l.incarnation, AsOf: l.asOf, TTL: l.node.settings.Lease, SinceRevision: l.revision,
+		Wait: l.node.settings.Sync, Forget: l.toForget,
 	}
 	l.mu.Unlock()
-	ctx, cancel := context.WithTimeout(l.ctx, s.Wait+syncSlack)
+	ctx, cancel := context.WithTimeout(l.ctx, s.Wait+syncTimeoutSlack)
 	rep, err := l.client.Sync(ctx, s)
 	cancel()
 	if l.ctx.Err() != nil {
 		return false
 	}
 	if err != nil {
-		l.failed(err)
+		l.reportFailure(err)
 		return false
 	}
 	l.mu.Lock()
-	l.forgets = l.forgets[len(s.Forget):]
-	isNewBoot := l.boot != rep.Incarnation && l.boot != ""
-	l.boot, l.asOf, l.seen = rep.Incarnation, rep.Now, rep.Revision
-	if isNewBoot && !rep.IsFullList {
-		l.seen = 0
+	l.toForget = l.toForget[len(s.Forget):]
+	isNewIncarnation := l.incarnation != rep.Incarnation && l.incarnation != ""
+	l.incarnation, l.asOf, l.revision = rep.Incarnation, rep.Now, rep.Revision
+	if isNewIncarnation && !rep.IsFullList {
+		l.revision = 0
 	}
 	l.mu.Unlock()
-	l.node.put(func(c *core.Core) { c.OnReport(l.rack, l.epoch, l.id, rep) })
+	l.node.enqueue(func(c *core.Core) { c.OnReport(l.rack, l.epoch, l.id, rep) })
 	return true
 }
 
-func (l *workerLink) failed(err error) {
+func (l *workerLink) reportFailure(err error) {
 	f := &worker.FencedError{}
 	if errors.As(err, &f) {
-		l.node.put(func(c *core.Core) { c.OnFenced(l.rack, l.epoch, f.Seen) })
+		l.node.enqueue(func(c *core.Core) { c.OnFenced(l.rack, l.epoch, f.Seen) })
 		return
 	}
-	l.node.put(func(c *core.Core) { c.OnSilent(l.rack, l.epoch, l.id) })
+	l.node.enqueue(func(c *core.Core) { c.OnSilent(l.rack, l.epoch, l.id) })
 }
 
-// loopOrders gives the worker its orders, one after the other.
-func (l *workerLink) loopOrders() {
+// orderLoop gives the worker its orders, one after the other.
+func (l *workerLink) orderLoop() {
 	defer l.node.wg.Done()
 	for {
 		select {
 		case <-l.ctx.Done():
 			return
 		case o := <-l.orders.Items():
-			l.give(o)
+			l.sendOrder(o)
 		}
 	}
 }
 
-func (l *workerLink) give(o workerOrder) {
+func (l *workerLink) sendOrder(o workerOrder) {
 	ctx, cancel := context.WithTimeout(l.ctx, commandTimeout)
 	defer cancel()
-	if o.deed != "" {
-		if err := l.client.Act(ctx, &worker.Act{Epoch: l.epoch, Action: o.deed, Keys: o.keys}); err != nil && l.ctx.Err() == nil {
-			l.failed(err)
+	if o.action != "" {
+		if err := l.client.Act(ctx, &worker.Act{Epoch: l.epoch, Action: o.action, Keys: o.keys}); err != nil && l.ctx.Err() == nil {
+			l.reportFailure(err)
 		}
 		return
 	}
@@ -164,9 +164,9 @@
 	if err != nil {
 		// Whether they started is not known: the rack asks again, and leases
 		// bound how long it can matter.
-		l.node.put(func(c *core.Core) { c.OnStartFailed(l.rack, l.epoch, l.id, o.start.Tasks) })
-		l.failed(err)
+		l.node.enqueue(func(c *core.Core) { c.OnStartFailed(l.rack, l.epoch, l.id, o.start.Tasks) })
+		l.reportFailure(err)
 		return
 	}
-	l.node.put(func(c *core.Core) { c.OnStartResults(l.rack, l.epoch, l.id, results) })
+	l.node.enqueue(func(c *core.Core) { c.OnStartResults(l.rack, l.epoch, l.id, results) })
 }
