--- a/internal/nodeserver/gauges.go
+++ b/internal/nodeserver/gauges.go
@@ -9,8 +9,8 @@
 	"github.com/leverdyke/leverdyke/internal/core"
 )
 
-// Utilization returns the used part of each resource of the racks that this node
-// owns, from 0 to 1.
+// Utilization returns the used fraction, from 0 to 1, of each resource of the racks that
+// this node owns. Resources that these racks do not have are left out.
 func (n *Node) Utilization() map[string]float64 {
 	return query(n, func(c *core.Core) map[string]float64 {
 		used, capacity := c.Used()
@@ -32,7 +32,8 @@
 	})
 }
 
-// Load returns counts of what the node has and does.
+// Load returns the node's gauges by name: what it owns, what waits and runs, and what it
+// has consumed.
 func (n *Node) Load() map[string]float64 {
 	s := n.Status()
 	waiting, inUse, slots := n.router.Load()
@@ -44,7 +45,7 @@
 	}
 }
 
-// cpuSeconds is the processor time that the process has used.
+// cpuSeconds returns the processor time that the process has used, in seconds.
 func cpuSeconds() float64 {
 	u := syscall.Rusage{}
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/internal/nodeserver/idempotency.go
+++ b/internal/nodeserver/idempotency.go
@@ -15,9 +15,10 @@
 
 const answerQueryTimeout = 5 * time.Second
 
-// ClaimKey puts a key into the log and says who has it. After FateNotTaken
-// nothing was run under the key by this call; FateOpen means that ctx ended
-// before the log had answered, and that nothing was sent.
+// ClaimKey appends a record for a key to the log and returns the outcome, and the node that
+// has claimed the key if it is another one. ClaimUnknown means that ctx ended before the
+// log had answered. Only after ClaimWon may the caller send the request; in all other cases
+// this call has caused no execution.
 func (n *Node) ClaimKey(ctx context.Context, key idempotency.Key) (idempotency.ClaimOutcome, state.NodeID) {
 	reply := make(chan core.KeyResult, 1)
 	n.enqueue(func(c *core.Core) { c.ClaimKey(key, func(r core.KeyResult) { reply <- r }) })
@@ -31,8 +32,8 @@
 	}
 }
 
-// FetchAnswer asks the node that was first to have a key for its answer; false
-// means that the answer is not known.
+// FetchAnswer requests the answer for a key from the node that has claimed it; false means
+// that the answer is not known.
 func (n *Node) FetchAnswer(ctx context.Context, from state.NodeID, key idempotency.Key) (node.SavedAnswer, bool) {
 	reply := make(chan node.OnceReply, 1)
 	id := query(n, func(c *core.Core) uint64 { return c.AskOnce(from, key, reply) })
@@ -47,8 +48,8 @@
 	return node.SavedAnswer{}, false
 }
 
-// AnswerOnce answers a peer's question for a key; if the request is still in
-// progress, when it has ended.
+// AnswerOnce replies to another node's query for the answer to a key. If the request is
+// still in progress, it replies when the request has ended.
 func (n *Node) AnswerOnce(from state.NodeID, m *node.OnceAsk) {
 	e := n.answers.Find(m.Key)
 	if e == nil {
@@ -59,6 +60,8 @@
 	go n.sendAnswer(from, m.ID, e)
 }
 
+// sendAnswer waits for the answer and sends it. The reply says that the answer is not known
+// if the wait times out.
 func (n *Node) sendAnswer(from state.NodeID, id uint64, e *idempotency.Entry) {
 	defer n.wg.Done()
 	ctx, cancel := context.WithTimeout(n.ctx, answerQueryTimeout)
@@ -68,11 +71,11 @@
 	n.links.Send(from, &node.Message{OnceReply: &node.OnceReply{ID: id, IsKnown: isKnown, Answer: a}})
 }
 
-// KeepAnswers keeps the answers of a peer that stops.
+// KeepAnswers stores the answers of another node that is about to stop.
 func (n *Node) KeepAnswers(list []node.KeptAnswer) { n.answers.Import(list) }
 
-// HandOverAnswers gives this node's kept answers to a peer before the node stops;
-// it returns when the peer has them, or ctx ends.
+// HandOverAnswers sends the stored answers to another node before this one stops. It
+// returns when that node has received them or ctx ends.
 func (n *Node) HandOverAnswers(ctx context.Context) {
 	delivered := make(chan struct{})
 	list := n.answers.Completed()
@@ -84,5 +87,5 @@
 	}
 }
 
-// Answers returns the answers that are kept for callers' retries.
+// Answers returns the table of the answers that are stored for callers' retries.
 func (n *Node) Answers() *idempotency.Table { return n.answers }
--- a/internal/nodeserver/node.go
+++ b/internal/nodeserver/node.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package nodeserver assembles a node: it joins the duties of an entry VM, which
-// talk to the peers' packages, with the decisions, which are pure.
+// Package nodeserver assembles the process of a node, which runs on an entry VM. It
+// connects the decisions, which package core takes without doing I/O, with the clock and
+// with the clients of the log, the workers, the other nodes and the platform.
 package nodeserver
 
 import (
@@ -35,7 +36,7 @@
 	vmListPeriod   = 2 * time.Second
 )
 
-// Node is one entry VM's process.
+// Node is the process of one node.
 type Node struct {
 	settings   *settings.Node
 	clock      clock.Service
@@ -54,15 +55,16 @@
 	transport *http.Transport
 	vms       *vmlist.Client
 	answers   *idempotency.Table
-	// core belongs to the goroutine of loop; everybody else sends it events.
+	// core is used only by the goroutine of eventLoop. All other goroutines enqueue events,
+	// which that goroutine runs.
 	core *core.Core
 }
 
-// event is something that the core has to take in, in its goroutine.
+// event is an input to the core. It runs in the goroutine that owns the core.
 type event func(c *core.Core)
 
-// NewNode opens the node's link and starts its duties. Its callers' and
-// operators' doors are opened by whoever has the handlers.
+// NewNode listens for links from other nodes and starts the goroutines of the node. It
+// does not listen for callers and operators: that is up to the owner of their handlers.
 func NewNode(s *settings.Node, m *metrics.Set) (*Node, error) {
 	c := clock.Real{}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -108,7 +110,7 @@
 	events.Log(events.NodeStarted, "node", n.owner.Node, "incarnation", n.owner.Incarnation, "region", n.settings.Region, "zone", n.settings.Zone)
 }
 
-// Close ends the duties at once, without handing anything over.
+// Close stops the node at once, without handing over what it owns.
 func (n *Node) Close() {
 	n.cancel()
 	close(n.done)
@@ -117,14 +119,15 @@
 	events.Log(events.NodeStopped, "node", n.owner.Node)
 }
 
-// Router returns what gives callers' requests their slots.
+// Router returns the router that assigns slots to callers' requests.
 func (n *Node) Router() *router.Router { return n.router }
 
-// enqueue hands an event to the core; it waits for room, and drops the event when
-// the node closes.
+// enqueue adds an event for the core. While the queue is full it waits; it drops the event
+// if the node closes meanwhile.
 func (n *Node) enqueue(e event) { n.eventQueue.Put(e, n.done) }
 
-// eventLoop is the one goroutine that decides.
+// eventLoop is the goroutine that runs the core: it processes ticks and events one after
+// the other, and carries out the effects that the core has decided on after each.
 func (n *Node) eventLoop() {
 	ticks, stop := n.clock.Subscribe(tickPeriod)
 	defer stop()
@@ -144,8 +147,8 @@
 	}
 }
 
-// drainEvents takes what else waits, within a bound, so that asks that came
-// together are settled together.
+// drainEvents processes further queued events, up to a bound, before the effects are
+// carried out, so that requests that arrive together are decided together.
 func (n *Node) drainEvents() {
 	const maxEvents = 64
 	for range maxEvents {
@@ -158,7 +161,7 @@
 	}
 }
 
-// runVMList follows the platform's list.
+// runVMList polls the platform's VM list and passes each change to the core.
 func (n *Node) runVMList() {
 	ticks, stop := n.clock.Subscribe(vmListPeriod)
 	defer stop()
@@ -180,15 +183,15 @@
 	}
 }
 
-// Deliver takes a message from a peer.
+// Deliver passes a message from another node to the core.
 func (n *Node) Deliver(e node.Envelope) { n.enqueue(func(c *core.Core) { c.OnMessage(&e) }) }
 
-// BadFrame notes that a link was closed because of its bytes.
+// BadFrame logs that a link was closed because of an invalid frame.
 func (n *Node) BadFrame(from netip.AddrPort, err error) {
 	events.Log(events.BadFrame, "from", from.String(), "err", err.Error())
 }
 
-// Counted counts the bytes of a frame.
+// Counted adds the bytes of a frame between nodes to the metrics.
 func (n *Node) Counted(sent, received int) { n.countControlBytes("node", sent, received) }
 
 func (n *Node) countControlBytes(peer string, sent, received int) {
@@ -196,5 +199,5 @@
 	n.metrics.Control(metrics.Received, peer, received)
 }
 
-// Closed reports when the node has been closed.
+// Closed returns a channel that is closed when the node is closed.
 func (n *Node) Closed() <-chan struct{} { return n.done }
--- a/internal/nodeserver/operators.go
+++ b/internal/nodeserver/operators.go
@@ -22,13 +22,15 @@
 )
 
 const (
-	maxJobID          = 64
+	maxJobID = 64
+	// retryAfterSeconds is the retry time in the answer to a change that was not accepted.
 	retryAfterSeconds = 5
-	maxCancelJobs     = 50000
+	// maxCancelJobs bounds the jobs of one call of Cancel.
+	maxCancelJobs = 50000
 )
 
-// query runs f in the core's goroutine and returns its result; the zero value
-// when the node closes.
+// query runs f in the core's goroutine and returns its result, or the zero value if the
+// node closes first.
 func query[T any](n *Node, f func(c *core.Core) T) T {
 	reply := make(chan T, 1)
 	n.enqueue(func(c *core.Core) { reply <- f(c) })
@@ -41,9 +43,11 @@
 	}
 }
 
-// appendRecords puts records into the log and waits until they are folded here. The
-// error of each record that had no effect is its own; nil for the others.
-func (n *Node) appendRecords(ctx context.Context, records []state.Record) ([]error, error) {
+// append appends records to the log and waits until this node has applied them. The
+// slice has an error for each record that had no effect, and nil for the others. The
+// second result is not nil if the effects are unknown, because ctx ended or the node is
+// closing.
+func (n *Node) append(ctx context.Context, records []state.Record) ([]error, error) {
 	type result struct {
 		i   int
 		err error
@@ -74,7 +78,8 @@
 	return errs, nil
 }
 
-// appendError turns a record's error into one with a verdict.
+// appendError converts a record's error for the caller. Errors other than nil and
+// ErrConflict get a verdict, which says whether the change may have taken effect.
 func appendError(err error) error {
 	if err == nil || errors.Is(err, state.ErrConflict) {
 		return err
@@ -87,10 +92,10 @@
 	return e
 }
 
-// Submit accepts a job: it is in the log before this returns.
+// Submit accepts a job. When it returns without an error, the job is in the log.
 func (n *Node) Submit(ctx context.Context, r *operator.SubmitRequest) (*operator.SubmitReply, error) {
 	if r.ID == "" || len(r.ID) > maxJobID || strings.ContainsAny(r.ID, "/ \n\t") {
-		return nil, &document.FieldError{File: r.File, Key: "id", Problem: fmt.Sprintf("%q is no job's name", r.ID), Allowed: "1 to 64 characters without '/' and white space"}
+		return nil, &document.FieldError{File: r.File, Key: "id", Problem: fmt.Sprintf("%q is not a valid job ID", r.ID), Allowed: "1 to 64 characters other than '/' and white space"}
 	}
 	spec, err := policy.ParseJob(r.File, []byte(r.Body), r.ID, n.settings.Region, n.template)
 	if err != nil {
@@ -99,7 +104,7 @@
 	if err := query(n, func(c *core.Core) error { return c.CheckSubmit(r.File, spec) }); err != nil {
 		return nil, err
 	}
-	errs, err := n.appendRecords(ctx, []state.Record{{Submit: &state.Submit{Spec: *spec}}})
+	errs, err := n.append(ctx, []state.Record{{Submit: &state.Submit{Spec: *spec}}})
 	if err != nil {
 		return nil, err
 	}
@@ -115,22 +120,24 @@
 	return &operator.SubmitReply{ID: r.ID, Offset: offset}, nil
 }
 
+// template returns a job template of the policies in force at this node, or nil.
 func (n *Node) template(name string) *policy.Template {
 	return query(n, func(c *core.Core) *policy.Template { return c.Policies().Template(name) })
 }
 
-// Cancel cancels jobs. Those that do not exist are left out of the count.
+// Cancel cancels jobs and returns how many it has cancelled. Jobs that do not exist are not
+// counted.
 func (n *Node) Cancel(ctx context.Context, ids []string) (int, error) {
 	if len(ids) > maxCancelJobs {
-		return 0, &document.FieldError{File: "ids", Problem: fmt.Sprintf("%d are too many", len(ids)), Allowed: fmt.Sprint(maxCancelJobs)}
+		return 0, &document.FieldError{File: "ids", Problem: fmt.Sprintf("%d job IDs are too many", len(ids)), Allowed: fmt.Sprint(maxCancelJobs)}
 	}
-	// Which jobs there are is for the log to say: this node may not have read all of
-	// it yet.
+	// Whether a job exists is decided when the record is applied, not here: this node may
+	// not have read all of the log yet.
 	records := make([]state.Record, 0, len(ids))
 	for _, id := range ids {
 		records = append(records, state.Record{Cancel: &state.Cancel{Job: id}})
 	}
-	errs, err := n.appendRecords(ctx, records)
+	errs, err := n.append(ctx, records)
 	if err != nil {
 		return 0, err
 	}
@@ -147,9 +154,10 @@
 	return cancelled, nil
 }
 
-// Publish replaces a document: it is in force here before this returns.
+// Publish replaces a document. When it returns without an error, the new version is in
+// force at this node.
 func (n *Node) Publish(ctx context.Context, doc string, r *operator.PublishRequest) (*operator.Doc, error) {
-	errs, err := n.appendRecords(ctx, []state.Record{{Publish: &state.Publish{Doc: doc, Base: r.Base, Body: []byte(r.Body), Author: r.Author}}})
+	errs, err := n.append(ctx, []state.Record{{Publish: &state.Publish{Doc: doc, Base: r.Base, Body: []byte(r.Body), Author: r.Author}}})
 	if err != nil {
 		return nil, err
 	}
@@ -159,7 +167,7 @@
 	return n.Doc(doc), nil
 }
 
-// Docs lists the documents in force here, without their bodies.
+// Docs lists the documents in force at this node, without their bodies and histories.
 func (n *Node) Docs() []operator.Doc {
 	return query(n, func(c *core.Core) []operator.Doc {
 		list := []operator.Doc{}
@@ -172,7 +180,7 @@
 	})
 }
 
-// Doc returns a document in force here, or nil.
+// Doc returns a document in force at this node, or nil.
 func (n *Node) Doc(name string) *operator.Doc {
 	return query(n, func(c *core.Core) *operator.Doc {
 		d := c.State().Docs[name]
@@ -183,6 +191,7 @@
 	})
 }
 
+// docOf converts a document to the form that operators get.
 func docOf(name string, d *state.Doc) *operator.Doc {
 	out := &operator.Doc{Name: name, Version: d.Version, Offset: d.Offset, Author: d.Author, At: time.UnixMilli(d.Millis).UTC(), Body: string(d.Body)}
 	for _, v := range d.History {
@@ -191,7 +200,8 @@
 	return out
 }
 
-// Jobs lists the jobs that the log knows, without their tasks.
+// Jobs lists the jobs that this node has read from the log, in the order of their records
+// there, without their tasks.
 func (n *Node) Jobs() []operator.Job {
 	list := query(n, func(c *core.Core) []operator.Job {
 		list := []operator.Job{}
@@ -204,6 +214,7 @@
 	return list
 }
 
+// jobOf converts a job to the form that operators get.
 func jobOf(j *state.Job) *operator.Job {
 	final := map[leverdyke.TaskState]int{}
 	for s, count := range j.Final {
@@ -215,8 +226,9 @@
 	}
 }
 
-// Job returns a job and the operators' address of its home's owner; nil if
-// there is no such job.
+// Job returns a job and the address for operators of the node that owns its job shard, or
+// nil if there is no such job. The state of the job's tasks is included only if this node
+// is the owner.
 func (n *Node) Job(id string) (*operator.Job, string) {
 	type found struct {
 		job   *operator.Job
@@ -241,7 +253,7 @@
 	return f.job, f.owner
 }
 
-// Status returns what the node says of itself.
+// Status returns the node's own status.
 func (n *Node) Status() operator.Status {
 	return query(n, func(c *core.Core) operator.Status {
 		v := c.View()
@@ -261,8 +273,8 @@
 	return query(n, func(c *core.Core) []operator.Worker { return c.Workers() })
 }
 
-// Retire records that a node's process has ended, on an operator's word. A node
-// that is heard is not retired: its word goes before the operator's.
+// Retire records, at an operator's request, that another node's process has ended. It
+// refuses if that node is still alive, whatever the operator says.
 func (n *Node) Retire(ctx context.Context, id string) error {
 	type found struct {
 		leave *state.Leave
@@ -275,14 +287,14 @@
 	if f.err != nil {
 		return f.err
 	}
-	errs, err := n.appendRecords(ctx, []state.Record{{Leave: f.leave}})
+	errs, err := n.append(ctx, []state.Record{{Leave: f.leave}})
 	if err != nil {
 		return err
 	}
 	return appendError(errs[0])
 }
 
-// Peers lists the operators' addresses of all members.
+// Peers lists the addresses for operators of all nodes that have not left.
 func (n *Node) Peers() []string {
 	return query(n, func(c *core.Core) []string {
 		list := []string{}
@@ -296,14 +308,15 @@
 	})
 }
 
-// Self returns the node's own operators' address.
+// Self returns this node's address for operators.
 func (n *Node) Self() string { return n.settings.OperatorsAddr.String() }
 
-// IsReady reports whether the balancer should send requests here.
+// IsReady reports whether the load balancer should send requests to this node.
 func (n *Node) IsReady() bool { return query(n, func(c *core.Core) bool { return c.IsReady() }) }
 
-// Drain makes the node not ready, gives all that it owns to others and leaves
-// the cell. It returns when that is done, or ctx ends.
+// Drain makes the node not ready and hands over all that it owns to other nodes. It returns
+// when the hand-over is complete, when no node is left that could take over, or when ctx
+// ends.
 func (n *Node) Drain(ctx context.Context) {
 	n.enqueue(func(c *core.Core) { c.Drain() })
 	ticks, stop := n.clock.Subscribe(tickPeriod)
@@ -319,7 +332,8 @@
 	}
 }
 
-// Leave tells the log that this process ends.
+// Leave appends the record that this process ends, and waits until it has been applied or
+// ctx ends.
 func (n *Node) Leave(ctx context.Context) {
 	recorded := make(chan struct{})
 	n.enqueue(func(c *core.Core) {
--- a/internal/nodeserver/workers.go
+++ b/internal/nodeserver/workers.go
@@ -18,14 +18,15 @@
 )
 
 const (
-	orderQueueSize   = 256
-	commandTimeout   = 2 * time.Second
+	orderQueueSize = 256
+	commandTimeout = 2 * time.Second
+	// syncTimeoutSlack is how much longer than its long poll a Sync may take.
 	syncTimeoutSlack = 3 * time.Second
 	syncRetryDelay   = 300 * time.Millisecond
 )
 
-// workerLink has the two duties of one owned worker: one renews leases and
-// reads reports, the other gives orders.
+// workerLink communicates with one worker of a rack that this node owns, from two
+// goroutines: syncLoop renews the leases and reads reports, orderLoop sends orders.
 type workerLink struct {
 	node   *Node
 	rack   state.ShardID
@@ -37,15 +38,15 @@
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// incarnation and asOf are the last report's; forgets what the worker is still to
-	// forget.
+	// incarnation, asOf and revision are from the worker's last report. toForget names the
+	// ended attempts that the worker may remove from its list.
 	incarnation string
 	asOf        int64
 	revision    uint64
 	toForget    []worker.Key
 }
 
-// workerOrder is either a start or a deed.
+// workerOrder is either an order to start attempts or an action on running ones.
 type workerOrder struct {
 	start  *rack.StartOrder
 	action worker.Action
@@ -64,25 +65,27 @@
 	return l
 }
 
-// Stop ends both duties; what was ordered and not sent is not sent any more.
+// Stop ends both goroutines. Orders that are still queued are not sent.
 func (l *workerLink) Stop() { l.cancel() }
 
-// Start queues a start; it reports false when there is no room.
+// Start queues an order to start attempts. It reports false if the queue is full.
 func (l *workerLink) Start(o *rack.StartOrder) bool { return l.orders.TryPut(workerOrder{start: o}) }
 
-// Act queues a deed; one that finds no room is ordered again by the rack.
+// Act queues an action. If the queue is full, it drops the action; the rack orders it again
+// while it is still needed.
 func (l *workerLink) Act(action worker.Action, keys []worker.Key) {
 	l.orders.TryPut(workerOrder{action: action, keys: keys})
 }
 
-// Forget lets the worker forget ended attempts, with the next sync.
+// Forget lets the worker remove ended attempts from its list, with the next Sync.
 func (l *workerLink) Forget(keys []worker.Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.toForget = append(l.toForget, keys...)
 }
 
-// syncLoop renews all of the worker's leases with each sync.
+// syncLoop sends one Sync after the other, each of which renews the leases of all of the
+// worker's tasks. After a failure it pauses for syncRetryDelay.
 func (l *workerLink) syncLoop() {
 	defer l.node.wg.Done()
 	for l.ctx.Err() == nil {
@@ -96,6 +99,9 @@
 	}
 }
 
+// sync sends one Sync, a long poll, and passes the report to the core. It reports whether it
+// succeeded. If a restarted worker reports only changes, the next Sync asks for the full
+// list.
 func (l *workerLink) sync() bool {
 	l.mu.Lock()
 	s := &worker.Sync{
@@ -125,6 +131,8 @@
 	return true
 }
 
+// reportFailure notifies the core that the worker obeys a higher epoch, or that it has not
+// answered.
 func (l *workerLink) reportFailure(err error) {
 	f := &worker.FencedError{}
 	if errors.As(err, &f) {
@@ -134,7 +142,7 @@
 	l.node.enqueue(func(c *core.Core) { c.OnSilent(l.rack, l.epoch, l.id) })
 }
 
-// orderLoop gives the worker its orders, one after the other.
+// orderLoop sends the worker its orders, one after the other.
 func (l *workerLink) orderLoop() {
 	defer l.node.wg.Done()
 	for {
@@ -162,8 +170,9 @@
 		return
 	}
 	if err != nil {
-		// Whether they started is not known: the rack asks again, and leases
-		// bound how long it can matter.
+		// It is unknown whether the attempts have started. The rack sends the order again,
+		// which starts none of them twice, and an attempt that nobody knows of ends with its
+		// lease.
 		l.node.enqueue(func(c *core.Core) { c.OnStartFailed(l.rack, l.epoch, l.id, o.start.Tasks) })
 		l.reportFailure(err)
 		return
