--- a/cmd/leverdyked/main.go
+++ b/cmd/leverdyked/main.go
@@ -22,9 +22,9 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/caller"
 	"github.com/leverdyke/leverdyke/internal/command"
-	"github.com/leverdyke/leverdyke/internal/entry"
 	"github.com/leverdyke/leverdyke/internal/listen"
 	"github.com/leverdyke/leverdyke/internal/metrics"
+	"github.com/leverdyke/leverdyke/internal/nodeserver"
 	"github.com/leverdyke/leverdyke/internal/operator"
 	"github.com/leverdyke/leverdyke/internal/settings"
 )
@@ -80,7 +80,7 @@
 // daemon is the node with its two HTTP servers, one for callers and one for operators.
 type daemon struct {
 	settings  *settings.Node
-	node      *entry.Node
+	node      *nodeserver.Node
 	handler   *caller.Handler
 	callers   *http.Server
 	operators *http.Server
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := entry.NewNode(s, m)
+	n, err := nodeserver.NewNode(s, m)
 	if err != nil {
 		return nil, err
 	}
@@ -155,14 +155,14 @@
 	_ = d.callers.Shutdown(finish)
 	leave, cancelLeave := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancelLeave()
-	d.node.GiveAnswers(leave)
+	d.node.HandOverAnswers(leave)
 	d.node.Leave(leave)
 	_ = d.operators.Close()
 	d.node.Close()
 }
 
-func registerGauges(m *metrics.Set, n *entry.Node) error {
-	if err := m.Gauge("leverdyke.packing", "resource", n.Packing); err != nil {
+func registerGauges(m *metrics.Set, n *nodeserver.Node) error {
+	if err := m.Gauge("leverdyke.packing", "resource", n.Utilization); err != nil {
 		return err
 	}
 	if err := m.Gauge("leverdyke.load", "what", n.Load); err != nil {
--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -20,8 +20,8 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/metrics"
+	"github.com/leverdyke/leverdyke/internal/router"
 )
 
 // The request headers that callers set.
@@ -46,8 +46,8 @@
 
 // Router assigns requests to workers' slots.
 type Router interface {
-	Info(service string) (front.Info, bool)
-	Acquire(ctx context.Context, service string, class leverdyke.Class) (*front.Slot, *leverdyke.Error)
+	Info(service string) (router.Info, bool)
+	Acquire(ctx context.Context, service string, class leverdyke.Class) (*router.Slot, *leverdyke.Error)
 }
 
 // NewHandlerOptions configures a handler. Router, Keys, Metrics and IsReady must be set.
@@ -267,7 +267,7 @@
 
 // send makes one round trip. The request has no GetBody, so the transport cannot rewind the body
 // and send it again by itself.
-func (h *Handler) send(ctx context.Context, r *http.Request, x *exchange, slot *front.Slot) (*http.Response, *leverdyke.Error) {
+func (h *Handler) send(ctx context.Context, r *http.Request, x *exchange, slot *router.Slot) (*http.Response, *leverdyke.Error) {
 	var body io.Reader = bytes.NewReader(x.bodyHead)
 	if x.bodyRest != nil {
 		body = io.MultiReader(body, x.bodyRest)
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -15,9 +15,9 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/front"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/once"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -27,27 +27,27 @@
 // Keys decides which node may run the request of an idempotency key, and finds the first answer to
 // it.
 type Keys interface {
-	ClaimKey(ctx context.Context, key once.Key) (once.Fate, state.NodeID)
-	FetchAnswer(ctx context.Context, from state.NodeID, key once.Key) (node.SavedAnswer, bool)
-	Answers() *once.Table
+	ClaimKey(ctx context.Context, key idempotency.Key) (idempotency.ClaimOutcome, state.NodeID)
+	FetchAnswer(ctx context.Context, from state.NodeID, key idempotency.Key) (node.SavedAnswer, bool)
+	Answers() *idempotency.Table
 }
 
 // parseKey parses an idempotency key. A key of version 7 contains its creation time, so that a key
 // that is older than the keys that are remembered can be recognized.
-func parseKey(text string, now time.Time) (once.Key, *leverdyke.Error) {
+func parseKey(text string, now time.Time) (idempotency.Key, *leverdyke.Error) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != 7 {
-		return once.Key{}, leverdyke.NotRun(KeyHeader+": this service's requests may not be repeated; a UUID of version 7 is needed", 0)
+		return idempotency.Key{}, leverdyke.NotRun(KeyHeader+": this service's requests may not be repeated; a UUID of version 7 is needed", 0)
 	}
 	seconds, nanos := id.Time().UnixTime()
 	createdAt := time.Unix(seconds, nanos)
 	if createdAt.Sub(now) > maxKeyClockSkew {
-		return once.Key{}, leverdyke.NotRun(KeyHeader+": the key's time is in the future", 0)
+		return idempotency.Key{}, leverdyke.NotRun(KeyHeader+": the key's time is in the future", 0)
 	}
 	if now.Sub(createdAt) > state.KeyWindowMillis*time.Millisecond {
-		return once.Key{}, leverdyke.MayHaveRun("the key is older than what is remembered: nobody can say whether it ran", nil)
+		return idempotency.Key{}, leverdyke.MayHaveRun("the key is older than what is remembered: nobody can say whether it ran", nil)
 	}
-	return once.Key(id), nil
+	return idempotency.Key(id), nil
 }
 
 // serveNonRepeatable runs a request at most once, and returns its answer to each retry with the
@@ -81,7 +81,7 @@
 }
 
 // replayLocal waits for the answer to the first request with this key on this node, and replays it.
-func (h *Handler) replayLocal(ctx context.Context, w http.ResponseWriter, e *once.Entry, digest uint64) {
+func (h *Handler) replayLocal(ctx context.Context, w http.ResponseWriter, e *idempotency.Entry, digest uint64) {
 	a, ok := e.Wait(ctx)
 	if !ok {
 		h.refuse(w, leverdyke.MayHaveRun("the first request with this key is still in progress", nil))
@@ -116,7 +116,7 @@
 
 // claimAndSend acquires a slot, then claims the key, and only then sends the request. A request
 // that gets no slot does not use up its key, so the caller can retry with the same key.
-func (h *Handler) claimAndSend(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, key once.Key, e *once.Entry) {
+func (h *Handler) claimAndSend(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, key idempotency.Key, e *idempotency.Entry) {
 	table := h.options.Keys.Answers()
 	slot, problem := h.options.Router.Acquire(ctx, x.service, x.class)
 	if problem != nil {
@@ -126,16 +126,16 @@
 	}
 	fate, keyOwner := h.options.Keys.ClaimKey(ctx, key)
 	switch fate {
-	case once.FateWon:
-	case once.FateLost:
+	case idempotency.ClaimWon:
+	case idempotency.ClaimLost:
 		slot.Release(false)
 		h.replayRemote(ctx, w, keyOwner, key, e)
 		return
-	case once.FateOpen:
+	case idempotency.ClaimUnknown:
 		slot.Release(false)
 		// It is uncertain whether the log has recorded the key for this process. The request is not
 		// sent.
-		table.End(e, node.SavedAnswer{Verdict: leverdyke.VerdictNotRun, Digest: e.Digest})
+		table.Complete(e, node.SavedAnswer{Verdict: leverdyke.VerdictNotRun, Digest: e.Digest})
 		h.refuse(w, leverdyke.NotRun("the log did not take the key in time: use a new key to try again", 1))
 		return
 	default:
@@ -150,7 +150,7 @@
 
 // sendClaimed sends a request whose key this node has claimed. It retries on another worker only
 // after an error that proves that the request did not run.
-func (h *Handler) sendClaimed(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, slot *front.Slot, e *once.Entry) {
+func (h *Handler) sendClaimed(ctx context.Context, w http.ResponseWriter, r *http.Request, x *exchange, slot *router.Slot, e *idempotency.Entry) {
 	// The answer is also needed for a retry, so it is read to its end even if the caller
 	// disconnects.
 	detachedCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), h.options.MaxTimeout)
@@ -176,12 +176,12 @@
 			break
 		}
 	}
-	h.options.Keys.Answers().End(e, node.SavedAnswer{Verdict: lastError.Verdict, Digest: e.Digest})
+	h.options.Keys.Answers().Complete(e, node.SavedAnswer{Verdict: lastError.Verdict, Digest: e.Digest})
 	h.refuse(w, lastError)
 }
 
 // replayRemote fetches the answer from the node that claimed the key first, and replays it.
-func (h *Handler) replayRemote(ctx context.Context, w http.ResponseWriter, keyOwner state.NodeID, key once.Key, e *once.Entry) {
+func (h *Handler) replayRemote(ctx context.Context, w http.ResponseWriter, keyOwner state.NodeID, key idempotency.Key, e *idempotency.Entry) {
 	events.Log(events.OnceKeyElsewhere, "node", keyOwner)
 	a, ok := h.options.Keys.FetchAnswer(ctx, keyOwner, key)
 	if !ok {
@@ -193,10 +193,10 @@
 
 // copyAndRecord copies the answer to the caller and records it for retries. The answer is read to
 // its end even if the caller disconnects.
-func (h *Handler) copyAndRecord(w http.ResponseWriter, res *http.Response, x *exchange, e *once.Entry) {
+func (h *Handler) copyAndRecord(w http.ResponseWriter, res *http.Response, x *exchange, e *idempotency.Entry) {
 	recorder := &answerRecorder{ResponseWriter: w}
 	saved := node.SavedAnswer{Verdict: leverdyke.VerdictMayHaveRun, Digest: e.Digest}
-	defer func() { h.options.Keys.Answers().End(e, saved) }()
+	defer func() { h.options.Keys.Answers().Complete(e, saved) }()
 	copyHeader(w.Header(), res.Header)
 	w.Header().Set(leverdyke.VerdictHeader, string(leverdyke.VerdictRan))
 	w.WriteHeader(res.StatusCode)
@@ -243,7 +243,7 @@
 
 // Write passes p on and records it.
 func (k *answerRecorder) Write(p []byte) (int, error) {
-	if k.body.Len()+len(p) > once.MaxAnswerBytes {
+	if k.body.Len()+len(p) > idempotency.MaxAnswerBytes {
 		k.isTooLong = true
 		k.body.Reset()
 	}
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -8,8 +8,8 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/events"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/once"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -34,7 +34,7 @@
 // process is draining, is not heard or has ended, all live nodes of the region
 // are asked, since it may have handed its answers over to one of them. The
 // returned ID is for AbandonQuery.
-func (c *Core) QueryAnswer(keyOwner state.NodeID, key once.Key, reply chan node.SavedAnswerReply) uint64 {
+func (c *Core) QueryAnswer(keyOwner state.NodeID, key idempotency.Key, reply chan node.SavedAnswerReply) uint64 {
 	c.lastQueryID++
 	id := c.lastQueryID
 	peers := []state.NodeID{keyOwner}
--- a/internal/core/answers_test.go
+++ b/internal/core/answers_test.go
@@ -7,8 +7,8 @@
 	"testing"
 
 	"github.com/leverdyke/leverdyke"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/node"
-	"github.com/leverdyke/leverdyke/internal/once"
 )
 
 // A node that refused a retry of a request may have stored the answer that
@@ -28,7 +28,7 @@
 		"another node: ran":        {other, leverdyke.VerdictRan, true},
 	} {
 		reply := make(chan node.SavedAnswerReply, 1)
-		id := requester.core.QueryAnswer(keyOwner.id(), once.Key{1}, reply)
+		id := requester.core.QueryAnswer(keyOwner.id(), idempotency.Key{1}, reply)
 		requester.core.OnMessage(&node.Envelope{From: c.from.hello(), Message: node.Message{
 			SavedAnswerReply: &node.SavedAnswerReply{ID: id, IsKnown: true, Answer: node.SavedAnswer{Verdict: c.verdict}},
 		}})
@@ -46,7 +46,7 @@
 	keyOwner.core.Drain()
 	cl.run(20 * step)
 	reply := make(chan node.SavedAnswerReply, 1)
-	id := requester.core.QueryAnswer(keyOwner.id(), once.Key{1}, reply)
+	id := requester.core.QueryAnswer(keyOwner.id(), idempotency.Key{1}, reply)
 	isQueried := false
 	for i := range successor.inbox {
 		isQueried = isQueried || successor.inbox[i].SavedAnswerRequest != nil
--- a/internal/core/cluster_test.go
+++ b/internal/core/cluster_test.go
@@ -14,7 +14,7 @@
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/core"
-	"github.com/leverdyke/leverdyke/internal/once"
+	"github.com/leverdyke/leverdyke/internal/idempotency"
 	"github.com/leverdyke/leverdyke/internal/standin/native"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/vmlist"
@@ -337,9 +337,9 @@
 	cl := newCluster(clusterOptions{nodes: 1, racks: 1, workers: 1, seed: 3})
 	cl.waitUntilReady(t)
 	c := cl.nodes[0].core
-	claim := func(n int) once.Fate {
-		fate := once.Fate("")
-		c.ClaimKey(once.Key{byte(n >> 16), byte(n >> 8), byte(n)}, func(r core.KeyResult) { fate = r.Fate })
+	claim := func(n int) idempotency.ClaimOutcome {
+		fate := idempotency.ClaimOutcome("")
+		c.ClaimKey(idempotency.Key{byte(n >> 16), byte(n >> 8), byte(n)}, func(r core.KeyResult) { fate = r.Fate })
 		for range 20 {
 			if fate != "" {
 				break
@@ -348,17 +348,17 @@
 		}
 		return fate
 	}
-	if got := claim(0); got != once.FateWon {
-		t.Errorf("the first: got: %v, want: %v", got, once.FateWon)
+	if got := claim(0); got != idempotency.ClaimWon {
+		t.Errorf("the first: got: %v, want: %v", got, idempotency.ClaimWon)
 	}
 	for i := range state.MaxIdempotencyKeys {
-		c.State().IdempotencyKeys[once.Key{0xff, byte(i >> 8), byte(i)}] = state.Process{}
+		c.State().IdempotencyKeys[idempotency.Key{0xff, byte(i >> 8), byte(i)}] = state.Process{}
 	}
-	if got := claim(1); got != once.FateNotTaken {
-		t.Errorf("one too many: got: %v, want: %v", got, once.FateNotTaken)
+	if got := claim(1); got != idempotency.ClaimNotRecorded {
+		t.Errorf("one too many: got: %v, want: %v", got, idempotency.ClaimNotRecorded)
 	}
-	if got := claim(0); got != once.FateLost {
-		t.Errorf("a remembered one: got: %v, want: %v", got, once.FateLost)
+	if got := claim(0); got != idempotency.ClaimLost {
+		t.Errorf("a remembered one: got: %v, want: %v", got, idempotency.ClaimLost)
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,7 +17,6 @@
 
 	"github.com/leverdyke/leverdyke"
 	"github.com/leverdyke/leverdyke/internal/events"
-	"github.com/leverdyke/leverdyke/internal/front"
 	"github.com/leverdyke/leverdyke/internal/jobshard"
 	"github.com/leverdyke/leverdyke/internal/logbuffer"
 	"github.com/leverdyke/leverdyke/internal/membership"
@@ -26,6 +25,7 @@
 	"github.com/leverdyke/leverdyke/internal/placement"
 	"github.com/leverdyke/leverdyke/internal/policy"
 	"github.com/leverdyke/leverdyke/internal/rack"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/state"
 	"github.com/leverdyke/leverdyke/internal/vmlist"
 	"github.com/leverdyke/leverdyke/internal/worker"
@@ -100,7 +100,7 @@
 	// Start reports false if the order was certainly not sent.
 	Start(o *rack.StartOrder) bool
 	// Act throttles, checkpoints or stops attempts that run on the worker.
-	Act(deed worker.Deed, keys []worker.Key)
+	Act(deed worker.Action, keys []worker.Key)
 	// Forget lets the worker drop attempts that have ended from its reports.
 	Forget(keys []worker.Key)
 	Stop()
@@ -132,7 +132,7 @@
 	Lease time.Duration
 	// SnapshotEvery is the number of batches after which a snapshot is written.
 	SnapshotEvery int64
-	Router        *front.Router
+	Router        *router.Router
 	Meter         Meter
 }
 
@@ -373,7 +373,7 @@
 func (c *Core) recordLostNodes() {
 	for i := range c.vms {
 		vm := &c.vms[i]
-		if vm.Rack != "" || vm.Status != vmlist.StatusGone {
+		if vm.Rack != "" || vm.Status != vmlist.StatusRemoved {
 			continue
 		}
 		id := state.NodeID(vm.Addr.String())
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -174,11 +174,11 @@
 // wait for, and returns grants that are no longer needed.
 func (c *Core) RequestGrants() {
 	p := c.options.Router.Plan()
-	for i := range p.Asks {
-		c.sendToRack(p.Asks[i].Rack, &node.Message{GrantRequest: &p.Asks[i]})
+	for i := range p.GrantRequests {
+		c.sendToRack(p.GrantRequests[i].Rack, &node.Message{GrantRequest: &p.GrantRequests[i]})
 	}
-	for i := range p.Done {
-		c.sendToRack(p.Done[i].Rack, &node.Message{GrantReturn: &p.Done[i]})
+	for i := range p.GrantReturns {
+		c.sendToRack(p.GrantReturns[i].Rack, &node.Message{GrantReturn: &p.GrantReturns[i]})
 	}
 }
 
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -68,7 +68,7 @@
 // onGrantCheck handles a rack's list of the grants that this node should hold:
 // it returns those that it does not hold, so that their slots become free.
 func (c *Core) onGrantCheck(m *node.GrantCheck) {
-	for _, k := range c.options.Router.Lacking(m.Keys) {
+	for _, k := range c.options.Router.MissingGrants(m.Keys) {
 		c.sendToRack(m.Rack, &node.Message{GrantReturn: &node.GrantReturn{Rack: m.Rack, Key: k}})
 	}
 }
@@ -214,7 +214,7 @@
 		c.rackCapacity[rackSummary.Rack] = c.rackCapacity[rackSummary.Rack].Max(rackSummary.Capacity)
 	}
 	c.rackSummaries[rackSummary.Rack] = rackSummary
-	c.options.Router.OnRoom(rackSummary)
+	c.options.Router.OnCapacity(rackSummary)
 	for _, id := range sorted(c.jobShards) {
 		c.jobShards[id].OnRackSummary(rackSummary)
 	}
--- a/internal/core/recovery_test.go
+++ b/internal/core/recovery_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/leverdyke/leverdyke"
-	"github.com/leverdyke/leverdyke/internal/front"
+	"github.com/leverdyke/leverdyke/internal/router"
 	"github.com/leverdyke/leverdyke/internal/standin/native"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
@@ -61,9 +61,9 @@
 }
 
 // acquire acquires a slot of a service through a node's router.
-func (cl *cluster) acquire(t *testing.T, n *fakeNode, service string) *front.Slot {
+func (cl *cluster) acquire(t *testing.T, n *fakeNode, service string) *router.Slot {
 	t.Helper()
-	slots := make(chan *front.Slot, 1)
+	slots := make(chan *router.Slot, 1)
 	go func() {
 		s, _ := n.router.Acquire(context.Background(), service, leverdyke.ClassNormal)
 		slots <- s
--- a/internal/jobshard/job.go
+++ b/internal/jobshard/job.go
@@ -164,7 +164,7 @@
 func (h *Shard) orderStops(stops map[state.ShardID][]worker.Key) {
 	for _, rack := range h.rackOrder {
 		if keys := stops[rack]; len(keys) > 0 {
-			h.sendToRack(rack, node.Message{AttemptOrder: &node.AttemptOrder{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, Action: worker.DeedStop, Keys: keys}})
+			h.sendToRack(rack, node.Message{AttemptOrder: &node.AttemptOrder{JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, Action: worker.ActionStop, Keys: keys}})
 		}
 	}
 }
--- a/internal/jobshard/report.go
+++ b/internal/jobshard/report.go
@@ -176,7 +176,7 @@
 // orderStop sends a rack the order to stop one attempt.
 func (h *Shard) orderStop(rack state.ShardID, k worker.Key) {
 	h.sendToRack(rack, node.Message{AttemptOrder: &node.AttemptOrder{
-		JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, Action: worker.DeedStop, Keys: []worker.Key{k},
+		JobShard: h.ID, JobShardEpoch: h.Epoch, Rack: rack, Action: worker.ActionStop, Keys: []worker.Key{k},
 	}})
 }
 
@@ -188,11 +188,11 @@
 	h.addFreedCapacity(j, t.rack)
 	isService := j.spec.Kind == leverdyke.KindService
 	switch {
-	case item.State == worker.StateDone && !isService:
+	case item.State == worker.StateSucceeded && !isService:
 		h.setPhase(j, i, phaseFinal)
 		h.queueFinal(j, i, leverdyke.TaskDone, &item.Key, 0, "")
 		return false
-	case item.State == worker.StateDone || item.State == worker.StateFailed:
+	case item.State == worker.StateSucceeded || item.State == worker.StateFailed:
 		return h.onFailure(now, j, i, item)
 	case j.spec.IsOnce:
 		h.setPhase(j, i, phaseFinal)
--- a/internal/jobshard/scan.go
+++ b/internal/jobshard/scan.go
@@ -304,7 +304,7 @@
 func (h *Shard) startItem(now time.Time, j *job, i int) node.StartItem {
 	w := h.placementPolicy(j)
 	t := worker.Task{
-		Key: j.key(i), Home: string(h.ID), Each: j.spec.Each, Class: j.spec.Class, IsOnce: j.spec.IsOnce,
+		Key: j.key(i), JobShard: string(h.ID), Declared: j.spec.Each, Class: j.spec.Class, IsOnce: j.spec.IsOnce,
 		Service: j.spec.Service, Request: j.spec.Request, IsRequestOnce: j.spec.IsRequestOnce, RunTime: j.spec.RunTime,
 	}
 	return node.StartItem{
--- a/internal/jobshard/shard_test.go
+++ b/internal/jobshard/shard_test.go
@@ -167,7 +167,7 @@
 		end  worker.TaskState
 		want leverdyke.TaskState
 	}{
-		"done":                        {done, worker.StateDone, leverdyke.TaskDone},
+		"done":                        {done, worker.StateSucceeded, leverdyke.TaskDone},
 		"failed, not to be repeated":  {once, worker.StateFailed, leverdyke.TaskFailed},
 		"stopped, not to be repeated": {once, worker.StateStopped, leverdyke.TaskUnknown},
 	} {
@@ -313,7 +313,7 @@
 					h.OnStartReply(now, &node.StartReply{JobShard: shardID, Rack: m.Rack, RackEpoch: rackEpoch, Results: []node.StartResult{{Key: k, Worker: "w"}}})
 					if k.Task.Job == "batch" {
 						started++
-						h.OnAttemptReport(now, &node.AttemptReport{JobShard: shardID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.AttemptStatus{{Key: k, State: worker.StateDone, Worker: "w"}}})
+						h.OnAttemptReport(now, &node.AttemptReport{JobShard: shardID, Rack: m.Rack, RackEpoch: rackEpoch, Items: []node.AttemptStatus{{Key: k, State: worker.StateSucceeded, Worker: "w"}}})
 					}
 				}
 			}
--- a/internal/jobshard/uncertain.go
+++ b/internal/jobshard/uncertain.go
@@ -29,7 +29,7 @@
 	if j.spec.IsOnce {
 		return false
 	}
-	return item.State != worker.StateDone || j.spec.Kind == leverdyke.KindService
+	return item.State != worker.StateSucceeded || j.spec.Kind == leverdyke.KindService
 }
 
 // deferEnd keeps the end of the newest attempt until every rack has reported
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 	"github.com/leverdyke/leverdyke/internal/clock"
 	"github.com/leverdyke/leverdyke/internal/logservice"
-	"github.com/leverdyke/leverdyke/internal/ring"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -70,7 +70,7 @@
 	log     Log
 	owner   state.Process
 	options NewWriterOptions
-	queue   *ring.Ring[queuedRecord]
+	queue   *boundedqueue.Queue[queuedRecord]
 
 	mu sync.Mutex
 	// inFlight has the callbacks of each batch of which an append has been or
@@ -116,7 +116,7 @@
 		options.RunInApplier = func(f func()) { f() }
 	}
 	return &Writer{
-		log: log, owner: owner, options: options, queue: ring.NewRing[queuedRecord](maxQueued),
+		log: log, owner: owner, options: options, queue: boundedqueue.NewQueue[queuedRecord](maxQueued),
 		inFlight: map[uint64][]ResultFunc{}, seenCh: make(chan struct{}),
 		tokens: appendBurst, refilled: options.Clock.Now(),
 	}
@@ -213,7 +213,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-w.queue.Out():
+		case first := <-w.queue.Items():
 			w.awaitRateLimit(ctx)
 			w.appendBatch(ctx, first)
 		}
@@ -269,7 +269,7 @@
 // nextQueued returns the next queued record, or false if there is none.
 func (w *Writer) nextQueued() (queuedRecord, bool) {
 	select {
-	case q := <-w.queue.Out():
+	case q := <-w.queue.Items():
 		return q, true
 	default:
 		return queuedRecord{}, false
--- a/internal/link/conn.go
+++ b/internal/link/conn.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package link has calls between nodes over one TCP connection, in both
-// directions, with typed bodies.
+// Package link multiplexes remote procedure calls and notifications between two nodes
+// over one TCP connection, in both directions.
 package link
 
 import (
@@ -15,83 +15,89 @@
 	"sync"
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 	"github.com/leverdyke/leverdyke/internal/codec"
 	"github.com/leverdyke/leverdyke/internal/frame"
 	"github.com/leverdyke/leverdyke/internal/progress"
-	"github.com/leverdyke/leverdyke/internal/ring"
 )
 
-// Kind names a message; its body has one type.
+// Kind is the kind of a message, which determines the type of its body.
 type Kind string
 
-// message is what a frame carries.
+// message is the content of one frame. It is encoded as an array, so that the order of
+// its fields is part of the protocol and their names are not.
 type message struct {
-	// ID joins a reply to its call; 0 marks a notification.
+	// ID matches a reply to its call; 0 marks a notification.
 	ID      uint64
 	Kind    Kind
 	IsReply bool
 	Body    []byte
-	// Failure is set in a reply to a call that failed.
+	// Failure is the error text in a reply to a call that failed; otherwise it is
+	// empty.
 	Failure string
-	// Patience is how long the caller waits for the reply; 0 means for as long as
-	// the connection lasts.
-	Patience time.Duration
+	// Timeout is how long the caller waits for the reply; 0 means as long as the
+	// connection is open.
+	Timeout time.Duration
 }
 
 // Bounds of a connection.
 const (
-	// outboundFrames is how many frames may wait; a peer that does not read is cut.
-	outboundFrames = 4096
-	// maxCalls is how many calls of a peer may be in progress.
+	// maxQueuedFrames is how many frames may wait to be sent. The connection is closed
+	// when the queue overflows, because then the peer does not read.
+	maxQueuedFrames = 4096
+	// maxCalls is how many calls from the peer may be in progress at once.
 	maxCalls = 2048
-	// keepAlive finds a machine that lost its power, besides the beats.
+	// keepAlive is the period of the TCP keep-alive probes. In addition to the nodes'
+	// heartbeats, they detect a machine that has lost power.
 	keepAlive = time.Second
 )
 
-// ErrClosed means that the connection is closed. A call that had been sent may
-// have been carried out.
-var ErrClosed = errors.New("link: closed")
+// ErrClosed means that the connection is closed. The peer may nevertheless have carried
+// out a call that was sent before.
+var ErrClosed = errors.New("link: connection closed")
 
-// CallError is the failure that a peer told.
+// CallError means that the peer answered a call with a failure. Reason is the peer's
+// error text.
 type CallError struct{ Reason string }
 
-// Error returns the text of the error.
-func (e *CallError) Error() string { return "link: the peer says: " + e.Reason }
+// Error implements the error interface.
+func (e *CallError) Error() string { return "link: peer reported failure: " + e.Reason }
 
-// Handler takes what a peer sends. Calls come on goroutines of their own,
-// notifications one after the other.
+// Handler handles the messages of a peer. Each call is handled in a goroutine of its
+// own. Notifications are handled one after the other in the goroutine that reads the
+// connection: while HandleNotification blocks, no other message is read.
 type Handler interface {
 	// HandleCall returns the body of the reply.
 	HandleCall(ctx context.Context, from *Conn, kind Kind, body []byte) (any, error)
-	HandleNotice(from *Conn, kind Kind, body []byte)
+	HandleNotification(from *Conn, kind Kind, body []byte)
 }
 
 // Conn is a connection to a peer. It is safe for concurrent use.
 type Conn struct {
-	conn    net.Conn
-	handler Handler
-	out     *ring.Ring[*message]
-	ctx     context.Context
-	cancel  context.CancelFunc
-	slots   chan struct{}
+	conn      net.Conn
+	handler   Handler
+	outbound  *boundedqueue.Queue[*message]
+	ctx       context.Context
+	cancel    context.CancelFunc
+	callSlots chan struct{}
 
 	mu      sync.Mutex
 	nextID  uint64
-	waiting map[uint64]waiter
+	pending map[uint64]pendingCall
 }
 
-// NewConn takes over an open connection.
+// NewConn starts the protocol on an open connection, which the Conn then owns.
 func NewConn(c net.Conn, h Handler) *Conn {
 	ctx, cancel := context.WithCancel(context.Background())
 	conn := &Conn{
-		conn: c, handler: h, out: ring.NewRing[*message](outboundFrames), ctx: ctx, cancel: cancel,
-		slots: make(chan struct{}, maxCalls), waiting: map[uint64]waiter{},
+		conn: c, handler: h, outbound: boundedqueue.NewQueue[*message](maxQueuedFrames), ctx: ctx, cancel: cancel,
+		callSlots: make(chan struct{}, maxCalls), pending: map[uint64]pendingCall{},
 	}
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAlive, Interval: keepAlive, Count: 3})
 	}
-	go conn.runReads()
-	go conn.runWrites()
+	go conn.readLoop()
+	go conn.writeLoop()
 	return conn
 }
 
@@ -105,36 +111,37 @@
 	return NewConn(c, h), nil
 }
 
-// Close closes the connection. Calls in progress end with ErrClosed.
+// Close closes the connection. Calls in progress return ErrClosed.
 func (c *Conn) Close() {
 	c.cancel()
 	_ = c.conn.Close()
 }
 
-// Done is closed when the connection is.
+// Done returns a channel that is closed when the connection is closed.
 func (c *Conn) Done() <-chan struct{} { return c.ctx.Done() }
 
-// Notify sends a notification. It reports false when it was dropped.
+// Notify queues a notification. It reports false if the notification was dropped,
+// because it could not be encoded, the connection is closed, or the queue is full.
 func (c *Conn) Notify(kind Kind, v any) bool {
 	body, err := codec.MarshalCompact(v)
 	return err == nil && c.send(&message{Kind: kind, Body: body})
 }
 
-// Call sends a call and waits for its reply, which it reads into reply. The
-// peer works on it no longer than ctx lasts. Any error but *CallError leaves
-// open whether the peer carried it out.
+// Call sends a call, waits for its reply and decodes it into reply. The peer learns how
+// much time ctx has left and cancels the call after that. After any error other than
+// *CallError it is unknown whether the peer has carried out the call.
 func (c *Conn) Call(ctx context.Context, kind Kind, v, reply any) error {
 	body, err := codec.MarshalCompact(v)
 	if err != nil {
 		return err
 	}
-	id, ch := c.expect(ctx)
-	defer c.forget(id)
-	if !c.send(&message{ID: id, Kind: kind, Body: body, Patience: patienceOf(ctx)}) {
+	id, replies := c.registerCall(ctx)
+	defer c.unregisterCall(id)
+	if !c.send(&message{ID: id, Kind: kind, Body: body, Timeout: timeoutOf(ctx)}) {
 		return ErrClosed
 	}
 	select {
-	case m := <-ch:
+	case m := <-replies:
 		if m.Failure != "" {
 			return &CallError{m.Failure}
 		}
@@ -146,8 +153,9 @@
 	}
 }
 
-// patienceOf returns how long ctx still lasts; 0 when it has no end.
-func patienceOf(ctx context.Context) time.Duration {
+// timeoutOf returns how much time ctx has left, at least 1 ns, or 0 if it has no
+// deadline.
+func timeoutOf(ctx context.Context) time.Duration {
 	left, ok := progress.TimeLeft(ctx)
 	if !ok {
 		return 0
@@ -155,43 +163,46 @@
 	return max(left, time.Nanosecond)
 }
 
-func (c *Conn) expect(ctx context.Context) (uint64, chan *message) {
+// registerCall returns a new ID and the channel that receives the reply with this ID.
+func (c *Conn) registerCall(ctx context.Context) (uint64, chan *message) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nextID++
-	ch := make(chan *message, 1)
-	c.waiting[c.nextID] = waiter{ctx, ch}
-	return c.nextID, ch
+	replies := make(chan *message, 1)
+	c.pending[c.nextID] = pendingCall{ctx, replies}
+	return c.nextID, replies
 }
 
-func (c *Conn) forget(id uint64) {
+func (c *Conn) unregisterCall(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 }
 
+// send queues a message. It reports false if the connection is closed; if the queue is
+// full, it closes the connection.
 func (c *Conn) send(m *message) bool {
 	if c.ctx.Err() != nil {
 		return false
 	}
-	if c.out.TryPut(m) {
+	if c.outbound.TryPut(m) {
 		return true
 	}
 	c.Close()
 	return false
 }
 
-// runWrites sends what is queued until the connection is closed.
-func (c *Conn) runWrites() {
+// writeLoop sends the queued frames until the connection is closed.
+func (c *Conn) writeLoop() {
 	defer c.Close()
 	buf := []byte{}
 	for {
 		select {
 		case <-c.ctx.Done():
 			return
-		case m := <-c.out.Out():
+		case m := <-c.outbound.Items():
 			var err error
-			if buf, err = c.gather(buf[:0], m); err != nil {
+			if buf, err = c.appendQueued(buf[:0], m); err != nil {
 				return
 			}
 			if err := c.write(buf); err != nil {
@@ -201,15 +212,17 @@
 	}
 }
 
-// gatherBytes is about how much one write carries.
-const gatherBytes = 64 << 10
+// batchBytes is the size at which a batch of frames for one call of write is full. The
+// last frame of a batch may exceed it.
+const batchBytes = 64 << 10
 
-// gather appends a frame and what else waits.
-func (c *Conn) gather(buf []byte, m *message) ([]byte, error) {
+// appendQueued encodes m and further queued messages into buf, until the queue is empty
+// or the batch is full.
+func (c *Conn) appendQueued(buf []byte, m *message) ([]byte, error) {
 	buf, err := frame.Append(buf, m)
-	for err == nil && len(buf) < gatherBytes {
+	for err == nil && len(buf) < batchBytes {
 		select {
-		case next := <-c.out.Out():
+		case next := <-c.outbound.Items():
 			buf, err = frame.Append(buf, next)
 		default:
 			return buf, nil
@@ -218,48 +231,52 @@
 	return buf, err
 }
 
-// runReads takes what comes until the connection is closed.
-func (c *Conn) runReads() {
+// readLoop reads and dispatches messages until the connection is closed.
+func (c *Conn) readLoop() {
 	defer c.Close()
-	from := &frameMeter{conn: c}
-	r := bufio.NewReaderSize(from, 8<<10)
+	source := &progressReader{conn: c}
+	r := bufio.NewReaderSize(source, 8<<10)
 	for {
-		from.begin()
+		source.beginFrame()
 		m := &message{}
 		if _, err := frame.Read(r, m); err != nil {
 			return
 		}
-		c.take(m)
+		c.dispatch(m)
 	}
 }
 
-func (c *Conn) take(m *message) {
+// dispatch passes a reply to its pending call, a notification to the handler, and a call
+// to a goroutine of its own. It refuses a call beyond maxCalls.
+func (c *Conn) dispatch(m *message) {
 	switch {
 	case m.IsReply:
 		c.mu.Lock()
-		w, ok := c.waiting[m.ID]
+		call, ok := c.pending[m.ID]
 		c.mu.Unlock()
 		if ok {
-			w.reply <- m
+			call.reply <- m
 		}
 	case m.ID == 0:
-		c.handler.HandleNotice(c, m.Kind, m.Body)
+		c.handler.HandleNotification(c, m.Kind, m.Body)
 	default:
 		select {
-		case c.slots <- struct{}{}:
-			go c.runCall(m)
+		case c.callSlots <- struct{}{}:
+			go c.serveCall(m)
 		default:
-			c.send(&message{ID: m.ID, Kind: m.Kind, IsReply: true, Failure: "too many calls are in progress"})
+			c.send(&message{ID: m.ID, Kind: m.Kind, IsReply: true, Failure: "call refused: too many calls of this peer are in progress"})
 		}
 	}
 }
 
-func (c *Conn) runCall(m *message) {
-	defer func() { <-c.slots }()
+// serveCall runs the handler for a call and queues the reply.
+func (c *Conn) serveCall(m *message) {
+	defer func() { <-c.callSlots }()
 	ctx := c.ctx
-	if m.Patience > 0 {
-		// Not by progress: the caller does not hear of it before the reply begins.
-		bounded, cancel := context.WithTimeout(ctx, m.Patience)
+	if m.Timeout > 0 {
+		// The time is not extended while the call makes progress, because the caller
+		// sees no progress before the reply begins, and times out regardless.
+		bounded, cancel := context.WithTimeout(ctx, m.Timeout)
 		defer cancel()
 		ctx = bounded
 	}
--- a/internal/node/frame.go
+++ b/internal/node/frame.go
@@ -11,7 +11,7 @@
 
 // ErrFrame means that a peer sent a malformed frame. The link is closed, since the
 // start of the next frame is unknown.
-var ErrFrame = frame.ErrBad
+var ErrFrame = frame.ErrInvalid
 
 // AppendFrame appends m to buf, encoded as one frame.
 func AppendFrame(buf []byte, m *Message) ([]byte, error) { return frame.Append(buf, m) }
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -13,8 +13,8 @@
 	"sync"
 	"time"
 
+	"github.com/leverdyke/leverdyke/internal/boundedqueue"
 	"github.com/leverdyke/leverdyke/internal/clock"
-	"github.com/leverdyke/leverdyke/internal/ring"
 	"github.com/leverdyke/leverdyke/internal/state"
 )
 
@@ -73,7 +73,7 @@
 	links *Links
 	node  state.NodeID
 	addr  netip.AddrPort
-	queue *ring.Ring[*Message]
+	queue *boundedqueue.Queue[*Message]
 	stop  context.CancelFunc
 }
 
@@ -123,7 +123,7 @@
 		return
 	}
 	ctx, stop := context.WithCancel(l.ctx)
-	o := &outgoing{links: l, node: peer, addr: addr, queue: ring.NewRing[*Message](outboundFrames), stop: stop}
+	o := &outgoing{links: l, node: peer, addr: addr, queue: boundedqueue.NewQueue[*Message](outboundFrames), stop: stop}
 	l.peers[peer] = o
 	l.wg.Add(1)
 	go o.redialLoop(ctx)
@@ -247,7 +247,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-o.queue.Out():
+		case m := <-o.queue.Items():
 			if o.write(c, m) != nil {
 				return
 			}
@@ -260,7 +260,7 @@
 func (o *outgoing) dropQueued() {
 	for {
 		select {
-		case <-o.queue.Out():
+		case <-o.queue.Items():
 		default:
 			return
 		}
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -180,7 +180,7 @@
 	JobShard      state.ShardID `msgpack:"h"`
 	JobShardEpoch uint64        `msgpack:"e"`
 	Rack          state.ShardID `msgpack:"r"`
-	Action        worker.Deed   `msgpack:"d"`
+	Action        worker.Action `msgpack:"d"`
 	Keys          []worker.Key  `msgpack:"k"`
 }
 
--- a/internal/entry/gauges.go
+++ b/internal/nodeserver/gauges.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-package entry
+package nodeserver
 
 import (
 	"syscall"
@@ -9,30 +9,31 @@
 	"github.com/leverdyke/leverdyke/internal/core"
 )
 
-// Packing returns the used part of each resource of the racks that this node
-// owns, from 0 to 1.
-func (n *Node) Packing() map[string]float64 {
-	return ask(n, func(c *core.Core) map[string]float64 {
+// Utilization returns the used fraction, from 0 to 1, of each resource of the racks that
+// this node owns. Resources that these racks do not have are left out.
+func (n *Node) Utilization() map[string]float64 {
+	return query(n, func(c *core.Core) map[string]float64 {
 		used, capacity := c.Used()
-		parts := map[string]float64{}
+		fractions := map[string]float64{}
 		for _, d := range []struct {
-			name       string
-			part, full int64
+			name              string
+			usedAmount, total int64
 		}{
 			{"processors", used.MilliCPU, capacity.MilliCPU},
 			{"memory", used.MemoryMiB, capacity.MemoryMiB},
 			{"accelerators", used.Accelerators, capacity.Accelerators},
 			{"slots", used.Slots, capacity.Slots},
 		} {
-			if d.full > 0 {
-				parts[d.name] = float64(d.part) / float64(d.full)
+			if d.total > 0 {
+				fractions[d.name] = float64(d.usedAmount) / float64(d.total)
 			}
 		}
-		return parts
+		return fractions
 	})
 }
 
-// Load returns counts of what the node has and does.
+// Load returns the node's gauges by name: what it owns, what waits and runs, and what it
+// has consumed.
 func (n *Node) Load() map[string]float64 {
 	s := n.Status()
 	waiting, inUse, slots := n.router.Load()
@@ -44,7 +45,7 @@
 	}
 }
 
-// cpuSeconds is the processor time that the process has used.
+// cpuSeconds returns the processor time that the process has used, in seconds.
 func cpuSeconds() float64 {
 	u := syscall.Rusage{}
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/internal/placement/preempt.go
+++ b/internal/placement/preempt.go
@@ -30,7 +30,7 @@
 // Preemption is the action to take on one victim.
 type Preemption struct {
 	Key    worker.Key
-	Action worker.Deed
+	Action worker.Action
 }
 
 // Preempt returns the least disruptive preemptions that make room for need on a
@@ -69,7 +69,7 @@
 			continue
 		}
 		free.MilliCPU += v.Charge.MilliCPU - v.Charge.MilliCPU/worker.ThrottleDivisor
-		preemptions = append(preemptions, Preemption{v.Key, worker.DeedThrottle})
+		preemptions = append(preemptions, Preemption{v.Key, worker.ActionThrottle})
 	}
 	if !need.FitsIn(free) || len(preemptions) == 0 {
 		return nil
@@ -98,7 +98,7 @@
 			free = free.Sub(taken[i].Charge)
 			continue
 		}
-		preemptions = append(preemptions, Preemption{taken[i].Key, worker.DeedCheckpoint})
+		preemptions = append(preemptions, Preemption{taken[i].Key, worker.ActionCheckpoint})
 	}
 	return preemptions
 }
--- a/internal/rack/bench_test.go
+++ b/internal/rack/bench_test.go
@@ -38,7 +38,7 @@
 	for i := range b.N {
 		startTime := time.Now()
 		at := placement.BestRack(placement.BestFit, each, views, i, 8)
-		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, Home: string(jobShard), Each: each}
+		task := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: "new", Index: i}, Attempt: uint64(i + 2)}, JobShard: string(jobShard), Declared: each}
 		racks[at].OnStartRequest(&node.StartRequest{JobShard: jobShard, JobShardEpoch: 1, RackEpoch: epoch, Items: []node.StartItem{{Task: task, PackingWeight: 1}}})
 		racks[at].Flush(now)
 		_ = latencies.RecordValue(time.Since(startTime).Nanoseconds())
@@ -67,9 +67,9 @@
 		}
 		owner.SetWorkers(now, list)
 		for w := range list {
-			rep := &worker.Report{Boot: "1", Rev: 1, IsWhole: true, Capacity: capacity}
+			rep := &worker.Report{Incarnation: "1", Revision: 1, IsFullList: true, Capacity: capacity}
 			for i := range tasksPerWorker {
-				t := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: fmt.Sprintf("j%d-%d", r, w), Index: i}, Attempt: 1}, Home: string(jobShard), Each: each, State: worker.StateRunning}
+				t := worker.Task{Key: worker.Key{Task: leverdyke.TaskID{Job: fmt.Sprintf("j%d-%d", r, w), Index: i}, Attempt: 1}, JobShard: string(jobShard), Declared: each, State: worker.StateRunning}
 				rep.Tasks = append(rep.Tasks, t)
 			}
 			owner.OnReport(now, worker.ID(list[w].Name), rep)
--- a/internal/rack/grants.go
+++ b/internal/rack/grants.go
@@ -49,7 +49,7 @@
 	key := worker.Key{Attempt: r.lastGrant}
 	key.Task.Job = fmt.Sprintf("grant-%d", r.Epoch)
 	t := worker.Task{
-		Key: key, Holder: string(to), Each: replica.Request.Times(slots), Class: m.Class,
+		Key: key, Holder: string(to), Declared: replica.Request.Times(slots), Class: m.Class,
 		Service: m.Service, Request: replica.Request, IsRequestOnce: replica.IsRequestOnce, State: worker.StateRunning,
 	}
 	a := &assignment{task: t, vm: v, phase: phaseStarting, since: now, lastSentAt: now}
@@ -95,7 +95,7 @@
 func (r *Rack) sendGrant(a *assignment) {
 	g := &node.Grant{
 		Rack: r.ID, RackEpoch: r.Epoch, Key: a.task.Key, Service: a.task.Service, Worker: a.vm.id,
-		Addr: a.vm.addr, Zone: a.vm.zone, Slots: int(a.task.Each.Slots), IsOnce: a.task.IsRequestOnce,
+		Addr: a.vm.addr, Zone: a.vm.zone, Slots: int(a.task.Declared.Slots), IsOnce: a.task.IsRequestOnce,
 	}
 	r.output.ToNodes = append(r.output.ToNodes, NodeMessage{state.NodeID(a.task.Holder), node.Message{Grant: g}})
 }
@@ -159,9 +159,9 @@
 	if a.phase == phaseEnded || a.pendingAction != "" {
 		return
 	}
-	a.pendingAction = worker.DeedStop
+	a.pendingAction = worker.ActionStop
 	a.lastSentAt = now
-	r.output.Acts = append(r.output.Acts, ActOrder{a.vm.id, worker.DeedStop, []worker.Key{a.task.Key}})
+	r.output.Acts = append(r.output.Acts, ActOrder{a.vm.id, worker.ActionStop, []worker.Key{a.task.Key}})
 }
 
 // checkGrants asks the holders whether they still have their grants. Otherwise
--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -155,7 +155,7 @@
 	isStartPending bool
 	// pendingAction is what the worker was ordered to do and has not yet shown
 	// in a report; empty if there is nothing.
-	pendingAction worker.Deed
+	pendingAction worker.Action
 	// request is the job shard's request that is answered once the attempt has
 	// started; nil if there is none.
 	request *node.StartRequest
@@ -186,7 +186,7 @@
 // assignments.
 type ActOrder struct {
 	Worker worker.ID
-	Action worker.Deed
+	Action worker.Action
 	Keys   []worker.Key
 }
 
@@ -285,10 +285,10 @@
 	for i := range list {
 		entry := &list[i]
 		id := worker.ID(entry.Name)
-		listed[id] = entry.Status != vmlist.StatusGone
+		listed[id] = entry.Status != vmlist.StatusRemoved
 		v := r.vms[id]
 		if v == nil {
-			if entry.Status == vmlist.StatusGone {
+			if entry.Status == vmlist.StatusRemoved {
 				continue
 			}
 			v = &vm{id: id, addr: entry.Addr, zone: entry.Zone, addedAt: now, assignments: map[worker.Key]*assignment{}}
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -82,7 +82,7 @@
 		s := &worker.Sync{Epoch: epoch, TTL: h.rack.TTL(), Forget: h.forgets[id]}
 		delete(h.forgets, id)
 		if r := h.reports[id]; r != nil {
-			s.Boot, s.AsOf, s.Seen = r.Boot, r.Now, r.Rev
+			s.Incarnation, s.AsOf, s.SinceRevision = r.Incarnation, r.Now, r.Revision
 		}
 		rep, err := h.workers[id].Sync(s)
 		if err != nil {
@@ -106,7 +106,7 @@
 		if h.isDroppingStarts {
 			continue
 		}
-		results, err := h.workers[o.Worker].Start(&worker.Start{Epoch: epoch, Boot: o.Boot, AsOf: o.AsOf, TTL: h.rack.TTL(), Tasks: o.Tasks})
+		results, err := h.workers[o.Worker].Start(&worker.Start{Epoch: epoch, Incarnation: o.Boot, AsOf: o.AsOf, TTL: h.rack.TTL(), Tasks: o.Tasks})
 		if err != nil {
 			h.t.Fatal(err)
 		}
@@ -116,7 +116,7 @@
 		h.forgets[f.Worker] = append(h.forgets[f.Worker], f.Keys...)
 	}
 	for _, o := range out.Acts {
-		if err := h.workers[o.Worker].Act(&worker.Act{Epoch: epoch, Deed: o.Action, Keys: o.Keys}); err != nil {
+		if err := h.workers[o.Worker].Act(&worker.Act{Epoch: epoch, Action: o.Action, Keys: o.Keys}); err != nil {
 			h.t.Fatal(err)
 		}
 	}
@@ -161,7 +161,7 @@
 func (h *harness) newTask(job string, each leverdyke.Resources, class leverdyke.Class) worker.Task {
 	h.attempt++
 	return worker.Task{
-		Key: worker.Key{Task: leverdyke.TaskID{Job: job, Index: int(h.attempt)}, Attempt: h.attempt}, Home: string(jobShard), Each: each, Class: class,
+		Key: worker.Key{Task: leverdyke.TaskID{Job: job, Index: int(h.attempt)}, Attempt: h.attempt}, JobShard: string(jobShard), Declared: each, Class: class,
 	}
 }
 
@@ -232,7 +232,7 @@
 	if got := h.answers[big.Key]; got.RefusalReason == "" {
 		t.Fatalf("got: %+v, want: refused", got)
 	}
-	big.Each = small
+	big.Declared = small
 	h.requestStarts(node.StartItem{Task: big})
 	if h.startOrders != 0 {
 		t.Errorf("got: %d starts, want: 0", h.startOrders)
@@ -249,7 +249,7 @@
 	// The worker reports usage with its next change, which this start brings
 	// about.
 	h.requestStarts(node.StartItem{Task: h.newTask("other", leverdyke.Resources{MilliCPU: 1, MemoryMiB: 1, Slots: 1}, leverdyke.ClassNormal)})
-	h.reports["w0"].Rev = 0
+	h.reports["w0"].Revision = 0
 	h.sync()
 	summary := h.rack.Summary(h.clock.Now())
 	if got, want := summary.Free.MilliCPU, int64(4000-3000-1); got > want {
--- a/internal/rack/reports.go
+++ b/internal/rack/reports.go
@@ -20,7 +20,7 @@
 	if v == nil {
 		return
 	}
-	isRestarted := v.bootID != "" && v.bootID != rep.Boot
+	isRestarted := v.bootID != "" && v.bootID != rep.Incarnation
 	if isRestarted {
 		// The restart ended everything that ran on the worker.
 		r.markAllLost(now, v)
@@ -33,12 +33,12 @@
 	}
 	r.isSummaryChanged = r.isSummaryChanged || v.isUnresponsive
 	v.isUnresponsive = false
-	v.bootID, v.workerTime, v.reportedAt = rep.Boot, rep.Now, now
+	v.bootID, v.workerTime, v.reportedAt = rep.Incarnation, rep.Now, now
 	v.capacity, v.isLeaving = rep.Capacity, rep.IsLeaving
 	for i := range rep.Tasks {
 		r.observe(now, v, &rep.Tasks[i])
 	}
-	if !rep.IsWhole {
+	if !rep.IsFullList {
 		return
 	}
 	r.markMissingLost(now, v, rep)
@@ -59,11 +59,11 @@
 		return
 	}
 	r.isSummaryChanged = true
-	isUnthrottlePending := a.pendingAction == worker.DeedUnthrottle && t.IsThrottled
+	isUnthrottlePending := a.pendingAction == worker.ActionUnthrottle && t.IsThrottled
 	if !isUnthrottlePending {
 		a.task.IsThrottled = t.IsThrottled
 	}
-	if (a.pendingAction == worker.DeedThrottle && t.IsThrottled) || (a.pendingAction == worker.DeedUnthrottle && !t.IsThrottled) {
+	if (a.pendingAction == worker.ActionThrottle && t.IsThrottled) || (a.pendingAction == worker.ActionUnthrottle && !t.IsThrottled) {
 		a.pendingAction = ""
 	}
 	a.task.Usage = t.Usage
@@ -82,10 +82,10 @@
 		// unknown attempt was recorded as lost because its lease counted as
 		// expired. It must be stopped.
 		r.event(EventLateTask, v.id, t.Key, "")
-		r.output.Acts = append(r.output.Acts, ActOrder{v.id, worker.DeedStop, []worker.Key{t.Key}})
+		r.output.Acts = append(r.output.Acts, ActOrder{v.id, worker.ActionStop, []worker.Key{t.Key}})
 		return
 	}
-	if t.Home == "" && t.Holder == "" {
+	if t.JobShard == "" && t.Holder == "" {
 		// This is the end of an attempt that was forgotten here while the
 		// worker was unreachable. If the worker kept listing it, every later
 		// owner would report it to the job shard again.
@@ -294,7 +294,7 @@
 // retryOrders sends the orders again that a worker has not confirmed. Orders
 // are identified by attempt, so a repeated one has no effect.
 func (r *Rack) retryOrders(now time.Time, v *vm) {
-	actions := map[worker.Deed][]worker.Key{}
+	actions := map[worker.Action][]worker.Key{}
 	for _, a := range sortedAssignments(v.assignments) {
 		if a.phase == phaseEnded || now.Sub(a.lastSentAt) < orderRetryPeriod {
 			continue
@@ -310,7 +310,7 @@
 			actions[action] = append(actions[action], a.task.Key)
 		}
 	}
-	for _, d := range []worker.Deed{worker.DeedUnthrottle, worker.DeedThrottle, worker.DeedCheckpoint, worker.DeedStop} {
+	for _, d := range []worker.Action{worker.ActionUnthrottle, worker.ActionThrottle, worker.ActionCheckpoint, worker.ActionStop} {
 		if len(actions[d]) > 0 {
 			r.output.Acts = append(r.output.Acts, ActOrder{v.id, d, actions[d]})
 		}
--- a/internal/rack/requests.go
+++ b/internal/rack/requests.go
@@ -253,7 +253,7 @@
 // usage exceeds the declared size, the answer includes it.
 func (r *Rack) refuseForCapacity(p pendingStart) {
 	result := node.StartResult{Key: p.item.Task.Key, RefusalReason: refusedNoCapacity}
-	if need := r.expected(&p.item.Task); need != p.item.Task.Each {
+	if need := r.expected(&p.item.Task); need != p.item.Task.Declared {
 		result.ExpectedUsage = &need
 	}
 	r.refuseAttempt(p.request, result)
--- a/internal/rack/reservations.go
+++ b/internal/rack/reservations.go
@@ -104,7 +104,7 @@
 func (r *Rack) bestWorkerFor(now time.Time, need leverdyke.Resources) *vm {
 	// RunTime must not be 0: it would mark the task as a service, and services
 	// may use a VM that is reserved for a starved task.
-	item := &node.StartItem{Task: worker.Task{Each: need, Class: leverdyke.ClassBatch, RunTime: 1}, PackingWeight: 1}
+	item := &node.StartItem{Task: worker.Task{Declared: need, Class: leverdyke.ClassBatch, RunTime: 1}, PackingWeight: 1}
 	best, _ := r.chooseWorker(now, item)
 	return best
 }
--- a/internal/rack/updates.go
+++ b/internal/rack/updates.go
@@ -44,7 +44,7 @@
 func (r *Rack) sendFullUpdate(jobShard state.ShardID) {
 	n := &node.AttemptReport{JobShard: jobShard, Rack: r.ID, RackEpoch: r.Epoch, IsFullReport: true, IsInventoryComplete: r.IsComplete()}
 	for _, a := range sortedAssignments(r.assignments) {
-		if a.task.Home == string(jobShard) {
+		if a.task.JobShard == string(jobShard) {
 			n.Items = append(n.Items, updateItem(a))
 		}
 	}
@@ -62,7 +62,7 @@
 // sendUpdate sends a job shard the state of one attempt, merged into the update
 // for the same job shard if there is one.
 func (r *Rack) sendUpdate(a *assignment) {
-	jobShard := state.ShardID(a.task.Home)
+	jobShard := state.ShardID(a.task.JobShard)
 	for i := range r.output.ToJobShards {
 		m := &r.output.ToJobShards[i]
 		if m.JobShard == jobShard && m.Message.AttemptReport != nil && !m.Message.AttemptReport.IsFullReport {
--- a/internal/rack/urgent.go
+++ b/internal/rack/urgent.go
@@ -82,7 +82,7 @@
 	cost := 0
 	for _, p := range preemptions {
 		cost++
-		if p.Action != worker.DeedThrottle {
+		if p.Action != worker.ActionThrottle {
 			cost += 10
 		}
 	}
@@ -163,9 +163,9 @@
 
 // escalate returns the action to order again: a checkpoint that has not
 // happened within checkpointTimeout becomes a stop.
-func (r *Rack) escalate(now time.Time, a *assignment) worker.Deed {
-	if a.pendingAction == worker.DeedCheckpoint && now.Sub(a.since) > checkpointTimeout {
-		a.pendingAction = worker.DeedStop
+func (r *Rack) escalate(now time.Time, a *assignment) worker.Action {
+	if a.pendingAction == worker.ActionCheckpoint && now.Sub(a.since) > checkpointTimeout {
+		a.pendingAction = worker.ActionStop
 	}
 	return a.pendingAction
 }
@@ -188,8 +188,8 @@
 			a.task.IsThrottled = true
 			continue
 		}
-		a.pendingAction = worker.DeedUnthrottle
+		a.pendingAction = worker.ActionUnthrottle
 		a.lastSentAt = now
-		r.output.Acts = append(r.output.Acts, ActOrder{a.vm.id, worker.DeedUnthrottle, []worker.Key{a.task.Key}})
+		r.output.Acts = append(r.output.Acts, ActOrder{a.vm.id, worker.ActionUnthrottle, []worker.Key{a.task.Key}})
 	}
 }
--- a/internal/rack/usage.go
+++ b/internal/rack/usage.go
@@ -18,7 +18,7 @@
 // its job.
 func (r *Rack) recordUsage(a *assignment) {
 	if a.task.Holder == "" {
-		r.learnedUsage.Observe(a.task.Key.Task.Job, a.task.Each, a.task.Usage)
+		r.learnedUsage.Observe(a.task.Key.Task.Job, a.task.Declared, a.task.Usage)
 	}
 }
 
@@ -31,7 +31,7 @@
 	for _, v := range r.vms {
 		largest = largest.Max(v.capacity)
 	}
-	return r.learnedUsage.Estimate(t.Key.Task.Job, t.Each, largest)
+	return r.learnedUsage.Estimate(t.Key.Task.Job, t.Declared, largest)
 }
 
 // relieveOverused preempts tasks on the VMs whose tasks use more than the VM
--- a/internal/rack/usage_test.go
+++ b/internal/rack/usage_test.go
@@ -84,7 +84,7 @@
 			}
 			delete(running, key)
 			h.rack.OnUpdateAck(&node.AttemptReportAck{JobShard: jobShard, Keys: []worker.Key{key}})
-			if update.State == worker.StateDone {
+			if update.State == worker.StateSucceeded {
 				ended++
 				continue
 			}
--- a/internal/standin/native/serve.go
+++ b/internal/standin/native/serve.go
@@ -72,14 +72,14 @@
 		return
 	}
 	limit := s.options.Clock.After(in.Wait)
-	isQuiet := in.Seen != 0 && len(report.Tasks) == 0 && !report.IsWhole
+	isQuiet := in.SinceRevision != 0 && len(report.Tasks) == 0 && !report.IsFullList
 	for isQuiet {
 		changed, rev := w.Changed()
-		if rev == in.Seen && !waitEnded(r.Context(), limit, changed) {
+		if rev == in.SinceRevision && !waitEnded(r.Context(), limit, changed) {
 			continue
 		}
 		// An empty Boot makes the second call renew nothing: only the arrival of the request renews the leases.
-		in.Boot = ""
+		in.Incarnation = ""
 		report, err = w.Sync(&in)
 		break
 	}
--- a/internal/standin/native/worker_test.go
+++ b/internal/standin/native/worker_test.go
@@ -23,14 +23,14 @@
 
 func newTask(index int, attempt uint64) worker.Task {
 	return worker.Task{
-		Key:  worker.Key{Task: leverdyke.TaskID{Job: "j", Index: index}, Attempt: attempt},
-		Each: leverdyke.Resources{MilliCPU: 100, MemoryMiB: 100, Slots: 1},
+		Key:      worker.Key{Task: leverdyke.TaskID{Job: "j", Index: index}, Attempt: attempt},
+		Declared: leverdyke.Resources{MilliCPU: 100, MemoryMiB: 100, Slots: 1},
 	}
 }
 
 func start(t *testing.T, w *native.Worker, report *worker.Report, epoch worker.Epoch, task worker.Task) string {
 	t.Helper()
-	results, err := w.Start(&worker.Start{Epoch: epoch, Boot: report.Boot, AsOf: report.Now, TTL: ttl, Tasks: []worker.Task{task}})
+	results, err := w.Start(&worker.Start{Epoch: epoch, Incarnation: report.Incarnation, AsOf: report.Now, TTL: ttl, Tasks: []worker.Task{task}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 	c.Advance(ttl / 2)
 	// The renewal arrives late. It extends the lease from the time of the report on which it is based, not from
 	// its arrival, and so does not extend it at all.
-	sync(t, w, &worker.Sync{Epoch: 1, Boot: report.Boot, AsOf: report.Now, TTL: ttl})
+	sync(t, w, &worker.Sync{Epoch: 1, Incarnation: report.Incarnation, AsOf: report.Now, TTL: ttl})
 	c.Advance(ttl / 2)
 	w.Expire()
 	if got := o.Report().LeaseExpirations; got != 1 {
@@ -94,7 +94,7 @@
 	for range 3 {
 		start(t, w, report, 1, task)
 	}
-	if err := w.Act(&worker.Act{Epoch: 1, Deed: worker.DeedStop, Keys: []worker.Key{task.Key}}); err != nil {
+	if err := w.Act(&worker.Act{Epoch: 1, Action: worker.ActionStop, Keys: []worker.Key{task.Key}}); err != nil {
 		t.Fatal(err)
 	}
 	sync(t, w, &worker.Sync{Epoch: 1, Forget: []worker.Key{task.Key}})
