--- a/internal/caller/handler.go
+++ b/internal/caller/handler.go
@@ -323,7 +323,7 @@
 	}
 	w.WriteHeader(res.StatusCode)
 	if err := stream(w, res.Body); err != nil {
-		events.Log(events.RequestBroken, "service", x.service, "err", err.Error())
+		events.Log(events.RequestInterrupted, "service", x.service, "err", err.Error())
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -180,7 +180,7 @@
 
 // replayFrom gets the answer from the node that was first.
 func (h *Handler) replayFrom(ctx context.Context, w http.ResponseWriter, owner state.NodeID, key once.Key, e *once.Entry) {
-	events.Log(events.OnceKeyElsewhere, "node", owner)
+	events.Log(events.RequestRunElsewhere, "node", owner)
 	a, ok := h.options.Keys.FetchAnswer(ctx, owner, key)
 	if !ok {
 		a = node.SavedAnswer{Verdict: leverdyke.VerdictMayHaveRun}
@@ -199,7 +199,7 @@
 	w.Header().Set(leverdyke.VerdictHeader, string(leverdyke.VerdictRan))
 	w.WriteHeader(res.StatusCode)
 	if err := stream(kept, res.Body); err != nil {
-		events.Log(events.RequestBroken, "service", x.service, "err", err.Error())
+		events.Log(events.RequestInterrupted, "service", x.service, "err", err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	saved.Verdict = leverdyke.VerdictRan
--- a/internal/cluster/config.go
+++ b/internal/cluster/config.go
@@ -85,9 +85,9 @@
 	n.mu.Unlock()
 	switch {
 	case isFirst:
-		n.options.Log(events.ConfigUnread, "from", from, "version", version, "took", took, "err", err)
+		n.options.Log(events.ConfigUnavailable, "from", from, "version", version, "took", took, "err", err)
 	case err == nil && failed != nil:
-		n.options.Log(events.ConfigReadAgain, "from", from, "version", version, "tries", failed.attempts, "since", now.Sub(failed.since))
+		n.options.Log(events.ConfigRecovered, "from", from, "version", version, "tries", failed.attempts, "since", now.Sub(failed.since))
 	}
 }
 
@@ -105,7 +105,7 @@
 	}
 	c, err := n.options.Config.Parse(data)
 	if err != nil {
-		n.options.Log(events.ConfigBad, "from", from, "err", err)
+		n.options.Log(events.ConfigUnreadable, "from", from, "err", err)
 		return
 	}
 	n.mu.Lock()
@@ -118,7 +118,7 @@
 	n.configCompressed = sync.OnceValue(func() []byte { return compress(data) })
 	n.options.Log(events.ConfigInForce, "version", c.Version, "from", from, "queues", len(c.Policy.Queues), "customers", len(c.Policy.Customers), "bytes", receivedBytes, "took", took)
 	if len(c.Faults) > 0 {
-		n.options.Log(events.ConfigFaulty, "version", c.Version, "faults", c.Faults[:min(len(c.Faults), maxFaultsLogged)], "all", len(c.Faults))
+		n.options.Log(events.ConfigPartlyInvalid, "version", c.Version, "faults", c.Faults[:min(len(c.Faults), maxFaultsLogged)], "all", len(c.Faults))
 	}
 	if n.owner != nil {
 		n.owner.SetPolicy(c.Version, c.Policy)
--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -102,7 +102,7 @@
 		return
 	}
 	n.isUnfitHandover, n.fitness.handedOverAt = true, now
-	n.options.Log(events.OwnerUnfit, "epoch", o.Epoch(), "lag", o.Lag(), "strength", n.options.Strength, "strongest", strongest)
+	n.options.Log(events.OwnerTooSlow, "epoch", o.Epoch(), "lag", o.Lag(), "strength", n.options.Strength, "strongest", strongest)
 	n.wg.Add(1)
 	go n.runUnfitHandover(o)
 }
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -92,7 +92,7 @@
 	}
 	chunks := chunksOf(list)
 	c.giving, c.given = len(chunks), done
-	events.Log(events.AnswersGiven, "peer", heirs[0], "answers", len(list))
+	events.Log(events.ResponsesSentToPeer, "peer", heirs[0], "answers", len(list))
 	for _, chunk := range chunks {
 		c.out.Send(heirs[0], &node.Message{OnceKept: &node.OnceKept{Answers: chunk}})
 	}
--- a/internal/core/doubt.go
+++ b/internal/core/doubt.go
@@ -96,7 +96,7 @@
 		return
 	}
 	c.doubts.askedAt = now
-	events.Log(events.PeersDoubted, "peers", of)
+	events.Log(events.FewPeersHeard, "peers", of)
 	c.Append(state.Record{Doubt: &state.Doubt{Of: of}}, nil)
 }
 
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -181,15 +181,15 @@
 
 var rackEvents = map[rack.EventKind]events.Event{
 	rack.EventWorkerLost:     events.WorkerLost,
-	rack.EventWorkerSetAside: events.WorkerSetAside,
+	rack.EventWorkerSetAside: events.WorkerEjected,
 	rack.EventWorkerProbed:   events.WorkerProbed,
-	rack.EventWorkerBack:     events.WorkerBack,
+	rack.EventWorkerBack:     events.WorkerReadmitted,
 	rack.EventWorkerSilent:   events.WorkerSilent,
 	rack.EventWorkerLeaving:  events.WorkerLeaving,
 	rack.EventWorkerOverused: events.WorkerOverused,
 	rack.EventPreempted:      events.TaskPreempted,
-	rack.EventLateTask:       events.TaskLate,
-	rack.EventComplete:       events.RackComplete,
+	rack.EventLateTask:       events.TaskOverdue,
+	rack.EventComplete:       events.RackReportComplete,
 }
 
 func (c *Core) logRackEvent(id state.ShardID, e *rack.Event) {
@@ -207,12 +207,12 @@
 }
 
 var homeEvents = map[home.EventKind]events.Event{
-	home.EventNever:       events.JobNever,
+	home.EventNever:       events.JobCannotRun,
 	home.EventUnknownFate: events.TaskFateUnknown,
 	home.EventJobFailed:   events.JobFailed,
-	home.EventGangBroken:  events.GangBroken,
-	home.EventSynced:      events.HomeSynced,
-	home.EventTwoAttempts: events.TaskTwice,
+	home.EventGangBroken:  events.GangRestarted,
+	home.EventSynced:      events.JobShardSynced,
+	home.EventTwoAttempts: events.TaskRunsTwice,
 }
 
 func (c *Core) logHomeEvent(id state.ShardID, e *home.Event) {
--- a/internal/core/fold.go
+++ b/internal/core/fold.go
@@ -20,12 +20,12 @@
 	if e.Err != nil {
 		if c.readFailingSince.IsZero() {
 			c.readFailingSince = now
-			events.Log(events.LogOut, "err", e.Err.Error())
+			events.Log(events.LogUnavailable, "err", e.Err.Error())
 		}
 		return
 	}
 	if !c.readFailingSince.IsZero() {
-		events.Log(events.LogBack, "after", now.Sub(c.readFailingSince).Round(time.Millisecond))
+		events.Log(events.LogRecovered, "after", now.Sub(c.readFailingSince).Round(time.Millisecond))
 		c.readFailingSince = time.Time{}
 	}
 	if e.State != nil && e.State.Applied > c.state.Applied {
@@ -123,7 +123,7 @@
 func (c *Core) onPublish(doc string) {
 	d := c.state.Docs[doc]
 	if err := c.policies.Put(doc, d.Body); err != nil {
-		events.Log(events.ConfigBad, "doc", doc, "version", d.Version, "err", err.Error())
+		events.Log(events.ConfigUnreadable, "doc", doc, "version", d.Version, "err", err.Error())
 		return
 	}
 	events.Log(events.ConfigInForce, "doc", doc, "version", d.Version, "offset", d.Offset)
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -221,7 +221,7 @@
 	for n, since := range c.silent {
 		if !c.members.IsSuspect(now, n) {
 			delete(c.silent, n)
-			events.Log(events.PeerHeard, "peer", n, "after", now.Sub(since).Round(time.Millisecond))
+			events.Log(events.PeerRecovered, "peer", n, "after", now.Sub(since).Round(time.Millisecond))
 		}
 	}
 	isGone := func(n state.NodeID) bool {
@@ -271,7 +271,7 @@
 	if m.After > c.state.Applied {
 		return
 	}
-	events.Log(events.TailFromPeer, "peer", from, "batches", len(m.Entries))
+	events.Log(events.RecordsFromPeer, "peer", from, "batches", len(m.Entries))
 	for _, e := range m.Entries {
 		c.fold(e.Offset, e.Data)
 		c.out.SkipTo(e.Offset)
--- a/internal/dispatch/copies.go
+++ b/internal/dispatch/copies.go
@@ -69,7 +69,7 @@
 		if w == nil || w.speed.IsSlow(e.now) {
 			return
 		}
-		e.options.Log(events.CopyStarted, "task", t.attempt.id, "run", t.run+1, "worker", w.ID, "beside", t.attempt.worker.ID)
+		e.options.Log(events.SpeculativeCopyStarted, "task", t.attempt.id, "run", t.run+1, "worker", w.ID, "beside", t.attempt.worker.ID)
 		s.cancelCopyRequest(t)
 		t.copy = e.planAttempt(w, s, i, t.run+1)
 	}
--- a/internal/dispatch/customer.go
+++ b/internal/dispatch/customer.go
@@ -156,5 +156,5 @@
 	}
 	e.limitLogDueAt = e.now.Add(limitLogInterval)
 	u := e.quota.Usage(s.customer())
-	e.options.Log(events.StepHeldByLimit, "step", s.id, "customer", s.customer(), "used", u.Used, "limit", u.Limit, "needs", s.minimumNeed(), "waited", e.now.Sub(s.openedAt), "unsure", u.IsUncertain)
+	e.options.Log(events.StepBlockedByLimit, "step", s.id, "customer", s.customer(), "used", u.Used, "limit", u.Limit, "needs", s.minimumNeed(), "waited", e.now.Sub(s.openedAt), "unsure", u.IsUncertain)
 }
--- a/internal/dispatch/cut_test.go
+++ b/internal/dispatch/cut_test.go
@@ -19,7 +19,7 @@
 func TestTheLogTellsWhichAttemptsEndWithAWorker(t *testing.T) {
 	told := map[work.TaskID]int{}
 	e := dispatch.NewEngine(dispatch.Options{Log: func(ev events.Event, keysAndValues ...any) {
-		if ev == events.AttemptCut {
+		if ev == events.AttemptEndedWithWorker {
 			told[keysAndValues[1].(work.TaskID)]++
 		}
 	}})
--- a/internal/dispatch/inherit.go
+++ b/internal/dispatch/inherit.go
@@ -123,10 +123,10 @@
 	}
 	e.needsScheduling = true
 	if reason != resolvedByListing {
-		e.options.Log(events.InheritedSettled, "worker", id, "tasks", len(tasks), "why", reason)
+		e.options.Log(events.PreviousAttemptsEnded, "worker", id, "tasks", len(tasks), "why", reason)
 	}
 	if e.uncertainTasks.Len() == 0 {
-		e.options.Log(events.Inherited, "last", id, "why", reason)
+		e.options.Log(events.PreviousAttemptsKnown, "last", id, "why", reason)
 	}
 }
 
@@ -141,7 +141,7 @@
 // reached and whose leases have expired.
 func (e *Engine) tickInherited() {
 	if e.inherited != nil && e.isUncertaintyResolved() {
-		e.options.Log(events.DoubtOver, "entries", e.inherited.currentlyListed, "earlier", e.inherited.previouslyListed, "left", e.inherited.leasesExpireAt.Sub(e.now))
+		e.options.Log(events.UncertaintyEnded, "entries", e.inherited.currentlyListed, "earlier", e.inherited.previouslyListed, "left", e.inherited.leasesExpireAt.Sub(e.now))
 		e.inherited = nil
 		e.needsScheduling = true
 		e.hasUnpersistedReports = true
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -222,7 +222,7 @@
 	isWanted := t.state == taskWaiting && !s.job.state.IsFinal()
 	if !isWanted {
 		if t.state == taskPlaced {
-			e.options.Log(events.TaskTwice, "task", running.Task, "run", running.Run, "worker", w.ID)
+			e.options.Log(events.TaskRunsTwice, "task", running.Task, "run", running.Run, "worker", w.ID)
 			t.unwanted = append(t.unwanted, a)
 		}
 		e.stop(a, "not wanted")
--- a/internal/dispatch/not_running.go
+++ b/internal/dispatch/not_running.go
@@ -67,7 +67,7 @@
 		return false
 	}
 	t, counts := &s.tasks[index], e.availabilityOf(s)
-	e.options.Log(events.TaskAway, "task", s.taskID(index), "run", t.run, "away", longest, "tasks", notRunning, "state", t.state, "phase", t.phase(),
+	e.options.Log(events.TaskNotRunning, "task", s.taskID(index), "run", t.run, "away", longest, "tasks", notRunning, "state", t.state, "phase", t.phase(),
 		"reason", s.waitReason, "crashes", len(t.crashes), "held", len(t.mayRunOn), "roomy", counts.withCapacity, "setAside", counts.ejected,
 		"denied", counts.denied, "unasked", counts.unqueried, "ticketed", counts.permitted)
 	return true
--- a/internal/dispatch/not_running_test.go
+++ b/internal/dispatch/not_running_test.go
@@ -14,7 +14,7 @@
 	w := newWorld(1)
 	told := 0
 	w.log = func(e events.Event, _ ...any) {
-		if e == events.TaskAway {
+		if e == events.TaskNotRunning {
 			told++
 		}
 	}
--- a/internal/dispatch/permission.go
+++ b/internal/dispatch/permission.go
@@ -50,7 +50,7 @@
 	}
 	if !isKnown {
 		s.permissions.NoteFailure(e.now)
-		e.options.Log(events.AdviceFailed, "step", id, "lane", channel, "asked", len(asked))
+		e.options.Log(events.PermissionQueryFailed, "step", id, "lane", channel, "asked", len(asked))
 		return
 	}
 	s.permissions.NoteAnswer(asked, permits, valid, e.now)
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -107,7 +107,7 @@
 	// silent worker does not mean that its tasks are stuck.
 	stalledFor := a.worker.session.ListedAt().Sub(a.percentChangedAt)
 	if stalledFor >= e.stuckTimeout(a) && a.pace == fullPace {
-		e.options.Log(events.AttemptStuck, "task", a.id, "run", a.run, "worker", a.worker.ID, "percent", a.percent, "for", stalledFor, "expected", e.expectedDuration(a.step))
+		e.options.Log(events.AttemptStalled, "task", a.id, "run", a.run, "worker", a.worker.ID, "percent", a.percent, "for", stalledFor, "expected", e.expectedDuration(a.step))
 		if !a.step.spec.IsBestEffort {
 			a.worker.health.Eject(e.now)
 		}
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -281,7 +281,7 @@
 	if w == nil {
 		return
 	}
-	e.options.Log(events.WorkerLifeOver, "worker", id, "attempts", w.attempts.Len())
+	e.options.Log(events.IncarnationEnded, "worker", id, "attempts", w.attempts.Len())
 	tasks := e.recordCrashes(w, true)
 	if successor != nil && id.IsOtherIncarnation(successor.ID) {
 		e.transferInFlight(w, successor)
@@ -382,7 +382,7 @@
 	a.unacknowledgedAt = e.now
 	e.startWindow.Observe(e.now.Sub(a.orderedAt), e.now)
 	e.counts.Unacknowledged++
-	e.options.Log(events.OrderDoubtful, "task", a.id, "run", a.run, "worker", a.worker.ID, "age", e.now.Sub(a.orderedAt))
+	e.options.Log(events.StartUnacknowledged, "task", a.id, "run", a.run, "worker", a.worker.ID, "age", e.now.Sub(a.orderedAt))
 	e.requestCopy(a)
 	e.pollNow(a.worker)
 }
@@ -418,7 +418,7 @@
 		if n++; n > maxEndedLogged {
 			return
 		}
-		e.options.Log(events.AttemptCut, "task", a.id, "run", a.run, "worker", w.ID, "why", reason, "phase", a.phase, "ran", max(w.session.LastHeardAt().Sub(a.orderedAt), 0))
+		e.options.Log(events.AttemptEndedWithWorker, "task", a.id, "run", a.run, "worker", w.ID, "why", reason, "phase", a.phase, "ran", max(w.session.LastHeardAt().Sub(a.orderedAt), 0))
 	}
 }
 
--- a/internal/events/sink.go
+++ b/internal/events/sink.go
@@ -73,7 +73,7 @@
 		}
 		if n := s.dropped.Load(); n > told && s.lines.Len() == 0 {
 			told = n
-			s.write(fmt.Appendf(nil, "W lines of the log were dropped event=\"LD%04d\" total=%d\n", LinesDropped.Number, n))
+			s.write(fmt.Appendf(nil, "W lines of the log were dropped event=\"LD%04d\" total=%d\n", LogLinesDropped.Number, n))
 		}
 	}
 }
--- a/internal/owner/cancel.go
+++ b/internal/owner/cancel.go
@@ -23,7 +23,7 @@
 
 func (ev cancelEvent) apply(o *Owner) {
 	if !o.engine.MayAccess(ev.id, ev.by) {
-		o.options.Log(events.JobOfAnother, "job", ev.id, "customer", ev.by.Customer, "asked", "cancel")
+		o.options.Log(events.JobOfOtherCustomer, "job", ev.id, "customer", ev.by.Customer, "asked", "cancel")
 		ev.reply <- errNoJob
 		return
 	}
@@ -87,7 +87,7 @@
 // unknown.
 func (o *Owner) visibleState(id work.JobID, by work.Caller) (work.JobState, bool) {
 	if !o.engine.MayAccess(id, by) {
-		o.options.Log(events.JobOfAnother, "job", id, "customer", by.Customer, "asked", "state")
+		o.options.Log(events.JobOfOtherCustomer, "job", id, "customer", by.Customer, "asked", "state")
 		return "", false
 	}
 	return o.engine.State(id)
--- a/internal/owner/delegates.go
+++ b/internal/owner/delegates.go
@@ -51,7 +51,7 @@
 		o.sendDeferredPolls()
 	}
 	if after := o.router.Carriers(); after != before {
-		o.options.Log(events.CarriersChanged, "epoch", o.Epoch(), "carriers", after, "before", before, "workers", o.listedWorkers.Load(), "own", o.options.DirectWorkers)
+		o.options.Log(events.DelegatesChanged, "epoch", o.Epoch(), "carriers", after, "before", before, "workers", o.listedWorkers.Load(), "own", o.options.DirectWorkers)
 	}
 }
 
@@ -100,7 +100,7 @@
 	if len(failed) == 0 {
 		return
 	}
-	o.options.Log(events.CarrierFailed, "epoch", o.Epoch(), "node", failed[0].Node, "orders", len(failed), "why", why)
+	o.options.Log(events.DelegateFailed, "epoch", o.Epoch(), "node", failed[0].Node, "orders", len(failed), "why", why)
 	for _, f := range failed {
 		switch a := f.Action.(type) {
 		case order.Start:
--- a/internal/owner/events.go
+++ b/internal/owner/events.go
@@ -20,7 +20,7 @@
 func (ev submitEvent) apply(o *Owner) {
 	id := ev.spec.ID
 	if !o.engine.MayAccess(id, ev.spec.Submitter()) {
-		o.options.Log(events.JobOfAnother, "job", id, "customer", ev.spec.Customer, "asked", "submit")
+		o.options.Log(events.JobOfOtherCustomer, "job", id, "customer", ev.spec.Customer, "asked", "submit")
 		ev.reply <- errIDTaken()
 		return
 	}
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -124,7 +124,7 @@
 		case err == nil:
 			if isListDown {
 				isListDown = false
-				o.options.Log(events.VMListBack, "workers", len(list))
+				o.options.Log(events.VMListRecovered, "workers", len(list))
 			}
 			o.enqueue(workersEvent{list, !now.Before(completeAt)})
 		}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -238,7 +238,7 @@
 	}
 	o.totalsLoggedAt = o.now
 	c := o.engine.Counts()
-	o.options.Log(events.Totals, "epoch", o.Epoch(), "starts", c.Starts, "done", c.Done, "failed", c.Failed, "stopped", c.Stopped,
+	o.options.Log(events.OwnerTotals, "epoch", o.Epoch(), "starts", c.Starts, "done", c.Done, "failed", c.Failed, "stopped", c.Stopped,
 		"lapsed", c.Expired, "doubtful", c.Unacknowledged, "asks", c.PermissionQueries, "orders", o.pendingStarts)
 	for _, w := range o.engine.TakeWaits() {
 		o.options.Log(events.TasksWaited, "queue", w.Queue, "reason", w.Reason, "waited", w.Time)
@@ -267,7 +267,7 @@
 	o.mu.Unlock()
 	if isWriteBehind != o.isWriteBehind {
 		o.isWriteBehind = isWriteBehind
-		o.options.Log(events.StartsUnlogged, "epoch", o.Epoch(), "ahead", isWriteBehind, "confirmed", o.now.Sub(o.confirmedAt), "out", o.isStoreDown)
+		o.options.Log(events.WriteBehindChanged, "epoch", o.Epoch(), "ahead", isWriteBehind, "confirmed", o.now.Sub(o.confirmedAt), "out", o.isStoreDown)
 	}
 	o.mayHaveUnpersisted.Store(isWriteBehind || hasUnpersisted)
 	o.engine.SetWriteBehind(isWriteBehind)
