--- a/internal/clock/service.go
+++ b/internal/clock/service.go
@@ -29,7 +29,7 @@
 type Real struct{}
 
 // Now returns the current time. After a suspension its time of day is ahead by as much.
-func (Real) Now() time.Time { return time.Now().Add(process().Total()) }
+func (Real) Now() time.Time { return time.Now().Add(processSuspension().Total()) }
 
 // TimeOfDay returns the machine's time of day.
 func (Real) TimeOfDay() time.Time { return time.Now().Round(0) }
@@ -50,35 +50,35 @@
 // whose clocks differ.
 type Shifted struct {
 	Real
-	// By is how far its time of day is ahead.
-	By time.Duration
+	// Offset is how far its time of day is ahead.
+	Offset time.Duration
 }
 
 // Now returns the current time, shifted.
-func (s Shifted) Now() time.Time { return s.Real.Now().Add(s.By) }
+func (s Shifted) Now() time.Time { return s.Real.Now().Add(s.Offset) }
 
 // TimeOfDay returns the machine's time of day, shifted.
-func (s Shifted) TimeOfDay() time.Time { return s.Real.TimeOfDay().Add(s.By) }
+func (s Shifted) TimeOfDay() time.Time { return s.Real.TimeOfDay().Add(s.Offset) }
 
 // Fake is a clock that moves only when it is told to.
 type Fake struct {
-	mu   sync.Mutex
-	now  time.Time
-	subs map[int]*fakeSub
-	next int
+	mu            sync.Mutex
+	now           time.Time
+	subscriptions map[int]*fakeSubscription
+	nextID        int
 }
 
-type fakeSub struct {
-	due    time.Time
+type fakeSubscription struct {
+	dueAt  time.Time
 	period time.Duration
 	ch     chan time.Time
 	// call is called in place of a tick; nil for a channel.
-	call func()
+	callback func()
 }
 
 // NewFake returns a fake clock at an arbitrary fixed time.
 func NewFake() *Fake {
-	return &Fake{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), subs: map[int]*fakeSub{}}
+	return &Fake{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), subscriptions: map[int]*fakeSubscription{}}
 }
 
 // Now returns the fake time.
@@ -103,17 +103,17 @@
 }
 
 // AfterFunc has Advance call f once.
-func (f *Fake) AfterFunc(d time.Duration, call func()) (stop func() bool) {
+func (f *Fake) AfterFunc(d time.Duration, callback func()) (stop func() bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	id := f.next
-	f.next++
-	f.subs[id] = &fakeSub{due: f.now.Add(d), call: call}
+	id := f.nextID
+	f.nextID++
+	f.subscriptions[id] = &fakeSubscription{dueAt: f.now.Add(d), callback: callback}
 	return func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		_, ok := f.subs[id]
-		delete(f.subs, id)
+		_, ok := f.subscriptions[id]
+		delete(f.subscriptions, id)
 		return ok
 	}
 }
@@ -121,8 +121,8 @@
 // Advance moves the time forward by d, feeds the channels and calls the functions
 // that are due.
 func (f *Fake) Advance(d time.Duration) {
-	for _, call := range f.advance(d) {
-		call()
+	for _, callback := range f.advance(d) {
+		callback()
 	}
 }
 
@@ -130,14 +130,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.now = f.now.Add(d)
-	calls := []func(){}
-	for id, s := range f.subs {
-		if s.due.After(f.now) {
+	callbacks := []func(){}
+	for id, s := range f.subscriptions {
+		if s.dueAt.After(f.now) {
 			continue
 		}
-		if s.call != nil {
-			calls = append(calls, s.call)
-			delete(f.subs, id)
+		if s.callback != nil {
+			callbacks = append(callbacks, s.callback)
+			delete(f.subscriptions, id)
 			continue
 		}
 		select {
@@ -145,24 +145,24 @@
 		default:
 		}
 		if s.period == 0 {
-			delete(f.subs, id)
+			delete(f.subscriptions, id)
 			continue
 		}
-		s.due = f.now.Add(s.period)
+		s.dueAt = f.now.Add(s.period)
 	}
-	return calls
+	return callbacks
 }
 
 func (f *Fake) add(d, period time.Duration) (<-chan time.Time, func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	id := f.next
-	f.next++
-	s := &fakeSub{due: f.now.Add(d), period: period, ch: make(chan time.Time, 1)}
-	f.subs[id] = s
+	id := f.nextID
+	f.nextID++
+	s := &fakeSubscription{dueAt: f.now.Add(d), period: period, ch: make(chan time.Time, 1)}
+	f.subscriptions[id] = s
 	return s.ch, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		delete(f.subs, id)
+		delete(f.subscriptions, id)
 	}
 }
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -15,13 +15,13 @@
 	// samplePause is how often it is looked at most whether the machine was suspended: what
 	// is decided within that time of waking up may still go by the time before. Orders that
 	// are on their way as a machine stops are as old, and leave as late.
-	samplePause = 5 * time.Millisecond
+	sampleInterval = 5 * time.Millisecond
 	// shortest is the shortest suspension that counts. Machines are suspended for seconds;
 	// less than this is the time between two readings.
-	shortest = 50 * time.Millisecond
+	minSuspension = 50 * time.Millisecond
 	// longestReading is the longest that the readings of both clocks may take together: a
 	// thread that loses the processor between them tells nothing.
-	longestReading = time.Millisecond
+	maxReadTime = time.Millisecond
 )
 
 // Suspension measures for how long this machine was suspended. The steady clock by which
@@ -31,8 +31,8 @@
 type Suspension struct {
 	// steady reads the clock that stands still meanwhile, boot the one that goes on; boot
 	// reports false where there is none.
-	steady func() time.Duration
-	boot   func() (time.Duration, bool)
+	monotonic func() time.Duration
+	bootTime  func() (time.Duration, bool)
 
 	// sampledAt is the steady clock at the last sample, total what was found: it only grows.
 	sampledAt atomic.Int64
@@ -40,21 +40,21 @@
 
 	mu sync.Mutex
 	// ahead is how far boot was ahead of steady at first; isSet that it was read.
-	ahead time.Duration
-	isSet bool
+	initialOffset    time.Duration
+	hasInitialOffset bool
 }
 
 // NewSuspension returns a Suspension that reads the two clocks.
-func NewSuspension(steady func() time.Duration, boot func() (time.Duration, bool)) *Suspension {
-	s := &Suspension{steady: steady, boot: boot}
+func NewSuspension(monotonic func() time.Duration, bootTime func() (time.Duration, bool)) *Suspension {
+	s := &Suspension{monotonic: monotonic, bootTime: bootTime}
 	s.sample()
 	return s
 }
 
 // Total returns for how long the machine was suspended since the first reading.
 func (s *Suspension) Total() time.Duration {
-	now := int64(s.steady())
-	if last := s.sampledAt.Load(); now-last >= int64(samplePause) && s.sampledAt.CompareAndSwap(last, now) {
+	now := int64(s.monotonic())
+	if last := s.sampledAt.Load(); now-last >= int64(sampleInterval) && s.sampledAt.CompareAndSwap(last, now) {
 		s.sample()
 	}
 	return time.Duration(s.total.Load())
@@ -63,31 +63,31 @@
 func (s *Suspension) sample() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.steady()
-	boot, ok := s.boot()
-	if !ok || s.steady()-before > longestReading {
+	before := s.monotonic()
+	bootTime, ok := s.bootTime()
+	if !ok || s.monotonic()-before > maxReadTime {
 		return
 	}
-	if !s.isSet {
-		s.ahead, s.isSet = boot-before, true
+	if !s.hasInitialOffset {
+		s.initialOffset, s.hasInitialOffset = bootTime-before, true
 		return
 	}
-	if found := boot - before - s.ahead; found-time.Duration(s.total.Load()) > shortest {
-		s.total.Store(int64(found))
+	if suspended := bootTime - before - s.initialOffset; suspended-time.Duration(s.total.Load()) > minSuspension {
+		s.total.Store(int64(suspended))
 	}
 }
 
 // CountsSuspensions reports whether this machine has a clock that goes on while it is
 // suspended.
-func CountsSuspensions() bool {
+func DetectsSuspensions() bool {
 	_, ok := readBoot()
 	return ok
 }
 
 // process is that of this process, since it began.
-var process = sync.OnceValue(func() *Suspension {
-	began := time.Now()
-	return NewSuspension(func() time.Duration { return time.Since(began) }, readBoot)
+var processSuspension = sync.OnceValue(func() *Suspension {
+	start := time.Now()
+	return NewSuspension(func() time.Duration { return time.Since(start) }, readBoot)
 })
 
 // readBoot reads the clock that goes on while the machine is suspended.
--- a/internal/clock/suspension_test.go
+++ b/internal/clock/suspension_test.go
@@ -12,25 +12,25 @@
 
 // machine has the two clocks of a machine that can be suspended.
 type machine struct {
-	steady, boot time.Duration
+	monotonic, bootTime time.Duration
 	// hasNoBoot means that there is no clock that goes on, reading how long it takes to
 	// read it.
-	hasNoBoot bool
-	reading   time.Duration
+	hasNoBootTime bool
+	readTime      time.Duration
 }
 
-func (m *machine) run(d time.Duration) { m.steady, m.boot = m.steady+d, m.boot+d }
+func (m *machine) run(d time.Duration) { m.monotonic, m.bootTime = m.monotonic+d, m.bootTime+d }
 
-func (m *machine) suspend(d time.Duration) { m.boot += d }
+func (m *machine) suspend(d time.Duration) { m.bootTime += d }
 
 func (m *machine) readBoot() (time.Duration, bool) {
-	now := m.boot
-	m.run(m.reading)
-	return now, !m.hasNoBoot
+	now := m.bootTime
+	m.run(m.readTime)
+	return now, !m.hasNoBootTime
 }
 
-func (m *machine) watch() *clock.Suspension {
-	return clock.NewSuspension(func() time.Duration { return m.steady }, m.readBoot)
+func (m *machine) newSuspension() *clock.Suspension {
+	return clock.NewSuspension(func() time.Duration { return m.monotonic }, m.readBoot)
 }
 
 func expectTotal(t *testing.T, s *clock.Suspension, want time.Duration) {
@@ -42,9 +42,9 @@
 
 // An owner trusts for three seconds in what it heard last. One that was suspended for five
 // measured none of them by the steady clock, and took itself for the owner beside another.
-func TestTheTimeOfASuspensionCounts(t *testing.T) {
-	m := &machine{steady: time.Hour, boot: 3 * time.Hour}
-	s := m.watch()
+func TestSuspendedTimeIsCounted(t *testing.T) {
+	m := &machine{monotonic: time.Hour, bootTime: 3 * time.Hour}
+	s := m.newSuspension()
 	m.run(time.Second)
 	expectTotal(t, s, 0)
 	m.suspend(5 * time.Second)
@@ -56,21 +56,21 @@
 	expectTotal(t, s, 7*time.Second)
 }
 
-func TestAReadingThatTookLongTellsNothing(t *testing.T) {
+func TestSlowReadingIsDiscarded(t *testing.T) {
 	m := &machine{}
-	s := m.watch()
+	s := m.newSuspension()
 	m.run(time.Second)
 	m.suspend(5 * time.Second)
-	m.reading = 20 * time.Millisecond
+	m.readTime = 20 * time.Millisecond
 	expectTotal(t, s, 0)
-	m.reading = 0
+	m.readTime = 0
 	m.run(time.Second)
 	expectTotal(t, s, 5*time.Second)
 }
 
-func TestTheTotalNeverShrinks(t *testing.T) {
+func TestTotalNeverDecreases(t *testing.T) {
 	m := &machine{}
-	s := m.watch()
+	s := m.newSuspension()
 	m.suspend(time.Second)
 	m.run(time.Second)
 	expectTotal(t, s, time.Second)
@@ -79,9 +79,9 @@
 	expectTotal(t, s, time.Second)
 }
 
-func TestWithoutSuchAClockNothingCounts(t *testing.T) {
-	m := &machine{hasNoBoot: true}
-	s := m.watch()
+func TestNothingIsCountedWithoutBootTimeClock(t *testing.T) {
+	m := &machine{hasNoBootTime: true}
+	s := m.newSuspension()
 	m.suspend(5 * time.Second)
 	m.run(time.Second)
 	expectTotal(t, s, 0)
