--- a/internal/report/line.go
+++ b/internal/report/line.go
@@ -11,17 +11,17 @@
 )
 
 // fields are the values of a line of the log by their names.
-type fields map[string]string
+type logFields map[string]string
 
 // parseLine returns the values of a structured line, or nil when it is none.
 // Values are quoted as Go quotes strings, or bare up to the next blank.
-func parseLine(line string) fields {
+func parseLine(line string) logFields {
 	_, rest, ok := strings.Cut(line, ` event="LD`)
 	if !ok {
 		return nil
 	}
 	rest = `event="LD` + rest
-	out := fields{}
+	parsed := logFields{}
 	for rest != "" {
 		name, value, ok := strings.Cut(rest, "=")
 		if !ok {
@@ -36,15 +36,15 @@
 		} else {
 			text, value, _ = strings.Cut(value, " ")
 		}
-		out[name] = text
+		parsed[name] = text
 		rest = strings.TrimLeft(value, " ")
 	}
-	return out
+	return parsed
 }
 
 // duration returns a value that is a duration; 0 when it is none.
-func (f fields) duration(name string) time.Duration {
-	d, err := time.ParseDuration(f[name])
+func (fields logFields) duration(name string) time.Duration {
+	d, err := time.ParseDuration(fields[name])
 	if err != nil {
 		return 0
 	}
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -18,12 +18,12 @@
 
 // The events that are read; docs/EVENTS.md has them all.
 const (
-	eventAccepted = "LD0422"
-	eventPlaced   = "LD0450"
-	eventDoubtful = "LD0451"
-	eventEnded    = "LD0453"
-	eventOver     = "LD0456"
-	eventCopied   = "LD0464"
+	eventJobAccepted         = "LD0422"
+	eventTasksPlaced         = "LD0450"
+	eventStartUnacknowledged = "LD0451"
+	eventAttemptEnded        = "LD0453"
+	eventJobEnded            = "LD0456"
+	eventSpeculativeCopy     = "LD0464"
 )
 
 // job is what the lines tell of a job.
@@ -31,12 +31,12 @@
 	id, queue, state string
 	// accept is the time from its arrival at the owner to its acceptance, took that
 	// from there to its end.
-	accept, took time.Duration
+	acceptTime, timeToEnd time.Duration
 	// waits has, by step, how long its first tasks waited for a place.
 	waits map[string]time.Duration
 	// failed, doubtful and copies count attempts that failed, orders without an
 	// answer, and copies.
-	failed, doubtful, copies int
+	failed, unacknowledged, speculativeCopies int
 }
 
 // waited returns the time that the steps waited in all.
@@ -63,9 +63,9 @@
 	s := bufio.NewScanner(log)
 	s.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for s.Scan() {
-		if f := parseLine(s.Text()); f != nil {
+		if fields := parseLine(s.Text()); fields != nil {
 			r.lines++
-			r.take(f)
+			r.record(fields)
 		}
 	}
 	if err := s.Err(); err != nil {
@@ -74,27 +74,27 @@
 	return nil
 }
 
-func (r *Report) take(f fields) {
-	switch f["event"] {
-	case eventAccepted:
-		j := r.job(f["job"])
-		j.queue, j.accept = f["queue"], f.duration("took")
-	case eventPlaced:
-		j := r.job(jobOf(f["step"]))
-		if _, ok := j.waits[f["step"]]; !ok {
-			j.waits[f["step"]] = f.duration("waited")
+func (r *Report) record(fields logFields) {
+	switch fields["event"] {
+	case eventJobAccepted:
+		j := r.job(fields["job"])
+		j.queue, j.acceptTime = fields["queue"], fields.duration("took")
+	case eventTasksPlaced:
+		j := r.job(jobOf(fields["step"]))
+		if _, ok := j.waits[fields["step"]]; !ok {
+			j.waits[fields["step"]] = fields.duration("waited")
 		}
-	case eventDoubtful:
-		r.job(jobOf(f["task"])).doubtful++
-	case eventCopied:
-		r.job(jobOf(f["task"])).copies++
-	case eventEnded:
-		if f["how"] == "failed" {
-			r.job(jobOf(f["task"])).failed++
+	case eventStartUnacknowledged:
+		r.job(jobOf(fields["task"])).unacknowledged++
+	case eventSpeculativeCopy:
+		r.job(jobOf(fields["task"])).speculativeCopies++
+	case eventAttemptEnded:
+		if fields["how"] == "failed" {
+			r.job(jobOf(fields["task"])).failed++
 		}
-	case eventOver:
-		j := r.job(f["job"])
-		j.state, j.took = f["state"], f.duration("took")
+	case eventJobEnded:
+		j := r.job(fields["job"])
+		j.state, j.timeToEnd = fields["state"], fields.duration("took")
 	}
 }
 
@@ -119,7 +119,7 @@
 func (r *Report) Write(w io.Writer, slowest int) error {
 	jobs := r.complete()
 	fmt.Fprintf(w, "%d lines, %d jobs, %d of them from their acceptance to their end\n\n", r.lines, len(r.jobs), len(jobs))
-	if err := writeHops(w, jobs); err != nil {
+	if err := writeStages(w, jobs); err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
@@ -131,7 +131,7 @@
 	return tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 }
 
-func writeHops(w io.Writer, jobs []*job) error {
+func writeStages(w io.Writer, jobs []*job) error {
 	t := newTable(w)
 	fmt.Fprintln(t, "queue\thop\tjobs\tp50\tp95\tp99\tmax\t")
 	byQueue := map[string][]*job{}
@@ -139,8 +139,8 @@
 		byQueue[j.queue] = append(byQueue[j.queue], j)
 	}
 	for _, queue := range slices.Sorted(maps.Keys(byQueue)) {
-		for _, h := range hops {
-			writeHop(t, queue, h, byQueue[queue])
+		for _, s := range stages {
+			writeStage(t, queue, s, byQueue[queue])
 		}
 	}
 	if err := t.Flush(); err != nil {
@@ -153,10 +153,10 @@
 	t := newTable(w)
 	fmt.Fprintln(t, "slowest jobs\tqueue\ttook\taccept\twaits\tfailed, doubtful, copies\tstate\t")
 	slices.SortFunc(jobs, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(b.took, a.took), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(b.timeToEnd, a.timeToEnd), cmp.Compare(a.id, b.id))
 	})
 	for _, j := range jobs[:min(slowest, len(jobs))] {
-		fmt.Fprintf(t, "%s\t%s\t%v\t%v\t%v\t%d, %d, %d\t%s\t\n", j.id, j.queue, ms(j.took), ms(j.accept), ms(j.waited()), j.failed, j.doubtful, j.copies, j.state)
+		fmt.Fprintf(t, "%s\t%s\t%v\t%v\t%v\t%d, %d, %d\t%s\t\n", j.id, j.queue, roundToMillis(j.timeToEnd), roundToMillis(j.acceptTime), roundToMillis(j.waited()), j.failed, j.unacknowledged, j.speculativeCopies, j.state)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -165,32 +165,34 @@
 }
 
 // hop is a part of the time of a job.
-type hop struct {
-	name string
-	of   func(j *job) time.Duration
+type stage struct {
+	name     string
+	duration func(j *job) time.Duration
 }
 
-var hops = []hop{
-	{"accept", func(j *job) time.Duration { return j.accept }},
+var stages = []stage{
+	{"accept", func(j *job) time.Duration { return j.acceptTime }},
 	{"wait for a place", (*job).waited},
-	{"run and notice", func(j *job) time.Duration { return max(j.took-j.waited(), 0) }},
-	{"all", func(j *job) time.Duration { return j.accept + j.took }},
+	{"run and notice", func(j *job) time.Duration { return max(j.timeToEnd-j.waited(), 0) }},
+	{"all", func(j *job) time.Duration { return j.acceptTime + j.timeToEnd }},
 }
 
 // Bounds of a histogram, in microseconds, and its digits.
 const (
-	maxMicros = int64(24 * time.Hour / time.Microsecond)
-	digits    = 3
+	maxMicros         = int64(24 * time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
-func writeHop(w io.Writer, queue string, h hop, jobs []*job) {
-	hist := hdrhistogram.New(1, maxMicros, digits)
+func writeStage(w io.Writer, queue string, s stage, jobs []*job) {
+	histogram := hdrhistogram.New(1, maxMicros, significantDigits)
 	for _, j := range jobs {
 		// Above a day, and below a microsecond, the nearest bound is as good.
-		_ = hist.RecordValue(min(max(h.of(j).Microseconds(), 1), maxMicros))
+		_ = histogram.RecordValue(min(max(s.duration(j).Microseconds(), 1), maxMicros))
 	}
-	at := func(p float64) time.Duration { return ms(time.Duration(hist.ValueAtQuantile(p)) * time.Microsecond) }
-	fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%v\t%v\t\n", queue, h.name, len(jobs), at(50), at(95), at(99), at(100))
+	quantile := func(p float64) time.Duration {
+		return roundToMillis(time.Duration(histogram.ValueAtQuantile(p)) * time.Microsecond)
+	}
+	fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%v\t%v\t\n", queue, s.name, len(jobs), quantile(50), quantile(95), quantile(99), quantile(100))
 }
 
-func ms(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
+func roundToMillis(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -22,7 +22,7 @@
 not a line of a node, event="LD
 `
 
-func TestReportTellsWhereTheTimeWent(t *testing.T) {
+func TestReportSplitsJobTimeByStage(t *testing.T) {
 	r := &report.Report{}
 	if err := r.Read(strings.NewReader(testLog)); err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestReportOfNothing(t *testing.T) {
+func TestReportOfEmptyLog(t *testing.T) {
 	out := &strings.Builder{}
 	r := &report.Report{}
 	if err := r.Read(strings.NewReader("")); err != nil {
