--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -67,7 +67,7 @@
 	defaultDrainWait     = time.Second
 	defaultMaxRequests   = 1024
 	defaultMaxTimeout    = time.Minute
-	syncPartOfLease      = 3
+	syncsPerLease        = 3
 	addrAllowed          = "an IP number and a port, such as 10.0.0.7:7101"
 )
 
@@ -82,129 +82,129 @@
 
 // Parse reads settings; name stands for the file in errors.
 func Parse(name string, data []byte) (*Node, error) {
-	n := &Node{}
-	f, err := document.Decode(name, data, n)
+	node := &Node{}
+	f, err := document.Decode(name, data, node)
 	if err != nil {
 		return nil, err
 	}
-	if err := n.parseAddrs(f); err != nil {
+	if err := node.parseAddrs(f); err != nil {
 		return nil, err
 	}
-	if err := n.check(f); err != nil {
+	if err := node.check(f); err != nil {
 		return nil, err
 	}
-	n.setDefaults()
-	return n, nil
+	node.setDefaults()
+	return node, nil
 }
 
-func (n *Node) parseAddrs(f *document.File) error {
-	for _, a := range []struct {
+func (node *Node) parseAddrs(f *document.File) error {
+	for _, setting := range []struct {
 		key, text string
 		out       *netip.AddrPort
 	}{
-		{"link", n.Link, &n.LinkAddr},
-		{"callers", n.Callers, &n.CallersAddr},
-		{"operators", n.Operators, &n.OperatorsAddr},
-		{"log", n.Log, &n.LogAddr},
-		{"vm_list", n.VMList, &n.VMListAddr},
+		{"link", node.Link, &node.LinkAddr},
+		{"callers", node.Callers, &node.CallersAddr},
+		{"operators", node.Operators, &node.OperatorsAddr},
+		{"log", node.Log, &node.LogAddr},
+		{"vm_list", node.VMList, &node.VMListAddr},
 	} {
-		addr, err := netip.ParseAddrPort(a.text)
+		addr, err := netip.ParseAddrPort(setting.text)
 		if err != nil {
-			return f.Errorf(a.key, addrAllowed, "%q is missing or no address", a.text)
+			return f.Errorf(setting.key, addrAllowed, "%q is missing or no address", setting.text)
 		}
-		*a.out = addr
+		*setting.out = addr
 	}
-	for _, text := range n.Peers {
+	for _, text := range node.Peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return f.Errorf("peers", addrAllowed, "%q is no address", text)
 		}
-		n.PeerAddrs = append(n.PeerAddrs, addr)
+		node.PeerAddrs = append(node.PeerAddrs, addr)
 	}
-	return n.parseRoutes(f)
+	return node.parseRoutes(f)
 }
 
-func (n *Node) parseRoutes(f *document.File) error {
-	n.RouteAddrs = make(map[netip.AddrPort]netip.AddrPort, len(n.Routes))
-	for _, link := range slices.Sorted(maps.Keys(n.Routes)) {
+func (node *Node) parseRoutes(f *document.File) error {
+	node.RouteAddrs = make(map[netip.AddrPort]netip.AddrPort, len(node.Routes))
+	for _, link := range slices.Sorted(maps.Keys(node.Routes)) {
 		to, err := netip.ParseAddrPort(link)
 		if err != nil {
 			return f.Errorf("routes", addrAllowed, "%q is no address", link)
 		}
-		via, err := netip.ParseAddrPort(n.Routes[link])
+		via, err := netip.ParseAddrPort(node.Routes[link])
 		if err != nil {
-			return f.Errorf("routes", addrAllowed, "%q, for %s, is no address", n.Routes[link], link)
+			return f.Errorf("routes", addrAllowed, "%q, for %s, is no address", node.Routes[link], link)
 		}
-		n.RouteAddrs[to] = via
+		node.RouteAddrs[to] = via
 	}
 	return nil
 }
 
 // Route returns the address at which to dial the link of a node.
-func (n *Node) Route(link netip.AddrPort) netip.AddrPort {
-	if via, ok := n.RouteAddrs[link]; ok {
+func (node *Node) Route(link netip.AddrPort) netip.AddrPort {
+	if via, ok := node.RouteAddrs[link]; ok {
 		return via
 	}
 	return link
 }
 
-func (n *Node) check(f *document.File) error {
-	if !policy.IsName(n.Region) {
-		return f.Errorf("region", "a name", "%q is missing or no name", n.Region)
+func (node *Node) check(f *document.File) error {
+	if !policy.IsName(node.Region) {
+		return f.Errorf("region", "a name", "%q is missing or no name", node.Region)
 	}
-	if !policy.IsName(n.Zone) {
-		return f.Errorf("zone", "a name", "%q is missing or no name", n.Zone)
+	if !policy.IsName(node.Zone) {
+		return f.Errorf("zone", "a name", "%q is missing or no name", node.Zone)
 	}
-	for _, d := range []struct {
+	for _, limit := range []struct {
 		key      string
 		value    time.Duration
 		min, max time.Duration
 	}{
-		{"lease", n.Lease, 2 * time.Second, 10 * time.Minute},
-		{"sync", n.Sync, 100 * time.Millisecond, time.Minute},
-		{"drain_wait", n.DrainWait, 0, time.Minute},
-		{"max_timeout", n.MaxTimeout, time.Second, time.Hour},
+		{"lease", node.Lease, 2 * time.Second, 10 * time.Minute},
+		{"sync", node.Sync, 100 * time.Millisecond, time.Minute},
+		{"drain_wait", node.DrainWait, 0, time.Minute},
+		{"max_timeout", node.MaxTimeout, time.Second, time.Hour},
 	} {
-		if d.value != 0 && (d.value < d.min || d.value > d.max) {
-			return f.Errorf(d.key, d.min.String()+" to "+d.max.String(), "%v is out of range", d.value)
+		if limit.value != 0 && (limit.value < limit.min || limit.value > limit.max) {
+			return f.Errorf(limit.key, limit.min.String()+" to "+limit.max.String(), "%v is out of range", limit.value)
 		}
 	}
-	if n.Sync != 0 && n.Lease != 0 && n.Sync > n.Lease/2 {
-		return f.Errorf("sync", "at most half of the lease", "%v is out of range", n.Sync)
+	if node.Sync != 0 && node.Lease != 0 && node.Sync > node.Lease/2 {
+		return f.Errorf("sync", "at most half of the lease", "%v is out of range", node.Sync)
 	}
-	if n.AppendsPerSecond < 0 || n.AppendsPerSecond > 100 {
-		return f.Errorf("appends_per_second", "0 to 100", "%v is out of range", n.AppendsPerSecond)
+	if node.AppendsPerSecond < 0 || node.AppendsPerSecond > 100 {
+		return f.Errorf("appends_per_second", "0 to 100", "%v is out of range", node.AppendsPerSecond)
 	}
-	for _, i := range []struct {
+	for _, limit := range []struct {
 		key      string
 		value    int64
 		min, max int64
 	}{
-		{"snapshot_every", n.SnapshotEvery, 10, 1 << 30},
-		{"memory_limit_mib", n.MemoryLimitMiB, 16, 4096},
-		{"max_requests", int64(n.MaxRequests), 1, 100000},
+		{"snapshot_every", node.SnapshotEvery, 10, 1 << 30},
+		{"memory_limit_mib", node.MemoryLimitMiB, 16, 4096},
+		{"max_requests", int64(node.MaxRequests), 1, 100000},
 	} {
-		if i.value != 0 && (i.value < i.min || i.value > i.max) {
-			return f.Errorf(i.key, "a number in its range; see docs/OPERATING.md", "%d is out of range", i.value)
+		if limit.value != 0 && (limit.value < limit.min || limit.value > limit.max) {
+			return f.Errorf(limit.key, "a number in its range; see docs/OPERATING.md", "%d is out of range", limit.value)
 		}
 	}
 	return nil
 }
 
-func (n *Node) setDefaults() {
-	orDefault(&n.AppendsPerSecond, defaultAppends)
-	orDefault(&n.Lease, defaultLease)
-	orDefault(&n.Sync, n.Lease/syncPartOfLease)
-	orDefault(&n.SnapshotEvery, defaultSnapshotEvery)
-	orDefault(&n.MemoryLimitMiB, defaultMemoryMiB)
-	orDefault(&n.DrainWait, defaultDrainWait)
-	orDefault(&n.MaxRequests, defaultMaxRequests)
-	orDefault(&n.MaxTimeout, defaultMaxTimeout)
+func (node *Node) setDefaults() {
+	orDefault(&node.AppendsPerSecond, defaultAppends)
+	orDefault(&node.Lease, defaultLease)
+	orDefault(&node.Sync, node.Lease/syncsPerLease)
+	orDefault(&node.SnapshotEvery, defaultSnapshotEvery)
+	orDefault(&node.MemoryLimitMiB, defaultMemoryMiB)
+	orDefault(&node.DrainWait, defaultDrainWait)
+	orDefault(&node.MaxRequests, defaultMaxRequests)
+	orDefault(&node.MaxTimeout, defaultMaxTimeout)
 }
 
-func orDefault[T comparable](v *T, d T) {
-	var none T
-	if *v == none {
-		*v = d
+func orDefault[T comparable](v *T, defaultValue T) {
+	var zero T
+	if *v == zero {
+		*v = defaultValue
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,7 +14,7 @@
 	"github.com/leverdyke/leverdyke/internal/settings"
 )
 
-const good = `link: 127.0.0.1:7101
+const validSettings = `link: 127.0.0.1:7101
 callers: 127.0.0.1:7102
 operators: 127.0.0.1:7103
 region: r1
@@ -25,55 +25,55 @@
 `
 
 func TestDefaults(t *testing.T) {
-	n, err := settings.Parse("node.yaml", []byte(good))
+	node, err := settings.Parse("node.yaml", []byte(validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.Lease != 20*time.Second || n.Sync != 20*time.Second/3 || n.PeerAddrs[0].Port() != 7201 {
-		t.Errorf("got: %+v, want: the defaults", n)
+	if node.Lease != 20*time.Second || node.Sync != 20*time.Second/3 || node.PeerAddrs[0].Port() != 7201 {
+		t.Errorf("got: %+v, want: the defaults", node)
 	}
 }
 
-func TestRoutes(t *testing.T) {
-	n, err := settings.Parse("node.yaml", []byte(good+"routes: {\"127.0.0.1:7201\": \"127.0.0.1:9999\"}\n"))
+func TestRouteReplacesAddressOfLink(t *testing.T) {
+	node, err := settings.Parse("node.yaml", []byte(validSettings+"routes: {\"127.0.0.1:7201\": \"127.0.0.1:9999\"}\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for link, want := range map[string]string{"127.0.0.1:7201": "127.0.0.1:9999", "127.0.0.1:7202": "127.0.0.1:7202"} {
-		if got := n.Route(netip.MustParseAddrPort(link)).String(); got != want {
+		if got := node.Route(netip.MustParseAddrPort(link)).String(); got != want {
 			t.Errorf("%s: got: %v, want: %v", link, got, want)
 		}
 	}
 }
 
-func TestErrorsNameFileLineKeyAndWhatIsAllowed(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestErrorsNameFileLineKeyAndAllowedValues(t *testing.T) {
+	for name, test := range map[string]struct {
 		text, key string
 		line      int
 	}{
-		"unknown key":       {good + "colour: red\n", "colour", 9},
-		"wrong type":        {good + "max_requests: many\n", "max_requests", 9},
-		"wrong duration":    {good + "lease: soon\n", "lease", 9},
-		"out of range":      {good + "lease: 1s\n", "lease", 9},
-		"sync over half":    {good + "lease: 10s\nsync: 6s\n", "sync", 10},
-		"missing":           {strings.Replace(good, "zone: r1-z1\n", "", 1), "zone", 1},
-		"no IP number":      {strings.Replace(good, "link: 127.0.0.1:7101", "link: host:7101", 1), "link", 1},
-		"bad peer":          {strings.Replace(good, `"127.0.0.1:7201"`, `"peer"`, 1), "peers", 6},
-		"bad route":         {good + "routes: {\"127.0.0.1:7201\": gate}\n", "routes", 9},
-		"bad route's link":  {good + "routes: {peer: \"127.0.0.1:7201\"}\n", "routes", 9},
-		"negative":          {good + "appends_per_second: -1\n", "appends_per_second", 9},
-		"memory too little": {good + "memory_limit_mib: 2\n", "memory_limit_mib", 9},
+		"unknown key":       {validSettings + "colour: red\n", "colour", 9},
+		"wrong type":        {validSettings + "max_requests: many\n", "max_requests", 9},
+		"wrong duration":    {validSettings + "lease: soon\n", "lease", 9},
+		"out of range":      {validSettings + "lease: 1s\n", "lease", 9},
+		"sync over half":    {validSettings + "lease: 10s\nsync: 6s\n", "sync", 10},
+		"missing":           {strings.Replace(validSettings, "zone: r1-z1\n", "", 1), "zone", 1},
+		"no IP number":      {strings.Replace(validSettings, "link: 127.0.0.1:7101", "link: host:7101", 1), "link", 1},
+		"bad peer":          {strings.Replace(validSettings, `"127.0.0.1:7201"`, `"peer"`, 1), "peers", 6},
+		"bad route":         {validSettings + "routes: {\"127.0.0.1:7201\": gate}\n", "routes", 9},
+		"bad route's link":  {validSettings + "routes: {peer: \"127.0.0.1:7201\"}\n", "routes", 9},
+		"negative":          {validSettings + "appends_per_second: -1\n", "appends_per_second", 9},
+		"memory too little": {validSettings + "memory_limit_mib: 2\n", "memory_limit_mib", 9},
 		"no YAML":           {"link: [", "link", 1},
 		"empty":             {"", "", 0},
 	} {
-		_, err := settings.Parse("node.yaml", []byte(c.text))
+		_, err := settings.Parse("node.yaml", []byte(test.text))
 		field := &document.FieldError{}
 		if !errors.As(err, &field) {
 			t.Errorf("%s: got: %v, want: a field error", name, err)
 			continue
 		}
-		if field.File != "node.yaml" || field.Key != c.key || (c.line > 0 && field.Line != c.line) || (c.key != "" && field.Allowed == "") {
-			t.Errorf("%s: got: %+v, want: key %q on line %d and what is allowed", name, field, c.key, c.line)
+		if field.File != "node.yaml" || field.Key != test.key || (test.line > 0 && field.Line != test.line) || (test.key != "" && field.Allowed == "") {
+			t.Errorf("%s: got: %+v, want: key %q on line %d and what is allowed", name, field, test.key, test.line)
 		}
 	}
 }
