--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -9,7 +9,7 @@
 	"github.com/leverdyke/leverdyke/internal/codec"
 )
 
-func TestLengthsAreNotBelieved(t *testing.T) {
+func TestLengthsBeyondDataAreRejected(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"an array of four billion": {0xdd, 0xff, 0xff, 0xff, 0xff},
 		"a map of four billion":    {0xdf, 0xff, 0xff, 0xff, 0xff},
--- a/internal/document/decode.go
+++ b/internal/document/decode.go
@@ -93,10 +93,10 @@
 
 func fromYAML(name string, err error, keys string, data []byte) error {
 	e := &FieldError{File: name, Problem: firstLine(err.Error()), Allowed: "valid YAML"}
-	var shown yaml.Error
-	if errors.As(err, &shown) {
-		e.Problem = shown.GetMessage()
-		if t := shown.GetToken(); t != nil {
+	var yamlErr yaml.Error
+	if errors.As(err, &yamlErr) {
+		e.Problem = yamlErr.GetMessage()
+		if t := yamlErr.GetToken(); t != nil {
 			e.Line = t.Position.Line
 			e.Key = t.Value
 			if t.Prev != nil && t.Prev.Prev != nil && t.Prev.Value == ":" {
@@ -105,15 +105,15 @@
 			}
 		}
 	}
-	unknown := &yaml.UnknownFieldError{}
-	if errors.As(err, &unknown) {
+	unknownFieldErr := &yaml.UnknownFieldError{}
+	if errors.As(err, &unknownFieldErr) {
 		e.Problem = "unknown key"
 		e.Allowed = keys
 	}
-	wrong := &yaml.TypeError{}
-	if errors.As(err, &wrong) {
+	typeErr := &yaml.TypeError{}
+	if errors.As(err, &typeErr) {
 		e.Problem = "wrong type"
-		e.Allowed = wrong.DstType.String()
+		e.Allowed = typeErr.DstType.String()
 	}
 	if e.Line == 0 {
 		e.locate(data)
@@ -124,8 +124,8 @@
 // locate finds the value that an error without a position quotes, such as a
 // duration's.
 func (e *FieldError) locate(data []byte) {
-	_, rest, ok := strings.Cut(e.Problem, `"`)
-	value, _, ok2 := strings.Cut(rest, `"`)
+	_, afterQuote, ok := strings.Cut(e.Problem, `"`)
+	value, _, ok2 := strings.Cut(afterQuote, `"`)
 	if !ok || !ok2 || value == "" {
 		return
 	}
--- a/internal/document/keys.go
+++ b/internal/document/keys.go
@@ -13,14 +13,14 @@
 // them.
 func keysOf(out any) string {
 	keys := []string{}
-	collect(reflect.TypeOf(out), &keys, 0)
+	appendKeys(reflect.TypeOf(out), &keys, 0)
 	slices.Sort(keys)
 	return strings.Join(slices.Compact(keys), ", ")
 }
 
 const maxDepth = 4
 
-func collect(t reflect.Type, keys *[]string, depth int) {
+func appendKeys(t reflect.Type, keys *[]string, depth int) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
 	}
@@ -33,6 +33,6 @@
 			continue
 		}
 		*keys = append(*keys, name)
-		collect(t.Field(i).Type, keys, depth+1)
+		appendKeys(t.Field(i).Type, keys, depth+1)
 	}
 }
--- a/internal/listen/group_test.go
+++ b/internal/listen/group_test.go
@@ -12,7 +12,7 @@
 	"github.com/leverdyke/leverdyke/internal/listen"
 )
 
-func TestOpenNamesATakenAddress(t *testing.T) {
+func TestOpenFailsOnAddressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestAClosedServerIsNoFailure(t *testing.T) {
+func TestClosingServerReportsNoFailure(t *testing.T) {
 	g := listen.NewGroup()
 	s := &http.Server{}
 	if err := g.Open(s, netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
--- a/internal/netcount/dial.go
+++ b/internal/netcount/dial.go
@@ -30,24 +30,24 @@
 		if count == nil {
 			return c, nil
 		}
-		return &conn{c, count}, nil
+		return &countingConn{c, count}, nil
 	}
 }
 
-type conn struct {
+type countingConn struct {
 	net.Conn
 	count Counter
 }
 
 // Read reads and counts.
-func (c *conn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(0, n)
 	return n, err
 }
 
 // Write writes and counts.
-func (c *conn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n, 0)
 	return n, err
