--- a/internal/metrics/jobs.go
+++ b/internal/metrics/jobs.go
@@ -16,18 +16,18 @@
 // Jobs has the instruments of a node that serves jobs. It is safe for concurrent
 // use; a nil *Jobs takes everything and does nothing.
 type Jobs struct {
-	handler  http.Handler
-	meter    metric.Meter
-	requests metric.Float64Histogram
-	orders   metric.Float64Histogram
-	appends  metric.Float64Histogram
-	starts   metric.Float64Histogram
-	bad      metric.Int64Counter
+	handler    http.Handler
+	meter      metric.Meter
+	requests   metric.Float64Histogram
+	orders     metric.Float64Histogram
+	appends    metric.Float64Histogram
+	starts     metric.Float64Histogram
+	badRecords metric.Int64Counter
 }
 
 // latencies are the bounds of the latency histograms, in seconds: from a fast
 // answer in one zone to what no caller waits for.
-var latencies = metric.WithExplicitBucketBoundaries(.001, .002, .005, .01, .02, .05, .1, .2, .4, .7, 1, 2, 3, 5, 10, 30)
+var latencyBuckets = metric.WithExplicitBucketBoundaries(.001, .002, .005, .01, .02, .05, .1, .2, .4, .7, 1, 2, 3, 5, 10, 30)
 
 // NewJobs returns the instruments, with an exporter of their own.
 func NewJobs() (*Jobs, error) {
@@ -37,20 +37,20 @@
 	}
 	j := &Jobs{handler: handler, meter: meter}
 	for _, h := range []struct {
-		name, text string
-		to         *metric.Float64Histogram
+		name, description string
+		instrument        *metric.Float64Histogram
 	}{
 		{"leverdyke.job.request", "callers' requests, by what they ask and how they are answered", &j.requests},
 		{"leverdyke.job.order", "orders to workers, by kind and outcome", &j.orders},
 		{"leverdyke.job.append", "appends to the platform's store, by outcome", &j.appends},
 		{"leverdyke.job.step_wait", "time from when a step could begin to its tasks' placing", &j.starts},
 	} {
-		*h.to, err = meter.Float64Histogram(h.name, metric.WithUnit("s"), metric.WithDescription(h.text), latencies)
+		*h.instrument, err = meter.Float64Histogram(h.name, metric.WithUnit("s"), metric.WithDescription(h.description), latencyBuckets)
 		if err != nil {
 			return nil, fmt.Errorf("metrics: %w", err)
 		}
 	}
-	j.bad, err = meter.Int64Counter("leverdyke.job.bad_records", metric.WithDescription("records of the platform's store that cannot be relied on, by topic"))
+	j.badRecords, err = meter.Int64Counter("leverdyke.job.bad_records", metric.WithDescription("records of the platform's store that cannot be relied on, by topic"))
 	if err != nil {
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
@@ -91,7 +91,7 @@
 	if j == nil {
 		return
 	}
-	j.bad.Add(context.Background(), 1, metric.WithAttributes(attribute.String("topic", topic)))
+	j.badRecords.Add(context.Background(), 1, metric.WithAttributes(attribute.String("topic", topic)))
 }
 
 // Gauge registers values that are read when they are scraped, by a label.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -20,7 +20,7 @@
 // Set has the instruments. It is safe for concurrent use.
 type Set struct {
 	handler      http.Handler
-	wait         metric.Float64Histogram
+	waitTime     metric.Float64Histogram
 	decisionTime metric.Float64Histogram
 	refusals     metric.Int64Counter
 	requests     metric.Int64Counter
@@ -46,11 +46,11 @@
 		return nil, err
 	}
 	s := &Set{handler: handler, meter: meter}
-	waits := metric.WithExplicitBucketBoundaries(.001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 3.4, 5, 10, 30, 60, 300)
-	times := metric.WithExplicitBucketBoundaries(1e-6, 5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 5e-4, 1e-3, 1e-2)
+	waitBuckets := metric.WithExplicitBucketBoundaries(.001, .002, .005, .01, .02, .05, .1, .2, .5, 1, 2, 3.4, 5, 10, 30, 60, 300)
+	decisionBuckets := metric.WithExplicitBucketBoundaries(1e-6, 5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 5e-4, 1e-3, 1e-2)
 	var errs [8]error
-	s.wait, errs[0] = meter.Float64Histogram("leverdyke.wait", metric.WithUnit("s"), waits)
-	s.decisionTime, errs[1] = meter.Float64Histogram("leverdyke.decision", metric.WithUnit("s"), times)
+	s.waitTime, errs[0] = meter.Float64Histogram("leverdyke.wait", metric.WithUnit("s"), waitBuckets)
+	s.decisionTime, errs[1] = meter.Float64Histogram("leverdyke.decision", metric.WithUnit("s"), decisionBuckets)
 	s.refusals, errs[2] = meter.Int64Counter("leverdyke.refusals")
 	s.requests, errs[3] = meter.Int64Counter("leverdyke.requests")
 	s.bytes, errs[4] = meter.Int64Counter("leverdyke.control", metric.WithUnit("By"))
@@ -69,7 +69,7 @@
 
 // Waited notes how long a request or task of a class waited for its start.
 func (s *Set) Waited(kind string, class leverdyke.Class, d time.Duration) {
-	s.wait.Record(context.Background(), d.Seconds(), metric.WithAttributes(attribute.String("kind", kind), attribute.String("class", string(class))))
+	s.waitTime.Record(context.Background(), d.Seconds(), metric.WithAttributes(attribute.String("kind", kind), attribute.String("class", string(class))))
 }
 
 // Decided notes how long a decision took.
