--- a/internal/events/catalogue.go
+++ b/internal/events/catalogue.go
@@ -147,11 +147,11 @@
 
 // Log writes an event with its keys and values.
 func Log(e Event, keysAndValues ...any) {
-	kv := append([]any{"event", fmt.Sprintf("LD%04d", e.Number)}, keysAndValues...)
+	fields := append([]any{"event", fmt.Sprintf("LD%04d", e.Number)}, keysAndValues...)
 	switch e.Level {
 	case LevelError:
-		klog.ErrorSDepth(1, nil, e.Name, kv...)
+		klog.ErrorSDepth(1, nil, e.Name, fields...)
 	case LevelWarning, LevelInfo:
-		klog.InfoSDepth(1, e.Name, kv...)
+		klog.InfoSDepth(1, e.Name, fields...)
 	}
 }
--- a/internal/events/catalogue_test.go
+++ b/internal/events/catalogue_test.go
@@ -12,15 +12,15 @@
 	"github.com/leverdyke/leverdyke/internal/events"
 )
 
-func TestPageHasEveryEvent(t *testing.T) {
+func TestDocumentedEventsMatchCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/EVENTS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rows := regexp.MustCompile(`(?m)^\| LD(\d{4}) \| (\w+) \| (.+?) \| (.+) \|$`).FindAllStringSubmatch(string(page), -1)
-	onPage := map[string]string{}
+	documented := map[string]string{}
 	for _, r := range rows {
-		onPage[r[1]] = r[2] + " " + r[3]
+		documented[r[1]] = r[2] + " " + r[3]
 	}
 	seen := map[string]bool{}
 	for _, e := range events.Catalogue() {
@@ -29,11 +29,11 @@
 			t.Errorf("LD%s: got: two events, want: one", number)
 		}
 		seen[number] = true
-		if got, want := onPage[number], string(e.Level)+" "+e.Name; got != want {
+		if got, want := documented[number], string(e.Level)+" "+e.Name; got != want {
 			t.Errorf("LD%s on the page: got: %q, want: %q", number, got, want)
 		}
 	}
-	for number := range onPage {
+	for number := range documented {
 		if !seen[number] {
 			t.Errorf("LD%s is on the page: got: no such event, want: one", number)
 		}
--- a/internal/events/sink.go
+++ b/internal/events/sink.go
@@ -15,7 +15,7 @@
 )
 
 // sinkLines is how many lines may wait to be written.
-const sinkLines = 4096
+const sinkQueueLines = 4096
 
 // Sink writes the log from one goroutine. A line that finds the queue full is
 // dropped and counted: logging never holds up a decision.
@@ -24,12 +24,12 @@
 	lines   *ring.Ring[[]byte]
 	dropped atomic.Int64
 	done    chan struct{}
-	ended   chan struct{}
+	stopped chan struct{}
 }
 
 // NewSink makes klog write to out through a Sink.
 func NewSink(out io.Writer) (*Sink, error) {
-	s := &Sink{out: out, lines: ring.NewRing[[]byte](sinkLines), done: make(chan struct{}), ended: make(chan struct{})}
+	s := &Sink{out: out, lines: ring.NewRing[[]byte](sinkQueueLines), done: make(chan struct{}), stopped: make(chan struct{})}
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
 	for name, value := range map[string]string{"logtostderr": "false", "alsologtostderr": "false", "stderrthreshold": "FATAL", "one_output": "true"} {
@@ -57,12 +57,12 @@
 func (s *Sink) Close() {
 	klog.Flush()
 	close(s.done)
-	<-s.ended
+	<-s.stopped
 }
 
 func (s *Sink) run() {
-	defer close(s.ended)
-	told := int64(0)
+	defer close(s.stopped)
+	reported := int64(0)
 	for {
 		select {
 		case line := <-s.lines.Out():
@@ -71,8 +71,8 @@
 			s.drain()
 			return
 		}
-		if n := s.dropped.Load(); n > told && s.lines.Len() == 0 {
-			told = n
+		if n := s.dropped.Load(); n > reported && s.lines.Len() == 0 {
+			reported = n
 			s.write(fmt.Appendf(nil, "W lines of the log were dropped event=\"LD%04d\" total=%d\n", LogLinesDropped.Number, n))
 		}
 	}
