--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -17,7 +17,7 @@
 )
 
 // run executes a command line and returns its output and exit code.
-func run(args ...string) (string, int) {
+func execute(args ...string) (string, int) {
 	root := cli.NewRoot()
 	out := &bytes.Buffer{}
 	root.SetOut(out)
@@ -27,10 +27,10 @@
 	if err != nil {
 		out.WriteString(err.Error())
 	}
-	return out.String(), command.CodeOf(err)
+	return out.String(), command.ExitCode(err)
 }
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file.yaml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -40,18 +40,18 @@
 }
 
 func TestExamplesAreValid(t *testing.T) {
-	for file, as := range map[string]string{
+	for file, kind := range map[string]string{
 		"service.yaml": "job", "service-repeatable.yaml": "job", "all-at-once.yaml": "job", "office-head.yaml": "office/head",
 		"office-brescia.yaml": "office/brescia", "team-filings.yaml": "team/filings", "team-reconciliation.yaml": "team/reconciliation",
 		"template-reconciliation.yaml": "template/nightly-reconciliation",
 	} {
-		if out, code := run("check", "../../examples/"+file, "--as", as); code != command.ExitOK {
+		if out, code := execute("check", "../../examples/"+file, "--as", kind); code != command.ExitOK {
 			t.Errorf("%s: got: %d %s, want: 0", file, code, out)
 		}
 	}
 }
 
-func TestBadFilesAndArgumentsExitWith2AndSendNothing(t *testing.T) {
+func TestInvalidFilesAndArgumentsExitWith2BeforeAnyRequest(t *testing.T) {
 	sent := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		sent++
@@ -60,16 +60,16 @@
 	defer server.Close()
 	node := strings.TrimPrefix(server.URL, "http://")
 	for name, args := range map[string][]string{
-		"unknown key":     {"config", "publish", "team/t", write(t, "colour: red\n"), "--nodes", node},
-		"no such kind":    {"config", "publish", "colour/t", write(t, "a: b\n"), "--nodes", node},
+		"unknown key":     {"config", "publish", "team/t", writeFile(t, "colour: red\n"), "--nodes", node},
+		"no such kind":    {"config", "publish", "colour/t", writeFile(t, "a: b\n"), "--nodes", node},
 		"no file":         {"job", "submit", "/nonexistent", "--nodes", node},
 		"no nodes":        {"job", "list"},
 		"host, no number": {"job", "list", "--nodes", "localhost:7103"},
 		"missing name":    {"job", "show", "--nodes", node},
 		"unknown flag":    {"job", "list", "--colour"},
-		"bad job":         {"check", write(t, "team: t\n")},
+		"bad job":         {"check", writeFile(t, "team: t\n")},
 	} {
-		if out, code := run(args...); code != command.ExitInvalid {
+		if out, code := execute(args...); code != command.ExitInvalid {
 			t.Errorf("%s: got: %d %s, want: %d", name, code, out, command.ExitInvalid)
 		}
 	}
@@ -78,30 +78,30 @@
 	}
 }
 
-func TestExitCodesOfAnswers(t *testing.T) {
-	for name, c := range map[string]struct {
+func TestExitCodesOfResponses(t *testing.T) {
+	for name, test := range map[string]struct {
 		status int
 		body   string
 		want   int
 	}{
 		"conflict":     {http.StatusConflict, `{"title":"conflict","verdict":"not-run","conflict":true}`, command.ExitConflict},
 		"invalid":      {http.StatusUnprocessableEntity, `{"title":"bad","verdict":"not-run","invalid":true}`, command.ExitInvalid},
-		"may have run": {http.StatusRequestTimeout, `{"title":"slow","verdict":"may-have-run"}`, command.ExitUnknown},
+		"may have run": {http.StatusRequestTimeout, `{"title":"slow","verdict":"may-have-run"}`, command.ExitOutcomeUnknown},
 		"accepted":     {http.StatusOK, `{"id":"x","offset":7}`, command.ExitOK},
 	} {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			w.WriteHeader(c.status)
-			_, _ = w.Write([]byte(c.body))
+			w.WriteHeader(test.status)
+			_, _ = w.Write([]byte(test.body))
 		}))
-		out, code := run("job", "submit", write(t, "team: t\n"), "--nodes", strings.TrimPrefix(server.URL, "http://"))
+		out, code := execute("job", "submit", writeFile(t, "team: t\n"), "--nodes", strings.TrimPrefix(server.URL, "http://"))
 		server.Close()
-		if code != c.want {
-			t.Errorf("%s: got: %d %s, want: %d", name, code, out, c.want)
+		if code != test.want {
+			t.Errorf("%s: got: %d %s, want: %d", name, code, out, test.want)
 		}
 	}
 }
 
-func TestNextNodeIsAskedWhenOneIsDown(t *testing.T) {
+func TestClientTriesNextNodeWhenOneIsDown(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`[{"spec":{"id":"nightly","team":"t"},"final":{}}]`))
 	}))
@@ -109,13 +109,13 @@
 	down := httptest.NewServer(http.NotFoundHandler())
 	down.Close()
 	nodes := strings.TrimPrefix(down.URL, "http://") + "," + strings.TrimPrefix(server.URL, "http://")
-	for _, form := range []string{"table", "json", "yaml"} {
-		out, code := run("job", "list", "--nodes", nodes, "-o", form)
+	for _, format := range []string{"table", "json", "yaml"} {
+		out, code := execute("job", "list", "--nodes", nodes, "-o", format)
 		if code != command.ExitOK || !strings.Contains(out, "nightly") {
-			t.Errorf("%s: got: %d %s, want: the job", form, code, out)
+			t.Errorf("%s: got: %d %s, want: the job", format, code, out)
 		}
 	}
-	if out, code := run("job", "list", "--nodes", nodes, "-o", "xml"); code != command.ExitInvalid {
+	if out, code := execute("job", "list", "--nodes", nodes, "-o", "xml"); code != command.ExitInvalid {
 		t.Errorf("got: %d %s, want: %d", code, out, command.ExitInvalid)
 	}
 }
--- a/internal/cli/job.go
+++ b/internal/cli/job.go
@@ -21,7 +21,7 @@
 	"github.com/leverdyke/leverdyke/internal/operator"
 )
 
-const waitPeriod = 300 * time.Millisecond
+const pollInterval = 300 * time.Millisecond
 
 func (a *app) newJob() *cobra.Command {
 	job := &cobra.Command{Use: "job", Short: "Submit, list, show, cancel and explain jobs"}
@@ -33,40 +33,40 @@
 	id := ""
 	wait := time.Duration(0)
 	c := &cobra.Command{
-		Use: "submit FILE", Short: "Submit a job; sent again with the same --id it is the same job", Args: args(cobra.ExactArgs(1)),
+		Use: "submit FILE", Short: "Submit a job; sent again with the same --id it is the same job", Args: checkArgs(cobra.ExactArgs(1)),
 		Example: "  leverdyke job submit examples/batch.yaml\n  leverdyke job submit - --id nightly-2026-12-02 --wait 30s < job.yaml",
 	}
 	c.Flags().StringVar(&id, "id", "", "the job's name; without it, a new one is made")
 	c.Flags().DurationVar(&wait, "wait", 0, "wait until all tasks run or have ended, at most this long")
-	c.RunE = a.run(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, list []string) error {
-		body, err := readFile(cmd, list[0])
+	c.RunE = a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, args []string) error {
+		body, err := readFile(cmd, args[0])
 		if err != nil {
 			return err
 		}
 		if id == "" {
-			made, err := uuid.NewV7()
+			newID, err := uuid.NewV7()
 			if err != nil {
 				return fmt.Errorf("cli: %w", err)
 			}
-			id = made.String()
+			id = newID.String()
 		}
-		out, err := client.Submit(ctx, &operator.SubmitRequest{ID: id, File: list[0], Body: body})
+		out, err := client.Submit(ctx, &operator.SubmitRequest{ID: id, File: args[0], Body: body})
 		if err != nil {
 			return err
 		}
 		if wait > 0 {
-			if err := a.await(ctx, client, cmd, id, wait); err != nil {
+			if err := a.waitForTasks(ctx, client, cmd, id, wait); err != nil {
 				return err
 			}
 		}
-		return a.print(cmd, out, command.Table{Head: []string{"JOB", "OFFSET"}, Rows: [][]string{{out.ID, strconv.FormatInt(out.Offset, 10)}}})
+		return a.print(cmd, out, command.Table{Header: []string{"JOB", "OFFSET"}, Rows: [][]string{{out.ID, strconv.FormatInt(out.Offset, 10)}}})
 	})
 	return c
 }
 
 // await shows progress until all of a job's tasks run or have ended.
-func (a *app) await(ctx context.Context, client *operator.Client, cmd *cobra.Command, id string, wait time.Duration) error {
-	limit := time.Now().Add(wait)
+func (a *app) waitForTasks(ctx context.Context, client *operator.Client, cmd *cobra.Command, id string, wait time.Duration) error {
+	deadline := time.Now().Add(wait)
 	for {
 		j, err := client.Job(ctx, id)
 		if err != nil {
@@ -74,16 +74,16 @@
 		}
 		counts := countTasks(j)
 		if !a.isQuiet {
-			fmt.Fprintln(cmd.ErrOrStderr(), "…", describe(counts))
+			fmt.Fprintln(cmd.ErrOrStderr(), "…", formatCounts(counts))
 		}
-		busy := counts[leverdyke.TaskWaiting] + counts[leverdyke.TaskAsked]
-		if j.IsEnded || (j.Live != nil && busy == 0) {
+		notStarted := counts[leverdyke.TaskWaiting] + counts[leverdyke.TaskAsked]
+		if j.IsEnded || (j.Live != nil && notStarted == 0) {
 			return nil
 		}
-		if time.Now().After(limit) {
-			return fmt.Errorf("cli: job %s is accepted, but %d tasks still wait after %v: %s", id, busy, wait, whyOf(j))
+		if time.Now().After(deadline) {
+			return fmt.Errorf("cli: job %s is accepted, but %d tasks still wait after %v: %s", id, notStarted, wait, waitReason(j))
 		}
-		time.Sleep(waitPeriod)
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -101,7 +101,7 @@
 	return counts
 }
 
-func describe(counts map[leverdyke.TaskState]int) string {
+func formatCounts(counts map[leverdyke.TaskState]int) string {
 	parts := []string{}
 	for s, n := range counts {
 		parts = append(parts, fmt.Sprintf("%s %d", s, n))
@@ -113,7 +113,7 @@
 	return strings.Join(parts, ", ")
 }
 
-func whyOf(j *operator.Job) string {
+func waitReason(j *operator.Job) string {
 	switch {
 	case j.Reason != "":
 		return j.Reason
@@ -132,22 +132,22 @@
 func (a *app) newJobList() *cobra.Command {
 	all := false
 	c := &cobra.Command{
-		Use: "list", Short: "List the jobs that have not ended", Args: args(cobra.NoArgs),
+		Use: "list", Short: "List the jobs that have not ended", Args: checkArgs(cobra.NoArgs),
 		Example: "  leverdyke job list --all -o json",
 	}
 	c.Flags().BoolVar(&all, "all", false, "the ended ones too")
-	c.RunE = a.run(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, _ []string) error {
+	c.RunE = a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, _ []string) error {
 		jobs, err := client.Jobs(ctx)
 		if err != nil {
 			return err
 		}
 		jobs = slices.DeleteFunc(jobs, func(j operator.Job) bool { return j.IsEnded && !all })
-		t := command.Table{Head: []string{"JOB", "TEAM", "CUSTOMER", "KIND", "CLASS", "TASKS", "ENDED", "FAILURES"}}
+		t := command.Table{Header: []string{"JOB", "TEAM", "CUSTOMER", "KIND", "CLASS", "TASKS", "ENDED", "FAILURES"}}
 		for i := range jobs {
 			j := &jobs[i]
 			t.Rows = append(t.Rows, []string{
 				j.Spec.ID, j.Spec.Team, j.Spec.Customer, string(j.Spec.Kind), string(j.Spec.Class), strconv.Itoa(j.Spec.Tasks),
-				describe(j.Final), strconv.Itoa(j.Failures),
+				formatCounts(j.Final), strconv.Itoa(j.Failures),
 			})
 		}
 		return a.print(cmd, jobs, t)
@@ -157,18 +157,18 @@
 
 func (a *app) newJobShow() *cobra.Command {
 	return &cobra.Command{
-		Use: "show JOB", Short: "Show a job and where its tasks run", Args: args(cobra.ExactArgs(1)),
-		RunE: a.run(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, list []string) error {
-			j, err := client.Job(ctx, list[0])
+		Use: "show JOB", Short: "Show a job and where its tasks run", Args: checkArgs(cobra.ExactArgs(1)),
+		RunE: a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, args []string) error {
+			j, err := client.Job(ctx, args[0])
 			if err != nil {
 				return err
 			}
-			t := command.Table{Head: []string{"TASK", "STATE", "WORKER", "ATTEMPT"}}
+			t := command.Table{Header: []string{"TASK", "STATE", "WORKER", "ATTEMPT"}}
 			if j.Live == nil {
-				t = command.Table{Head: []string{"STATE", "TASKS"}, Rows: [][]string{{describe(j.Final), strconv.Itoa(j.Spec.Tasks)}}}
+				t = command.Table{Header: []string{"STATE", "TASKS"}, Rows: [][]string{{formatCounts(j.Final), strconv.Itoa(j.Spec.Tasks)}}}
 			} else {
-				for _, k := range j.Live.Tasks {
-					t.Rows = append(t.Rows, []string{strconv.Itoa(k.Index), string(k.State), string(k.Worker), strconv.FormatUint(k.Attempt, 10)})
+				for _, task := range j.Live.Tasks {
+					t.Rows = append(t.Rows, []string{strconv.Itoa(task.Index), string(task.State), string(task.Worker), strconv.FormatUint(task.Attempt, 10)})
 				}
 			}
 			return a.print(cmd, j, t)
@@ -178,13 +178,13 @@
 
 func (a *app) newJobExplain() *cobra.Command {
 	return &cobra.Command{
-		Use: "explain JOB", Short: "Say why a job waits, or why it can never run", Args: args(cobra.ExactArgs(1)),
-		RunE: a.run(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, list []string) error {
-			j, err := client.Job(ctx, list[0])
+		Use: "explain JOB", Short: "Say why a job waits, or why it can never run", Args: checkArgs(cobra.ExactArgs(1)),
+		RunE: a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, args []string) error {
+			j, err := client.Job(ctx, args[0])
 			if err != nil {
 				return err
 			}
-			t := command.Table{Head: []string{"JOB", "TASKS", "WHY"}, Rows: [][]string{{j.Spec.ID, describe(countTasks(j)), whyOf(j)}}}
+			t := command.Table{Header: []string{"JOB", "TASKS", "WHY"}, Rows: [][]string{{j.Spec.ID, formatCounts(countTasks(j)), waitReason(j)}}}
 			return a.print(cmd, j, t)
 		}),
 	}
@@ -192,24 +192,24 @@
 
 func (a *app) newJobCancel() *cobra.Command {
 	return &cobra.Command{
-		Use: "cancel JOB...", Short: "Cancel jobs, many in one pass; - reads their names from standard input", Args: args(cobra.MinimumNArgs(1)),
+		Use: "cancel JOB...", Short: "Cancel jobs, many in one pass; - reads their names from standard input", Args: checkArgs(cobra.MinimumNArgs(1)),
 		Example: "  leverdyke job list -o json | jq -r '.[].spec.id' | leverdyke job cancel -",
-		RunE: a.run(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, list []string) error {
-			if len(list) == 1 && list[0] == "-" {
+		RunE: a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, args []string) error {
+			if len(args) == 1 && args[0] == "-" {
 				data, err := io.ReadAll(cmd.InOrStdin())
 				if err != nil {
 					return fmt.Errorf("cli: %w", err)
 				}
-				list = strings.Fields(string(data))
+				args = strings.Fields(string(data))
 			}
-			out, err := client.Cancel(ctx, list)
+			out, err := client.Cancel(ctx, args)
 			if err != nil {
 				return err
 			}
-			if err := a.print(cmd, out, command.Table{Head: []string{"CANCELLED", "ASKED"}, Rows: [][]string{{strconv.Itoa(out.Cancelled), strconv.Itoa(len(list))}}}); err != nil {
+			if err := a.print(cmd, out, command.Table{Header: []string{"CANCELLED", "ASKED"}, Rows: [][]string{{strconv.Itoa(out.Cancelled), strconv.Itoa(len(args))}}}); err != nil {
 				return err
 			}
-			if out.Cancelled < len(list) {
+			if out.Cancelled < len(args) {
 				return errors.New("cli: some of the jobs do not exist")
 			}
 			return nil
--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -20,7 +20,7 @@
 func newReport() *cobra.Command {
 	slowest := defaultSlowest
 	c := &cobra.Command{
-		Use: "report LOG...", Short: "Show from nodes' logs where the time of jobs went", Args: args(cobra.MinimumNArgs(1)),
+		Use: "report LOG...", Short: "Show from nodes' logs where the time of jobs went", Args: checkArgs(cobra.MinimumNArgs(1)),
 		Example: "  leverdyke report node-*.log --slowest 20",
 		RunE: func(cmd *cobra.Command, files []string) error {
 			r := &report.Report{}
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -55,7 +55,7 @@
 	}
 	f := a.root.PersistentFlags()
 	f.StringSliceVarP(&a.nodes, "nodes", "n", nil, "operators' addresses of some nodes (also "+nodesVariable+")")
-	f.StringVarP(&a.output, "output", "o", string(command.FormTable), "the form of results: table, json, yaml")
+	f.StringVarP(&a.output, "output", "o", string(command.FormatTable), "the form of results: table, json, yaml")
 	f.DurationVar(&a.timeout, "timeout", defaultTimeout, "how long one node may take")
 	f.BoolVarP(&a.isQuiet, "quiet", "q", false, "show no progress")
 	a.root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &command.UsageError{Text: err.Error()} })
@@ -71,9 +71,9 @@
 }
 
 // args is cobra's check of the number of arguments, as a usage error.
-func args(check cobra.PositionalArgs) cobra.PositionalArgs {
-	return func(cmd *cobra.Command, list []string) error {
-		if err := check(cmd, list); err != nil {
+func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
+	return func(cmd *cobra.Command, args []string) error {
+		if err := check(cmd, args); err != nil {
 			return &command.UsageError{Text: cmd.CommandPath() + ": " + err.Error()}
 		}
 		return nil
@@ -101,12 +101,12 @@
 }
 
 func (a *app) print(cmd *cobra.Command, v any, t command.Table) error {
-	return command.Print(cmd.OutOrStdout(), command.Form(a.output), v, t)
+	return command.Print(cmd.OutOrStdout(), command.Format(a.output), v, t)
 }
 
 // run is the frame of a command that talks to the cell.
-func (a *app) run(f func(ctx context.Context, c *operator.Client, cmd *cobra.Command, list []string) error) func(*cobra.Command, []string) error {
-	return func(cmd *cobra.Command, list []string) error {
+func (a *app) withClient(f func(ctx context.Context, c *operator.Client, cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
+	return func(cmd *cobra.Command, args []string) error {
 		c, err := a.client(cmd)
 		if err != nil {
 			return err
@@ -115,7 +115,7 @@
 		if ctx == nil {
 			ctx = context.Background()
 		}
-		return f(ctx, c, cmd, list)
+		return f(ctx, c, cmd, args)
 	}
 }
 
--- a/internal/command/exit.go
+++ b/internal/command/exit.go
@@ -25,9 +25,9 @@
 	// ExitConflict means that another operator changed the document first.
 	ExitConflict = 3
 	// ExitUnknown means that the change may have taken effect.
-	ExitUnknown = 4
+	ExitOutcomeUnknown = 4
 	// ExitViolated means that something that must always hold did not.
-	ExitViolated = 5
+	ExitInvariantViolated = 5
 )
 
 // Exit prints an error and ends the process with the code that it calls for.
@@ -36,28 +36,28 @@
 		os.Exit(ExitOK)
 	}
 	fmt.Fprintln(os.Stderr, "error:", err)
-	os.Exit(CodeOf(err))
+	os.Exit(ExitCode(err))
 }
 
 // CodeOf returns the exit code that an error calls for.
-func CodeOf(err error) int {
-	field := &document.FieldError{}
-	refused := &operator.ProblemError{}
-	verdict := &leverdyke.Error{}
-	usage := &UsageError{}
-	input := inputError(nil)
-	violation := violationError(nil)
+func ExitCode(err error) int {
+	fieldErr := &document.FieldError{}
+	problem := &operator.ProblemError{}
+	verdictErr := &leverdyke.Error{}
+	usageErr := &UsageError{}
+	inputErr := inputError(nil)
+	violationErr := violationError(nil)
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &field), errors.As(err, &usage), errors.As(err, &input):
+	case errors.As(err, &fieldErr), errors.As(err, &usageErr), errors.As(err, &inputErr):
 		return ExitInvalid
-	case errors.As(err, &violation):
-		return ExitViolated
-	case errors.As(err, &refused):
-		return codeOfProblem(refused)
-	case errors.As(err, &verdict) && verdict.Verdict == leverdyke.VerdictMayHaveRun:
-		return ExitUnknown
+	case errors.As(err, &violationErr):
+		return ExitInvariantViolated
+	case errors.As(err, &problem):
+		return problemCode(problem)
+	case errors.As(err, &verdictErr) && verdictErr.Verdict == leverdyke.VerdictMayHaveRun:
+		return ExitOutcomeUnknown
 	}
 	return ExitFailed
 }
@@ -76,14 +76,14 @@
 	IsViolation()
 }
 
-func codeOfProblem(p *operator.ProblemError) int {
+func problemCode(p *operator.ProblemError) int {
 	switch {
 	case p.IsInvalid:
 		return ExitInvalid
 	case p.IsConflict:
 		return ExitConflict
 	case p.Verdict == leverdyke.VerdictMayHaveRun:
-		return ExitUnknown
+		return ExitOutcomeUnknown
 	}
 	return ExitFailed
 }
--- a/internal/command/exit_test.go
+++ b/internal/command/exit_test.go
@@ -13,22 +13,22 @@
 )
 
 // badFile is an error of an adapter about a file.
-type badFile struct{ error }
+type fileError struct{ error }
 
-func (badFile) IsInput() {}
+func (fileError) IsInput() {}
 
-func TestCodeOf(t *testing.T) {
+func TestExitCode(t *testing.T) {
 	for name, tc := range map[string]struct {
 		err  error
 		want int
 	}{
 		"nothing":           {nil, command.ExitOK},
 		"any failure":       {errors.New("x"), command.ExitFailed},
-		"a file":            {fmt.Errorf("run: %w", badFile{errors.New("x")}), command.ExitInvalid},
-		"may have run":      {leverdyke.MayHaveRun("x", nil), command.ExitUnknown},
+		"a file":            {fmt.Errorf("run: %w", fileError{errors.New("x")}), command.ExitInvalid},
+		"may have run":      {leverdyke.MayHaveRun("x", nil), command.ExitOutcomeUnknown},
 		"certainly not run": {leverdyke.NotRun("x", 0), command.ExitFailed},
 	} {
-		if got := command.CodeOf(tc.err); got != tc.want {
+		if got := command.ExitCode(tc.err); got != tc.want {
 			t.Errorf("%s: got: %d, want: %d", name, got, tc.want)
 		}
 	}
--- a/internal/command/print.go
+++ b/internal/command/print.go
@@ -14,31 +14,31 @@
 )
 
 // Form is how a result is printed.
-type Form string
+type Format string
 
 // The forms.
 const (
-	FormTable Form = "table"
-	FormJSON  Form = "json"
-	FormYAML  Form = "yaml"
+	FormatTable Format = "table"
+	FormatJSON  Format = "json"
+	FormatYAML  Format = "yaml"
 )
 
 // Table is a result as rows of cells, under a head.
 type Table struct {
-	Head []string
-	Rows [][]string
+	Header []string
+	Rows   [][]string
 }
 
 // Print writes v, or the table in its place.
-func Print(w io.Writer, form Form, v any, t Table) error {
-	switch form {
-	case FormTable, "":
+func Print(w io.Writer, format Format, v any, t Table) error {
+	switch format {
+	case FormatTable, "":
 		return printTable(w, t)
-	case FormJSON:
+	case FormatJSON:
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
 		return e.Encode(v)
-	case FormYAML:
+	case FormatYAML:
 		// The YAML form has the same keys as the JSON form.
 		data, err := json.Marshal(v)
 		if err != nil {
@@ -51,12 +51,12 @@
 		_, err = w.Write(text)
 		return err
 	}
-	return &UsageError{fmt.Sprintf("--output: %q is no form (allowed: table, json, yaml)", form)}
+	return &UsageError{fmt.Sprintf("--output: %q is no form (allowed: table, json, yaml)", format)}
 }
 
 func printTable(w io.Writer, t Table) error {
 	tw := tabwriter.NewWriter(w, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(tw, strings.Join(t.Head, "\t"))
+	fmt.Fprintln(tw, strings.Join(t.Header, "\t"))
 	for _, row := range t.Rows {
 		fmt.Fprintln(tw, strings.Join(row, "\t"))
 	}
--- a/internal/entry/gauges.go
+++ b/internal/entry/gauges.go
@@ -37,7 +37,7 @@
 	s := n.Status()
 	waiting, inUse, slots := n.router.Load()
 	return map[string]float64{
-		"racks": float64(len(s.Racks)), "homes": float64(len(s.Homes)), "tasks_running": float64(s.Running),
+		"racks": float64(len(s.Racks)), "homes": float64(len(s.JobShards)), "tasks_running": float64(s.Running),
 		"jobs_waiting": float64(s.Waiting), "requests_waiting": float64(waiting), "requests_in_progress": float64(inUse),
 		"slots_granted": float64(slots), "log_applied": float64(s.Applied), "appends": float64(n.writer.Appends()),
 		"cpu_seconds": cpuSeconds(),
--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -211,7 +211,7 @@
 	}
 	return &operator.Job{
 		Spec: j.Spec, Offset: j.Offset, At: time.UnixMilli(j.Millis).UTC(), IsEnded: j.IsEnded, IsCancelled: j.IsCancelled,
-		Final: final, Failures: j.Failures, Reason: j.Reason, Home: string(ownership.HomeShard(j.Spec.Region, j.Spec.Team)),
+		Final: final, Failures: j.Failures, Reason: j.Reason, JobShard: string(ownership.HomeShard(j.Spec.Region, j.Spec.Team)),
 	}
 }
 
@@ -247,8 +247,8 @@
 		v := c.View()
 		s := operator.Status{
 			Node: string(n.owner.Node), Region: n.settings.Region, Zone: n.settings.Zone, Incarnation: n.owner.Incarnation,
-			Applied: c.State().Applied, IsReady: c.IsReady(), IsLogOut: c.IsLogOut(), IsJoined: c.IsJoined(),
-			Operators: n.settings.OperatorsAddr.String(), Racks: v.Racks, Homes: v.Homes, Running: v.Running, Waiting: v.Waiting,
+			Applied: c.State().Applied, IsReady: c.IsReady(), IsLogUnavailable: c.IsLogOut(), IsJoined: c.IsJoined(),
+			Operators: n.settings.OperatorsAddr.String(), Racks: v.Racks, JobShards: v.Homes, Running: v.Running, Waiting: v.Waiting,
 			Suspects: v.Suspects,
 		}
 		_, s.Requests, _ = n.router.Load()
@@ -283,7 +283,7 @@
 }
 
 // Peers lists the operators' addresses of all members.
-func (n *Node) Peers() []string {
+func (n *Node) MemberAddresses() []string {
 	return ask(n, func(c *core.Core) []string {
 		list := []string{}
 		for _, m := range c.State().Members {
@@ -297,7 +297,7 @@
 }
 
 // Self returns the node's own operators' address.
-func (n *Node) Self() string { return n.settings.OperatorsAddr.String() }
+func (n *Node) OwnAddress() string { return n.settings.OperatorsAddr.String() }
 
 // IsReady reports whether the balancer should send requests here.
 func (n *Node) IsReady() bool { return ask(n, func(c *core.Core) bool { return c.IsReady() }) }
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -41,8 +41,8 @@
 }
 
 const (
-	rounds     = 5
-	roundPause = 500 * time.Millisecond
+	maxRounds  = 5
+	retryDelay = 500 * time.Millisecond
 )
 
 // NewClient returns a client for the operators' addresses of some nodes.
@@ -54,107 +54,107 @@
 }
 
 // Submit submits a job.
-func (c *Client) Submit(ctx context.Context, r *SubmitRequest) (*SubmitReply, error) {
-	out := &SubmitReply{}
-	return out, c.do(ctx, http.MethodPost, "/v1/jobs", r, out)
+func (c *Client) Submit(ctx context.Context, request *SubmitRequest) (*SubmitReply, error) {
+	result := &SubmitReply{}
+	return result, c.doWithRetries(ctx, http.MethodPost, "/v1/jobs", request, result)
 }
 
 // Jobs lists the jobs.
 func (c *Client) Jobs(ctx context.Context) ([]Job, error) {
-	out := []Job{}
-	return out, c.do(ctx, http.MethodGet, "/v1/jobs", nil, &out)
+	result := []Job{}
+	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/jobs", nil, &result)
 }
 
 // Job returns one job.
 func (c *Client) Job(ctx context.Context, id string) (*Job, error) {
-	out := &Job{}
-	return out, c.do(ctx, http.MethodGet, "/v1/jobs/"+id, nil, out)
+	result := &Job{}
+	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/jobs/"+id, nil, result)
 }
 
 // Cancel cancels jobs.
 func (c *Client) Cancel(ctx context.Context, ids []string) (*CancelReply, error) {
-	out := &CancelReply{}
-	return out, c.do(ctx, http.MethodPost, "/v1/cancel", CancelRequest{ids}, out)
+	result := &CancelReply{}
+	return result, c.doWithRetries(ctx, http.MethodPost, "/v1/cancel", CancelRequest{ids}, result)
 }
 
 // Publish replaces a document. After a lost reply, sending it again may find
 // its own change in force: that is a success.
-func (c *Client) Publish(ctx context.Context, doc string, r *PublishRequest) (*Doc, error) {
-	out := &Doc{}
-	err := c.do(ctx, http.MethodPut, "/v1/docs/"+doc, r, out)
-	p := &ProblemError{}
-	if errors.As(err, &p) && p.IsConflict {
-		now, getErr := c.Doc(ctx, doc)
-		if getErr == nil && now.Version == r.Base+1 && now.Body == r.Body && now.Author == r.Author {
-			return now, nil
+func (c *Client) Publish(ctx context.Context, doc string, request *PublishRequest) (*Doc, error) {
+	result := &Doc{}
+	err := c.doWithRetries(ctx, http.MethodPut, "/v1/docs/"+doc, request, result)
+	problem := &ProblemError{}
+	if errors.As(err, &problem) && problem.IsConflict {
+		current, getErr := c.Doc(ctx, doc)
+		if getErr == nil && current.Version == request.Base+1 && current.Body == request.Body && current.Author == request.Author {
+			return current, nil
 		}
 	}
-	return out, err
+	return result, err
 }
 
 // Docs lists the documents in force.
 func (c *Client) Docs(ctx context.Context) ([]Doc, error) {
-	out := []Doc{}
-	return out, c.do(ctx, http.MethodGet, "/v1/docs", nil, &out)
+	result := []Doc{}
+	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/docs", nil, &result)
 }
 
 // Doc returns one document.
 func (c *Client) Doc(ctx context.Context, name string) (*Doc, error) {
-	out := &Doc{}
-	return out, c.do(ctx, http.MethodGet, "/v1/docs/"+name, nil, out)
+	result := &Doc{}
+	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/docs/"+name, nil, result)
 }
 
 // Nodes returns what every member says of itself.
 func (c *Client) Nodes(ctx context.Context) ([]Status, error) {
-	out := []Status{}
-	return out, c.do(ctx, http.MethodGet, "/v1/nodes", nil, &out)
+	result := []Status{}
+	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/nodes", nil, &result)
 }
 
 // Retire says that a node's process has ended and does not come back.
 func (c *Client) Retire(ctx context.Context, node string) error {
-	return c.do(ctx, http.MethodPost, "/v1/retire", RetireRequest{node}, &RetireRequest{})
+	return c.doWithRetries(ctx, http.MethodPost, "/v1/retire", RetireRequest{node}, &RetireRequest{})
 }
 
 // Workers lists the workers as their owners see them.
 func (c *Client) Workers(ctx context.Context) ([]Worker, error) {
-	out := []Worker{}
-	return out, c.do(ctx, http.MethodGet, "/v1/workers", nil, &out)
+	result := []Worker{}
+	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/workers", nil, &result)
 }
 
 // do tries the nodes in turn. A refusal that another node would give as well
 // ends it; what may pass is tried again.
-func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
-	body, err := json.Marshal(in)
+func (c *Client) doWithRetries(ctx context.Context, method, path string, request, result any) error {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return fmt.Errorf("operator: %w", err)
 	}
-	var last error
-	for round := range rounds {
+	var lastErr error
+	for attempt := range maxRounds {
 		for _, node := range c.nodes {
-			last = c.try(ctx, method, node, path, body, out)
-			if last == nil || isFinal(last) || ctx.Err() != nil {
-				return last
+			lastErr = c.tryNode(ctx, method, node, path, body, result)
+			if lastErr == nil || isPermanent(lastErr) || ctx.Err() != nil {
+				return lastErr
 			}
-			c.progress(fmt.Sprintf("%s: %v", node, last))
+			c.progress(fmt.Sprintf("%s: %v", node, lastErr))
 		}
-		if round == rounds-1 {
+		if attempt == maxRounds-1 {
 			break
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(roundPause):
+		case <-time.After(retryDelay):
 		}
 	}
-	return last
+	return lastErr
 }
 
-func isFinal(err error) bool {
-	p := &ProblemError{}
-	return errors.As(err, &p) && p.Status < http.StatusInternalServerError
+func isPermanent(err error) bool {
+	problem := &ProblemError{}
+	return errors.As(err, &problem) && problem.Status < http.StatusInternalServerError
 }
 
-func (c *Client) try(ctx context.Context, method, node, path string, body []byte, out any) error {
+func (c *Client) tryNode(ctx context.Context, method, node, path string, body []byte, result any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("operator: %w", err)
@@ -165,14 +165,14 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		p := &ProblemError{Status: res.StatusCode}
-		if err := json.NewDecoder(io.LimitReader(res.Body, maxBody)).Decode(&p.Problem); err != nil {
-			p.Title = res.Status
-			p.Verdict = leverdyke.VerdictMayHaveRun
+		problem := &ProblemError{Status: res.StatusCode}
+		if err := json.NewDecoder(io.LimitReader(res.Body, maxBodyBytes)).Decode(&problem.Problem); err != nil {
+			problem.Title = res.Status
+			problem.Verdict = leverdyke.VerdictMayHaveRun
 		}
-		return p
+		return problem
 	}
-	if err := json.NewDecoder(io.LimitReader(res.Body, maxBody)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxBodyBytes)).Decode(result); err != nil {
 		return fmt.Errorf("operator: %w", err)
 	}
 	return nil
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -81,7 +81,7 @@
 	Final       map[leverdyke.TaskState]int `json:"final"`
 	Failures    int                         `json:"failures"`
 	Reason      string                      `json:"reason,omitempty"`
-	Home        string                      `json:"home"`
+	JobShard    string                      `json:"home"`
 	// Live is what the home's owner knows; nil when the job has ended or the
 	// owner did not answer.
 	Live *home.JobStatus `json:"live,omitempty"`
@@ -94,17 +94,17 @@
 	Zone        string `json:"zone"`
 	Incarnation uint64 `json:"incarnation"`
 	// Applied is the offset of the log that is in force at the node.
-	Applied   int64    `json:"applied"`
-	IsReady   bool     `json:"ready"`
-	IsLogOut  bool     `json:"log_out"`
-	IsJoined  bool     `json:"joined"`
-	Racks     []string `json:"racks"`
-	Homes     []string `json:"homes"`
-	Running   int      `json:"running"`
-	Waiting   int      `json:"waiting_jobs"`
-	Suspects  []string `json:"suspects"`
-	Requests  int      `json:"requests_in_progress"`
-	Operators string   `json:"operators"`
+	Applied          int64    `json:"applied"`
+	IsReady          bool     `json:"ready"`
+	IsLogUnavailable bool     `json:"log_out"`
+	IsJoined         bool     `json:"joined"`
+	Racks            []string `json:"racks"`
+	JobShards        []string `json:"homes"`
+	Running          int      `json:"running"`
+	Waiting          int      `json:"waiting_jobs"`
+	Suspects         []string `json:"suspects"`
+	Requests         int      `json:"requests_in_progress"`
+	Operators        string   `json:"operators"`
 	// Problem is set in place of all else when the node did not answer.
 	Problem string `json:"problem,omitempty"`
 }
--- a/internal/standin/cell.go
+++ b/internal/standin/cell.go
@@ -278,7 +278,7 @@
 		haveRacks, haveHomes := 0, 0
 		for _, n := range nodes {
 			haveRacks += len(n.Racks)
-			haveHomes += len(n.Homes)
+			haveHomes += len(n.JobShards)
 		}
 		return haveRacks >= racks && haveHomes >= homes
 	})
