--- a/internal/clock/service.go
+++ b/internal/clock/service.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package clock is the timer service: the one place that reads the time.
+// Package clock provides the time and timers. All other code reads the time through a
+// Service, so that tests can replace it by a Fake.
 package clock
 
 import (
@@ -9,32 +10,35 @@
 	"time"
 )
 
-// Service tells the time and wakes its subscribers. Implementations are safe
-// for concurrent use.
+// Service provides the current time, tickers and timers. Implementations are safe for
+// concurrent use.
 type Service interface {
-	// Now returns the time with a monotonic reading that counts the time for which the
-	// machine was suspended; only differences count.
+	// Now returns a time with a monotonic reading that includes the time during which the
+	// machine was suspended. Only the difference of two such times has a meaning.
 	Now() time.Time
-	// TimeOfDay returns the time of day, which may be set and differs between machines.
+	// TimeOfDay returns the wall clock time. It jumps when somebody sets the clock, and it
+	// differs between machines.
 	TimeOfDay() time.Time
-	// Subscribe returns a channel that receives a tick about every period,
-	// which must be positive, and a function that ends the subscription. A
-	// subscriber that is late misses ticks; it never finds two waiting.
+	// Subscribe returns a channel that receives a tick about every period, and a function
+	// that ends the subscription. The period must be positive. The channel buffers one
+	// tick; further ticks are dropped until the subscriber has received it.
 	Subscribe(period time.Duration) (<-chan time.Time, func())
-	// After returns a channel that receives once when d has passed.
+	// After returns a channel that receives one tick after d has passed.
 	After(d time.Duration) <-chan time.Time
 }
 
-// Real is the machine's clock. Its zero value works.
+// Real is the machine's clock. The zero value is ready to use.
 type Real struct{}
 
-// Now returns the current time. After a suspension its time of day is ahead by as much.
+// Now returns the current time plus the total time during which the machine was suspended.
+// After a suspension the wall clock part of the result is therefore ahead of the machine's
+// time of day by that duration; use TimeOfDay for the time of day.
 func (Real) Now() time.Time { return time.Now().Add(processSuspension().Total()) }
 
-// TimeOfDay returns the machine's time of day.
+// TimeOfDay returns the machine's time of day, without a monotonic reading.
 func (Real) TimeOfDay() time.Time { return time.Now().Round(0) }
 
-// Subscribe returns a ticker's channel and its stop function.
+// Subscribe starts a ticker and returns its channel and its stop function.
 func (Real) Subscribe(period time.Duration) (<-chan time.Time, func()) {
 	t := time.NewTicker(period)
 	return t.C, t.Stop
@@ -43,24 +47,25 @@
 // After returns a timer's channel.
 func (Real) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// AfterFunc calls f in a goroutine of its own after d.
+// AfterFunc calls f in a new goroutine after d has passed. The function that it returns
+// cancels the call and reports whether it did so before the call began.
 func (Real) AfterFunc(d time.Duration, f func()) (stop func() bool) { return time.AfterFunc(d, f).Stop }
 
-// Shifted is the machine's clock with another time of day, for tests of nodes
-// whose clocks differ.
+// Shifted is the machine's clock with a constant offset added to its time of day. It
+// emulates machines whose clocks differ.
 type Shifted struct {
 	Real
-	// Offset is how far its time of day is ahead.
+	// Offset is added to every time that the clock returns.
 	Offset time.Duration
 }
 
-// Now returns the current time, shifted.
+// Now returns the current time plus the offset.
 func (s Shifted) Now() time.Time { return s.Real.Now().Add(s.Offset) }
 
-// TimeOfDay returns the machine's time of day, shifted.
+// TimeOfDay returns the machine's time of day plus the offset.
 func (s Shifted) TimeOfDay() time.Time { return s.Real.TimeOfDay().Add(s.Offset) }
 
-// Fake is a clock that moves only when it is told to.
+// Fake is a clock for tests whose time changes only when Advance is called.
 type Fake struct {
 	mu            sync.Mutex
 	now           time.Time
@@ -72,11 +77,12 @@
 	dueAt  time.Time
 	period time.Duration
 	ch     chan time.Time
-	// call is called in place of a tick; nil for a channel.
+	// callback is the function that AfterFunc registered. It is nil for a subscription
+	// that receives its ticks through ch.
 	callback func()
 }
 
-// NewFake returns a fake clock at an arbitrary fixed time.
+// NewFake returns a fake clock that starts at a fixed time, the first of January 2026.
 func NewFake() *Fake {
 	return &Fake{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), subscriptions: map[int]*fakeSubscription{}}
 }
@@ -91,18 +97,20 @@
 // TimeOfDay returns the fake time.
 func (f *Fake) TimeOfDay() time.Time { return f.Now() }
 
-// Subscribe returns a channel that Advance feeds.
+// Subscribe returns a channel to which Advance sends at most one tick each time that it is
+// called, when the period has passed since the last one.
 func (f *Fake) Subscribe(period time.Duration) (<-chan time.Time, func()) {
 	return f.add(period, period)
 }
 
-// After returns a channel that Advance feeds once.
+// After returns a channel to which Advance sends one tick when d has passed.
 func (f *Fake) After(d time.Duration) <-chan time.Time {
 	ch, _ := f.add(d, 0)
 	return ch
 }
 
-// AfterFunc has Advance call f once.
+// AfterFunc registers a function that Advance calls once when d has passed. The function
+// that it returns removes the registration and reports whether it was still there.
 func (f *Fake) AfterFunc(d time.Duration, callback func()) (stop func() bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,8 +126,9 @@
 	}
 }
 
-// Advance moves the time forward by d, feeds the channels and calls the functions
-// that are due.
+// Advance moves the time forward by d, sends a tick to each channel that is due and calls
+// each function that is due. It calls the functions after it has released its lock, so
+// they may use the clock.
 func (f *Fake) Advance(d time.Duration) {
 	for _, callback := range f.advance(d) {
 		callback()
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -12,34 +12,39 @@
 )
 
 const (
-	// samplePause is how often it is looked at most whether the machine was suspended: what
-	// is decided within that time of waking up may still go by the time before. Orders that
-	// are on their way as a machine stops are as old, and leave as late.
+	// sampleInterval is the shortest time between two checks for a suspension. A decision
+	// made within this time after the machine resumes may still use the time from before
+	// the suspension. That adds no new case: an order that was being sent when the machine
+	// was suspended is based on a time that is as old, and is sent as late.
 	sampleInterval = 5 * time.Millisecond
-	// shortest is the shortest suspension that counts. Machines are suspended for seconds;
-	// less than this is the time between two readings.
+	// minSuspension is the shortest difference that counts as a suspension. Machines are
+	// suspended for seconds; a smaller difference is the time that passes between reading
+	// one clock and reading the other.
 	minSuspension = 50 * time.Millisecond
-	// longestReading is the longest that the readings of both clocks may take together: a
-	// thread that loses the processor between them tells nothing.
+	// maxReadTime bounds the time that reading both clocks may take. If the thread loses the
+	// processor between the two readings, their difference says nothing about a suspension
+	// and the sample is discarded.
 	maxReadTime = time.Millisecond
 )
 
-// Suspension measures for how long this machine was suspended. The steady clock by which
-// the runtime measures does not count that time: an owner that wakes up after five seconds
-// would trust in what it last heard, though another node owns the shard by then. It is
-// safe for concurrent use.
+// Suspension measures for how long this machine was suspended. The monotonic clock of the
+// Go runtime does not include that time: an owner that was suspended for 5 s would
+// still act on what it received before, although another node owns the shard by then.
+// Suspension is safe for concurrent use.
 type Suspension struct {
-	// steady reads the clock that stands still meanwhile, boot the one that goes on; boot
-	// reports false where there is none.
+	// monotonic reads the clock that stops during a suspension, bootTime the one that keeps
+	// running. bootTime returns false on a machine that has no such clock.
 	monotonic func() time.Duration
 	bootTime  func() (time.Duration, bool)
 
-	// sampledAt is the steady clock at the last sample, total what was found: it only grows.
+	// sampledAt is the monotonic clock at the last sample, in nanoseconds. total is the
+	// suspended time found so far, in nanoseconds; it never decreases.
 	sampledAt atomic.Int64
 	total     atomic.Int64
 
 	mu sync.Mutex
-	// ahead is how far boot was ahead of steady at first; isSet that it was read.
+	// initialOffset is bootTime minus monotonic at the first valid sample. It is set once
+	// hasInitialOffset is true.
 	initialOffset    time.Duration
 	hasInitialOffset bool
 }
@@ -51,7 +56,8 @@
 	return s
 }
 
-// Total returns for how long the machine was suspended since the first reading.
+// Total returns for how long the machine was suspended since the first valid sample. It
+// takes a new sample if the last one is older than sampleInterval.
 func (s *Suspension) Total() time.Duration {
 	now := int64(s.monotonic())
 	if last := s.sampledAt.Load(); now-last >= int64(sampleInterval) && s.sampledAt.CompareAndSwap(last, now) {
@@ -77,20 +83,21 @@
 	}
 }
 
-// CountsSuspensions reports whether this machine has a clock that goes on while it is
-// suspended.
+// DetectsSuspensions reports whether this machine has a clock that keeps running while the
+// machine is suspended. Without one, Total always returns 0.
 func DetectsSuspensions() bool {
 	_, ok := readBoot()
 	return ok
 }
 
-// process is that of this process, since it began.
+// processSuspension returns the Suspension of this process. Its first sample is taken at
+// the first call.
 var processSuspension = sync.OnceValue(func() *Suspension {
 	start := time.Now()
 	return NewSuspension(func() time.Duration { return time.Since(start) }, readBoot)
 })
 
-// readBoot reads the clock that goes on while the machine is suspended.
+// readBoot reads CLOCK_BOOTTIME, which keeps running while the machine is suspended.
 func readBoot() (time.Duration, bool) {
 	ts := unix.Timespec{}
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/internal/clock/suspension_test.go
+++ b/internal/clock/suspension_test.go
@@ -10,13 +10,13 @@
 	"github.com/leverdyke/leverdyke/internal/clock"
 )
 
-// machine has the two clocks of a machine that can be suspended.
+// machine emulates the two clocks of a machine that can be suspended.
 type machine struct {
 	monotonic, bootTime time.Duration
-	// hasNoBoot means that there is no clock that goes on, reading how long it takes to
-	// read it.
+	// hasNoBootTime means that the machine has no clock that runs during a suspension.
 	hasNoBootTime bool
-	readTime      time.Duration
+	// readTime is how long reading the boot time clock takes.
+	readTime time.Duration
 }
 
 func (m *machine) run(d time.Duration) { m.monotonic, m.bootTime = m.monotonic+d, m.bootTime+d }
@@ -40,8 +40,9 @@
 	}
 }
 
-// An owner trusts for three seconds in what it heard last. One that was suspended for five
-// measured none of them by the steady clock, and took itself for the owner beside another.
+// Guards against two owners of a shard. An owner acts for 3 s on what it heard last. If the
+// machine is suspended for 5 s and those are not counted, the owner resumes and
+// acts beside the node that has become the owner meanwhile.
 func TestSuspendedTimeIsCounted(t *testing.T) {
 	m := &machine{monotonic: time.Hour, bootTime: 3 * time.Hour}
 	s := m.newSuspension()
@@ -56,6 +57,9 @@
 	expectTotal(t, s, 7*time.Second)
 }
 
+// Reading both clocks takes longer than maxReadTime here, as when the thread loses the
+// processor between the two. The sample must be discarded; the next fast one finds the
+// suspension.
 func TestSlowReadingIsDiscarded(t *testing.T) {
 	m := &machine{}
 	s := m.newSuspension()
@@ -68,6 +72,8 @@
 	expectTotal(t, s, 5*time.Second)
 }
 
+// The total is added to the current time, so a boot time clock that falls back must not
+// make the time go backwards.
 func TestTotalNeverDecreases(t *testing.T) {
 	m := &machine{}
 	s := m.newSuspension()
