--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package codec is msgpack with the check that the library lacks: a length in
-// foreign bytes is not believed before the bytes are seen to be there.
+// Package codec encodes and decodes msgpack. It adds a check that the library lacks:
+// a length that received data claims is not used for an allocation before the data
+// is known to be that long.
 package codec
 
 import (
@@ -12,11 +13,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Marshal returns v as msgpack.
+// Marshal encodes v as msgpack, with structs as maps from field names to values.
 func Marshal(v any) ([]byte, error) {
 	buf := bytes.Buffer{}
 	e := msgpack.NewEncoder(&buf)
-	// Whole numbers take nine bytes each otherwise.
+	// Without this, each integer takes nine bytes, whatever its value.
 	e.UseCompactInts(true)
 	if err := e.Encode(v); err != nil {
 		return nil, fmt.Errorf("codec: %w", err)
@@ -24,8 +25,9 @@
 	return buf.Bytes(), nil
 }
 
-// MarshalCompact returns v as msgpack with structs as arrays, without the names
-// of their fields: for messages whose two ends are of one version.
+// MarshalCompact encodes v as msgpack with structs as arrays, without the names of
+// their fields. Use it only for messages whose sender and receiver run the same version,
+// because a field is identified by its position alone.
 func MarshalCompact(v any) ([]byte, error) {
 	buf := bytes.Buffer{}
 	e := msgpack.NewEncoder(&buf)
@@ -37,9 +39,10 @@
 	return buf.Bytes(), nil
 }
 
-// Unmarshal reads data into v. The library allocates an array by its claimed
-// length, so that nine bytes can ask for hundreds of gigabytes; walking over
-// the value first proves that each element has at least a byte.
+// Unmarshal decodes data into v. The library allocates an array of the length that
+// the data claims, so nine bytes could make it allocate hundreds of gigabytes.
+// Skipping over the whole value first proves that the data holds at least one byte
+// for each element.
 func Unmarshal(data []byte, v any) error {
 	if err := msgpack.NewDecoder(bytes.NewReader(data)).Skip(); err != nil {
 		return fmt.Errorf("codec: %w", err)
--- a/internal/codec/codec_test.go
+++ b/internal/codec/codec_test.go
@@ -9,6 +9,8 @@
 	"github.com/leverdyke/leverdyke/internal/codec"
 )
 
+// Guards against an allocation of a size that only the data claims: each input announces
+// far more elements or bytes than it holds, and must be rejected.
 func TestLengthsBeyondDataAreRejected(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"an array of four billion": {0xdd, 0xff, 0xff, 0xff, 0xff},
