--- a/internal/netcount/dial.go
+++ b/internal/netcount/dial.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package netcount counts the bytes of connections, headers and all, so that
-// what control costs is known apart from what callers' requests carry.
+// Package netcount counts the bytes that HTTP connections send and receive, headers
+// included, so that the cost of control traffic is measured separately from the traffic of
+// callers' requests.
 package netcount
 
 import (
@@ -14,12 +15,12 @@
 
 const dialTimeout = 2 * time.Second
 
-// Counter is told the bytes that were sent or received; it must be safe for
-// concurrent use.
+// Counter is called with the number of bytes sent or received by each read or write of a
+// connection. It must be safe for concurrent use.
 type Counter func(sent, received int)
 
-// Dial returns a dial function for an HTTP transport whose connections tell
-// count; nil means that nobody counts.
+// Dial returns a dial function for an HTTP transport. The connections that it opens report
+// their bytes to count; if count is nil, they are not counted.
 func Dial(count Counter) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -34,19 +35,20 @@
 	}
 }
 
+// countingConn is a connection that reports the bytes of each read and write to count.
 type countingConn struct {
 	net.Conn
 	count Counter
 }
 
-// Read reads and counts.
+// Read reads from the connection and reports the bytes received.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.count(0, n)
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and reports the bytes sent.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.count(n, 0)
