--- a/internal/listen/group.go
+++ b/internal/listen/group.go
@@ -12,11 +12,11 @@
 	"net/netip"
 )
 
-// maxServers is how many servers a Group takes: so many failures it can hold.
+// maxServers bounds the servers of a Group. It is also the capacity of the channel of
+// failures, so a server that fails never blocks on it.
 const maxServers = 8
 
-// Group is servers that run until they are closed. It is not safe for concurrent
-// use, but for Failed.
+// Group runs HTTP servers until they are closed. Only Failed is safe for concurrent use.
 type Group struct {
 	failed chan error
 	count  int
@@ -25,11 +25,13 @@
 // NewGroup returns a Group without servers.
 func NewGroup() *Group { return &Group{failed: make(chan error, maxServers)} }
 
-// Failed returns a channel that receives the error of a server that ended by
-// itself.
+// Failed returns a channel that receives the error of each server that stopped without
+// having been closed.
 func (g *Group) Failed() <-chan error { return g.failed }
 
-// Open lets a server listen at addr.
+// Open starts listening at addr and serves s in a new goroutine. Its error means that the
+// address cannot be listened at; a later failure is sent to the channel of Failed. It
+// panics if the group has maxServers servers already.
 func (g *Group) Open(s *http.Server, addr netip.AddrPort) error {
 	if g.count++; g.count > maxServers {
 		panic("listen: too many servers")
@@ -42,7 +44,7 @@
 	return nil
 }
 
-// run serves until the server is closed.
+// run serves until the server is closed or fails.
 func (g *Group) run(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		g.failed <- fmt.Errorf("listen: %s: %w", l.Addr(), err)
--- a/internal/listen/group_test.go
+++ b/internal/listen/group_test.go
@@ -12,6 +12,8 @@
 	"github.com/leverdyke/leverdyke/internal/listen"
 )
 
+// An address that is in use must be an error of Open itself, not one that only the channel
+// of Failed receives later.
 func TestOpenFailsOnAddressInUse(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -23,6 +25,8 @@
 	}
 }
 
+// Guards against an orderly shutdown that is reported as a failure: Serve returns
+// http.ErrServerClosed after Close, which is no error.
 func TestClosingServerReportsNoFailure(t *testing.T) {
 	g := listen.NewGroup()
 	s := &http.Server{}
