--- a/internal/document/decode.go
+++ b/internal/document/decode.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package document reads YAML files strictly: an unknown key, a wrong type or
-// a value out of range is an error that names the file, line and key and says
-// what is allowed.
+// Package document decodes YAML files strictly. An unknown key, a wrong type or a value
+// out of range is an error that names the file, the line and the key and says which
+// values are allowed.
 package document
 
 import (
@@ -16,18 +16,18 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// FieldError says what is wrong in a file.
+// FieldError is an error in the contents of a file, with its position.
 type FieldError struct {
 	File string
-	// Line counts from 1; 0 means that the whole file is meant.
+	// Line counts from 1; 0 means that the error concerns the whole file.
 	Line int
 	// Key is the path of the key, such as "each.memory_mib"; it may be empty.
 	Key string
-	// Problem says what is wrong, Allowed what would be right.
+	// Problem says what is wrong, Allowed which values are valid.
 	Problem, Allowed string
 }
 
-// Error returns the text of the error.
+// Error returns "file:line: key: problem (allowed: values)", without the empty parts.
 func (e *FieldError) Error() string {
 	text := e.File
 	if e.Line > 0 {
@@ -43,14 +43,15 @@
 	return text
 }
 
-// File is a decoded file, for checks that name their line.
+// File is a decoded file. Its syntax tree gives the lines of keys, so that a caller's own
+// checks can return errors with a line.
 type File struct {
 	name string
 	tree *ast.File
 }
 
-// Decode reads data into out, which must be a pointer to a struct with yaml
-// tags. The error is a *FieldError.
+// Decode decodes data into out, which must be a pointer to a struct with yaml tags. The
+// name stands for the file in errors, which are of type *FieldError.
 func Decode(name string, data []byte, out any) (*File, error) {
 	tree, err := parser.ParseBytes(data, 0)
 	if err != nil {
@@ -68,12 +69,14 @@
 	return &File{name: name, tree: tree}, nil
 }
 
-// Errorf returns an error at a key, such as "each.memory_mib".
+// Errorf returns a FieldError at a key, such as "each.memory_mib", with the line of the
+// key.
 func (f *File) Errorf(key, allowed, format string, args ...any) error {
 	return &FieldError{File: f.name, Line: f.line(key), Key: key, Problem: fmt.Sprintf(format, args...), Allowed: allowed}
 }
 
-// line finds the key or, where it is missing, the nearest one above it.
+// line returns the line of a key. If the file lacks the key, it returns the line of the
+// closest enclosing key that is there, or 1.
 func (f *File) line(key string) int {
 	for k := key; k != ""; {
 		path, err := yaml.PathString("$." + k)
@@ -91,6 +94,8 @@
 	return 1
 }
 
+// fromYAML turns an error of the YAML library into a FieldError. keys lists the known keys,
+// for an error about an unknown one.
 func fromYAML(name string, err error, keys string, data []byte) error {
 	e := &FieldError{File: name, Problem: firstLine(err.Error()), Allowed: "valid YAML"}
 	var yamlErr yaml.Error
@@ -100,7 +105,7 @@
 			e.Line = t.Position.Line
 			e.Key = t.Value
 			if t.Prev != nil && t.Prev.Prev != nil && t.Prev.Value == ":" {
-				// The token is the value: its key stands before the colon.
+				// The token is a value, preceded by the colon and the key.
 				e.Key = t.Prev.Prev.Value
 			}
 		}
@@ -121,8 +126,9 @@
 	return e
 }
 
-// locate finds the value that an error without a position quotes, such as a
-// duration's.
+// locate sets line and key of an error that the library returns without a position, such as
+// one about a duration. It takes the value that the message quotes and searches for the
+// first line whose value contains it.
 func (e *FieldError) locate(data []byte) {
 	_, afterQuote, ok := strings.Cut(e.Problem, `"`)
 	value, _, ok2 := strings.Cut(afterQuote, `"`)
--- a/internal/document/keys.go
+++ b/internal/document/keys.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// keysOf lists the keys of a struct and of the structs in it, as an error shows
-// them.
+// keysOf returns the keys of a struct and of its nested structs, sorted and separated by
+// commas, for the text of an error.
 func keysOf(out any) string {
 	keys := []string{}
 	appendKeys(reflect.TypeOf(out), &keys, 0)
@@ -18,8 +18,10 @@
 	return strings.Join(slices.Compact(keys), ", ")
 }
 
+// maxDepth bounds how deep keysOf follows nested structs, so that a recursive type ends.
 const maxDepth = 4
 
+// appendKeys appends the yaml keys of t, and of the types nested in it, to keys.
 func appendKeys(t reflect.Type, keys *[]string, depth int) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
