--- a/internal/metrics/jobs.go
+++ b/internal/metrics/jobs.go
@@ -13,8 +13,8 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// Jobs has the instruments of a node that serves jobs. It is safe for concurrent
-// use; a nil *Jobs takes everything and does nothing.
+// Jobs has the metrics instruments of a node that runs jobs. It is safe for concurrent use.
+// The recording methods of a nil *Jobs do nothing; Handler and Gauge need a Jobs.
 type Jobs struct {
 	handler    http.Handler
 	meter      metric.Meter
@@ -25,11 +25,11 @@
 	badRecords metric.Int64Counter
 }
 
-// latencies are the bounds of the latency histograms, in seconds: from a fast
-// answer in one zone to what no caller waits for.
+// latencyBuckets are the bucket bounds of the latency histograms, in seconds. They range
+// from a fast response within one zone, 1 ms, to a time that no caller waits for, 30 s.
 var latencyBuckets = metric.WithExplicitBucketBoundaries(.001, .002, .005, .01, .02, .05, .1, .2, .4, .7, 1, 2, 3, 5, 10, 30)
 
-// NewJobs returns the instruments, with an exporter of their own.
+// NewJobs returns new instruments with a separate Prometheus registry.
 func NewJobs() (*Jobs, error) {
 	meter, handler, err := newMeter()
 	if err != nil {
@@ -57,10 +57,11 @@
 	return j, nil
 }
 
-// Handler returns the handler to scrape.
+// Handler returns the HTTP handler that Prometheus scrapes.
 func (j *Jobs) Handler() http.Handler { return j.handler }
 
-// RequestAnswered notes a caller's request.
+// RequestAnswered records how long a caller's request took, by kind of request and HTTP
+// status.
 func (j *Jobs) RequestAnswered(what string, status int, took time.Duration) {
 	if j == nil {
 		return
@@ -69,7 +70,7 @@
 		metric.WithAttributes(attribute.String("what", what), attribute.Int("status", status)))
 }
 
-// OrderAnswered notes an order to a worker.
+// OrderAnswered records how long an order to a worker took, by kind and outcome.
 func (j *Jobs) OrderAnswered(kind, outcome string, took time.Duration) {
 	if j == nil {
 		return
@@ -78,7 +79,7 @@
 		metric.WithAttributes(attribute.String("kind", kind), attribute.String("outcome", outcome)))
 }
 
-// Appended notes an append to the store.
+// Appended records how long an append to the store took, by outcome.
 func (j *Jobs) Appended(outcome string, took time.Duration) {
 	if j == nil {
 		return
@@ -86,7 +87,8 @@
 	j.appends.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// BadRecord notes a record of another writer.
+// BadRecord counts a record of the store that cannot be relied on, such as one of another
+// writer.
 func (j *Jobs) BadRecord(topic string) {
 	if j == nil {
 		return
@@ -94,7 +96,8 @@
 	j.badRecords.Add(context.Background(), 1, metric.WithAttributes(attribute.String("topic", topic)))
 }
 
-// Gauge registers values that are read when they are scraped, by a label.
+// Gauge registers a gauge. At each scrape it calls values, which returns one value for each
+// value of the label.
 func (j *Jobs) Gauge(name, label string, values func() map[string]float64) error {
 	return registerGauge(j.meter, name, label, values)
 }
--- a/internal/metrics/meter.go
+++ b/internal/metrics/meter.go
@@ -16,8 +16,8 @@
 	sdk "go.opentelemetry.io/otel/sdk/metric"
 )
 
-// newMeter returns a meter with an exporter of its own, and the handler that
-// serves its figures as text.
+// newMeter returns a meter with a separate Prometheus registry, and the HTTP handler that
+// serves the registry in the Prometheus text format.
 func newMeter() (metric.Meter, http.Handler, error) {
 	registry := prometheus.NewRegistry()
 	reader, err := exporter.New(exporter.WithRegisterer(registry), exporter.WithoutScopeInfo())
@@ -28,7 +28,8 @@
 	return meter, promhttp.HandlerFor(registry, promhttp.HandlerOpts{}), nil
 }
 
-// registerGauge registers values that are read when they are scraped.
+// registerGauge registers a gauge that calls values at each scrape. The keys of the map that
+// values returns become the values of the label.
 func registerGauge(meter metric.Meter, name, label string, values func() map[string]float64) error {
 	_, err := meter.Float64ObservableGauge(name, metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
 		for k, v := range values() {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package metrics has the instruments of a node, by OpenTelemetry, and the
-// handler from which they are scraped.
+// Package metrics has the OpenTelemetry instruments of a node, and the HTTP handler from
+// which Prometheus scrapes them.
 package metrics
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/leverdyke/leverdyke"
 )
 
-// Set has the instruments. It is safe for concurrent use.
+// Set has the instruments of a node of leverdyked. It is safe for concurrent use.
 type Set struct {
 	handler      http.Handler
 	waitTime     metric.Float64Histogram
@@ -30,7 +30,7 @@
 	meter        metric.Meter
 }
 
-// Direction says which way control bytes went.
+// Direction says whether this node sent or received bytes of control traffic.
 type Direction string
 
 // The directions.
@@ -39,7 +39,7 @@
 	Received Direction = "received"
 )
 
-// NewSet returns the instruments, with an exporter of their own.
+// NewSet returns new instruments with a separate Prometheus registry.
 func NewSet() (*Set, error) {
 	meter, handler, err := newMeter()
 	if err != nil {
@@ -64,39 +64,41 @@
 	return s, nil
 }
 
-// Handler returns the handler to scrape.
+// Handler returns the HTTP handler that Prometheus scrapes.
 func (s *Set) Handler() http.Handler { return s.handler }
 
-// Waited notes how long a request or task of a class waited for its start.
+// Waited records how long a request or task waited before it started, by kind and class.
 func (s *Set) Waited(kind string, class leverdyke.Class, d time.Duration) {
 	s.waitTime.Record(context.Background(), d.Seconds(), metric.WithAttributes(attribute.String("kind", kind), attribute.String("class", string(class))))
 }
 
-// Decided notes how long a decision took.
+// Decided records how long one scheduling decision took.
 func (s *Set) Decided(d time.Duration) { s.decisionTime.Record(context.Background(), d.Seconds()) }
 
-// Refused counts a refusal by its verdict.
+// Refused counts a refused request, by verdict.
 func (s *Set) Refused(v leverdyke.Verdict) {
 	s.refusals.Add(context.Background(), 1, metric.WithAttributes(attribute.String("verdict", string(v))))
 }
 
-// Served counts a request that got its answer.
+// Served counts a request that was answered.
 func (s *Set) Served() { s.requests.Add(context.Background(), 1) }
 
-// Started counts a task's start.
+// Started counts the start of a task.
 func (s *Set) Started() { s.starts.Add(context.Background(), 1) }
 
-// Control counts bytes of control messages, not of callers' requests.
+// Control counts bytes of control traffic with a peer, by direction. Callers' requests are
+// not included.
 func (s *Set) Control(d Direction, peer string, n int) {
 	if n > 0 {
 		s.bytes.Add(context.Background(), int64(n), metric.WithAttributes(attribute.String("direction", string(d)), attribute.String("peer", peer)))
 	}
 }
 
-// OwnerChanged counts a shard that came or went.
+// OwnerChanged counts a shard that this node began or ceased to own.
 func (s *Set) OwnerChanged() { s.ownerChanges.Add(context.Background(), 1) }
 
-// Gauge registers a value that is read when it is scraped.
+// Gauge registers a gauge. At each scrape it calls values, which returns one value for each
+// value of the label.
 func (s *Set) Gauge(name, label string, values func() map[string]float64) error {
 	return registerGauge(s.meter, name, label, values)
 }
