--- a/internal/report/line.go
+++ b/internal/report/line.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package report tells from the logs of nodes where the time of jobs went.
+// Package report reads the logs of nodes and computes from their events how much time jobs
+// spent in each stage, from their submission to their end.
 package report
 
 import (
@@ -10,11 +11,11 @@
 	"time"
 )
 
-// fields are the values of a line of the log by their names.
+// logFields has the values of a log line by their keys.
 type logFields map[string]string
 
-// parseLine returns the values of a structured line, or nil when it is none.
-// Values are quoted as Go quotes strings, or bare up to the next blank.
+// parseLine returns the keys and values of the log line of an event, or nil for any other
+// line. A value is either a quoted Go string or extends to the next space.
 func parseLine(line string) logFields {
 	_, rest, ok := strings.Cut(line, ` event="LD`)
 	if !ok {
@@ -42,7 +43,8 @@
 	return parsed
 }
 
-// duration returns a value that is a duration; 0 when it is none.
+// duration returns the value of a key as a duration, or 0 if it is missing or not a
+// duration.
 func (fields logFields) duration(name string) time.Duration {
 	d, err := time.ParseDuration(fields[name])
 	if err != nil {
@@ -51,7 +53,8 @@
 	return d
 }
 
-// jobOf returns the job that a step or task belongs to.
+// jobOf returns the ID of the job to which a step or task belongs: the part of its ID before
+// the first dot.
 func jobOf(id string) string {
 	job, _, _ := strings.Cut(id, ".")
 	return job
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -16,7 +16,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The events that are read; docs/EVENTS.md has them all.
+// The numbers of the events that the report uses; docs/EVENTS.md lists all events.
 const (
 	eventJobAccepted         = "LD0422"
 	eventTasksPlaced         = "LD0450"
@@ -26,20 +26,21 @@
 	eventSpeculativeCopy     = "LD0464"
 )
 
-// job is what the lines tell of a job.
+// job is what the log lines say about a job.
 type job struct {
 	id, queue, state string
-	// accept is the time from its arrival at the owner to its acceptance, took that
-	// from there to its end.
+	// acceptTime is the time from the arrival of the job at the owner to its acceptance,
+	// timeToEnd the time from its acceptance to its end.
 	acceptTime, timeToEnd time.Duration
-	// waits has, by step, how long its first tasks waited for a place.
+	// waits has, by step, how long the first tasks of the step waited until they were placed
+	// on a worker.
 	waits map[string]time.Duration
-	// failed, doubtful and copies count attempts that failed, orders without an
-	// answer, and copies.
+	// failed counts attempts that failed, unacknowledged orders to start that were not
+	// answered, speculativeCopies second attempts started beside a slow or silent one.
 	failed, unacknowledged, speculativeCopies int
 }
 
-// waited returns the time that the steps waited in all.
+// waited returns the sum of the waiting times of the steps.
 func (j *job) waited() time.Duration {
 	sum := time.Duration(0)
 	for _, d := range j.waits {
@@ -48,17 +49,19 @@
 	return sum
 }
 
-// Report gathers the lines of nodes. The zero value works.
+// Report collects the events of the logs of any number of nodes. The zero value is empty
+// and ready to use.
 type Report struct {
 	jobs map[string]*job
 	// lines counts the structured lines that were read.
 	lines int
 }
 
-// maxLineBytes is the longest line that is read; a node's are shorter.
+// maxLineBytes is the longest line that Read accepts; nodes write shorter lines.
 const maxLineBytes = 1 << 20
 
-// Read takes the lines of a log; lines of other forms are passed over.
+// Read adds the events of a log to the report. It skips lines that are not log lines of
+// events.
 func (r *Report) Read(log io.Reader) error {
 	s := bufio.NewScanner(log)
 	s.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -74,6 +77,7 @@
 	return nil
 }
 
+// record adds what the line of an event says to its job.
 func (r *Report) record(fields logFields) {
 	switch fields["event"] {
 	case eventJobAccepted:
@@ -98,6 +102,7 @@
 	}
 }
 
+// job returns the job with the ID, and creates it if no line has named it yet.
 func (r *Report) job(id string) *job {
 	if r.jobs == nil {
 		r.jobs = map[string]*job{}
@@ -110,12 +115,13 @@
 	return j
 }
 
-// complete returns the jobs whose acceptance and end were read.
+// complete returns the jobs of which both the acceptance and the end were read.
 func (r *Report) complete() []*job {
 	return slices.DeleteFunc(slices.Collect(maps.Values(r.jobs)), func(j *job) bool { return j.queue == "" || j.state == "" })
 }
 
-// Write writes the tables: by queue where the time went, and the slowest jobs.
+// Write writes two tables: the time that jobs spent in each stage, by queue, and the
+// slowest jobs.
 func (r *Report) Write(w io.Writer, slowest int) error {
 	jobs := r.complete()
 	fmt.Fprintf(w, "%d lines, %d jobs, %d of them from their acceptance to their end\n\n", r.lines, len(r.jobs), len(jobs))
@@ -126,7 +132,7 @@
 	return writeSlowest(w, jobs, slowest)
 }
 
-// newTable returns a writer of aligned columns.
+// newTable returns a writer that aligns columns separated by tabs.
 func newTable(w io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 }
@@ -164,7 +170,7 @@
 	return nil
 }
 
-// hop is a part of the time of a job.
+// stage is a part of the time that a job takes from its submission to its end.
 type stage struct {
 	name     string
 	duration func(j *job) time.Duration
@@ -177,7 +183,8 @@
 	{"all", func(j *job) time.Duration { return j.acceptTime + j.timeToEnd }},
 }
 
-// Bounds of a histogram, in microseconds, and its digits.
+// The largest value of a histogram, in microseconds, and the number of significant digits
+// with which it stores values.
 const (
 	maxMicros         = int64(24 * time.Hour / time.Microsecond)
 	significantDigits = 3
@@ -186,7 +193,8 @@
 func writeStage(w io.Writer, queue string, s stage, jobs []*job) {
 	histogram := hdrhistogram.New(1, maxMicros, significantDigits)
 	for _, j := range jobs {
-		// Above a day, and below a microsecond, the nearest bound is as good.
+		// The histogram cannot hold values below 1 µs or above a day; they are counted at the
+		// nearest bound.
 		_ = histogram.RecordValue(min(max(s.duration(j).Microseconds(), 1), maxMicros))
 	}
 	quantile := func(p float64) time.Duration {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -22,6 +22,9 @@
 not a line of a node, event="LD
 `
 
+// The log has two placements of one step, of which only the first counts, an attempt that
+// failed and one that was stopped, quoted values with an equals sign and with quotes, a job
+// without an end, and a line that is cut off.
 func TestReportSplitsJobTimeByStage(t *testing.T) {
 	r := &report.Report{}
 	if err := r.Read(strings.NewReader(testLog)); err != nil {
@@ -56,6 +59,7 @@
 	}
 }
 
+// FuzzRead checks that no input makes Read panic.
 func FuzzRead(f *testing.F) {
 	f.Add(testLog)
 	f.Add(`x event="LD0422" job="`)
