--- a/internal/events/bench_test.go
+++ b/internal/events/bench_test.go
@@ -13,7 +13,8 @@
 	"github.com/leverdyke/leverdyke/internal/events"
 )
 
-// BenchmarkDecisionLine is what the log line of a decision costs.
+// BenchmarkDecisionLine measures the time and allocations of the log line that is written
+// for each scheduling decision.
 func BenchmarkDecisionLine(b *testing.B) {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
--- a/internal/events/catalogue.go
+++ b/internal/events/catalogue.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package events has the numbered events that the programs log. The catalogue
-// for operators is docs/EVENTS.md; a test compares the two.
+// Package events has the numbered events that the programs log, and the queue through which
+// log lines are written. docs/EVENTS.md lists the events for operators; a test checks that
+// it has the same numbers, levels and texts.
 package events
 
 import (
@@ -11,16 +12,18 @@
 	"k8s.io/klog/v2"
 )
 
-// Event is a kind of event with its number, which is never used again.
+// Event is a kind of event.
 type Event struct {
+	// Number identifies the event in logs and alerts. The number of an event that is no
+	// longer logged is not given to another one.
 	Number int
-	// Name is a short text; it is the log line's message.
+	// Name is a short text, which is the message of the log line.
 	Name string
-	// Level is how grave it is.
+	// Level is the severity of the event.
 	Level Level
 }
 
-// Level is how grave an event is.
+// Level is the severity of an event.
 type Level string
 
 // The levels.
@@ -30,7 +33,9 @@
 	LevelError   Level = "error"
 )
 
-// The events, by the hundreds of their parts.
+// The events. The hundreds of a number name the part of the program: 100 the node and its
+// peers, 200 the log and the store, 300 ownership and configuration, 400 tasks, jobs,
+// requests and workers.
 var (
 	NodeStarted      = add(100, "node started", LevelInfo)
 	NodeJoined       = add(101, "node joined the cell", LevelInfo)
@@ -134,18 +139,21 @@
 	VMListRecovered        = add(311, "list of VMs answers again", LevelInfo)
 )
 
+// catalogue has every event that add has created.
 var catalogue []Event
 
+// add creates an event and adds it to the catalogue.
 func add(number int, name string, level Level) Event {
 	e := Event{number, name, level}
 	catalogue = append(catalogue, e)
 	return e
 }
 
-// Catalogue returns all events, by number.
+// Catalogue returns a copy of the list of all events, in the order of their declaration.
 func Catalogue() []Event { return append([]Event{}, catalogue...) }
 
-// Log writes an event with its keys and values.
+// Log writes an event to the log, with its number as the key "event" and then the given keys
+// and values, which alternate.
 func Log(e Event, keysAndValues ...any) {
 	fields := append([]any{"event", fmt.Sprintf("LD%04d", e.Number)}, keysAndValues...)
 	switch e.Level {
--- a/internal/events/catalogue_test.go
+++ b/internal/events/catalogue_test.go
@@ -12,6 +12,8 @@
 	"github.com/leverdyke/leverdyke/internal/events"
 )
 
+// Guards against an event that is missing from docs/EVENTS.md or differs from it in level or
+// text, a documented event that no longer exists, and a number that is used twice.
 func TestDocumentedEventsMatchCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../../docs/EVENTS.md")
 	if err != nil {
--- a/internal/events/sink.go
+++ b/internal/events/sink.go
@@ -14,11 +14,11 @@
 	"github.com/leverdyke/leverdyke/internal/ring"
 )
 
-// sinkLines is how many lines may wait to be written.
+// sinkQueueLines is how many lines the queue holds that are not yet written.
 const sinkQueueLines = 4096
 
-// Sink writes the log from one goroutine. A line that finds the queue full is
-// dropped and counted: logging never holds up a decision.
+// Sink writes log lines from one goroutine. If its queue is full, a line is dropped and
+// counted, so that a slow log never delays a scheduling decision.
 type Sink struct {
 	out     io.Writer
 	lines   *ring.Ring[[]byte]
@@ -27,7 +27,7 @@
 	stopped chan struct{}
 }
 
-// NewSink makes klog write to out through a Sink.
+// NewSink starts a Sink that writes to out, and makes klog write to it.
 func NewSink(out io.Writer) (*Sink, error) {
 	s := &Sink{out: out, lines: ring.NewRing[[]byte](sinkQueueLines), done: make(chan struct{}), stopped: make(chan struct{})}
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
@@ -42,7 +42,8 @@
 	return s, nil
 }
 
-// Write queues a line. It never fails and never blocks.
+// Write queues a line, or drops it if the queue is full. It never blocks and always reports
+// success.
 func (s *Sink) Write(line []byte) (int, error) {
 	if !s.lines.TryPut(append([]byte{}, line...)) {
 		s.dropped.Add(1)
@@ -50,16 +51,18 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns how many lines were dropped since the start.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes what is queued and ends the goroutine.
+// Close writes the queued lines and stops the goroutine. It must be called once only.
 func (s *Sink) Close() {
 	klog.Flush()
 	close(s.done)
 	<-s.stopped
 }
 
+// run writes lines until Close is called. When the queue has become empty, it also logs
+// how many lines were dropped, if more were dropped since it last did so.
 func (s *Sink) run() {
 	defer close(s.stopped)
 	reported := int64(0)
@@ -78,6 +81,7 @@
 	}
 }
 
+// drain writes the lines that are still queued.
 func (s *Sink) drain() {
 	for {
 		select {
@@ -89,5 +93,5 @@
 	}
 }
 
-// write drops a line that cannot be written: there is nowhere else to tell it.
+// write writes a line. It ignores an error, because there is no other place to report it.
 func (s *Sink) write(line []byte) { _, _ = s.out.Write(line) }
