--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package settings reads a node's settings file.
+// Package settings reads the settings file of leverdyked.
 package settings
 
 import (
@@ -15,47 +15,54 @@
 	"github.com/leverdyke/leverdyke/internal/policy"
 )
 
-// Node is the settings of leverdyked. All durations are written like 30s.
+// Node is the settings of leverdyked. In the file, durations are written like 30s and
+// addresses as an IP number and a port.
 type Node struct {
-	// Link is where other nodes connect; it is also the node's name.
+	// Link is the address at which other nodes connect to this one. It is also the name of
+	// the node.
 	Link string `yaml:"link"`
-	// Callers and Operators are where requests and operators come in.
+	// Callers and Operators are the addresses at which this node listens for callers'
+	// requests and for operators.
 	Callers   string `yaml:"callers"`
 	Operators string `yaml:"operators"`
-	// Region and Zone say where this VM stands.
+	// Region and Zone are the location of this VM.
 	Region string `yaml:"region"`
 	Zone   string `yaml:"zone"`
-	// Peers are links to try before the log has told of any.
+	// Peers are the links of nodes to contact before the log has been read, which lists the
+	// members.
 	Peers []string `yaml:"peers"`
-	// Routes says for each link that this node reaches by another address,
-	// such as through address translation between regions, by which one.
+	// Routes maps the link of another node to the address at which this node reaches it, if
+	// that differs from the link, for example because of address translation between regions.
 	Routes map[string]string `yaml:"routes"`
-	// Log and VMList are the platform's services.
+	// Log and VMList are the addresses of the platform's log service and of its list of VMs.
 	Log    string `yaml:"log"`
 	VMList string `yaml:"vm_list"`
-	// AppendsPerSecond is this node's share of the log; 0 means 6.
+	// AppendsPerSecond limits the rate at which this node appends to the log, which all nodes
+	// share; 0 means 6.
 	AppendsPerSecond float64 `yaml:"appends_per_second"`
-	// Lease is how long a task lives without its owner; 0 means 20 s.
+	// Lease is how long a task keeps running on a worker that its owner does not reach; 0
+	// means 20 s.
 	Lease time.Duration `yaml:"lease"`
-	// Sync is how long a worker may hold a report without news; 0 means a
-	// third of the lease.
+	// Sync is the timeout of a long poll to a worker: how long the worker may delay its
+	// report while it has nothing new. 0 means a third of the lease.
 	Sync time.Duration `yaml:"sync"`
-	// SnapshotEvery is after how many batches a snapshot is written; 0 means
-	// 5000.
+	// SnapshotEvery is the number of batches of the log after which a snapshot is written; 0
+	// means 5000.
 	SnapshotEvery int64 `yaml:"snapshot_every"`
-	// MemoryLimitMiB bounds the heap; 0 means 24.
+	// MemoryLimitMiB is the soft memory limit of the Go runtime; 0 means 24.
 	MemoryLimitMiB int64 `yaml:"memory_limit_mib"`
-	// DrainWait is how long a stopping node is not ready before it closes its
-	// doors, so that the balancer notices; 0 means 1 s.
+	// DrainWait is how long a stopping node reports that it is not ready before it stops
+	// listening, so that the load balancer sends it no more requests; 0 means 1 s.
 	DrainWait time.Duration `yaml:"drain_wait"`
 	// MaxRequests bounds the callers' requests in progress; 0 means 1024.
 	MaxRequests int `yaml:"max_requests"`
-	// MaxTimeout bounds a request's time; 0 means 60 s.
+	// MaxTimeout bounds the timeout that a caller may ask for; 0 means 60 s.
 	MaxTimeout time.Duration `yaml:"max_timeout"`
 
+	// The addresses are the texts above, parsed.
 	LinkAddr, CallersAddr, OperatorsAddr, LogAddr, VMListAddr netip.AddrPort   `yaml:"-"`
 	PeerAddrs                                                 []netip.AddrPort `yaml:"-"`
-	// RouteAddrs is Routes; links that are not in it are dialled as they are.
+	// RouteAddrs is Routes, parsed. A link that is not in it is dialled at its own address.
 	RouteAddrs map[netip.AddrPort]netip.AddrPort `yaml:"-"`
 }
 
@@ -71,7 +78,7 @@
 	addrAllowed          = "an IP number and a port, such as 10.0.0.7:7101"
 )
 
-// Load reads a settings file. Its errors name the file, line and key.
+// Load reads a settings file. Its errors name the file, the line and the key.
 func Load(path string) (*Node, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -80,7 +87,8 @@
 	return Parse(path, data)
 }
 
-// Parse reads settings; name stands for the file in errors.
+// Parse reads settings from data and sets the defaults. The name stands for the file in
+// errors.
 func Parse(name string, data []byte) (*Node, error) {
 	node := &Node{}
 	f, err := document.Decode(name, data, node)
@@ -110,14 +118,14 @@
 	} {
 		addr, err := netip.ParseAddrPort(setting.text)
 		if err != nil {
-			return f.Errorf(setting.key, addrAllowed, "%q is missing or no address", setting.text)
+			return f.Errorf(setting.key, addrAllowed, "%q is missing or not an address", setting.text)
 		}
 		*setting.out = addr
 	}
 	for _, text := range node.Peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
-			return f.Errorf("peers", addrAllowed, "%q is no address", text)
+			return f.Errorf("peers", addrAllowed, "%q is not an address", text)
 		}
 		node.PeerAddrs = append(node.PeerAddrs, addr)
 	}
@@ -129,18 +137,18 @@
 	for _, link := range slices.Sorted(maps.Keys(node.Routes)) {
 		to, err := netip.ParseAddrPort(link)
 		if err != nil {
-			return f.Errorf("routes", addrAllowed, "%q is no address", link)
+			return f.Errorf("routes", addrAllowed, "%q is not an address", link)
 		}
 		via, err := netip.ParseAddrPort(node.Routes[link])
 		if err != nil {
-			return f.Errorf("routes", addrAllowed, "%q, for %s, is no address", node.Routes[link], link)
+			return f.Errorf("routes", addrAllowed, "%q, for %s, is not an address", node.Routes[link], link)
 		}
 		node.RouteAddrs[to] = via
 	}
 	return nil
 }
 
-// Route returns the address at which to dial the link of a node.
+// Route returns the address at which to dial the node that has the link.
 func (node *Node) Route(link netip.AddrPort) netip.AddrPort {
 	if via, ok := node.RouteAddrs[link]; ok {
 		return via
@@ -148,12 +156,14 @@
 	return link
 }
 
+// check returns an error for the first value out of range. A value of 0 is not checked,
+// because it stands for the default.
 func (node *Node) check(f *document.File) error {
 	if !policy.IsName(node.Region) {
-		return f.Errorf("region", "a name", "%q is missing or no name", node.Region)
+		return f.Errorf("region", "a name", "%q is missing or not a name", node.Region)
 	}
 	if !policy.IsName(node.Zone) {
-		return f.Errorf("zone", "a name", "%q is missing or no name", node.Zone)
+		return f.Errorf("zone", "a name", "%q is missing or not a name", node.Zone)
 	}
 	for _, limit := range []struct {
 		key      string
@@ -202,6 +212,7 @@
 	orDefault(&node.MaxTimeout, defaultMaxTimeout)
 }
 
+// orDefault sets v to the default value if it has the zero value.
 func orDefault[T comparable](v *T, defaultValue T) {
 	var zero T
 	if *v == zero {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -34,6 +34,7 @@
 	}
 }
 
+// A link with a route is dialled at the address of the route, any other link at its own.
 func TestRouteReplacesAddressOfLink(t *testing.T) {
 	node, err := settings.Parse("node.yaml", []byte(validSettings+"routes: {\"127.0.0.1:7201\": \"127.0.0.1:9999\"}\n"))
 	if err != nil {
@@ -46,6 +47,8 @@
 	}
 }
 
+// An operator must find the faulty place from the error alone: each kind of fault must
+// give the file, the line, the key and the values that are allowed.
 func TestErrorsNameFileLineKeyAndAllowedValues(t *testing.T) {
 	for name, test := range map[string]struct {
 		text, key string
