--- a/internal/command/exit.go
+++ b/internal/command/exit.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package command has what the command lines share: exit codes, signals and
-// the forms in which results are printed.
+// Package command has what the programs' command lines share: the exit codes and the formats
+// in which results are printed.
 package command
 
 import (
@@ -17,20 +17,21 @@
 
 // The exit codes of all programs.
 const (
+	// ExitOK means that the command succeeded.
 	ExitOK = 0
-	// ExitFailed means that the command failed and nothing was changed.
+	// ExitFailed means that the command failed and changed nothing.
 	ExitFailed = 1
-	// ExitInvalid means that the arguments or a file are at fault.
+	// ExitInvalid means that the arguments or the contents of a file are invalid.
 	ExitInvalid = 2
 	// ExitConflict means that another operator changed the document first.
 	ExitConflict = 3
-	// ExitUnknown means that the change may have taken effect.
+	// ExitOutcomeUnknown means that the change may have taken effect or not.
 	ExitOutcomeUnknown = 4
-	// ExitViolated means that something that must always hold did not.
+	// ExitInvariantViolated means that a test run found a violated invariant.
 	ExitInvariantViolated = 5
 )
 
-// Exit prints an error and ends the process with the code that it calls for.
+// Exit ends the process with the exit code of err. It prints err first, unless it is nil.
 func Exit(err error) {
 	if err == nil {
 		os.Exit(ExitOK)
@@ -39,7 +40,7 @@
 	os.Exit(ExitCode(err))
 }
 
-// CodeOf returns the exit code that an error calls for.
+// ExitCode returns the exit code for an error.
 func ExitCode(err error) int {
 	fieldErr := &document.FieldError{}
 	problem := &operator.ProblemError{}
@@ -62,20 +63,22 @@
 	return ExitFailed
 }
 
-// inputError is an error of an adapter that says that a file is at fault.
+// inputError is implemented by errors about the contents of a file. The packages that
+// return them do not import this one.
 type inputError interface {
 	error
-	// IsInput tells such errors from others by having it.
+	// IsInput does nothing; an error that has the method is one about a file.
 	IsInput()
 }
 
-// violationError is an error that says that something did not hold that always must.
+// violationError is implemented by errors that report a violated invariant.
 type violationError interface {
 	error
-	// IsViolation tells such errors from others by having it.
+	// IsViolation does nothing; an error that has the method reports a violated invariant.
 	IsViolation()
 }
 
+// problemCode returns the exit code for a request that a node has refused.
 func problemCode(p *operator.ProblemError) int {
 	switch {
 	case p.IsInvalid:
@@ -88,7 +91,7 @@
 	return ExitFailed
 }
 
-// UsageError means that the command line is at fault.
+// UsageError is an error in the arguments of a command line.
 type UsageError struct {
 	Text string
 }
--- a/internal/command/exit_test.go
+++ b/internal/command/exit_test.go
@@ -12,7 +12,7 @@
 	"github.com/leverdyke/leverdyke/internal/command"
 )
 
-// badFile is an error of an adapter about a file.
+// fileError is an error about a file, as other packages return it.
 type fileError struct{ error }
 
 func (fileError) IsInput() {}
--- a/internal/command/print.go
+++ b/internal/command/print.go
@@ -13,23 +13,23 @@
 	"github.com/goccy/go-yaml"
 )
 
-// Form is how a result is printed.
+// Format is the format in which a result is printed.
 type Format string
 
-// The forms.
+// The formats.
 const (
 	FormatTable Format = "table"
 	FormatJSON  Format = "json"
 	FormatYAML  Format = "yaml"
 )
 
-// Table is a result as rows of cells, under a head.
+// Table is a result as rows of cells, with a header.
 type Table struct {
 	Header []string
 	Rows   [][]string
 }
 
-// Print writes v, or the table in its place.
+// Print writes v as JSON or YAML or, for the table format, writes t.
 func Print(w io.Writer, format Format, v any, t Table) error {
 	switch format {
 	case FormatTable, "":
@@ -39,7 +39,7 @@
 		e.SetIndent("", "  ")
 		return e.Encode(v)
 	case FormatYAML:
-		// The YAML form has the same keys as the JSON form.
+		// Convert from JSON, so that the YAML has the same keys.
 		data, err := json.Marshal(v)
 		if err != nil {
 			return fmt.Errorf("command: %w", err)
@@ -51,7 +51,7 @@
 		_, err = w.Write(text)
 		return err
 	}
-	return &UsageError{fmt.Sprintf("--output: %q is no form (allowed: table, json, yaml)", format)}
+	return &UsageError{fmt.Sprintf("--output: %q is not a format (allowed: table, json, yaml)", format)}
 }
 
 func printTable(w io.Writer, t Table) error {
