--- a/internal/entry/operators.go
+++ b/internal/entry/operators.go
@@ -282,7 +282,7 @@
 	return notTaken(errs[0])
 }
 
-// Peers lists the operators' addresses of all members.
+// MemberAddresses lists the operators' addresses of all members.
 func (n *Node) MemberAddresses() []string {
 	return ask(n, func(c *core.Core) []string {
 		list := []string{}
@@ -296,7 +296,7 @@
 	})
 }
 
-// Self returns the node's own operators' address.
+// OwnAddress returns the node's own operators' address.
 func (n *Node) OwnAddress() string { return n.settings.OperatorsAddr.String() }
 
 // IsReady reports whether the balancer should send requests here.
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -16,9 +16,10 @@
 	"github.com/leverdyke/leverdyke"
 )
 
-// ProblemError is a node's refusal.
+// ProblemError is an error response of a node.
 type ProblemError struct {
 	Problem
+	// Status is the HTTP status of the response.
 	Status int
 }
 
@@ -31,21 +32,25 @@
 	return fmt.Sprintf("operator: %s (%s)", text, e.Verdict)
 }
 
-// Client asks the nodes of a cell, one after the other until one answers. Its
-// changes may be sent again: a submit by its ID, a publish by its base.
+// Client sends requests to the nodes of a cluster, one node after the other until one
+// answers. Requests that change something are idempotent, so it may send them again: a job
+// is identified by its ID, and a published document by its base version.
 type Client struct {
 	nodes  []string
 	client *http.Client
-	// progress is told what the client waits for; nil means nobody.
+	// progress is called with the reason why a node is skipped.
 	progress func(text string)
 }
 
+// The client tries all nodes up to maxRounds times, and waits for retryDelay in between.
 const (
 	maxRounds  = 5
 	retryDelay = 500 * time.Millisecond
 )
 
-// NewClient returns a client for the operators' addresses of some nodes.
+// NewClient returns a client that uses the given operators' addresses of nodes. The timeout
+// applies to each request to one node. progress is called with the reason each time that a
+// node is skipped; it may be nil.
 func NewClient(nodes []string, timeout time.Duration, progress func(text string)) *Client {
 	if progress == nil {
 		progress = func(string) {}
@@ -77,8 +82,9 @@
 	return result, c.doWithRetries(ctx, http.MethodPost, "/v1/cancel", CancelRequest{ids}, result)
 }
 
-// Publish replaces a document. After a lost reply, sending it again may find
-// its own change in force: that is a success.
+// Publish replaces a document. If a response was lost, the repeated request conflicts with
+// the change that the first one made. Publish recognizes its own change by version,
+// text and author, and returns it as a success.
 func (c *Client) Publish(ctx context.Context, doc string, request *PublishRequest) (*Doc, error) {
 	result := &Doc{}
 	err := c.doWithRetries(ctx, http.MethodPut, "/v1/docs/"+doc, request, result)
@@ -98,31 +104,31 @@
 	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/docs", nil, &result)
 }
 
-// Doc returns one document.
+// Doc returns one document, with its text.
 func (c *Client) Doc(ctx context.Context, name string) (*Doc, error) {
 	result := &Doc{}
 	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/docs/"+name, nil, result)
 }
 
-// Nodes returns what every member says of itself.
+// Nodes returns the status of every member of the cluster.
 func (c *Client) Nodes(ctx context.Context) ([]Status, error) {
 	result := []Status{}
 	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/nodes", nil, &result)
 }
 
-// Retire says that a node's process has ended and does not come back.
+// Retire states that the process of a node has ended and will not come back.
 func (c *Client) Retire(ctx context.Context, node string) error {
 	return c.doWithRetries(ctx, http.MethodPost, "/v1/retire", RetireRequest{node}, &RetireRequest{})
 }
 
-// Workers lists the workers as their owners see them.
+// Workers lists the workers, as the owners of their racks report them.
 func (c *Client) Workers(ctx context.Context) ([]Worker, error) {
 	result := []Worker{}
 	return result, c.doWithRetries(ctx, http.MethodGet, "/v1/workers", nil, &result)
 }
 
-// do tries the nodes in turn. A refusal that another node would give as well
-// ends it; what may pass is tried again.
+// doWithRetries sends a request to one node after the other until one succeeds. It returns
+// at once on an error that another node would return as well, and retries after any other.
 func (c *Client) doWithRetries(ctx context.Context, method, path string, request, result any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -149,11 +155,15 @@
 	return lastErr
 }
 
+// isPermanent reports whether an error is a response with a status below 500, which the
+// other nodes would give as well.
 func isPermanent(err error) bool {
 	problem := &ProblemError{}
 	return errors.As(err, &problem) && problem.Status < http.StatusInternalServerError
 }
 
+// tryNode sends a request to one node. If an error response cannot be decoded, its verdict
+// is that the request may have run.
 func (c *Client) tryNode(ctx context.Context, method, node, path string, body []byte, result any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+node+path, bytes.NewReader(body))
 	if err != nil {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -25,8 +25,8 @@
 	changeTimeout = 10 * time.Second
 )
 
-// Cluster is what the interface needs of a node. Its methods are safe for
-// concurrent use; their errors carry a verdict.
+// Cluster is what the API needs from the node that it runs on. Its methods are safe for
+// concurrent use. Their errors carry a verdict, which says whether the change was made.
 type Cluster interface {
 	Submit(ctx context.Context, r *SubmitRequest) (*SubmitReply, error)
 	Cancel(ctx context.Context, ids []string) (int, error)
@@ -34,19 +34,20 @@
 	Docs() []Doc
 	Doc(name string) *Doc
 	Jobs() []Job
-	// Job returns a job and the operators' address of its home's owner.
+	// Job returns a job, or nil if there is none, and the operators' address of the owner of
+	// its job shard, or "" if the owner is not known.
 	Job(id string) (*Job, string)
 	Status() Status
 	Workers() []Worker
-	// Retire records that a silent node's process has ended.
+	// Retire records that the process of a node that does not answer has ended.
 	Retire(ctx context.Context, node string) error
-	// Peers lists the operators' addresses of all members, this one's included.
+	// MemberAddresses lists the operators' addresses of all members, this node included.
 	MemberAddresses() []string
-	// OwnAddress is this node's own operators' address.
+	// OwnAddress returns the operators' address of this node.
 	OwnAddress() string
 }
 
-// Server offers a cell to operators.
+// Server is the HTTP API for operators.
 type Server struct {
 	cluster Cluster
 	mux     *http.ServeMux
@@ -142,7 +143,8 @@
 	writeJSON(w, doc)
 }
 
-// job returns a job; what its home knows is asked of the home's owner.
+// job returns a job. If this node does not own the job's shard, it fetches the state of the
+// tasks from the owner; if that fails, it returns the job without them.
 func (s *Server) job(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	job, owner := s.cluster.Job(id)
@@ -177,9 +179,13 @@
 	writeJSON(w, collectFromMembers(r.Context(), s, "/v1/workers", s.cluster.Workers(), func(string, error) []Worker { return nil }))
 }
 
+// isLocalOnly reports whether a request asks for what this node knows itself. Such requests
+// come from other nodes, and must not be sent on to further ones.
 func isLocalOnly(r *http.Request) bool { return r.URL.Query().Get("local") != "" }
 
-// gather asks all members for their part of a list, all at once.
+// collectFromMembers fetches the parts of a list from all members concurrently and joins
+// them. The part of this node is local; for a member that does not answer, onError returns
+// the part. If this node knows no members yet, the result is local alone.
 func collectFromMembers[T any](ctx context.Context, s *Server, path string, local []T, onError func(peer string, err error) []T) []T {
 	peers := s.cluster.MemberAddresses()
 	parts := make([][]T, len(peers))
@@ -206,6 +212,8 @@
 	return collected
 }
 
+// fetchLocal sends a GET request to another node for what that node knows itself, and
+// decodes the response into result.
 func fetchLocal(ctx context.Context, peer, path string, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -219,11 +227,13 @@
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("operator: status %d", res.StatusCode)
+		return fmt.Errorf("operator: the node answered with HTTP status %d", res.StatusCode)
 	}
 	return json.NewDecoder(io.LimitReader(res.Body, maxBodyBytes)).Decode(result)
 }
 
+// decodeRequest decodes the body of a request. If it cannot, it writes an error response and
+// returns false.
 func decodeRequest(w http.ResponseWriter, r *http.Request, request any) bool {
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -246,7 +256,8 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// answer writes what a change came to.
+// writeResult writes the response to a request for a change: the result, or the error with
+// its verdict.
 func writeResult(w http.ResponseWriter, result any, err error) {
 	if err == nil {
 		writeJSON(w, result)
--- a/internal/operator/types.go
+++ b/internal/operator/types.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package operator is the adapter for operators: the HTTP interface that a
-// node offers them, and the client that the command line uses.
+// Package operator has the HTTP API that a node offers to operators, and the client of that
+// API which the command line uses.
 package operator
 
 import (
@@ -13,38 +13,39 @@
 	"github.com/leverdyke/leverdyke/internal/rack"
 )
 
-// SubmitRequest asks for a job. The client makes the ID, so that a submit that
-// is sent again is the same job.
+// SubmitRequest submits a job. The client chooses the ID, so that a request that is sent
+// again does not create a second job.
 type SubmitRequest struct {
 	ID string `json:"id"`
-	// File names the job file in errors; Body is its text.
+	// File is the name of the job file, for errors; Body is its text.
 	File string `json:"file"`
 	Body string `json:"body"`
 }
 
-// SubmitReply says that a job is accepted: it is in the log.
+// SubmitReply acknowledges that a job is accepted, which means that it is in the log.
 type SubmitReply struct {
 	ID string `json:"id"`
-	// Offset is where the job stands in the log.
+	// Offset is the offset of the job's record in the log.
 	Offset int64 `json:"offset"`
 }
 
-// CancelRequest cancels jobs, all in one pass.
+// CancelRequest cancels jobs, with one append to the log for all of them.
 type CancelRequest struct {
 	IDs []string `json:"ids"`
 }
 
-// CancelReply says how many jobs were cancelled.
+// CancelReply has the number of jobs that were cancelled.
 type CancelReply struct {
 	Cancelled int `json:"cancelled"`
 }
 
-// RetireRequest says that a node's process has ended and does not come back.
+// RetireRequest states that the process of a node has ended and will not come back.
 type RetireRequest struct {
 	Node string `json:"node"`
 }
 
-// PublishRequest replaces a document whose version is still Base.
+// PublishRequest replaces a document, provided that its version in force is still Base. A
+// document that does not exist yet has the version 0.
 type PublishRequest struct {
 	Base   uint64 `json:"base"`
 	File   string `json:"file"`
@@ -52,7 +53,7 @@
 	Author string `json:"author"`
 }
 
-// Doc is a document as it is in force at the node that answers.
+// Doc is the version of a document that is in force at the node that answers.
 type Doc struct {
 	Name    string    `json:"name"`
 	Version uint64    `json:"version"`
@@ -63,7 +64,7 @@
 	History []Version `json:"history,omitempty"`
 }
 
-// Version is an earlier version of a document.
+// Version is the metadata of an earlier version of a document.
 type Version struct {
 	Version uint64    `json:"version"`
 	Offset  int64     `json:"offset"`
@@ -71,7 +72,8 @@
 	At      time.Time `json:"at"`
 }
 
-// Job is a job as the log knows it, with what its home adds.
+// Job is the state of a job according to the log, and what the owner of its job shard adds
+// to it.
 type Job struct {
 	Spec        leverdyke.JobSpec           `json:"spec"`
 	Offset      int64                       `json:"offset"`
@@ -82,18 +84,18 @@
 	Failures    int                         `json:"failures"`
 	Reason      string                      `json:"reason,omitempty"`
 	JobShard    string                      `json:"home"`
-	// Live is what the home's owner knows; nil when the job has ended or the
-	// owner did not answer.
+	// Live is the current state of the job's tasks, which only the owner of its job shard
+	// knows. It is nil if the job has ended or the owner did not answer.
 	Live *home.JobStatus `json:"live,omitempty"`
 }
 
-// Status is what a node says of itself.
+// Status is the state of a node as it reports it itself.
 type Status struct {
 	Node        string `json:"node"`
 	Region      string `json:"region"`
 	Zone        string `json:"zone"`
 	Incarnation uint64 `json:"incarnation"`
-	// Applied is the offset of the log that is in force at the node.
+	// Applied is the offset up to which the node has applied the log.
 	Applied          int64    `json:"applied"`
 	IsReady          bool     `json:"ready"`
 	IsLogUnavailable bool     `json:"log_out"`
@@ -105,20 +107,21 @@
 	Suspects         []string `json:"suspects"`
 	Requests         int      `json:"requests_in_progress"`
 	Operators        string   `json:"operators"`
-	// Problem is set in place of all else when the node did not answer.
+	// Problem says why the node's status could not be fetched. Only it and Operators are set
+	// then.
 	Problem string `json:"problem,omitempty"`
 }
 
-// Worker is a worker as its owner sees it.
+// Worker is the state of a worker according to the owner of its rack.
 type Worker = rack.WorkerStatus
 
-// Problem is the body of an error.
+// Problem is the body of an error response.
 type Problem struct {
 	Title   string            `json:"title"`
 	Detail  string            `json:"detail"`
 	Verdict leverdyke.Verdict `json:"verdict"`
-	// IsConflict means that a document has changed since the base version.
+	// IsConflict means that the document has changed since the base version of the request.
 	IsConflict bool `json:"conflict,omitempty"`
-	// IsInvalid means that the file is at fault.
+	// IsInvalid means that the request or the file that it carries is invalid.
 	IsInvalid bool `json:"invalid,omitempty"`
 }
