--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -30,6 +30,7 @@
 	return out.String(), command.ExitCode(err)
 }
 
+// writeFile writes text to a temporary file and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file.yaml")
@@ -39,6 +40,7 @@
 	return path
 }
 
+// Guards against examples that no longer match the file formats.
 func TestExamplesAreValid(t *testing.T) {
 	for file, kind := range map[string]string{
 		"service.yaml": "job", "service-repeatable.yaml": "job", "all-at-once.yaml": "job", "office-head.yaml": "office/head",
@@ -51,6 +53,8 @@
 	}
 }
 
+// Invalid arguments and files must be found by the command itself, which exits with 2 before
+// it has sent a request to a node.
 func TestInvalidFilesAndArgumentsExitWith2BeforeAnyRequest(t *testing.T) {
 	sent := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -78,6 +82,8 @@
 	}
 }
 
+// Scripts rely on the exit code to decide whether to repeat a change, so each kind of
+// response must give its own.
 func TestExitCodesOfResponses(t *testing.T) {
 	for name, test := range map[string]struct {
 		status int
@@ -101,6 +107,8 @@
 	}
 }
 
+// The first node refuses connections. The command must get its result from the second one
+// and print it in each format.
 func TestClientTriesNextNodeWhenOneIsDown(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`[{"spec":{"id":"nightly","team":"t"},"final":{}}]`))
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -21,6 +21,7 @@
 	"github.com/leverdyke/leverdyke/internal/settings"
 )
 
+// baseUnset is the value of the flag --base when it is not given.
 const baseUnset = -1
 
 func (a *app) newTemplate() *cobra.Command {
@@ -30,7 +31,7 @@
 		Use: "publish NAME FILE", Short: "Publish a template", Args: checkArgs(cobra.ExactArgs(2)),
 		Example: "  leverdyke template publish nightly-reconciliation examples/template.yaml",
 	}
-	p.Flags().Int64Var(&base, "base", baseUnset, "the version that the change was based on; without it, the one now in force")
+	p.Flags().Int64Var(&base, "base", baseUnset, "the version on which the change is based; by default, the one in force now")
 	p.RunE = a.withClient(func(ctx context.Context, c *operator.Client, cmd *cobra.Command, args []string) error {
 		return a.publish(ctx, c, cmd, policy.TemplatePrefix+args[0], args[1], base)
 	})
@@ -39,14 +40,14 @@
 }
 
 func (a *app) newConfig() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Publish and show configuration, and see where it is in force"}
+	c := &cobra.Command{Use: "config", Short: "Publish and show configuration, and show which nodes have applied it"}
 	base := int64(baseUnset)
 	publish := &cobra.Command{
 		Use: "publish DOCUMENT FILE", Short: "Publish a document: office/NAME, team/NAME, template/NAME or drain/WORKER", Args: checkArgs(cobra.ExactArgs(2)),
-		Long:    "publish checks a document and replaces the one in force. The change names the\nversion that it was based on: if another operator was first, the exit code is 3\nand nothing changes. A new document has the base 0.",
+		Long:    "publish checks a document and replaces the version in force. The request names\nthe version on which the change is based: if another operator has replaced that\nversion, the exit code is 3 and nothing changes. A new document has the base 0.",
 		Example: "  leverdyke config publish team/filings team.yaml --base 3",
 	}
-	publish.Flags().Int64Var(&base, "base", baseUnset, "the version that the change was based on; without it, the one now in force")
+	publish.Flags().Int64Var(&base, "base", baseUnset, "the version on which the change is based; by default, the one in force now")
 	publish.RunE = a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, args []string) error {
 		return a.publish(ctx, client, cmd, args[0], args[1], base)
 	})
@@ -54,7 +55,7 @@
 	return c
 }
 
-// publish checks a file here, so that a bad one is never sent, and publishes it.
+// publish reads a document from a file and publishes it.
 func (a *app) publish(ctx context.Context, c *operator.Client, cmd *cobra.Command, doc, path string, base int64) error {
 	body, err := readFile(cmd, path)
 	if err != nil {
@@ -63,6 +64,8 @@
 	return a.publishBody(ctx, c, cmd, doc, path, body, base)
 }
 
+// publishBody checks a document before it sends it, so that an invalid one never reaches a
+// node, and publishes it. If base is baseUnset, it replaces the version now in force.
 func (a *app) publishBody(ctx context.Context, c *operator.Client, cmd *cobra.Command, doc, path, body string, base int64) error {
 	if err := policy.Check(doc, path, []byte(body)); err != nil {
 		return err
@@ -81,7 +84,8 @@
 	return a.print(cmd, out, docTable([]operator.Doc{*out}))
 }
 
-// currentVersion returns the version in force, or 0 if there is none yet.
+// currentVersion returns the version of a document that is in force, or 0 if the document
+// does not exist.
 func currentVersion(ctx context.Context, c *operator.Client, doc string) (uint64, error) {
 	document, err := c.Doc(ctx, doc)
 	p := &operator.ProblemError{}
@@ -94,6 +98,7 @@
 	return document.Version, nil
 }
 
+// docTable returns the documents as a table, without their texts.
 func docTable(docs []operator.Doc) command.Table {
 	t := command.Table{Header: []string{"DOCUMENT", "VERSION", "OFFSET", "AUTHOR", "AT"}}
 	for _, document := range docs {
@@ -128,7 +133,7 @@
 
 func (a *app) newConfigHistory() *cobra.Command {
 	return &cobra.Command{
-		Use: "history DOCUMENT", Short: "List the last versions of a document", Args: checkArgs(cobra.ExactArgs(1)),
+		Use: "history DOCUMENT", Short: "List the recent versions of a document", Args: checkArgs(cobra.ExactArgs(1)),
 		RunE: a.withClient(func(ctx context.Context, c *operator.Client, cmd *cobra.Command, args []string) error {
 			document, err := c.Doc(ctx, args[0])
 			if err != nil {
@@ -146,7 +151,7 @@
 
 func (a *app) newConfigStatus() *cobra.Command {
 	return &cobra.Command{
-		Use: "status", Short: "Show which offset of the log is in force at each node, and who is behind", Args: checkArgs(cobra.NoArgs),
+		Use: "status", Short: "Show up to which offset each node has applied the log, and how far it is behind", Args: checkArgs(cobra.NoArgs),
 		RunE: a.withClient(func(ctx context.Context, c *operator.Client, cmd *cobra.Command, _ []string) error {
 			nodes, err := c.Nodes(ctx)
 			if err != nil {
@@ -176,7 +181,7 @@
 func (a *app) newWorker() *cobra.Command {
 	w := &cobra.Command{Use: "worker", Short: "List, drain and undrain workers"}
 	list := &cobra.Command{
-		Use: "list", Short: "List the workers as the owners of their racks see them", Args: checkArgs(cobra.NoArgs),
+		Use: "list", Short: "List the workers, as the owners of their racks report them", Args: checkArgs(cobra.NoArgs),
 		RunE: a.withClient(func(ctx context.Context, c *operator.Client, cmd *cobra.Command, _ []string) error {
 			workers, err := c.Workers(ctx)
 			if err != nil {
@@ -190,11 +195,12 @@
 			return a.print(cmd, workers, t)
 		}),
 	}
-	w.AddCommand(list, a.newDrain("drain", "Give a worker nothing new; what runs there is finished", "drained: true\n"),
-		a.newDrain("undrain", "Give a worker new work again", "drained: false\n"))
+	w.AddCommand(list, a.newDrain("drain", "Start no new tasks on a worker; those that run there continue to their end", "drained: true\n"),
+		a.newDrain("undrain", "Start new tasks on a worker again", "drained: false\n"))
 	return w
 }
 
+// newDrain returns a command that publishes body as the drain document of a worker.
 func (a *app) newDrain(name, short, body string) *cobra.Command {
 	return &cobra.Command{
 		Use: name + " WORKER", Short: short, Args: checkArgs(cobra.ExactArgs(1)),
@@ -207,8 +213,8 @@
 func (a *app) newNode() *cobra.Command {
 	node := &cobra.Command{Use: "node", Short: "List nodes, and retire dead ones"}
 	node.AddCommand(&cobra.Command{
-		Use: "retire NODE", Short: "Say that a silent node's process has ended and does not come back", Args: checkArgs(cobra.ExactArgs(1)),
-		Long: "retire is for a node that died and whose VM neither comes back nor is shown as\ngone in the platform's list. Until it is known to have ended, the tasks of\nworkers that nobody reaches and that it owned wait. Be sure that its process has\nended: tasks may start a second time if it has not.",
+		Use: "retire NODE", Short: "Declare that the process of a node that does not answer has ended and will not come back", Args: checkArgs(cobra.ExactArgs(1)),
+		Long: "retire is for a node that failed and whose VM neither comes back nor is shown as\nremoved in the platform's list of VMs. Until the node's process is known to have\nended, the tasks on workers that it owned and that no node reaches have to wait.\nMake sure that the process has ended: if it has not, tasks may run twice.",
 		RunE: a.withClient(func(ctx context.Context, c *operator.Client, cmd *cobra.Command, args []string) error {
 			if err := c.Retire(ctx, args[0]); err != nil {
 				return err
@@ -217,7 +223,7 @@
 		}),
 	})
 	node.AddCommand(&cobra.Command{
-		Use: "list", Short: "List the nodes and what each owns", Args: checkArgs(cobra.NoArgs),
+		Use: "list", Short: "List the nodes and how many racks and job shards each owns", Args: checkArgs(cobra.NoArgs),
 		RunE: a.withClient(func(ctx context.Context, c *operator.Client, cmd *cobra.Command, _ []string) error {
 			nodes, err := c.Nodes(ctx)
 			if err != nil {
@@ -244,7 +250,7 @@
 	doc := ""
 	region := ""
 	c := &cobra.Command{
-		Use: "check FILE", Short: "Check a file offline: a job, or with --as a document or settings", Args: checkArgs(cobra.ExactArgs(1)),
+		Use: "check FILE", Short: "Check a file without sending it: a job, or with --as a document or settings", Args: checkArgs(cobra.ExactArgs(1)),
 		Example: "  leverdyke check examples/batch.yaml\n  leverdyke check team.yaml --as team/filings\n  leverdyke check node.yaml --as settings",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body, err := readFile(cmd, args[0])
@@ -263,6 +269,8 @@
 	return c
 }
 
+// checkOffline checks a file of the kind that doc names. It knows no templates, so a job that
+// uses one is invalid.
 func checkOffline(doc, path, body, region string) error {
 	switch doc {
 	case "job":
--- a/internal/cli/job.go
+++ b/internal/cli/job.go
@@ -21,6 +21,7 @@
 	"github.com/leverdyke/leverdyke/internal/operator"
 )
 
+// pollInterval is the time between two requests for the state of a job.
 const pollInterval = 300 * time.Millisecond
 
 func (a *app) newJob() *cobra.Command {
@@ -33,11 +34,11 @@
 	id := ""
 	wait := time.Duration(0)
 	c := &cobra.Command{
-		Use: "submit FILE", Short: "Submit a job; sent again with the same --id it is the same job", Args: checkArgs(cobra.ExactArgs(1)),
+		Use: "submit FILE", Short: "Submit a job; submitting it again with the same --id does not create a second one", Args: checkArgs(cobra.ExactArgs(1)),
 		Example: "  leverdyke job submit examples/batch.yaml\n  leverdyke job submit - --id nightly-2026-12-02 --wait 30s < job.yaml",
 	}
-	c.Flags().StringVar(&id, "id", "", "the job's name; without it, a new one is made")
-	c.Flags().DurationVar(&wait, "wait", 0, "wait until all tasks run or have ended, at most this long")
+	c.Flags().StringVar(&id, "id", "", "the ID of the job; without it, a new one is generated")
+	c.Flags().DurationVar(&wait, "wait", 0, "wait up to this long until all tasks run or have ended")
 	c.RunE = a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, args []string) error {
 		body, err := readFile(cmd, args[0])
 		if err != nil {
@@ -64,7 +65,8 @@
 	return c
 }
 
-// await shows progress until all of a job's tasks run or have ended.
+// waitForTasks polls a job until all its tasks run or have ended, and shows the number of
+// tasks in each state. After the time wait it returns an error.
 func (a *app) waitForTasks(ctx context.Context, client *operator.Client, cmd *cobra.Command, id string, wait time.Duration) error {
 	deadline := time.Now().Add(wait)
 	for {
@@ -87,6 +89,8 @@
 	}
 }
 
+// countTasks returns the number of tasks in each state. Without the current state of the
+// tasks, it counts those that have ended, which the log has.
 func countTasks(j *operator.Job) map[leverdyke.TaskState]int {
 	counts := map[leverdyke.TaskState]int{}
 	if j.Live == nil {
@@ -101,6 +105,7 @@
 	return counts
 }
 
+// formatCounts returns a text such as "running 3, waiting 1", or "-" if there are no tasks.
 func formatCounts(counts map[leverdyke.TaskState]int) string {
 	parts := []string{}
 	for s, n := range counts {
@@ -113,6 +118,7 @@
 	return strings.Join(parts, ", ")
 }
 
+// waitReason returns the reason why a job waits, failed or has nothing left to start.
 func waitReason(j *operator.Job) string {
 	switch {
 	case j.Reason != "":
@@ -122,7 +128,7 @@
 	case j.IsEnded:
 		return "it has ended"
 	case j.Live == nil:
-		return "the node that keeps it did not answer"
+		return "the node that owns the job did not answer"
 	case j.Live.Why == "":
 		return "all its tasks run or have ended"
 	}
@@ -135,7 +141,7 @@
 		Use: "list", Short: "List the jobs that have not ended", Args: checkArgs(cobra.NoArgs),
 		Example: "  leverdyke job list --all -o json",
 	}
-	c.Flags().BoolVar(&all, "all", false, "the ended ones too")
+	c.Flags().BoolVar(&all, "all", false, "also list jobs that have ended")
 	c.RunE = a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, _ []string) error {
 		jobs, err := client.Jobs(ctx)
 		if err != nil {
@@ -192,7 +198,7 @@
 
 func (a *app) newJobCancel() *cobra.Command {
 	return &cobra.Command{
-		Use: "cancel JOB...", Short: "Cancel jobs, many in one pass; - reads their names from standard input", Args: checkArgs(cobra.MinimumNArgs(1)),
+		Use: "cancel JOB...", Short: "Cancel jobs, with one request for all of them; - reads their IDs from standard input", Args: checkArgs(cobra.MinimumNArgs(1)),
 		Example: "  leverdyke job list -o json | jq -r '.[].spec.id' | leverdyke job cancel -",
 		RunE: a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, args []string) error {
 			if len(args) == 1 && args[0] == "-" {
@@ -210,7 +216,7 @@
 				return err
 			}
 			if out.Cancelled < len(args) {
-				return errors.New("cli: some of the jobs do not exist")
+				return errors.New("cli: fewer jobs were cancelled than requested: some of them do not exist")
 			}
 			return nil
 		}),
--- a/internal/cli/report.go
+++ b/internal/cli/report.go
@@ -13,14 +13,14 @@
 	"github.com/leverdyke/leverdyke/internal/report"
 )
 
-// defaultSlowest is how many of the slowest jobs are shown.
+// defaultSlowest is how many of the slowest jobs the report lists by default.
 const defaultSlowest = 10
 
-// newReport returns the command that reads nodes' logs.
+// newReport returns the command that reads the logs of nodes and reports how long jobs took.
 func newReport() *cobra.Command {
 	slowest := defaultSlowest
 	c := &cobra.Command{
-		Use: "report LOG...", Short: "Show from nodes' logs where the time of jobs went", Args: checkArgs(cobra.MinimumNArgs(1)),
+		Use: "report LOG...", Short: "Show from the logs of nodes how much time jobs spent in each stage", Args: checkArgs(cobra.MinimumNArgs(1)),
 		Example: "  leverdyke report node-*.log --slowest 20",
 		RunE: func(cmd *cobra.Command, files []string) error {
 			r := &report.Report{}
@@ -36,6 +36,7 @@
 	return c
 }
 
+// readLog adds the events of a log file to the report.
 func readLog(r *report.Report, file string) error {
 	f, err := os.Open(file)
 	if err != nil {
--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package cli is the command line of the operators' client.
+// Package cli has the commands of leverdyke, the command line client for operators.
 package cli
 
 import (
@@ -21,12 +21,13 @@
 )
 
 const (
+	// nodesVariable is the environment variable that replaces the flag --nodes.
 	nodesVariable  = "LEVERDYKE_NODES"
 	defaultTimeout = 15 * time.Second
 	maxFileBytes   = 1 << 20
 )
 
-// app is what all commands share.
+// app has the flags that all commands share.
 type app struct {
 	nodes   []string
 	output  string
@@ -35,19 +36,19 @@
 	root    *cobra.Command
 }
 
-// NewRoot returns the whole command line.
+// NewRoot returns the root command with all its subcommands.
 func NewRoot() *cobra.Command {
 	a := &app{}
 	a.root = &cobra.Command{
-		Use: "leverdyke", Short: "Drive a leverdyke cell", Version: leverdyke.Version,
+		Use: "leverdyke", Short: "Control a leverdyke cluster", Version: leverdyke.Version,
 		SilenceUsage: true, SilenceErrors: true,
 		Long: `leverdyke submits jobs, publishes templates and configuration, drains workers
-and shows what the cell does. It asks the nodes one after the other until one
-answers; changes may safely be sent again.
+and shows the state of the cluster. It tries the nodes one after the other until
+one answers. It is safe to repeat a change.
 
 Exit codes: 0 done, 1 failed and nothing changed, 2 the arguments or a file are
-at fault, 3 another operator changed the document first, 4 the change may have
-taken effect: look, or send it again.`,
+invalid, 3 another operator changed the document first, 4 the change may have
+taken effect: check whether it has, or send it again.`,
 		Example: `  export ` + nodesVariable + `=10.0.0.7:7103,10.0.0.8:7103
   leverdyke job submit job.yaml
   leverdyke job explain 0192f0c1-...
@@ -55,8 +56,8 @@
 	}
 	f := a.root.PersistentFlags()
 	f.StringSliceVarP(&a.nodes, "nodes", "n", nil, "operators' addresses of some nodes (also "+nodesVariable+")")
-	f.StringVarP(&a.output, "output", "o", string(command.FormatTable), "the form of results: table, json, yaml")
-	f.DurationVar(&a.timeout, "timeout", defaultTimeout, "how long one node may take")
+	f.StringVarP(&a.output, "output", "o", string(command.FormatTable), "the output format: table, json, yaml")
+	f.DurationVar(&a.timeout, "timeout", defaultTimeout, "timeout of a request to one node")
 	f.BoolVarP(&a.isQuiet, "quiet", "q", false, "show no progress")
 	a.root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return &command.UsageError{Text: err.Error()} })
 	a.root.AddCommand(a.newJob(), a.newTemplate(), a.newConfig(), a.newWorker(), a.newNode(), a.newCheck(), newReport(), newVersion())
@@ -70,7 +71,8 @@
 	}
 }
 
-// args is cobra's check of the number of arguments, as a usage error.
+// checkArgs turns the error of one of cobra's checks of the number of arguments into a
+// UsageError, so that the process ends with the exit code for invalid arguments.
 func checkArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := check(cmd, args); err != nil {
@@ -80,17 +82,18 @@
 	}
 }
 
+// client returns a client for the nodes of the flag --nodes or of the environment.
 func (a *app) client(cmd *cobra.Command) (*operator.Client, error) {
 	nodes := a.nodes
 	if len(nodes) == 0 && os.Getenv(nodesVariable) != "" {
 		nodes = strings.Split(os.Getenv(nodesVariable), ",")
 	}
 	if len(nodes) == 0 {
-		return nil, &command.UsageError{Text: "--nodes: is missing (allowed: IP numbers and ports of nodes' operators' doors, or " + nodesVariable + ")"}
+		return nil, &command.UsageError{Text: "--nodes: is missing (allowed: the IP numbers and ports at which nodes listen for operators, or " + nodesVariable + ")"}
 	}
 	for _, n := range nodes {
 		if _, err := netip.ParseAddrPort(n); err != nil {
-			return nil, &command.UsageError{Text: fmt.Sprintf("--nodes: %q is no address (allowed: an IP number and a port)", n)}
+			return nil, &command.UsageError{Text: fmt.Sprintf("--nodes: %q is not an address (allowed: an IP number and a port)", n)}
 		}
 	}
 	progress := func(text string) { fmt.Fprintln(cmd.ErrOrStderr(), "…", text) }
@@ -100,11 +103,13 @@
 	return operator.NewClient(nodes, a.timeout, progress), nil
 }
 
+// print writes a result in the format of the flag --output: t as a table, v otherwise.
 func (a *app) print(cmd *cobra.Command, v any, t command.Table) error {
 	return command.Print(cmd.OutOrStdout(), command.Format(a.output), v, t)
 }
 
-// run is the frame of a command that talks to the cell.
+// withClient returns the RunE function of a command that sends requests to the cluster. It
+// creates the client and calls f with it.
 func (a *app) withClient(f func(ctx context.Context, c *operator.Client, cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		c, err := a.client(cmd)
@@ -119,7 +124,7 @@
 	}
 }
 
-// readFile reads a file, or standard input for "-".
+// readFile reads a file, or standard input if path is "-".
 func readFile(cmd *cobra.Command, path string) (string, error) {
 	in := cmd.InOrStdin()
 	if path != "-" {
@@ -137,6 +142,7 @@
 	return string(data), nil
 }
 
+// author returns the name that is recorded with a published document.
 func author() string {
 	if u := os.Getenv("USER"); u != "" {
 		return u
