--- a/internal/entry/node.go
+++ b/internal/entry/node.go
@@ -192,8 +192,8 @@
 func (n *Node) Counted(sent, received int) { n.countControl("node", sent, received) }
 
 func (n *Node) countControl(peer string, sent, received int) {
-	n.metrics.Control(metrics.Sent, peer, sent)
-	n.metrics.Control(metrics.Received, peer, received)
+	n.metrics.ControlBytes(metrics.Sent, peer, sent)
+	n.metrics.ControlBytes(metrics.Received, peer, received)
 }
 
 // Closed reports when the node has been closed.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -86,9 +86,9 @@
 // Started counts the start of a task.
 func (s *Set) Started() { s.starts.Add(context.Background(), 1) }
 
-// Control counts bytes of control traffic with a peer, by direction. Callers' requests are
+// ControlBytes counts bytes of control traffic with a peer, by direction. Callers' requests are
 // not included.
-func (s *Set) Control(d Direction, peer string, n int) {
+func (s *Set) ControlBytes(d Direction, peer string, n int) {
 	if n > 0 {
 		s.bytes.Add(context.Background(), int64(n), metric.WithAttributes(attribute.String("direction", string(d)), attribute.String("peer", peer)))
 	}
