--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -265,7 +265,7 @@
 		},
 	}
 	c.Flags().StringVar(&doc, "as", "job", "job, settings, or a document's name such as team/filings")
-	c.Flags().StringVar(&region, "region", "r1", "the region of a job that names none")
+	c.Flags().StringVar(&region, "region", "r1", "the region of a job whose file names none")
 	return c
 }
 
--- a/internal/cli/job.go
+++ b/internal/cli/job.go
@@ -184,7 +184,7 @@
 
 func (a *app) newJobExplain() *cobra.Command {
 	return &cobra.Command{
-		Use: "explain JOB", Short: "Say why a job waits, or why it can never run", Args: checkArgs(cobra.ExactArgs(1)),
+		Use: "explain JOB", Short: "Show why a job waits, or why it can never run", Args: checkArgs(cobra.ExactArgs(1)),
 		RunE: a.withClient(func(ctx context.Context, client *operator.Client, cmd *cobra.Command, args []string) error {
 			j, err := client.Job(ctx, args[0])
 			if err != nil {
--- a/internal/clock/service.go
+++ b/internal/clock/service.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package clock provides the time and timers. All other code reads the time through a
-// Service, so that tests can replace it by a Fake.
+// Package clock provides the time and timers. Code whose decisions depend on the time reads
+// it through a Service, so that tests can replace it by a Fake.
 package clock
 
 import (
@@ -73,8 +73,10 @@
 	nextID        int
 }
 
+// fakeSubscription is a ticker, timer or function that waits for the fake time to advance.
 type fakeSubscription struct {
-	dueAt  time.Time
+	dueAt time.Time
+	// period is the time between two ticks; 0 means that there is only one.
 	period time.Duration
 	ch     chan time.Time
 	// callback is the function that AfterFunc registered. It is nil for a subscription
@@ -135,6 +137,7 @@
 	}
 }
 
+// advance moves the time, sends the ticks and returns the functions that are due.
 func (f *Fake) advance(d time.Duration) []func() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -162,6 +165,8 @@
 	return callbacks
 }
 
+// add registers a channel that is due after d and then after every period, or only once if
+// period is 0. The function that it returns ends the subscription.
 func (f *Fake) add(d, period time.Duration) (<-chan time.Time, func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -66,6 +66,8 @@
 	return time.Duration(s.total.Load())
 }
 
+// sample reads both clocks and updates the total. The first valid sample sets the initial
+// offset of the clocks; a sample that took too long is discarded.
 func (s *Suspension) sample() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/clock/suspension_test.go
+++ b/internal/clock/suspension_test.go
@@ -19,8 +19,10 @@
 	readTime time.Duration
 }
 
+// run lets time pass while the machine runs.
 func (m *machine) run(d time.Duration) { m.monotonic, m.bootTime = m.monotonic+d, m.bootTime+d }
 
+// suspend lets time pass while the machine is suspended.
 func (m *machine) suspend(d time.Duration) { m.bootTime += d }
 
 func (m *machine) readBoot() (time.Duration, bool) {
@@ -85,6 +87,8 @@
 	expectTotal(t, s, time.Second)
 }
 
+// On a machine without a clock that runs during a suspension, the total must stay 0 and
+// must not be computed from an invalid reading.
 func TestNothingIsCountedWithoutBootTimeClock(t *testing.T) {
 	m := &machine{hasNoBootTime: true}
 	s := m.newSuspension()
--- a/internal/document/decode.go
+++ b/internal/document/decode.go
@@ -58,7 +58,7 @@
 		return nil, fromYAML(name, err, "", data)
 	}
 	if len(tree.Docs) > 1 {
-		return nil, &FieldError{File: name, Problem: "has more than one document", Allowed: "one document a file"}
+		return nil, &FieldError{File: name, Problem: "has more than one document", Allowed: "one document per file"}
 	}
 	if len(strings.TrimSpace(string(data))) == 0 {
 		return nil, &FieldError{File: name, Problem: "is empty", Allowed: "a YAML mapping"}
@@ -138,7 +138,7 @@
 	for i, line := range strings.Split(string(data), "\n") {
 		key, text, ok := strings.Cut(line, ":")
 		if ok && strings.Contains(text, value) {
-			e.Line, e.Key, e.Allowed = i+1, strings.TrimSpace(key), "a value of the key's kind, such as 30s for a duration"
+			e.Line, e.Key, e.Allowed = i+1, strings.TrimSpace(key), "a value of the key's type, such as 30s for a duration"
 			return
 		}
 	}
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -20,8 +20,11 @@
 )
 
 const (
-	maxBodyBytes  = 4 << 20
-	peerTimeout   = 2 * time.Second
+	// maxBodyBytes bounds the bodies of requests and of other nodes' responses.
+	maxBodyBytes = 4 << 20
+	// peerTimeout bounds a request to another node.
+	peerTimeout = 2 * time.Second
+	// changeTimeout bounds a request for a change, which waits until the log has the change.
 	changeTimeout = 10 * time.Second
 )
 
