--- a/internal/cli/root.go
+++ b/internal/cli/root.go
@@ -43,12 +43,12 @@
 		Use: "leverdyke", Short: "Control a leverdyke cluster", Version: leverdyke.Version,
 		SilenceUsage: true, SilenceErrors: true,
 		Long: `leverdyke submits jobs, publishes templates and configuration, drains workers
-and shows the state of the cluster. It tries the nodes one after the other until
-one answers. It is safe to repeat a change.
+and shows what the cell does. It asks the nodes one after the other until one
+answers; changes may safely be sent again.
 
 Exit codes: 0 done, 1 failed and nothing changed, 2 the arguments or a file are
-invalid, 3 another operator changed the document first, 4 the change may have
-taken effect: check whether it has, or send it again.`,
+at fault, 3 another operator changed the document first, 4 the change may have
+taken effect: look, or send it again.`,
 		Example: `  export ` + nodesVariable + `=10.0.0.7:7103,10.0.0.8:7103
   leverdyke job submit job.yaml
   leverdyke job explain 0192f0c1-...
