--- a/internal/caller/once.go
+++ b/internal/caller/once.go
@@ -182,7 +182,7 @@
 
 // replayRemote fetches the answer from the node that claimed the key first, and replays it.
 func (h *Handler) replayRemote(ctx context.Context, w http.ResponseWriter, keyOwner state.NodeID, key idempotency.Key, e *idempotency.Entry) {
-	events.Log(events.OnceKeyElsewhere, "node", keyOwner)
+	events.Log(events.RequestRunElsewhere, "node", keyOwner)
 	a, ok := h.options.Keys.FetchAnswer(ctx, keyOwner, key)
 	if !ok {
 		a = node.SavedAnswer{Verdict: leverdyke.VerdictMayHaveRun}
@@ -201,7 +201,7 @@
 	w.Header().Set(leverdyke.VerdictHeader, string(leverdyke.VerdictRan))
 	w.WriteHeader(res.StatusCode)
 	if err := stream(recorder, res.Body); err != nil {
-		events.Log(events.RequestBroken, "service", x.service, "err", err.Error())
+		events.Log(events.RequestInterrupted, "service", x.service, "err", err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	saved.Verdict = leverdyke.VerdictRan
--- a/internal/clock/suspension_test.go
+++ b/internal/clock/suspension_test.go
@@ -10,27 +10,29 @@
 	"github.com/leverdyke/leverdyke/internal/clock"
 )
 
-// machine has the two clocks of a machine that can be suspended.
+// machine emulates the two clocks of a machine that can be suspended.
 type machine struct {
-	steady, boot time.Duration
-	// hasNoBoot means that there is no clock that goes on, reading how long it takes to
-	// read it.
-	hasNoBoot bool
-	reading   time.Duration
+	monotonic, bootTime time.Duration
+	// hasNoBootTime means that the machine has no clock that runs during a suspension.
+	hasNoBootTime bool
+	// readTime is how long reading the boot time clock takes.
+	readTime time.Duration
 }
 
-func (m *machine) run(d time.Duration) { m.steady, m.boot = m.steady+d, m.boot+d }
+// run lets time pass while the machine runs.
+func (m *machine) run(d time.Duration) { m.monotonic, m.bootTime = m.monotonic+d, m.bootTime+d }
 
-func (m *machine) suspend(d time.Duration) { m.boot += d }
+// suspend lets time pass while the machine is suspended.
+func (m *machine) suspend(d time.Duration) { m.bootTime += d }
 
 func (m *machine) readBoot() (time.Duration, bool) {
-	now := m.boot
-	m.run(m.reading)
-	return now, !m.hasNoBoot
+	now := m.bootTime
+	m.run(m.readTime)
+	return now, !m.hasNoBootTime
 }
 
-func (m *machine) watch() *clock.Suspension {
-	return clock.NewSuspension(func() time.Duration { return m.steady }, m.readBoot)
+func (m *machine) newSuspension() *clock.Suspension {
+	return clock.NewSuspension(func() time.Duration { return m.monotonic }, m.readBoot)
 }
 
 func expectTotal(t *testing.T, s *clock.Suspension, want time.Duration) {
@@ -40,11 +42,12 @@
 	}
 }
 
-// An owner trusts for three seconds in what it heard last. One that was suspended for five
-// measured none of them by the steady clock, and took itself for the owner beside another.
-func TestTheTimeOfASuspensionCounts(t *testing.T) {
-	m := &machine{steady: time.Hour, boot: 3 * time.Hour}
-	s := m.watch()
+// Guards against two owners of a shard. An owner acts for 3 s on what it heard last. If the
+// machine is suspended for 5 s and those are not counted, the owner resumes and
+// acts beside the node that has become the owner meanwhile.
+func TestSuspendedTimeIsCounted(t *testing.T) {
+	m := &machine{monotonic: time.Hour, bootTime: 3 * time.Hour}
+	s := m.newSuspension()
 	m.run(time.Second)
 	expectTotal(t, s, 0)
 	m.suspend(5 * time.Second)
@@ -56,21 +59,26 @@
 	expectTotal(t, s, 7*time.Second)
 }
 
-func TestAReadingThatTookLongTellsNothing(t *testing.T) {
+// Reading both clocks takes longer than maxReadTime here, as when the thread loses the
+// processor between the two. The sample must be discarded; the next fast one finds the
+// suspension.
+func TestSlowReadingIsDiscarded(t *testing.T) {
 	m := &machine{}
-	s := m.watch()
+	s := m.newSuspension()
 	m.run(time.Second)
 	m.suspend(5 * time.Second)
-	m.reading = 20 * time.Millisecond
+	m.readTime = 20 * time.Millisecond
 	expectTotal(t, s, 0)
-	m.reading = 0
+	m.readTime = 0
 	m.run(time.Second)
 	expectTotal(t, s, 5*time.Second)
 }
 
-func TestTheTotalNeverShrinks(t *testing.T) {
+// The total is added to the current time, so a boot time clock that falls back must not
+// make the time go backwards.
+func TestTotalNeverDecreases(t *testing.T) {
 	m := &machine{}
-	s := m.watch()
+	s := m.newSuspension()
 	m.suspend(time.Second)
 	m.run(time.Second)
 	expectTotal(t, s, time.Second)
@@ -79,9 +87,11 @@
 	expectTotal(t, s, time.Second)
 }
 
-func TestWithoutSuchAClockNothingCounts(t *testing.T) {
-	m := &machine{hasNoBoot: true}
-	s := m.watch()
+// On a machine without a clock that runs during a suspension, the total must stay 0 and
+// must not be computed from an invalid reading.
+func TestNothingIsCountedWithoutBootTimeClock(t *testing.T) {
+	m := &machine{hasNoBootTime: true}
+	s := m.newSuspension()
 	m.suspend(5 * time.Second)
 	m.run(time.Second)
 	expectTotal(t, s, 0)
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -97,7 +97,7 @@
 	}
 	chunks := splitAnswers(answers)
 	c.unacknowledgedMessages, c.handoverDone = len(chunks), done
-	events.Log(events.AnswersGiven, "peer", successors[0], "answers", len(answers))
+	events.Log(events.ResponsesSentToPeer, "peer", successors[0], "answers", len(answers))
 	for _, chunk := range chunks {
 		c.env.Send(successors[0], &node.Message{SavedAnswerTransfer: &node.SavedAnswerTransfer{Answers: chunk}})
 	}
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -184,15 +184,15 @@
 
 var rackEvents = map[rack.EventKind]events.Event{
 	rack.EventWorkerLost:       events.WorkerLost,
-	rack.EventWorkerEjected:    events.WorkerSetAside,
+	rack.EventWorkerEjected:    events.WorkerEjected,
 	rack.EventWorkerProbed:     events.WorkerProbed,
-	rack.EventWorkerReadmitted: events.WorkerBack,
+	rack.EventWorkerReadmitted: events.WorkerReadmitted,
 	rack.EventWorkerSilent:     events.WorkerSilent,
 	rack.EventWorkerLeaving:    events.WorkerLeaving,
 	rack.EventWorkerOverused:   events.WorkerOverused,
 	rack.EventPreempted:        events.TaskPreempted,
-	rack.EventLateTask:         events.TaskLate,
-	rack.EventComplete:         events.RackComplete,
+	rack.EventLateTask:         events.TaskOverdue,
+	rack.EventComplete:         events.RackReportComplete,
 }
 
 func (c *Core) logRackEvent(id state.ShardID, e *rack.Event) {
@@ -210,12 +210,12 @@
 }
 
 var jobShardEvents = map[jobshard.EventKind]events.Event{
-	jobshard.EventUnschedulable:    events.JobNever,
+	jobshard.EventUnschedulable:    events.JobCannotRun,
 	jobshard.EventUnknownOutcome:   events.TaskFateUnknown,
 	jobshard.EventJobFailed:        events.JobFailed,
-	jobshard.EventGangRestart:      events.GangBroken,
-	jobshard.EventSynced:           events.HomeSynced,
-	jobshard.EventDuplicateAttempt: events.TaskTwice,
+	jobshard.EventGangRestart:      events.GangRestarted,
+	jobshard.EventSynced:           events.JobShardSynced,
+	jobshard.EventDuplicateAttempt: events.TaskRunsTwice,
 }
 
 func (c *Core) logJobShardEvent(id state.ShardID, e *jobshard.Event) {
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -108,7 +108,7 @@
 		return
 	}
 	c.livenessChecks.queriedAt = now
-	events.Log(events.PeersDoubted, "peers", suspects)
+	events.Log(events.FewPeersHeard, "peers", suspects)
 	c.Append(state.Record{LivenessQuery: &state.LivenessQuery{Nodes: suspects}}, nil)
 }
 
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -233,7 +233,7 @@
 	for n, since := range c.silentSince {
 		if !c.members.IsSuspect(now, n) {
 			delete(c.silentSince, n)
-			events.Log(events.PeerHeard, "peer", n, "after", now.Sub(since).Round(time.Millisecond))
+			events.Log(events.PeerRecovered, "peer", n, "after", now.Sub(since).Round(time.Millisecond))
 		}
 	}
 	isLost := func(n state.NodeID) bool {
@@ -285,7 +285,7 @@
 	if m.After > c.state.Applied {
 		return
 	}
-	events.Log(events.TailFromPeer, "peer", from, "batches", len(m.Batches))
+	events.Log(events.RecordsFromPeer, "peer", from, "batches", len(m.Batches))
 	for _, e := range m.Batches {
 		c.applyBatch(e.Offset, e.Data)
 		c.env.SkipTo(e.Offset)
--- a/internal/dispatch/lost_attempts_test.go
+++ b/internal/dispatch/lost_attempts_test.go
@@ -19,7 +19,7 @@
 func TestLogNamesAttemptsLostWithTheirWorker(t *testing.T) {
 	logged := map[work.TaskID]int{}
 	e := dispatch.NewEngine(dispatch.Options{Log: func(event events.Event, keysAndValues ...any) {
-		if event == events.AttemptCut {
+		if event == events.AttemptEndedWithWorker {
 			logged[keysAndValues[1].(work.TaskID)]++
 		}
 	}})
--- a/internal/dispatch/not_running_test.go
+++ b/internal/dispatch/not_running_test.go
@@ -16,7 +16,7 @@
 	w := newSim(1)
 	logged := 0
 	w.log = func(e events.Event, _ ...any) {
-		if e == events.TaskAway {
+		if e == events.TaskNotRunning {
 			logged++
 		}
 	}
--- a/internal/document/keys.go
+++ b/internal/document/keys.go
@@ -9,18 +9,20 @@
 	"strings"
 )
 
-// keysOf lists the keys of a struct and of the structs in it, as an error shows
-// them.
+// keysOf returns the keys of a struct and of its nested structs, sorted and separated by
+// commas, for the text of an error.
 func keysOf(out any) string {
 	keys := []string{}
-	collect(reflect.TypeOf(out), &keys, 0)
+	appendKeys(reflect.TypeOf(out), &keys, 0)
 	slices.Sort(keys)
 	return strings.Join(slices.Compact(keys), ", ")
 }
 
+// maxDepth bounds how deep keysOf follows nested structs, so that a recursive type ends.
 const maxDepth = 4
 
-func collect(t reflect.Type, keys *[]string, depth int) {
+// appendKeys appends the yaml keys of t, and of the types nested in it, to keys.
+func appendKeys(t reflect.Type, keys *[]string, depth int) {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice || t.Kind() == reflect.Map {
 		t = t.Elem()
 	}
@@ -33,6 +35,6 @@
 			continue
 		}
 		*keys = append(*keys, name)
-		collect(t.Field(i).Type, keys, depth+1)
+		appendKeys(t.Field(i).Type, keys, depth+1)
 	}
 }
--- a/internal/events/catalogue.go
+++ b/internal/events/catalogue.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package events has the numbered events that the programs log. The catalogue
-// for operators is docs/EVENTS.md; a test compares the two.
+// Package events has the numbered events that the programs log, and the queue through which
+// log lines are written. docs/EVENTS.md lists the events for operators; a test checks that
+// it has the same numbers, levels and texts.
 package events
 
 import (
@@ -11,16 +12,18 @@
 	"k8s.io/klog/v2"
 )
 
-// Event is a kind of event with its number, which is never used again.
+// Event is a kind of event.
 type Event struct {
+	// Number identifies the event in logs and alerts. The number of an event that is no
+	// longer logged is not given to another one.
 	Number int
-	// Name is a short text; it is the log line's message.
+	// Name is a short text, which is the message of the log line.
 	Name string
-	// Level is how grave it is.
+	// Level is the severity of the event.
 	Level Level
 }
 
-// Level is how grave an event is.
+// Level is the severity of an event.
 type Level string
 
 // The levels.
@@ -30,128 +33,133 @@
 	LevelError   Level = "error"
 )
 
-// The events, by the hundreds of their parts.
+// The events. The hundreds of a number name the part of the program: 100 the node and its
+// peers, 200 the log and the store, 300 ownership and configuration, 400 tasks, jobs,
+// requests and workers.
 var (
-	NodeStarted   = add(100, "node started", LevelInfo)
-	NodeJoined    = add(101, "node joined the cell", LevelInfo)
-	NodeDraining  = add(102, "node drains", LevelInfo)
-	NodeStopped   = add(103, "node stopped", LevelInfo)
-	NodePaused    = add(104, "node was paused", LevelWarning)
-	NodeReplaced  = add(105, "a later process has this node's name", LevelError)
-	SettingsRead  = add(106, "settings read again", LevelInfo)
-	SettingsBad   = add(107, "settings cannot be read", LevelError)
-	PeerSuspected = add(110, "peer is silent", LevelWarning)
-	PeerHeard     = add(111, "peer is heard again", LevelInfo)
-	PeerEnded     = add(112, "peer has ended", LevelInfo)
-	PeersDoubted  = add(113, "this node hears few peers and asks them through the log", LevelWarning)
-	BadFrame      = add(120, "link closed because of its bytes", LevelWarning)
-	LinesDropped  = add(130, "lines of the log were dropped", LevelWarning)
+	NodeStarted      = add(100, "node started", LevelInfo)
+	NodeJoined       = add(101, "node joined the cell", LevelInfo)
+	NodeDraining     = add(102, "node drains", LevelInfo)
+	NodeStopped      = add(103, "node stopped", LevelInfo)
+	NodePaused       = add(104, "node was paused", LevelWarning)
+	NodeReplaced     = add(105, "a later process has this node's name", LevelError)
+	SettingsReloaded = add(106, "settings read again", LevelInfo)
+	SettingsInvalid  = add(107, "settings cannot be read", LevelError)
+	PeerSuspected    = add(110, "peer is silent", LevelWarning)
+	PeerRecovered    = add(111, "peer is heard again", LevelInfo)
+	PeerEnded        = add(112, "peer has ended", LevelInfo)
+	FewPeersHeard    = add(113, "this node hears few peers and asks them through the log", LevelWarning)
+	BadFrame         = add(120, "link closed because of its bytes", LevelWarning)
+	LogLinesDropped  = add(130, "lines of the log were dropped", LevelWarning)
 
-	LogOut        = add(200, "log does not answer", LevelError)
-	LogBack       = add(201, "log answers again", LevelInfo)
-	BadRecord     = add(202, "record cannot be read", LevelError)
-	SnapshotTaken = add(203, "snapshot written", LevelInfo)
-	SnapshotRead  = add(204, "state taken from a snapshot", LevelInfo)
-	StateFromPeer = add(205, "state taken from a peer", LevelWarning)
-	TailFromPeer  = add(206, "records taken from a peer", LevelInfo)
+	LogUnavailable  = add(200, "log does not answer", LevelError)
+	LogRecovered    = add(201, "log answers again", LevelInfo)
+	BadRecord       = add(202, "record cannot be read", LevelError)
+	SnapshotTaken   = add(203, "snapshot written", LevelInfo)
+	SnapshotRead    = add(204, "state taken from a snapshot", LevelInfo)
+	StateFromPeer   = add(205, "state taken from a peer", LevelWarning)
+	RecordsFromPeer = add(206, "records taken from a peer", LevelInfo)
 
-	ShardOwned       = add(300, "shard owned", LevelInfo)
-	ShardDropped     = add(301, "shard no longer owned", LevelInfo)
-	ShardDeputy      = add(302, "rack kept alive as a deputy", LevelWarning)
-	RackComplete     = add(303, "rack has told all that runs", LevelInfo)
-	RackFenced       = add(304, "workers obey another owner", LevelWarning)
-	HomeSynced       = add(305, "home knows all that runs", LevelInfo)
-	ClaimRefused     = add(306, "claim came too late", LevelInfo)
-	HandedOver       = add(307, "shard handed over", LevelInfo)
-	OwnerFollowed    = add(308, "node follows the owner", LevelInfo)
-	OwnerUnfit       = add(312, "owner is too slow and hands over", LevelWarning)
-	InheritedSettled = add(465, "what an earlier owner started on a worker is over", LevelInfo)
-	DoubtOver        = add(468, "no task can run where nobody knows any more", LevelInfo)
-	Totals           = add(466, "totals of the owner", LevelInfo)
-	StartsUnlogged   = add(309, "owner runs ahead of the store, or no longer", LevelWarning)
-	CarriersChanged  = add(314, "number of nodes that carry for the owner changes", LevelInfo)
-	CarrierFailed    = add(315, "node does not carry orders", LevelWarning)
-	VMListFailed     = add(310, "list of VMs does not answer", LevelWarning)
-	ConfigInForce    = add(320, "document in force", LevelInfo)
-	ConfigBad        = add(321, "document in the log cannot be read", LevelError)
-	ConfigUnread     = add(322, "configuration is not read", LevelWarning)
-	ConfigFaulty     = add(324, "configuration has entries that are not in force", LevelWarning)
-	ConfigReadAgain  = add(323, "configuration is read again", LevelInfo)
+	ShardOwned            = add(300, "shard owned", LevelInfo)
+	ShardDropped          = add(301, "shard no longer owned", LevelInfo)
+	ShardDeputy           = add(302, "rack kept alive as a deputy", LevelWarning)
+	RackReportComplete    = add(303, "rack has told all that runs", LevelInfo)
+	RackFenced            = add(304, "workers obey another owner", LevelWarning)
+	JobShardSynced        = add(305, "home knows all that runs", LevelInfo)
+	ClaimRefused          = add(306, "claim came too late", LevelInfo)
+	HandedOver            = add(307, "shard handed over", LevelInfo)
+	OwnerFollowed         = add(308, "node follows the owner", LevelInfo)
+	OwnerTooSlow          = add(312, "owner is too slow and hands over", LevelWarning)
+	PreviousAttemptsEnded = add(465, "what an earlier owner started on a worker is over", LevelInfo)
+	UncertaintyEnded      = add(468, "no task can run where nobody knows any more", LevelInfo)
+	OwnerTotals           = add(466, "totals of the owner", LevelInfo)
+	WriteBehindChanged    = add(309, "owner runs ahead of the store, or no longer", LevelWarning)
+	DelegatesChanged      = add(314, "number of nodes that carry for the owner changes", LevelInfo)
+	DelegateFailed        = add(315, "node does not carry orders", LevelWarning)
+	VMListFailed          = add(310, "list of VMs does not answer", LevelWarning)
+	ConfigInForce         = add(320, "document in force", LevelInfo)
+	ConfigUnreadable      = add(321, "document in the log cannot be read", LevelError)
+	ConfigUnavailable     = add(322, "configuration is not read", LevelWarning)
+	ConfigPartlyInvalid   = add(324, "configuration has entries that are not in force", LevelWarning)
+	ConfigRecovered       = add(323, "configuration is read again", LevelInfo)
 
-	TaskPlaced       = add(400, "task placed", LevelInfo)
-	TaskRouted       = add(401, "task sent to a rack", LevelInfo)
-	TaskStarted      = add(402, "task started", LevelInfo)
-	RequestRouted    = add(403, "request routed", LevelInfo)
-	RequestRefused   = add(404, "request refused", LevelInfo)
-	RequestBroken    = add(405, "request broke off", LevelWarning)
-	TaskPreempted    = add(410, "task pushed aside", LevelInfo)
-	TaskFateUnknown  = add(411, "task may have run and is not run again", LevelError)
-	TaskLate         = add(412, "task runs that should have ended", LevelError)
-	TaskTwice        = add(413, "two attempts of a task were seen", LevelError)
-	JobNever         = add(420, "job can never run", LevelWarning)
-	JobFailed        = add(421, "job failed", LevelWarning)
-	JobAccepted      = add(422, "job accepted", LevelInfo)
-	JobCancelled     = add(423, "job cancelled", LevelInfo)
-	GangBroken       = add(424, "all-at-once job has to start again", LevelWarning)
-	WorkerLost       = add(430, "worker's leases have lapsed", LevelWarning)
-	WorkerSetAside   = add(431, "worker set aside", LevelWarning)
-	WorkerProbed     = add(432, "worker is tried again", LevelInfo)
-	WorkerBack       = add(433, "worker is in use again", LevelInfo)
-	WorkerSilent     = add(434, "worker does not answer", LevelWarning)
-	WorkerLeaving    = add(435, "worker is leaving", LevelInfo)
-	WorkerOverused   = add(436, "worker is used beyond what it has, and nothing can be pushed off", LevelWarning)
-	WorkerSlow       = add(437, "worker is slow", LevelWarning)
-	CopyStarted      = add(464, "copy of a task started", LevelInfo)
-	OnceKeyElsewhere = add(440, "request was run by another node", LevelInfo)
-	AnswersGiven     = add(441, "answers for retries given to a peer", LevelInfo)
+	TaskPlaced             = add(400, "task placed", LevelInfo)
+	TaskRouted             = add(401, "task sent to a rack", LevelInfo)
+	TaskStarted            = add(402, "task started", LevelInfo)
+	RequestRouted          = add(403, "request routed", LevelInfo)
+	RequestRefused         = add(404, "request refused", LevelInfo)
+	RequestInterrupted     = add(405, "request broke off", LevelWarning)
+	TaskPreempted          = add(410, "task pushed aside", LevelInfo)
+	TaskFateUnknown        = add(411, "task may have run and is not run again", LevelError)
+	TaskOverdue            = add(412, "task runs that should have ended", LevelError)
+	TaskRunsTwice          = add(413, "two attempts of a task were seen", LevelError)
+	JobCannotRun           = add(420, "job can never run", LevelWarning)
+	JobFailed              = add(421, "job failed", LevelWarning)
+	JobAccepted            = add(422, "job accepted", LevelInfo)
+	JobCancelled           = add(423, "job cancelled", LevelInfo)
+	GangRestarted          = add(424, "all-at-once job has to start again", LevelWarning)
+	WorkerLost             = add(430, "worker's leases have lapsed", LevelWarning)
+	WorkerEjected          = add(431, "worker set aside", LevelWarning)
+	WorkerProbed           = add(432, "worker is tried again", LevelInfo)
+	WorkerReadmitted       = add(433, "worker is in use again", LevelInfo)
+	WorkerSilent           = add(434, "worker does not answer", LevelWarning)
+	WorkerLeaving          = add(435, "worker is leaving", LevelInfo)
+	WorkerOverused         = add(436, "worker is used beyond what it has, and nothing can be pushed off", LevelWarning)
+	WorkerSlow             = add(437, "worker is slow", LevelWarning)
+	SpeculativeCopyStarted = add(464, "copy of a task started", LevelInfo)
+	RequestRunElsewhere    = add(440, "request was run by another node", LevelInfo)
+	ResponsesSentToPeer    = add(441, "answers for retries given to a peer", LevelInfo)
 
-	StepPlaced      = add(450, "tasks of a step placed", LevelInfo)
-	StepHeldByLimit = add(475, "limit of a customer holds a step back", LevelInfo)
-	OrderDoubtful   = add(451, "order to start was not answered", LevelWarning)
-	StartRefused    = add(452, "worker refused a start", LevelWarning)
-	AttemptEnded    = add(453, "attempt ended without success", LevelInfo)
-	AttemptMissing  = add(454, "worker no longer knows an attempt", LevelWarning)
-	AttemptStuck    = add(455, "attempt stands still", LevelWarning)
-	JobEnded        = add(456, "job is over", LevelInfo)
-	AdviceFailed    = add(457, "nobody told which workers may run a step", LevelWarning)
-	WorkerUnlisted  = add(460, "worker is no longer in the list", LevelInfo)
-	WorkerLifeOver  = add(461, "worker's life is over", LevelInfo)
-	TaskCrashes     = add(472, "task crashes its workers and is given up", LevelWarning)
-	WorkerResized   = add(473, "room of a worker changes", LevelInfo)
-	WorkerRestarted = add(474, "worker has started again under its ID", LevelInfo)
-	AttemptCut      = add(471, "attempt ended with its worker", LevelInfo)
-	WorkerLeft      = add(467, "worker has left as planned", LevelInfo)
-	Inherited       = add(462, "all that an earlier owner started is known", LevelInfo)
-	CancelAnswered  = add(470, "cancelling of a job answered", LevelInfo)
-	TasksWaited     = add(477, "tasks have waited", LevelInfo)
-	TaskAway        = add(479, "nothing of a task that lasts runs", LevelWarning)
-	KeyRefused      = add(478, "call carries no key that is in force", LevelInfo)
-	JobOfAnother    = add(476, "job of another customer was asked for", LevelWarning)
-	JobRefused      = add(458, "job refused", LevelWarning)
-	PaceFailed      = add(459, "worker was not told the pace of a task", LevelWarning)
-	JobsLoaded      = add(463, "jobs read from the store", LevelInfo)
-	StoreFailed     = add(216, "platform's store did not do what was asked", LevelWarning)
-	VMListBack      = add(311, "list of VMs answers again", LevelInfo)
+	StepPlaced             = add(450, "tasks of a step placed", LevelInfo)
+	StepBlockedByLimit     = add(475, "limit of a customer holds a step back", LevelInfo)
+	StartUnacknowledged    = add(451, "order to start was not answered", LevelWarning)
+	StartRefused           = add(452, "worker refused a start", LevelWarning)
+	AttemptEnded           = add(453, "attempt ended without success", LevelInfo)
+	AttemptMissing         = add(454, "worker no longer knows an attempt", LevelWarning)
+	AttemptStalled         = add(455, "attempt stands still", LevelWarning)
+	JobEnded               = add(456, "job is over", LevelInfo)
+	PermissionQueryFailed  = add(457, "nobody told which workers may run a step", LevelWarning)
+	WorkerUnlisted         = add(460, "worker is no longer in the list", LevelInfo)
+	IncarnationEnded       = add(461, "worker's life is over", LevelInfo)
+	TaskCrashes            = add(472, "task crashes its workers and is given up", LevelWarning)
+	WorkerResized          = add(473, "room of a worker changes", LevelInfo)
+	WorkerRestarted        = add(474, "worker has started again under its ID", LevelInfo)
+	AttemptEndedWithWorker = add(471, "attempt ended with its worker", LevelInfo)
+	WorkerLeft             = add(467, "worker has left as planned", LevelInfo)
+	PreviousAttemptsKnown  = add(462, "all that an earlier owner started is known", LevelInfo)
+	CancelAnswered         = add(470, "cancelling of a job answered", LevelInfo)
+	TasksWaited            = add(477, "tasks have waited", LevelInfo)
+	TaskNotRunning         = add(479, "nothing of a task that lasts runs", LevelWarning)
+	KeyRefused             = add(478, "call carries no key that is in force", LevelInfo)
+	JobOfOtherCustomer     = add(476, "job of another customer was asked for", LevelWarning)
+	JobRefused             = add(458, "job refused", LevelWarning)
+	PaceFailed             = add(459, "worker was not told the pace of a task", LevelWarning)
+	JobsLoaded             = add(463, "jobs read from the store", LevelInfo)
+	StoreFailed            = add(216, "platform's store did not do what was asked", LevelWarning)
+	VMListRecovered        = add(311, "list of VMs answers again", LevelInfo)
 )
 
+// catalogue has every event that add has created.
 var catalogue []Event
 
+// add creates an event and adds it to the catalogue.
 func add(number int, name string, level Level) Event {
 	e := Event{number, name, level}
 	catalogue = append(catalogue, e)
 	return e
 }
 
-// Catalogue returns all events, by number.
+// Catalogue returns a copy of the list of all events, in the order of their declaration.
 func Catalogue() []Event { return append([]Event{}, catalogue...) }
 
-// Log writes an event with its keys and values.
+// Log writes an event to the log, with its number as the key "event" and then the given keys
+// and values, which alternate.
 func Log(e Event, keysAndValues ...any) {
-	kv := append([]any{"event", fmt.Sprintf("LD%04d", e.Number)}, keysAndValues...)
+	fields := append([]any{"event", fmt.Sprintf("LD%04d", e.Number)}, keysAndValues...)
 	switch e.Level {
 	case LevelError:
-		klog.ErrorSDepth(1, nil, e.Name, kv...)
+		klog.ErrorSDepth(1, nil, e.Name, fields...)
 	case LevelWarning, LevelInfo:
-		klog.InfoSDepth(1, e.Name, kv...)
+		klog.InfoSDepth(1, e.Name, fields...)
 	}
 }
--- a/internal/metrics/jobs.go
+++ b/internal/metrics/jobs.go
@@ -13,23 +13,23 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// Jobs has the instruments of a node that serves jobs. It is safe for concurrent
-// use; a nil *Jobs takes everything and does nothing.
+// Jobs has the metrics instruments of a node that runs jobs. It is safe for concurrent use.
+// The recording methods of a nil *Jobs do nothing; Handler and Gauge need a Jobs.
 type Jobs struct {
-	handler  http.Handler
-	meter    metric.Meter
-	requests metric.Float64Histogram
-	orders   metric.Float64Histogram
-	appends  metric.Float64Histogram
-	starts   metric.Float64Histogram
-	bad      metric.Int64Counter
+	handler    http.Handler
+	meter      metric.Meter
+	requests   metric.Float64Histogram
+	orders     metric.Float64Histogram
+	appends    metric.Float64Histogram
+	starts     metric.Float64Histogram
+	badRecords metric.Int64Counter
 }
 
-// latencies are the bounds of the latency histograms, in seconds: from a fast
-// answer in one zone to what no caller waits for.
-var latencies = metric.WithExplicitBucketBoundaries(.001, .002, .005, .01, .02, .05, .1, .2, .4, .7, 1, 2, 3, 5, 10, 30)
+// latencyBuckets are the bucket bounds of the latency histograms, in seconds. They range
+// from a fast response within one zone, 1 ms, to a time that no caller waits for, 30 s.
+var latencyBuckets = metric.WithExplicitBucketBoundaries(.001, .002, .005, .01, .02, .05, .1, .2, .4, .7, 1, 2, 3, 5, 10, 30)
 
-// NewJobs returns the instruments, with an exporter of their own.
+// NewJobs returns new instruments with a separate Prometheus registry.
 func NewJobs() (*Jobs, error) {
 	meter, handler, err := newMeter()
 	if err != nil {
@@ -37,30 +37,31 @@
 	}
 	j := &Jobs{handler: handler, meter: meter}
 	for _, h := range []struct {
-		name, text string
-		to         *metric.Float64Histogram
+		name, description string
+		instrument        *metric.Float64Histogram
 	}{
 		{"leverdyke.job.request", "callers' requests, by what they ask and how they are answered", &j.requests},
 		{"leverdyke.job.order", "orders to workers, by kind and outcome", &j.orders},
 		{"leverdyke.job.append", "appends to the platform's store, by outcome", &j.appends},
 		{"leverdyke.job.step_wait", "time from when a step could begin to its tasks' placing", &j.starts},
 	} {
-		*h.to, err = meter.Float64Histogram(h.name, metric.WithUnit("s"), metric.WithDescription(h.text), latencies)
+		*h.instrument, err = meter.Float64Histogram(h.name, metric.WithUnit("s"), metric.WithDescription(h.description), latencyBuckets)
 		if err != nil {
 			return nil, fmt.Errorf("metrics: %w", err)
 		}
 	}
-	j.bad, err = meter.Int64Counter("leverdyke.job.bad_records", metric.WithDescription("records of the platform's store that cannot be relied on, by topic"))
+	j.badRecords, err = meter.Int64Counter("leverdyke.job.bad_records", metric.WithDescription("records of the platform's store that cannot be relied on, by topic"))
 	if err != nil {
 		return nil, fmt.Errorf("metrics: %w", err)
 	}
 	return j, nil
 }
 
-// Handler returns the handler to scrape.
+// Handler returns the HTTP handler that Prometheus scrapes.
 func (j *Jobs) Handler() http.Handler { return j.handler }
 
-// RequestAnswered notes a caller's request.
+// RequestAnswered records how long a caller's request took, by kind of request and HTTP
+// status.
 func (j *Jobs) RequestAnswered(what string, status int, took time.Duration) {
 	if j == nil {
 		return
@@ -69,7 +70,7 @@
 		metric.WithAttributes(attribute.String("what", what), attribute.Int("status", status)))
 }
 
-// OrderAnswered notes an order to a worker.
+// OrderAnswered records how long an order to a worker took, by kind and outcome.
 func (j *Jobs) OrderAnswered(kind, outcome string, took time.Duration) {
 	if j == nil {
 		return
@@ -78,7 +79,7 @@
 		metric.WithAttributes(attribute.String("kind", kind), attribute.String("outcome", outcome)))
 }
 
-// Appended notes an append to the store.
+// Appended records how long an append to the store took, by outcome.
 func (j *Jobs) Appended(outcome string, took time.Duration) {
 	if j == nil {
 		return
@@ -86,15 +87,17 @@
 	j.appends.Record(context.Background(), took.Seconds(), metric.WithAttributes(attribute.String("outcome", outcome)))
 }
 
-// BadRecord notes a record of another writer.
+// BadRecord counts a record of the store that cannot be relied on, such as one of another
+// writer.
 func (j *Jobs) BadRecord(topic string) {
 	if j == nil {
 		return
 	}
-	j.bad.Add(context.Background(), 1, metric.WithAttributes(attribute.String("topic", topic)))
+	j.badRecords.Add(context.Background(), 1, metric.WithAttributes(attribute.String("topic", topic)))
 }
 
-// Gauge registers values that are read when they are scraped, by a label.
+// Gauge registers a gauge. At each scrape it calls values, which returns one value for each
+// value of the label.
 func (j *Jobs) Gauge(name, label string, values func() map[string]float64) error {
 	return registerGauge(j.meter, name, label, values)
 }
--- a/internal/nodeserver/node.go
+++ b/internal/nodeserver/node.go
@@ -195,8 +195,8 @@
 func (n *Node) CountBytes(sent, received int) { n.countControlBytes("node", sent, received) }
 
 func (n *Node) countControlBytes(peer string, sent, received int) {
-	n.metrics.Control(metrics.Sent, peer, sent)
-	n.metrics.Control(metrics.Received, peer, received)
+	n.metrics.ControlBytes(metrics.Sent, peer, sent)
+	n.metrics.ControlBytes(metrics.Received, peer, received)
 }
 
 // Closed returns a channel that is closed when the node is closed.
--- a/internal/nodeserver/operators.go
+++ b/internal/nodeserver/operators.go
@@ -222,7 +222,7 @@
 	}
 	return &operator.Job{
 		Spec: j.Spec, Offset: j.Offset, At: time.UnixMilli(j.Millis).UTC(), IsEnded: j.IsEnded, IsCancelled: j.IsCancelled,
-		Final: final, Failures: j.Failures, Reason: j.Reason, Home: string(ownership.JobShard(j.Spec.Region, j.Spec.Team)),
+		Final: final, Failures: j.Failures, Reason: j.Reason, JobShard: string(ownership.JobShard(j.Spec.Region, j.Spec.Team)),
 	}
 }
 
@@ -259,8 +259,8 @@
 		v := c.View()
 		s := operator.Status{
 			Node: string(n.owner.Node), Region: n.settings.Region, Zone: n.settings.Zone, Incarnation: n.owner.Incarnation,
-			Applied: c.State().Applied, IsReady: c.IsReady(), IsLogOut: c.IsLogUnavailable(), IsJoined: c.IsJoined(),
-			Operators: n.settings.OperatorsAddr.String(), Racks: v.Racks, Homes: v.JobShards, Running: v.Running, Waiting: v.Waiting,
+			Applied: c.State().Applied, IsReady: c.IsReady(), IsLogUnavailable: c.IsLogUnavailable(), IsJoined: c.IsJoined(),
+			Operators: n.settings.OperatorsAddr.String(), Racks: v.Racks, JobShards: v.JobShards, Running: v.Running, Waiting: v.Waiting,
 			Suspects: v.Suspects,
 		}
 		_, s.Requests, _ = n.router.Load()
@@ -295,7 +295,7 @@
 }
 
 // Peers lists the addresses for operators of all nodes that have not left.
-func (n *Node) Peers() []string {
+func (n *Node) MemberAddresses() []string {
 	return query(n, func(c *core.Core) []string {
 		list := []string{}
 		for _, m := range c.State().Members {
@@ -309,7 +309,7 @@
 }
 
 // Self returns this node's address for operators.
-func (n *Node) Self() string { return n.settings.OperatorsAddr.String() }
+func (n *Node) OwnAddress() string { return n.settings.OperatorsAddr.String() }
 
 // IsReady reports whether the load balancer should send requests to this node.
 func (n *Node) IsReady() bool { return query(n, func(c *core.Core) bool { return c.IsReady() }) }
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -16,30 +16,31 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The events that are read; docs/EVENTS.md has them all.
+// The numbers of the events that the report uses; docs/EVENTS.md lists all events.
 const (
-	eventAccepted = "LD0422"
-	eventPlaced   = "LD0450"
-	eventDoubtful = "LD0451"
-	eventEnded    = "LD0453"
-	eventOver     = "LD0456"
-	eventCopied   = "LD0464"
+	eventJobAccepted         = "LD0422"
+	eventTasksPlaced         = "LD0450"
+	eventStartUnacknowledged = "LD0451"
+	eventAttemptEnded        = "LD0453"
+	eventJobEnded            = "LD0456"
+	eventSpeculativeCopy     = "LD0464"
 )
 
-// job is what the lines tell of a job.
+// job is what the log lines say about a job.
 type job struct {
 	id, queue, state string
-	// accept is the time from its arrival at the owner to its acceptance, took that
-	// from there to its end.
-	accept, took time.Duration
-	// waits has, by step, how long its first tasks waited for a place.
+	// acceptTime is the time from the arrival of the job at the owner to its acceptance,
+	// timeToEnd the time from its acceptance to its end.
+	acceptTime, timeToEnd time.Duration
+	// waits has, by step, how long the first tasks of the step waited until they were placed
+	// on a worker.
 	waits map[string]time.Duration
-	// failed, doubtful and copies count attempts that failed, orders without an
-	// answer, and copies.
-	failed, doubtful, copies int
+	// failed counts attempts that failed, unacknowledged orders to start that were not
+	// answered, speculativeCopies second attempts started beside a slow or silent one.
+	failed, unacknowledged, speculativeCopies int
 }
 
-// waited returns the time that the steps waited in all.
+// waited returns the sum of the waiting times of the steps.
 func (j *job) waited() time.Duration {
 	sum := time.Duration(0)
 	for _, d := range j.waits {
@@ -48,24 +49,26 @@
 	return sum
 }
 
-// Report gathers the lines of nodes. The zero value works.
+// Report collects the events of the logs of any number of nodes. The zero value is empty
+// and ready to use.
 type Report struct {
 	jobs map[string]*job
 	// lines counts the structured lines that were read.
 	lines int
 }
 
-// maxLineBytes is the longest line that is read; a node's are shorter.
+// maxLineBytes is the longest line that Read accepts; nodes write shorter lines.
 const maxLineBytes = 1 << 20
 
-// Read takes the lines of a log; lines of other forms are passed over.
+// Read adds the events of a log to the report. It skips lines that are not log lines of
+// events.
 func (r *Report) Read(log io.Reader) error {
 	s := bufio.NewScanner(log)
 	s.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for s.Scan() {
-		if f := parseLine(s.Text()); f != nil {
+		if fields := parseLine(s.Text()); fields != nil {
 			r.lines++
-			r.take(f)
+			r.record(fields)
 		}
 	}
 	if err := s.Err(); err != nil {
@@ -74,30 +77,32 @@
 	return nil
 }
 
-func (r *Report) take(f fields) {
-	switch f["event"] {
-	case eventAccepted:
-		j := r.job(f["job"])
-		j.queue, j.accept = f["queue"], f.duration("took")
-	case eventPlaced:
-		j := r.job(jobOf(f["step"]))
-		if _, ok := j.waits[f["step"]]; !ok {
-			j.waits[f["step"]] = f.duration("waited")
+// record adds what the line of an event says to its job.
+func (r *Report) record(fields logFields) {
+	switch fields["event"] {
+	case eventJobAccepted:
+		j := r.job(fields["job"])
+		j.queue, j.acceptTime = fields["queue"], fields.duration("took")
+	case eventTasksPlaced:
+		j := r.job(jobOf(fields["step"]))
+		if _, ok := j.waits[fields["step"]]; !ok {
+			j.waits[fields["step"]] = fields.duration("waited")
 		}
-	case eventDoubtful:
-		r.job(jobOf(f["task"])).doubtful++
-	case eventCopied:
-		r.job(jobOf(f["task"])).copies++
-	case eventEnded:
-		if f["how"] == "failed" {
-			r.job(jobOf(f["task"])).failed++
+	case eventStartUnacknowledged:
+		r.job(jobOf(fields["task"])).unacknowledged++
+	case eventSpeculativeCopy:
+		r.job(jobOf(fields["task"])).speculativeCopies++
+	case eventAttemptEnded:
+		if fields["how"] == "failed" {
+			r.job(jobOf(fields["task"])).failed++
 		}
-	case eventOver:
-		j := r.job(f["job"])
-		j.state, j.took = f["state"], f.duration("took")
+	case eventJobEnded:
+		j := r.job(fields["job"])
+		j.state, j.timeToEnd = fields["state"], fields.duration("took")
 	}
 }
 
+// job returns the job with the ID, and creates it if no line has named it yet.
 func (r *Report) job(id string) *job {
 	if r.jobs == nil {
 		r.jobs = map[string]*job{}
@@ -110,28 +115,29 @@
 	return j
 }
 
-// complete returns the jobs whose acceptance and end were read.
+// complete returns the jobs of which both the acceptance and the end were read.
 func (r *Report) complete() []*job {
 	return slices.DeleteFunc(slices.Collect(maps.Values(r.jobs)), func(j *job) bool { return j.queue == "" || j.state == "" })
 }
 
-// Write writes the tables: by queue where the time went, and the slowest jobs.
+// Write writes two tables: the time that jobs spent in each stage, by queue, and the
+// slowest jobs.
 func (r *Report) Write(w io.Writer, slowest int) error {
 	jobs := r.complete()
 	fmt.Fprintf(w, "%d lines, %d jobs, %d of them from their acceptance to their end\n\n", r.lines, len(r.jobs), len(jobs))
-	if err := writeHops(w, jobs); err != nil {
+	if err := writeStages(w, jobs); err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
 	return writeSlowest(w, jobs, slowest)
 }
 
-// newTable returns a writer of aligned columns.
+// newTable returns a writer that aligns columns separated by tabs.
 func newTable(w io.Writer) *tabwriter.Writer {
 	return tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 }
 
-func writeHops(w io.Writer, jobs []*job) error {
+func writeStages(w io.Writer, jobs []*job) error {
 	t := newTable(w)
 	fmt.Fprintln(t, "queue\thop\tjobs\tp50\tp95\tp99\tmax\t")
 	byQueue := map[string][]*job{}
@@ -139,8 +145,8 @@
 		byQueue[j.queue] = append(byQueue[j.queue], j)
 	}
 	for _, queue := range slices.Sorted(maps.Keys(byQueue)) {
-		for _, h := range hops {
-			writeHop(t, queue, h, byQueue[queue])
+		for _, s := range stages {
+			writeStage(t, queue, s, byQueue[queue])
 		}
 	}
 	if err := t.Flush(); err != nil {
@@ -153,10 +159,10 @@
 	t := newTable(w)
 	fmt.Fprintln(t, "slowest jobs\tqueue\ttook\taccept\twaits\tfailed, doubtful, copies\tstate\t")
 	slices.SortFunc(jobs, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(b.took, a.took), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(b.timeToEnd, a.timeToEnd), cmp.Compare(a.id, b.id))
 	})
 	for _, j := range jobs[:min(slowest, len(jobs))] {
-		fmt.Fprintf(t, "%s\t%s\t%v\t%v\t%v\t%d, %d, %d\t%s\t\n", j.id, j.queue, ms(j.took), ms(j.accept), ms(j.waited()), j.failed, j.doubtful, j.copies, j.state)
+		fmt.Fprintf(t, "%s\t%s\t%v\t%v\t%v\t%d, %d, %d\t%s\t\n", j.id, j.queue, roundToMillis(j.timeToEnd), roundToMillis(j.acceptTime), roundToMillis(j.waited()), j.failed, j.unacknowledged, j.speculativeCopies, j.state)
 	}
 	if err := t.Flush(); err != nil {
 		return fmt.Errorf("report: %w", err)
@@ -164,33 +170,37 @@
 	return nil
 }
 
-// hop is a part of the time of a job.
-type hop struct {
-	name string
-	of   func(j *job) time.Duration
+// stage is a part of the time that a job takes from its submission to its end.
+type stage struct {
+	name     string
+	duration func(j *job) time.Duration
 }
 
-var hops = []hop{
-	{"accept", func(j *job) time.Duration { return j.accept }},
+var stages = []stage{
+	{"accept", func(j *job) time.Duration { return j.acceptTime }},
 	{"wait for a place", (*job).waited},
-	{"run and notice", func(j *job) time.Duration { return max(j.took-j.waited(), 0) }},
-	{"all", func(j *job) time.Duration { return j.accept + j.took }},
+	{"run and notice", func(j *job) time.Duration { return max(j.timeToEnd-j.waited(), 0) }},
+	{"all", func(j *job) time.Duration { return j.acceptTime + j.timeToEnd }},
 }
 
-// Bounds of a histogram, in microseconds, and its digits.
+// The largest value of a histogram, in microseconds, and the number of significant digits
+// with which it stores values.
 const (
-	maxMicros = int64(24 * time.Hour / time.Microsecond)
-	digits    = 3
+	maxMicros         = int64(24 * time.Hour / time.Microsecond)
+	significantDigits = 3
 )
 
-func writeHop(w io.Writer, queue string, h hop, jobs []*job) {
-	hist := hdrhistogram.New(1, maxMicros, digits)
+func writeStage(w io.Writer, queue string, s stage, jobs []*job) {
+	histogram := hdrhistogram.New(1, maxMicros, significantDigits)
 	for _, j := range jobs {
-		// Above a day, and below a microsecond, the nearest bound is as good.
-		_ = hist.RecordValue(min(max(h.of(j).Microseconds(), 1), maxMicros))
+		// The histogram cannot hold values below 1 µs or above a day; they are counted at the
+		// nearest bound.
+		_ = histogram.RecordValue(min(max(s.duration(j).Microseconds(), 1), maxMicros))
 	}
-	at := func(p float64) time.Duration { return ms(time.Duration(hist.ValueAtQuantile(p)) * time.Microsecond) }
-	fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%v\t%v\t\n", queue, h.name, len(jobs), at(50), at(95), at(99), at(100))
+	quantile := func(p float64) time.Duration {
+		return roundToMillis(time.Duration(histogram.ValueAtQuantile(p)) * time.Microsecond)
+	}
+	fmt.Fprintf(w, "%s\t%s\t%d\t%v\t%v\t%v\t%v\t\n", queue, s.name, len(jobs), quantile(50), quantile(95), quantile(99), quantile(100))
 }
 
-func ms(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
+func roundToMillis(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
--- a/internal/standin/cluster.go
+++ b/internal/standin/cluster.go
@@ -279,7 +279,7 @@
 		ownedRacks, ownedShards := 0, 0
 		for _, n := range nodes {
 			ownedRacks += len(n.Racks)
-			ownedShards += len(n.Homes)
+			ownedShards += len(n.JobShards)
 		}
 		return ownedRacks >= racks && ownedShards >= jobShards
 	})
