--- a/internal/caller/handler_test.go
+++ b/internal/caller/handler_test.go
@@ -444,14 +444,14 @@
 		t.Fatal(err)
 	}
 	req.Header.Set(caller.KeyHeader, key)
-	callerGone := make(chan struct{})
+	callerDisconnected := make(chan struct{})
 	go func() {
-		defer close(callerGone)
+		defer close(callerDisconnected)
 		_, _ = http.DefaultTransport.RoundTrip(req)
 	}()
 	<-requestReceived
 	cancel()
-	<-callerGone
+	<-callerDisconnected
 	close(sendAnswer)
 	got := call(t, s.URL+"/s/s/", http.MethodPost, "deed", caller.KeyHeader, key)
 	if got.body != "registered" || got.verdict != leverdyke.VerdictRan {
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -78,7 +78,7 @@
 	r, at, err := owner.ReadRecord(n.ctx, n.log)
 	n.storeLatency = n.options.Clock.Now().Sub(began)
 	if err == nil {
-		n.detour.ObserveLatency(n.storeLatency)
+		n.fallback.ObserveLatency(n.storeLatency)
 	}
 	return r, at, err
 }
@@ -188,10 +188,10 @@
 // runOwner runs the owner on this node until it ends. Unless the shard is being handed over, it
 // then closes all links, so that the followers notice at once.
 func (n *Node) runOwner(c owner.Claim) {
-	workers, list := n.options.NewOwner(n.detour)
+	workers, list := n.options.NewOwner(n.fallback)
 	o := owner.New(owner.Options{
-		Claim: c, Store: n.options.NewStore(n.detour), Workers: workers, List: list, PermissionChannels: &permissionChannels{n},
-		Clock: n.options.Clock, Log: n.options.Log, Metrics: n.options.Metrics, HasStoreOutage: n.detour.HasOutage, NodeZone: n.options.Zone,
+		Claim: c, Store: n.options.NewStore(n.fallback), Workers: workers, List: list, PermissionChannels: &permissionChannels{n},
+		Clock: n.options.Clock, Log: n.options.Log, Metrics: n.options.Metrics, HasStoreOutage: n.fallback.HasOutage, NodeZone: n.options.Zone,
 		StopTime: n.options.StopTime, Heartbeat: n.options.Heartbeat, MaxStrength: n.maxKnownStrength,
 		Delegates: &delegates{n}, DirectWorkers: n.options.MaxWorkers,
 	})
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -25,9 +25,9 @@
 // PermissionService is a client, on this node, of the service that decides which workers may run a
 // step.
 type PermissionService interface {
-	// Ask returns the permits for those of the workers that may run the step, and how long the
+	// Query returns the permits for those of the workers that may run the step, and how long the
 	// permits are valid.
-	Ask(ctx context.Context, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error)
+	Query(ctx context.Context, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error)
 }
 
 // Config reads the operators' configuration.
@@ -94,7 +94,7 @@
 type Node struct {
 	options   Options
 	log       store.Log
-	detour    *fallback.Client
+	fallback  *fallback.Client
 	peers     *peers
 	listener  net.Listener
 	ctx       context.Context
@@ -179,7 +179,7 @@
 	if options.Workers != nil {
 		n.delegate = delegate.New(options.Workers, options.Clock)
 	}
-	n.detour = fallback.New(options.Direct, n.peers, options.Clock)
+	n.fallback = fallback.New(options.Direct, n.peers, options.Clock)
 	n.wg.Add(5)
 	go n.runListener()
 	go n.runElection()
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -39,7 +39,7 @@
 	return nil, &fallback.UnsentError{Err: errors.New("not used here")}
 }
 
-func (inactivePlatform) Ask(context.Context, work.StepID, []order.WorkerID) ([]order.Permit, time.Duration, error) {
+func (inactivePlatform) Query(context.Context, work.StepID, []order.WorkerID) ([]order.Permit, time.Duration, error) {
 	return nil, 0, errors.New("not used here")
 }
 
--- a/internal/cluster/request.go
+++ b/internal/cluster/request.go
@@ -74,10 +74,10 @@
 	return !errors.As(err, &e) || e.Verdict != leverdyke.VerdictNotRun
 }
 
-// askOwner sends a request to the owner. If the owner changes meanwhile, it waits for the next
+// requestFromOwner sends a request to the owner. If the owner changes meanwhile, it waits for the next
 // owner, up to the request timeout, and sends the request again. If an earlier attempt may have
 // been carried out, the final error says so even when later attempts were refused.
-func (n *Node) askOwner(ctx context.Context, r *request) (*ownerReply, error) {
+func (n *Node) requestFromOwner(ctx context.Context, r *request) (*ownerReply, error) {
 	timedOut := n.options.Clock.After(n.options.RequestTimeout)
 	var uncertain error
 	for {
@@ -136,7 +136,7 @@
 
 // Submit submits a job. It returns nil once the job is persisted.
 func (n *Node) Submit(ctx context.Context, spec *work.Spec) error {
-	_, err := n.askOwner(ctx, &request{kindSubmit, spec, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
+	_, err := n.requestFromOwner(ctx, &request{kindSubmit, spec, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
 		return nil, o.Submit(ctx, spec)
 	}})
 	return err
@@ -144,7 +144,7 @@
 
 // Cancel cancels a job. It returns false when the caller has no such job.
 func (n *Node) Cancel(ctx context.Context, id work.JobID, by work.Caller) (bool, error) {
-	a, err := n.askOwner(ctx, &request{kindCancel, jobQuery{Job: id, By: by}, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
+	a, err := n.requestFromOwner(ctx, &request{kindCancel, jobQuery{Job: id, By: by}, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
 		ok, err := o.Cancel(ctx, id, by)
 		return &ownerReply{IsKnown: ok}, err
 	}})
@@ -153,7 +153,7 @@
 
 // State returns the state of a job; false when the caller has no such job.
 func (n *Node) State(ctx context.Context, id work.JobID, by work.Caller) (work.JobState, bool, error) {
-	a, err := n.askOwner(ctx, &request{kindState, jobQuery{Job: id, By: by}, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
+	a, err := n.requestFromOwner(ctx, &request{kindState, jobQuery{Job: id, By: by}, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
 		state, ok, err := o.State(ctx, id, by)
 		return &ownerReply{State: state, IsKnown: ok}, err
 	}})
@@ -165,7 +165,7 @@
 
 // Pending returns how many jobs of a queue have not started yet.
 func (n *Node) Pending(ctx context.Context, queue string) (int, error) {
-	a, err := n.askOwner(ctx, &request{kindPending, jobQuery{Queue: queue}, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
+	a, err := n.requestFromOwner(ctx, &request{kindPending, jobQuery{Queue: queue}, func(ctx context.Context, o *owner.Owner) (*ownerReply, error) {
 		count, err := o.Pending(ctx, queue)
 		return &ownerReply{Count: count}, err
 	}})
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -167,7 +167,7 @@
 	if err := codec.Unmarshal(body, &c); err != nil {
 		return nil, err
 	}
-	permits, validFor, err := n.options.PermissionService.Ask(ctx, c.Step, c.Workers)
+	permits, validFor, err := n.options.PermissionService.Query(ctx, c.Step, c.Workers)
 	return permissionReply{permits, validFor}, err
 }
 
@@ -239,10 +239,10 @@
 	return out
 }
 
-// Ask queries the permission service through a channel.
-func (l *permissionChannels) Ask(ctx context.Context, channel string, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error) {
+// Query sends a query to the permission service through a channel.
+func (l *permissionChannels) Query(ctx context.Context, channel string, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error) {
 	if channel == l.n.options.Name {
-		return l.n.options.PermissionService.Ask(ctx, step, workers)
+		return l.n.options.PermissionService.Query(ctx, step, workers)
 	}
 	conn := l.n.peers.linkTo(channel)
 	if conn == nil {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -100,7 +100,7 @@
 	// Start reports false if the order was certainly not sent.
 	Start(o *rack.StartOrder) bool
 	// Act throttles, checkpoints or stops attempts that run on the worker.
-	Act(deed worker.Deed, keys []worker.Key)
+	Act(action worker.Deed, keys []worker.Key)
 	// Forget lets the worker drop attempts that have ended from its reports.
 	Forget(keys []worker.Key)
 	Stop()
--- a/internal/core/fakelink_test.go
+++ b/internal/core/fakelink_test.go
@@ -39,8 +39,8 @@
 	return true
 }
 
-func (l *fakeLink) Act(deed worker.Deed, keys []worker.Key) {
-	l.acts = append(l.acts, worker.Act{Epoch: l.epoch, Deed: deed, Keys: keys})
+func (l *fakeLink) Act(action worker.Deed, keys []worker.Key) {
+	l.acts = append(l.acts, worker.Act{Epoch: l.epoch, Deed: action, Keys: keys})
 }
 
 func (l *fakeLink) Forget(keys []worker.Key) {
--- a/internal/core/recovery_test.go
+++ b/internal/core/recovery_test.go
@@ -38,7 +38,7 @@
 // The record of a node is in the log, but the node learns of it only as part of
 // the state that a peer sent. Whoever waits for the record's result must get
 // state.ErrOutcomeUnknown, else it waits for ever.
-func TestRecordInAPeersStateIsReportedAsUnseen(t *testing.T) {
+func TestRecordInAPeersStateIsReportedAsOutcomeUnknown(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 1, workers: 1, seed: 31})
 	n := cl.nodes[0]
 	cl.block("log", n.name())
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -45,8 +45,8 @@
 	// similarWithin is how far apart the times from a task's start to the crash may be for the
 	// crashes to be similar: they are known from a worker's listings, which arrive every 0.5 s.
 	similarWithin = 600 * time.Millisecond
-	// maxKept bounds the crashes that are kept of a task.
-	maxKept = 8
+	// maxCrashes bounds the crashes that are kept of a task.
+	maxCrashes = 8
 	// maxOthers is how many other workers may become silent at the same moment for a crash to
 	// count within WeakWindow: if more do, the cause is something else than a task.
 	maxOthers = 2
@@ -84,7 +84,7 @@
 		return crashes
 	}
 	crashes = append(crashes, c)
-	return crashes[max(len(crashes)-maxKept, 0):]
+	return crashes[max(len(crashes)-maxCrashes, 0):]
 }
 
 // IsCleared reports whether a long-running task has been on its worker for so long that it does
--- a/internal/delegate/messages.go
+++ b/internal/delegate/messages.go
@@ -9,7 +9,7 @@
 //
 // Delegates are needed where there are more workers than one node can talk to: a listing that a
 // delegate requests costs the owner a fifth of the time of a listing that it requests itself
-// (BenchmarkHold of package platform against BenchmarkDelegatedPoll).
+// (BenchmarkPoll of package platform against BenchmarkDelegatedPoll).
 package delegate
 
 import (
--- a/internal/delegate/router.go
+++ b/internal/delegate/router.go
@@ -234,12 +234,12 @@
 	return out
 }
 
-// Result is an outcome together with its action. Took is the time from Add to the outcome's
+// Result is an outcome together with its action. Duration is the time from Add to the outcome's
 // arrival.
 type Result struct {
-	Action  order.Action
-	Outcome Outcome
-	Took    time.Duration
+	Action   order.Action
+	Outcome  Outcome
+	Duration time.Duration
 }
 
 // Resolve matches outcomes to pending orders and removes these. Outcomes of orders that are not
@@ -253,13 +253,13 @@
 		}
 		delete(r.pending, outcomes[i].ID)
 		out = append(out, Result{p.action, outcomes[i], now.Sub(p.sentAt)})
-		r.notePollOutcome(p.node, outcomes[i].Poll, now)
+		r.recordPollOutcome(p.node, outcomes[i].Poll, now)
 	}
 	return out
 }
 
-// notePollOutcome ejects a delegate that appears to reach no worker.
-func (r *Router) notePollOutcome(node string, outcome order.PollOutcome, now time.Time) {
+// recordPollOutcome ejects a delegate that appears to reach no worker.
+func (r *Router) recordPollOutcome(node string, outcome order.PollOutcome, now time.Time) {
 	switch outcome {
 	case "":
 		return
--- a/internal/delegate/router_test.go
+++ b/internal/delegate/router_test.go
@@ -161,7 +161,7 @@
 	}
 	out := []delegate.Outcome{{ID: b.Orders[0].ID, Start: order.StartSucceeded}, {ID: b.Orders[0].ID + 1, Start: order.StartSucceeded}}
 	got := r.Resolve(out, begin.Add(3*ms))
-	if len(got) != 1 || got[0].Action != start || got[0].Took != 3*ms {
+	if len(got) != 1 || got[0].Action != start || got[0].Duration != 3*ms {
 		t.Errorf("got: %+v, want: the order to start, after 3 ms", got)
 	}
 	if got := r.Resolve(out, begin); len(got) != 0 {
--- a/internal/dispatch/listing.go
+++ b/internal/dispatch/listing.go
@@ -68,9 +68,9 @@
 	case order.StartNoPermit:
 		a.step.permissions.DropPermit(w.ID)
 	case order.StartUnhealthy:
-		w.health.NoteRefusal(e.now)
+		w.health.RecordRefusal(e.now)
 	case order.StartNoCapacity, order.StartRefused:
-		w.health.NoteRefusal(e.now)
+		w.health.RecordRefusal(e.now)
 	case order.StartSucceeded, order.StartFenced, order.StartUnknown, order.StartIncarnationEnded:
 	}
 	a.isAcknowledged = true
@@ -114,7 +114,7 @@
 	if w.session.HasMissed() {
 		e.silences.Remove(w.ID)
 	}
-	w.session.NoteAnswer(listing.At, e.now)
+	w.session.RecordAnswer(listing.At, e.now)
 	w.session.MarkEndsForgotten(poll.Confirmed)
 	e.handleListing(w, listing, poll.AskedAt)
 	e.finishPoll(w, poll.IsImmediate)
@@ -203,7 +203,7 @@
 		id: running.Task, step: s, run: running.Run, worker: w, charge: s.spec.Charge(), phase: phaseRunning,
 		orderedAt: e.now, startConfirmedClock: w.session.Clock(), startConfirmedAt: e.now, percentChangedAt: e.now, pace: fullPace, isAdopted: true,
 	}
-	w.session.NoteOtherLeases(e.inheritedLeasesUntil)
+	w.session.RecordOtherLeases(e.inheritedLeasesUntil)
 	e.charge(a)
 	if slices.Contains(t.mayRunOn, w.ID) {
 		a.isPersisted = true
@@ -266,7 +266,7 @@
 	switch end.Kind {
 	case order.EndSucceeded:
 		if a != nil {
-			e.learnDuration(a)
+			e.recordDuration(a)
 		}
 		e.handleSuccess(w, s, end, a)
 	case order.EndFailed:
@@ -284,7 +284,7 @@
 // handleSuccess handles a successful end. a is the attempt that has ended, nil if it is not known.
 func (e *Engine) handleSuccess(w *worker, s *step, end *order.End, a *attempt) {
 	e.counts.Done++
-	w.health.NoteSuccess(e.now)
+	w.health.RecordSuccess(e.now)
 	if s.spec.IsLongRunning {
 		return
 	}
@@ -322,7 +322,7 @@
 		return
 	}
 	if e.isEnabled(MechanismHealth) {
-		w.health.NoteFailure(e.now, s.job.spec.ID)
+		w.health.RecordFailure(e.now, s.job.spec.ID)
 	}
 	s.tasks[i].avoidWorker, s.tasks[i].lastFailedAt = w.ID, e.now
 	e.markDirty(s.job)
--- a/internal/dispatch/permission.go
+++ b/internal/dispatch/permission.go
@@ -27,7 +27,7 @@
 	for _, id := range steps {
 		e.claims.Drop(id)
 		if s := e.findStep(id); s != nil {
-			s.permissions.NoteLost()
+			s.permissions.RecordLost()
 			e.needsScheduling = true
 		}
 	}
@@ -40,7 +40,7 @@
 
 // PermissionAnswered processes the answer to a permission query. permits are those that were
 // granted; each is valid for the time valid. isKnown is false if there was no answer.
-func (e *Engine) PermissionAnswered(channel string, id work.StepID, asked []order.WorkerID, permits []order.Permit, valid time.Duration, isKnown bool) {
+func (e *Engine) PermissionAnswered(channel string, id work.StepID, queried []order.WorkerID, permits []order.Permit, valid time.Duration, isKnown bool) {
 	e.channels.EndCall(channel, id)
 	e.claims.Drop(id)
 	e.needsScheduling = true
@@ -49,11 +49,11 @@
 		return
 	}
 	if !isKnown {
-		s.permissions.NoteFailure(e.now)
-		e.options.Log(events.AdviceFailed, "step", id, "lane", channel, "asked", len(asked))
+		s.permissions.RecordFailure(e.now)
+		e.options.Log(events.AdviceFailed, "step", id, "lane", channel, "asked", len(queried))
 		return
 	}
-	s.permissions.NoteAnswer(asked, permits, valid, e.now)
+	s.permissions.RecordAnswer(queried, permits, valid, e.now)
 }
 
 // maxQueriesPerPass limits the permission queries that a scheduling pass prepares, the most urgent
@@ -92,18 +92,18 @@
 		}
 		return
 	}
-	asked := permit.ChooseWorkers(found, policy, missing)
-	if len(asked) == 0 {
-		s.permissions.NoteNoCandidates(e.now)
+	queried := permit.ChooseWorkers(found, policy, missing)
+	if len(queried) == 0 {
+		s.permissions.RecordNoCandidates(e.now)
 		return
 	}
-	timeout := e.channels.BeginCall(channel, s.id, policy, len(asked), e.now)
+	timeout := e.channels.BeginCall(channel, s.id, policy, len(queried), e.now)
 	s.permissions.BeginQuery()
 	if e.isEnabled(MechanismClaims) {
-		e.claims.Add(s.id, asked, missing, s.spec.Charge())
+		e.claims.Add(s.id, queried, missing, s.spec.Charge())
 	}
 	e.counts.PermissionQueries++
-	e.emit(order.QueryPermission{Channel: channel, Step: s.id, Workers: asked, Timeout: timeout})
+	e.emit(order.QueryPermission{Channel: channel, Step: s.id, Workers: queried, Timeout: timeout})
 }
 
 // channelYieldTime is how long channels are left to steps whose pools have free capacity, after one
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -62,14 +62,14 @@
 	return s.doneTasks >= max(minTrustedTasks, len(s.tasks)/2) || s.spec.Estimate > 0 && e.estimates[s.job.spec.Queue].IsReliable()
 }
 
-// learnDuration records the time that a task took from its order to its end.
-func (e *Engine) learnDuration(a *attempt) {
+// recordDuration records the time that a task took from its order to its end.
+func (e *Engine) recordDuration(a *attempt) {
 	s := a.step
 	if s == nil || s.spec.IsLongRunning || s.spec.IsBestEffort || a.isResumed || a.isAdopted {
 		return
 	}
 	took := e.now.Sub(a.orderedAt)
-	a.worker.speed.NoteRunTime(took, e.expectedDuration(s))
+	a.worker.speed.RecordRunTime(took, e.expectedDuration(s))
 	s.doneTasks++
 	s.doneRunTime += took
 	if s.spec.Estimate <= 0 || a.worker.speed.IsSlow(e.now) {
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -121,9 +121,9 @@
 	e.reservedSteps++
 	e.counts.ReservationPlans++
 	need := s.spec.Charge()
-	places := reserve.Plan(&reserve.Request{Count: count, Need: need, IsGang: s.spec.IsGang, StopTime: e.options.StopTime}, models)
-	for i := range places {
-		p := &places[i]
+	reservations := reserve.Plan(&reserve.Request{Count: count, Need: need, IsGang: s.spec.IsGang, StopTime: e.options.StopTime}, models)
+	for i := range reservations {
+		p := &reservations[i]
 		w := workers[p.Worker].worker
 		if w.reservationsReadyAt.IsZero() {
 			e.reservedWorkers = append(e.reservedWorkers, w)
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -71,16 +71,16 @@
 	for id, a := range old.attempts.All() {
 		if a.mayBeInFlight() && successor.attempts.Get(id) == nil {
 			e.transferAttempt(a, successor)
-			successor.session.NoteOtherLeases(a.orderedAt.Add(abandoned.MaxDelay + session.AnyLeaseBound))
+			successor.session.RecordOtherLeases(a.orderedAt.Add(abandoned.MaxDelay + session.AnyLeaseBound))
 		}
 	}
 	for _, o := range e.abandonedStarts.ForWorker(successor.ID, e.now) {
-		successor.session.NoteOtherLeases(o.Until.Add(session.AnyLeaseBound))
+		successor.session.RecordOtherLeases(o.Until.Add(session.AnyLeaseBound))
 	}
 	if old.session.IsLongPolling() && !old.session.HasMissed() {
 		// A poll in flight may do so, too: the owner did not know of the newer incarnation when it
 		// sent the poll.
-		successor.session.NoteOtherLeases(e.now.Add(session.AnyLeaseBound))
+		successor.session.RecordOtherLeases(e.now.Add(session.AnyLeaseBound))
 	}
 }
 
@@ -120,7 +120,7 @@
 func (e *Engine) waitForOtherLeases(w *worker) {
 	for id := range e.uncertainTasks.All() {
 		if id.IsOtherIncarnation(w.ID) {
-			w.session.NoteOtherLeases(e.now.Add(session.AnyLeaseBound))
+			w.session.RecordOtherLeases(e.now.Add(session.AnyLeaseBound))
 		}
 	}
 }
--- a/internal/fallback/fallback.go
+++ b/internal/fallback/fallback.go
@@ -189,9 +189,9 @@
 	return out
 }
 
-// noteServed records that a request was served. The latency of a long poll is not recorded, as it
+// recordServed records that a request was served. The latency of a long poll is not recorded, as it
 // includes the service's wait.
-func (d *Client) noteServed(t *attempt, wait time.Duration) {
+func (d *Client) recordServed(t *attempt, wait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.clock.Now()
@@ -233,8 +233,8 @@
 	return min(max(idleTimeoutFactor*d.usualLatency, minIdleTimeout), maxIdleTimeout)
 }
 
-// noteOvertaken records that a peer was faster than the direct path.
-func (d *Client) noteOvertaken() {
+// recordOvertaken records that a peer was faster than the direct path.
+func (d *Client) recordOvertaken() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.directOvertakes++; d.directOvertakes >= maxDirectOvertakes {
@@ -242,15 +242,15 @@
 	}
 }
 
-// noteDirectFailed starts the backoff of the direct path.
-func (d *Client) noteDirectFailed() {
+// recordDirectFailed starts the backoff of the direct path.
+func (d *Client) recordDirectFailed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.directRetryAt = d.clock.Now().Add(directBackoff)
 }
 
-// noteAllFailed records that a request failed on all paths.
-func (d *Client) noteAllFailed() {
+// recordAllFailed records that a request failed on all paths.
+func (d *Client) recordAllFailed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.allFailedAt = d.clock.Now()
--- a/internal/fallback/hedged.go
+++ b/internal/fallback/hedged.go
@@ -83,7 +83,7 @@
 			timer = s.client.clock.After(delay)
 		}
 	}
-	s.client.noteAllFailed()
+	s.client.recordAllFailed()
 	return finalResult(s.failedAttempts)
 }
 
@@ -106,13 +106,13 @@
 	if !t.isServed() {
 		s.failedAttempts = append(s.failedAttempts, t)
 		if t.path == directPath {
-			s.client.noteDirectFailed()
+			s.client.recordDirectFailed()
 		}
 		return false
 	}
-	s.client.noteServed(t, s.request.Wait)
+	s.client.recordServed(t, s.request.Wait)
 	if s.directInFlight > 0 && t.path != directPath {
-		s.client.noteOvertaken()
+		s.client.recordOvertaken()
 	}
 	return true
 }
--- a/internal/outlier/health.go
+++ b/internal/outlier/health.go
@@ -101,8 +101,8 @@
 	return h.consecutiveFailures == 0 && !h.IsOnProbation && h.FailureRate(now) <= maxHealthyRate
 }
 
-// NoteSuccess records that a task has succeeded.
-func (h *Health) NoteSuccess(now time.Time) {
+// RecordSuccess records that a task has succeeded.
+func (h *Health) RecordSuccess(now time.Time) {
 	h.decay(now)
 	h.successes++
 	h.Readmit()
@@ -115,9 +115,9 @@
 	h.ejection = 0
 }
 
-// NoteFailure records that a task of a job has failed. Further failures of the same job do not
+// RecordFailure records that a task of a job has failed. Further failures of the same job do not
 // count towards an ejection, as the job may be at fault.
-func (h *Health) NoteFailure(now time.Time, job work.JobID) {
+func (h *Health) RecordFailure(now time.Time, job work.JobID) {
 	h.decay(now)
 	h.failures++
 	if h.IsOnProbation || h.lastJob != job {
@@ -155,8 +155,8 @@
 	return h.IsOnProbation && !orderedAt.Before(h.probationFrom)
 }
 
-// NoteRefusal records that the worker has refused a task, and keeps tasks off it for a moment.
-func (h *Health) NoteRefusal(now time.Time) {
+// RecordRefusal records that the worker has refused a task, and keeps tasks off it for a moment.
+func (h *Health) RecordRefusal(now time.Time) {
 	if until := now.Add(refusalPause); until.After(h.pausedUntil) {
 		h.pausedUntil = until
 	}
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -17,12 +17,12 @@
 // fail by their own fault must not eject the workers that run them.
 func TestFailuresOfTwoJobsInARowEjectAWorker(t *testing.T) {
 	h := outlier.Health{}
-	h.NoteFailure(now, "a")
-	h.NoteFailure(now, "a")
+	h.RecordFailure(now, "a")
+	h.RecordFailure(now, "a")
 	if h.IsPaused(now) {
 		t.Error("after two failures of one job: got: paused, want: not, the job may be at fault")
 	}
-	h.NoteFailure(now, "b")
+	h.RecordFailure(now, "b")
 	if !h.IsPaused(now) || !h.IsOnProbation {
 		t.Error("after failures of two jobs: got: in use, want: ejected")
 	}
@@ -30,11 +30,11 @@
 	if h.IsPaused(later) {
 		t.Error("3s later: got: paused, want: on probation")
 	}
-	h.NoteFailure(later, "c")
+	h.RecordFailure(later, "c")
 	if !h.IsPaused(later.Add(5 * time.Second)) {
 		t.Error("after a failed probe: got: in use after 5s, want: ejected for longer")
 	}
-	h.NoteSuccess(later)
+	h.RecordSuccess(later)
 	if h.IsOnProbation {
 		t.Error("after a success: got: on probation, want: in use")
 	}
@@ -44,13 +44,13 @@
 // ends would stay unused while tasks wait that no other worker can run.
 func TestEjectedWorkerMayBeProbedEarly(t *testing.T) {
 	h := outlier.Health{}
-	h.NoteRefusal(now)
+	h.RecordRefusal(now)
 	if h.MayProbeEarly(now) {
 		t.Error("a worker that refuses tasks: got: probed early, want: not")
 	}
-	h.NoteFailure(now, "a")
-	h.NoteFailure(now, "b")
-	h.NoteFailure(now, "c")
+	h.RecordFailure(now, "a")
+	h.RecordFailure(now, "b")
+	h.RecordFailure(now, "c")
 	early := now.Add(3 * time.Second)
 	if !h.IsPaused(early) || h.MayProbeEarly(early.Add(-time.Millisecond)) || !h.MayProbeEarly(early) {
 		t.Error("an ejection of 6 s: got: no early probe from 3 s on, want: one")
@@ -70,11 +70,11 @@
 func TestRiskRisesWithTheFailureRate(t *testing.T) {
 	good, bad := outlier.Health{}, outlier.Health{}
 	for range 10 {
-		good.NoteSuccess(now)
-		bad.NoteSuccess(now)
+		good.RecordSuccess(now)
+		bad.RecordSuccess(now)
 	}
 	for range 5 {
-		bad.NoteFailure(now, "a")
+		bad.RecordFailure(now, "a")
 	}
 	if good.Risk(now) >= bad.Risk(now) {
 		t.Errorf("risks: got: %.2f and %.2f, want: less for the one that fails nothing", good.Risk(now), bad.Risk(now))
@@ -89,11 +89,11 @@
 func TestSlowWorkerIsClearedByATaskInTime(t *testing.T) {
 	s := outlier.Speed{}
 	s.MarkSlow(now)
-	s.NoteRunTime(3*time.Second, time.Second)
+	s.RecordRunTime(3*time.Second, time.Second)
 	if !s.IsSlow(now) || !s.IsSuspectedSlow {
 		t.Error("after a slow task: got: as others, want: slow")
 	}
-	s.NoteRunTime(time.Second, time.Second)
+	s.RecordRunTime(time.Second, time.Second)
 	if s.IsSuspectedSlow {
 		t.Error("after a task in the usual time: got: suspect, want: not")
 	}
--- a/internal/outlier/speed.go
+++ b/internal/outlier/speed.go
@@ -36,9 +36,9 @@
 // IsSlow reports whether the worker has been slow within the last slowPause.
 func (s *Speed) IsSlow(now time.Time) bool { return now.Before(s.slowUntil) }
 
-// NoteRunTime records how long a task took that has succeeded; expected is 0 when it is not
+// RecordRunTime records how long a task took that has succeeded; expected is 0 when it is not
 // known.
-func (s *Speed) NoteRunTime(took, expected time.Duration) {
+func (s *Speed) RecordRunTime(took, expected time.Duration) {
 	if expected > 0 && float64(took) < SlowRatio*float64(expected) {
 		s.IsSuspectedSlow = false
 	}
--- a/internal/owner/delegates.go
+++ b/internal/owner/delegates.go
@@ -125,10 +125,10 @@
 	for _, r := range o.router.Resolve(ev, o.now) {
 		switch a := r.Action.(type) {
 		case order.Start:
-			o.reportStart(&a, r.Outcome.Start, r.Took)
+			o.reportStart(&a, r.Outcome.Start, r.Duration)
 			startEvent{a, r.Outcome.Start, r.Outcome.At}.apply(o)
 		case order.Stop:
-			o.options.Metrics.OrderAnswered("stop", stopOutcome(r.Outcome.IsStopKnown), r.Took)
+			o.options.Metrics.OrderAnswered("stop", stopOutcome(r.Outcome.IsStopKnown), r.Duration)
 			stopEvent{a, r.Outcome.At, r.Outcome.IsStopKnown}.apply(o)
 		case order.Poll:
 			pollEvent{a, r.Outcome.Listing, r.Outcome.Poll}.apply(o)
--- a/internal/owner/export_test.go
+++ b/internal/owner/export_test.go
@@ -22,9 +22,9 @@
 	return &WriteBehindGate{newWriteBehindGate(&Record{}, sentAt)}
 }
 
-// NoteSlow records a sign that the store is slow.
-func (a *WriteBehindGate) NoteSlow(now time.Time) {
-	a.g.noteSlow(now)
+// RecordSlow records a sign that the store is slow.
+func (a *WriteBehindGate) RecordSlow(now time.Time) {
+	a.g.recordSlow(now)
 	a.g.update(now, false, false)
 }
 
--- a/internal/owner/fakes_test.go
+++ b/internal/owner/fakes_test.go
@@ -107,7 +107,7 @@
 
 func (noChannels) Names() []string { return nil }
 
-func (noChannels) Ask(context.Context, string, work.StepID, []order.WorkerID) ([]order.Permit, time.Duration, error) {
+func (noChannels) Query(context.Context, string, work.StepID, []order.WorkerID) ([]order.Permit, time.Duration, error) {
 	return nil, 0, errors.New("not used here")
 }
 
--- a/internal/owner/load_bench_test.go
+++ b/internal/owner/load_bench_test.go
@@ -206,7 +206,7 @@
 	return out
 }
 
-func (fakeChannels) Ask(_ context.Context, _ string, _ work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error) {
+func (fakeChannels) Query(_ context.Context, _ string, _ work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error) {
 	time.Sleep(33 * time.Millisecond)
 	out := []order.Permit{}
 	for i, w := range workers {
--- a/internal/owner/options.go
+++ b/internal/owner/options.go
@@ -36,9 +36,9 @@
 type PermissionChannels interface {
 	// Names returns the channels that are usable now.
 	Names() []string
-	// Ask queries through a channel which of the workers may run a step. It returns their permits
+	// Query asks through a channel which of the workers may run a step. It returns their permits
 	// and for how long these are valid.
-	Ask(ctx context.Context, channel string, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error)
+	Query(ctx context.Context, channel string, step work.StepID, workers []order.WorkerID) ([]order.Permit, time.Duration, error)
 }
 
 // Metrics receives the measurements of an owner. Implementations are safe for concurrent use.
--- a/internal/owner/orders.go
+++ b/internal/owner/orders.go
@@ -100,7 +100,7 @@
 func (o *Owner) runPermissionQuery(a order.QueryPermission) {
 	ctx, cancel := o.withTimeout(a.Timeout)
 	defer cancel()
-	permits, validFor, err := o.options.PermissionChannels.Ask(ctx, a.Channel, a.Step, a.Workers)
+	permits, validFor, err := o.options.PermissionChannels.Query(ctx, a.Channel, a.Step, a.Workers)
 	o.enqueue(permissionEvent{a, permits, validFor, err})
 }
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -260,7 +260,7 @@
 	hasUnpersisted := o.engine.HasUnpersisted()
 	o.mu.Lock()
 	if isSlow {
-		o.writeBehind.noteSlow(o.now)
+		o.writeBehind.recordSlow(o.now)
 	}
 	o.writeBehind.update(o.now, hasUnpersisted, o.engine.AllResponsive())
 	isWriteBehind := o.writeBehind.mayWriteBehind(o.now)
--- a/internal/owner/size_test.go
+++ b/internal/owner/size_test.go
@@ -56,15 +56,15 @@
 // Records of an earlier version contain the field names of placements and failures. A new version
 // that could not read them would lose the jobs.
 func TestRecordsOfEarlierVersionAreRead(t *testing.T) {
-	type previousPlace struct {
+	type previousPlacement struct {
 		Index  int
 		Worker string
 		Run    uint64
 	}
 	type previousStep struct {
 		Done     []byte
-		Failures []previousPlace
-		Places   []previousPlace
+		Failures []previousPlacement
+		Places   []previousPlacement
 		Saved    map[int]string
 		Run      uint64
 	}
@@ -72,7 +72,7 @@
 		State  work.JobState
 		Rounds map[int][]previousStep
 	}{work.JobRunning, map[int][]previousStep{0: {{
-		Done: []byte{1}, Failures: []previousPlace{{1, "w", 2}}, Places: []previousPlace{{2, "v", 3}}, Run: 3,
+		Done: []byte{1}, Failures: []previousPlacement{{1, "w", 2}}, Places: []previousPlacement{{2, "v", 3}}, Run: 3,
 	}}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/owner/write_behind.go
+++ b/internal/owner/write_behind.go
@@ -45,8 +45,8 @@
 	return writeBehindGate{wantsFlag: r.MayHaveUnpersisted, isFlagged: r.MayHaveUnpersisted, unflaggedSeq: r.HeartbeatSeq, unflaggedAt: now}
 }
 
-// noteSlow records a sign that the store is slow or down.
-func (g *writeBehindGate) noteSlow(now time.Time) { g.slowUntil = now.Add(slowPeriod) }
+// recordSlow records a sign that the store is slow or down.
+func (g *writeBehindGate) recordSlow(now time.Time) { g.slowUntil = now.Add(slowPeriod) }
 
 // update decides whether the next record carries the flag. hasUnpersisted means that tasks may run
 // on placements that are not in the store. allResponding means that all workers respond: the next
--- a/internal/owner/write_behind_test.go
+++ b/internal/owner/write_behind_test.go
@@ -29,37 +29,37 @@
 	}{
 		"the store is quick": {func(*owner.WriteBehindGate) {}, 5000 * ms, false},
 		"slow, the unflagged record is young": {func(g *owner.WriteBehindGate) {
-			g.NoteSlow(begin.Add(1100 * ms))
+			g.RecordSlow(begin.Add(1100 * ms))
 		}, 1100 * ms, false},
 		"slow, the unflagged record is old": {func(g *owner.WriteBehindGate) {
-			g.NoteSlow(begin.Add(1100 * ms))
+			g.RecordSlow(begin.Add(1100 * ms))
 		}, 1300 * ms, true},
 		"slow, the flag is written": {func(g *owner.WriteBehindGate) {
-			g.NoteSlow(begin.Add(100 * ms))
+			g.RecordSlow(begin.Add(100 * ms))
 			g.NextFlag(begin.Add(150 * ms))
 		}, 200 * ms, false},
 		"slow, the flag is persisted": {func(g *owner.WriteBehindGate) {
-			g.NoteSlow(begin.Add(100 * ms))
+			g.RecordSlow(begin.Add(100 * ms))
 			g.Persisted(g.NextFlag(begin.Add(150 * ms)))
 		}, 200 * ms, true},
 		"the flag is persisted before, as all workers respond": {func(g *owner.WriteBehindGate) {
 			g.Update(begin, false, true)
 			g.Persisted(g.NextFlag(begin.Add(50 * ms)))
-			g.NoteSlow(begin.Add(100 * ms))
+			g.RecordSlow(begin.Add(100 * ms))
 		}, 100 * ms, true},
 		"an unflagged record follows the flagged one": {func(g *owner.WriteBehindGate) {
-			g.NoteSlow(begin.Add(100 * ms))
+			g.RecordSlow(begin.Add(100 * ms))
 			g.Persisted(g.NextFlag(begin.Add(150 * ms)))
 			g.Update(begin.Add(2000*ms), false, false)
 			g.NextFlag(begin.Add(2000 * ms))
-			g.NoteSlow(begin.Add(2100 * ms))
+			g.RecordSlow(begin.Add(2100 * ms))
 		}, 2200 * ms, false},
 		"placements are not persisted after the store is back": {func(g *owner.WriteBehindGate) {
-			g.NoteSlow(begin.Add(100 * ms))
+			g.RecordSlow(begin.Add(100 * ms))
 			g.Persisted(g.NextFlag(begin.Add(150 * ms)))
 			g.Update(begin.Add(2000*ms), true, false)
 			g.Persisted(g.NextFlag(begin.Add(2000 * ms)))
-			g.NoteSlow(begin.Add(2100 * ms))
+			g.RecordSlow(begin.Add(2100 * ms))
 		}, 2200 * ms, true},
 	} {
 		g := owner.NewWriteBehindGate(begin)
--- a/internal/permit/claims.go
+++ b/internal/permit/claims.go
@@ -26,17 +26,17 @@
 
 // Add records a call of a step that names the workers asked, for a number of tasks that use need
 // each. It replaces the step's former claim.
-func (c *Claims) Add(id work.StepID, asked []order.WorkerID, tasks int, need leverdyke.Resources) {
+func (c *Claims) Add(id work.StepID, queried []order.WorkerID, tasks int, need leverdyke.Resources) {
 	if c.byStep == nil {
 		c.byStep, c.byWorker = map[work.StepID]claim{}, map[order.WorkerID]leverdyke.Resources{}
 	}
 	c.Drop(id)
-	if len(asked) == 0 {
+	if len(queried) == 0 {
 		return
 	}
-	perWorker := scale(need, tasks, len(asked))
-	c.byStep[id] = claim{asked, perWorker}
-	for _, w := range asked {
+	perWorker := scale(need, tasks, len(queried))
+	c.byStep[id] = claim{queried, perWorker}
+	for _, w := range queried {
 		c.byWorker[w] = c.byWorker[w].Add(perWorker)
 	}
 }
--- a/internal/permit/permit_test.go
+++ b/internal/permit/permit_test.go
@@ -118,7 +118,7 @@
 	if s.MayQuery(now) {
 		t.Error("while a call is in flight: got: another may be made, want: not")
 	}
-	s.NoteAnswer([]order.WorkerID{"a", "b"}, []order.Permit{{Worker: "b", Text: "t"}}, 2*time.Second, now)
+	s.RecordAnswer([]order.WorkerID{"a", "b"}, []order.Permit{{Worker: "b", Text: "t"}}, 2*time.Second, now)
 	if isAllowed, isKnown := s.IsAllowed("a"); isAllowed || !isKnown {
 		t.Errorf("a worker that may not run the step: got: %v, %v, want: known as such", isAllowed, isKnown)
 	}
@@ -134,7 +134,7 @@
 	if !slices.Equal(allowed, []order.WorkerID{"b"}) {
 		t.Errorf("allowed: got: %v, want: b", allowed)
 	}
-	s.NoteFailure(now)
+	s.RecordFailure(now)
 	if s.MayQuery(now) || !s.MayQuery(now.Add(100*ms)) {
 		t.Error("after a failure: got: no pause of 100ms")
 	}
--- a/internal/permit/step.go
+++ b/internal/permit/step.go
@@ -50,29 +50,29 @@
 // BeginQuery records that a call is in flight.
 func (s *Step) BeginQuery() { s.isQuerying = true }
 
-// NoteNoCandidates records that there is no worker to ask about for now.
-func (s *Step) NoteNoCandidates(now time.Time) { s.retryAt = now.Add(noCandidatePause) }
+// RecordNoCandidates records that there is no worker to ask about for now.
+func (s *Step) RecordNoCandidates(now time.Time) { s.retryAt = now.Add(noCandidatePause) }
 
 // Defer makes the step leave the channels to other steps for a while.
 func (s *Step) Defer(now time.Time) { s.retryAt = now.Add(deferPause) }
 
-// NoteLost records that the call was lost with its channel, so that the next may be made at once.
-func (s *Step) NoteLost() { s.isQuerying = false }
+// RecordLost records that the call was lost with its channel, so that the next may be made at once.
+func (s *Step) RecordLost() { s.isQuerying = false }
 
-// NoteFailure records that the call was not answered, so that the next is made after a pause.
-func (s *Step) NoteFailure(now time.Time) {
+// RecordFailure records that the call was not answered, so that the next is made after a pause.
+func (s *Step) RecordFailure(now time.Time) {
 	s.isQuerying = false
 	s.retryAt = now.Add(retryPause)
 }
 
-// NoteAnswer records an answer: of the workers that were asked about, those in permits may run
+// RecordAnswer records an answer: of the workers that were asked about, those in permits may run
 // the step, each with its permit, which is valid for as long as valid.
-func (s *Step) NoteAnswer(asked []order.WorkerID, permits []order.Permit, valid time.Duration, now time.Time) {
+func (s *Step) RecordAnswer(queried []order.WorkerID, permits []order.Permit, valid time.Duration, now time.Time) {
 	s.isQuerying = false
 	if s.verdicts == nil {
 		s.verdicts, s.permits = map[order.WorkerID]bool{}, map[order.WorkerID]grant{}
 	}
-	for _, w := range asked {
+	for _, w := range queried {
 		s.verdicts[w] = false
 	}
 	for _, p := range permits {
--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -80,7 +80,7 @@
 	case clock <= 0:
 		return false
 	case time.Duration(l.clock-clock) > reorderSlack:
-		l.NoteOtherLeases(now.Add(AnyLeaseBound))
+		l.RecordOtherLeases(now.Add(AnyLeaseBound))
 		return false
 	case !l.lastHeardAt.IsZero() && clock > latest:
 		return false
@@ -114,8 +114,8 @@
 	return l.deadline
 }
 
-// NoteOtherLeases records that leases which others gave may last until then.
-func (l *Lease) NoteOtherLeases(until time.Time) {
+// RecordOtherLeases records that leases which others gave may last until then.
+func (l *Lease) RecordOtherLeases(until time.Time) {
 	if until.After(l.othersExpireAt) {
 		l.othersExpireAt = until
 	}
--- a/internal/session/session.go
+++ b/internal/session/session.go
@@ -30,8 +30,8 @@
 	listedAt    time.Time
 }
 
-// NoteAnswer records that a poll was answered now, when the worker's clock showed clock.
-func (s *Session) NoteAnswer(clock order.WorkerTime, now time.Time) {
+// RecordAnswer records that a poll was answered now, when the worker's clock showed clock.
+func (s *Session) RecordAnswer(clock order.WorkerTime, now time.Time) {
 	s.ObserveClock(clock, now)
 	s.resetMisses()
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -57,8 +57,8 @@
 	if l.HasExpired(begin.Add(time.Hour)) {
 		t.Error("a worker that never answered: got: its lease has expired, want: there was none")
 	}
-	l.NoteOtherLeases(begin.Add(20 * sec))
-	l.NoteOtherLeases(begin.Add(10 * sec))
+	l.RecordOtherLeases(begin.Add(20 * sec))
+	l.RecordOtherLeases(begin.Add(10 * sec))
 	l.ObserveClock(order.WorkerTime(sec), begin)
 	l.Renew(begin)
 	for after, want := range map[time.Duration]bool{19 * sec: false, 21 * sec: true} {
@@ -172,7 +172,7 @@
 		"silent for a while":   {sec, 3, 0},
 	} {
 		s := session.Session{}
-		s.NoteAnswer(1, begin)
+		s.RecordAnswer(1, begin)
 		s.AcceptListing(1, begin)
 		s.MarkEndsStored(7)
 		for range tc.misses {
@@ -188,7 +188,7 @@
 // ends that it has not reported. So no more polls confirm than are needed.
 func TestAcknowledgedEndsAreNotConfirmedAgain(t *testing.T) {
 	s := session.Session{}
-	s.NoteAnswer(1, begin)
+	s.RecordAnswer(1, begin)
 	s.AcceptListing(1, begin)
 	for i, tc := range []struct{ stored, forgotten, want uint64 }{{0, 0, 0}, {3, 0, 3}, {3, 3, 0}, {5, 3, 5}, {5, 5, 0}} {
 		s.MarkEndsStored(tc.stored)
@@ -218,7 +218,7 @@
 			t.Errorf("pause after %d misses: want: %v", i+1, want)
 		}
 	}
-	s.NoteAnswer(1, begin)
+	s.RecordAnswer(1, begin)
 	if s.IsSilent() || s.HasMissed() {
 		t.Error("when it answers: got: silent, want: not")
 	}
