--- a/internal/abandoned/starts.go
+++ b/internal/abandoned/starts.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package abandoned tracks orders to start that the owner has given up and that may still arrive
+// Package abandoned tracks orders to start that the owner has abandoned and that may still arrive
 // at their worker. An order that was not answered may be delayed for seconds and reach whichever
 // incarnation of the worker runs then. A newer incarnation knows neither the highest fencing
 // token nor the runs that were stopped before it began, and would carry the order out. The
--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -144,7 +144,8 @@
 // task that it started. Its last record must not carry the write-behind flag and must be recent.
 // The age is checked twice, because each check alone may be wrong: by the owner's heartbeats on
 // this node's clock, as a heartbeat may have been delayed in flight; and by the time of day, which
-// may have been set. A node that received no heartbeat of that owner cannot tell.
+// may have been set. A node that received no heartbeat of that owner cannot know the
+// age of the record.
 func (n *Node) hasAllPlacements(previous *owner.Record) bool {
 	if previous == nil {
 		return true
--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -23,7 +23,7 @@
 )
 
 // Leave prepares the end of the process. As the owner, this node hands the shard over; as a
-// follower, it tells the owner that it is about to end. The node still forwards requests after
+// follower, it notifies the owner that it is about to end. The node still forwards requests after
 // that.
 func (n *Node) Leave(ctx context.Context) {
 	n.mu.Lock()
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -158,7 +158,7 @@
 	storeLatency time.Duration
 }
 
-// NewNode starts a node: it listens for other nodes and begins to look for the owner.
+// NewNode starts a node: it listens for other nodes and begins to search for the owner.
 func NewNode(options Options) (*Node, error) {
 	l, err := net.Listen("tcp", options.LinkAddr.String())
 	if err != nil {
--- a/internal/compare/stale_test.go
+++ b/internal/compare/stale_test.go
@@ -36,7 +36,7 @@
 
 // TestCompareStaleSummaries prints the cost of stale summaries in a region that is nearly full: the share of
 // requests to racks that are refused, and the waiting times. It varies the age of the summaries, the number
-// of racks compared, whether a rack is excluded for a while after a refusal, and whether the order of racks
+// of racks compared, whether a rack is excluded for some ticks after a refusal, and whether the order of racks
 // rotates on each request or only after a refusal. It asserts nothing.
 func TestCompareStaleSummaries(t *testing.T) {
 	t.Log("\n| summaries' age (s) | racks compared | exclusion after a refusal | order rotates on each request | requests refused (%) | wait p50 / p99 (s) |\n|---|---|---|---|---|---|")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -73,10 +73,10 @@
 	// Append reports false, and never calls done, if it does not accept the
 	// record.
 	Append(r state.Record, done func(error)) bool
-	// BatchApplied tells the log's writer that a batch of its own was read from
+	// BatchApplied notifies the log's writer that a batch of its own was read from
 	// the log, and with which outcome it was applied.
 	BatchApplied(seq uint64, outcome state.Outcome)
-	// BatchesSkipped tells the log's writer that its batches up to seq are part
+	// BatchesSkipped notifies the log's writer that its batches up to seq are part
 	// of a snapshot or of a peer's state that this node now continues from, so
 	// that their outcomes will not be known.
 	BatchesSkipped(seq uint64)
@@ -368,7 +368,7 @@
 }
 
 // recordLostNodes appends to the log that members have ended whose VM no longer
-// exists and that are not heard. Only then can their successors be sure that
+// exists and that send no heartbeats. Only then can their successors be sure that
 // nobody renews the leases on the racks that they owned.
 func (c *Core) recordLostNodes() {
 	for i := range c.vms {
--- a/internal/core/fakelink_test.go
+++ b/internal/core/fakelink_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// handleError tells the core if an error says that the worker obeys a later
-// epoch, and reports whether there was an error.
+// handleError notifies the core if an error says that the worker has accepted a
+// later epoch, and reports whether there was an error.
 func (l *fakeLink) handleError(err error) bool {
 	f := &worker.FencedError{}
 	if errors.As(err, &f) {
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -262,7 +262,7 @@
 }
 
 // A task that may run at most once and whose worker died may have run: it must
-// end as of unknown fate, neither be restarted nor wait for ever.
+// end as of unknown fate, neither be restarted nor wait forever.
 func TestAtMostOnceTaskOnADeadWorkerHasUnknownFate(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 2, workers: 2, seed: 23})
 	onceJob := batchSpec("once", 4, time.Minute)
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -85,8 +85,8 @@
 }
 
 // checkLiveness queries the members that this node suspects through the log, if
-// it hears less than half of its peers, and drops queries about members that are
-// heard again or have left.
+// it receives heartbeats from less than half of its peers, and drops queries about members that are
+// no longer suspected or have left.
 func (c *Core) checkLiveness(now time.Time) {
 	for n := range c.livenessChecks.pending {
 		if m := c.state.Members[n]; m == nil || m.HasLeft || !c.members.IsSuspect(now, n) {
--- a/internal/core/liveness_test.go
+++ b/internal/core/liveness_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// The last live node of a region looks like a partitioned one. It must take over
+// The last live node of a region cannot be distinguished from a partitioned one. It must take over
 // all shards once its peers have not answered its query in the log.
 func TestLastLiveNodeTakesOverAllShards(t *testing.T) {
 	cl := newClusterWithService(t, 41)
@@ -87,7 +87,7 @@
 }
 
 // Dead members that no operator retires stay members. They must not be queried
-// again and again, which would append to the log for ever.
+// repeatedly: each query appends to the log, which would grow without limit.
 func TestDeadMembersAreQueriedOnlyOnce(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 5, racks: 2, workers: 1, seed: 43})
 	for _, n := range cl.nodes[:3] {
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -220,7 +220,7 @@
 	}
 }
 
-// checkPeers logs which peers have become suspected and which are heard again,
+// checkPeers logs which peers have become suspected and which are no longer,
 // and revokes the grants of nodes that have ended or have been suspected for
 // longer than grantHolderTimeout.
 func (c *Core) checkPeers(now time.Time) {
--- a/internal/core/owners.go
+++ b/internal/core/owners.go
@@ -290,8 +290,8 @@
 	c.closeRack(id)
 }
 
-// confirmSoleOwner tells the racks up to which time it is certain that no other
-// node renewed leases on their workers. This follows from the log, or, while it
+// confirmSoleOwner passes to the racks the time up to which it is certain that
+// no other node renewed leases on their workers. This follows from the log, or, while it
 // is unavailable, from the heartbeats of all members of the region. A rack may
 // consider a lease expired only on this ground.
 func (c *Core) confirmSoleOwner(now time.Time) {
@@ -325,11 +325,11 @@
 }
 
 // confirmedByMembers returns a time up to which no member of the region can have
-// applied a claim that this node does not know. All of them must be heard, must
-// report that they cannot read the log, and must not have applied more of it
+// applied a claim that this node does not know. All of them must send heartbeats,
+// must report that they cannot read the log, and must not have applied more of it
 // than this node; otherwise the time is zero. The result is 2 s in the past
-// because the last heartbeat of a member that is still heard may be almost that
-// old.
+// because the last heartbeat of a member that is not suspected may be almost
+// that old.
 func (c *Core) confirmedByMembers(now time.Time) time.Time {
 	for id, m := range c.state.Members {
 		if m.HasLeft || m.Region != c.options.Region || id == c.options.Self.Node {
--- a/internal/core/policy_test.go
+++ b/internal/core/policy_test.go
@@ -60,7 +60,7 @@
 
 // Two large all-at-once jobs of two job shards compete with a stream of small
 // tasks. Each must start as a whole or not at all: if each got a part of the
-// capacity, both would wait for ever. Nor may the small tasks starve them.
+// capacity, both would wait forever. Nor may the small tasks starve them.
 func TestAllAtOnceJobsStartWholeAndAreNotStarved(t *testing.T) {
 	cl := newReadyCluster(t, 2)
 	teams := []string{"filings", otherTeam("filings"), otherTeam("filings", otherTeam("filings"))}
--- a/internal/core/recovery_test.go
+++ b/internal/core/recovery_test.go
@@ -37,7 +37,7 @@
 
 // The record of a node is in the log, but the node learns of it only as part of
 // the state that a peer sent. Whoever waits for the record's result must get
-// state.ErrOutcomeUnknown, else it waits for ever.
+// state.ErrOutcomeUnknown, or it would wait forever.
 func TestRecordInAPeersStateIsReportedAsOutcomeUnknown(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 1, workers: 1, seed: 31})
 	n := cl.nodes[0]
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -21,8 +21,8 @@
 // because too many jobs wait.
 const queueFullRetrySeconds = 5
 
-// CheckRetire returns the record which says that a node has ended that is not
-// heard, or an error if the record must not be appended.
+// CheckRetire returns the record which says that a node has ended, or an error
+// if it must not be appended: the node must be a suspected member.
 func (c *Core) CheckRetire(id state.NodeID) (*state.Leave, error) {
 	m := c.state.Members[id]
 	switch {
--- a/internal/core/workers.go
+++ b/internal/core/workers.go
@@ -10,7 +10,7 @@
 )
 
 // rackInEpoch returns a rack if this node owns it in that epoch, or nil. Events
-// of links that were opened in another epoch are thereby ignored.
+// of links that were opened in another epoch are therefore ignored.
 func (c *Core) rackInEpoch(id state.ShardID, epoch worker.Epoch) *rack.Rack {
 	if o := c.racks[id]; o != nil && o.rack.Epoch == epoch {
 		return o.rack
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -22,7 +22,7 @@
 
 const (
 	// StrongWindow is the longest that a task may have been on its worker, as far as the worker's
-	// answers tell, for the crash to be strong evidence against the task: long enough for a task
+	// answers show, for the crash to be strong evidence against the task: long enough for a task
 	// that crashes its worker at its start, short enough that few others are suspected.
 	StrongWindow = 300 * time.Millisecond
 	// WeakWindow is the longest for a crash to be weak evidence, of which several must agree. It
@@ -36,7 +36,7 @@
 	// by chance.
 	strongNeeded = 3
 	// weakNeeded is how many crashes are enough that are weak evidence each. Callers are
-	// promised fewer than three starts after the third crash; one of them is reserved for
+	// guaranteed fewer than three starts after the third crash; one of them is reserved for
 	// crashes that a new owner does not know of.
 	weakNeeded = 4
 	// soleTrialAfter is under how many crashes of a single worker a task is tried only while no
@@ -45,7 +45,7 @@
 	// similarWithin is how far apart the times from a task's start to the crash may be for the
 	// crashes to be similar: they are known from a worker's listings, which arrive every 0.5 s.
 	similarWithin = 600 * time.Millisecond
-	// maxCrashes bounds the crashes that are kept of a task.
+	// maxCrashes bounds the crashes that are remembered of a task.
 	maxCrashes = 8
 	// maxOthers is how many other workers may become silent at the same moment for a crash to
 	// count within WeakWindow: if more do, the cause is something else than a task.
@@ -62,8 +62,8 @@
 
 // Suspect is a task that was on a worker when that crashed.
 type Suspect struct {
-	// Unit is the task, or the first task of its gang: members of a gang cannot be told apart, as
-	// they start together.
+	// Unit is the task, or the first task of its gang: members of a gang cannot be
+	// distinguished, as they start together.
 	Unit work.TaskID
 	// Crashes are those under the task; the last one is this worker's.
 	Crashes []work.Crash
--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -39,7 +39,7 @@
 	return work.Crash{Worker: fmt.Sprintf("w%d", n), Run: uint64(n), IsInherited: true}
 }
 
-// possibleCrash is a crash of a worker that may only have been cut off.
+// possibleCrash is a crash of a worker that may only have been partitioned.
 func possibleCrash(n int, ran time.Duration) work.Crash {
 	c := knownCrash(n, ran)
 	c.IsConfirmed = false
--- a/internal/crash/silences.go
+++ b/internal/crash/silences.go
@@ -15,7 +15,7 @@
 type SilentWorkers struct{ all []silence }
 
 // silence is the silence of a worker whose last answer came at heardAt, and which was found
-// silent at silentAt. It crashed, or was cut off, at some time between the two.
+// silent at silentAt. It crashed, or was partitioned, at some time between the two.
 type silence struct {
 	worker            order.WorkerID
 	heardAt, silentAt time.Time
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -125,7 +125,8 @@
 // have no recent start, and for the next scheduling pass to follow.
 const suspectReservationTime = 2 * crash.IsolationTime
 
-// isolateSuspect keeps other tasks off a worker for a while when it is ordered to start a suspect.
+// isolateSuspect keeps other tasks off a worker for crash.IsolationTime when it is ordered to start
+// a suspect.
 func (e *Engine) isolateSuspect(a *attempt) {
 	t := &a.step.tasks[a.id.Index]
 	if !isSuspect(t) {
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// The members of a gang start together, so that the one that crashes its worker cannot be told from
-// the others: the whole gang must fail, and no other job.
+// The members of a gang start together, so that the one that crashes its worker cannot be distinguished
+// from the others: the whole gang must fail, and no other job.
 func TestGangIsFailedWhenAMemberCrashesWorkers(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(8, workerCapacity)
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -118,7 +118,7 @@
 	// worker.
 	abandonedStarts abandoned.Starts
 	// possiblyCrashed are workers that have stopped answering. They may have crashed, or only be
-	// cut off from the network.
+	// partitioned.
 	possiblyCrashed ordered.Map[order.WorkerID, *possibleCrash]
 	// silences are the recent periods during which a worker did not answer, whether it turned out
 	// to be alive or not.
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -340,7 +340,7 @@
 }
 
 // The entry of a crashed worker stays in the list for some seconds beside that of its replacement
-// on the same machine. The engine took each of the two entries in turn for the later one, so that
+// on the same machine. The engine regarded each of the two entries in turn as the later one, so that
 // tasks of the live worker were started again.
 func TestStaleWorkerEntryEndsTasksOfReplacement(t *testing.T) {
 	w := newSim(1)
--- a/internal/dispatch/inherit.go
+++ b/internal/dispatch/inherit.go
@@ -58,7 +58,7 @@
 
 // extendUncertainty extends the uncertainty for a worker that was removed from the list before it
 // sent a listing. One that drained has ended. Any other was silent for two heartbeats at least,
-// and if it is only unreachable, it goes on until its lease expires.
+// and if it is only unreachable, it continues to run until its lease expires.
 func (e *Engine) extendUncertainty(w *worker) {
 	if e.inherited == nil || w.session.IsListed() || w.IsDraining {
 		return
--- a/internal/dispatch/lost_attempts_test.go
+++ b/internal/dispatch/lost_attempts_test.go
@@ -15,7 +15,7 @@
 )
 
 // The log must name each attempt that is lost with its worker. It once had only their number, so
-// that a task that crashes workers could not be told from those that ran beside it.
+// that a task that crashes workers could not be distinguished from those that ran beside it.
 func TestLogNamesAttemptsLostWithTheirWorker(t *testing.T) {
 	logged := map[work.TaskID]int{}
 	e := dispatch.NewEngine(dispatch.Options{Log: func(event events.Event, keysAndValues ...any) {
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -487,8 +487,8 @@
 }
 
 // abandonPlanned drops an attempt that was not ordered. If it belongs to a gang, the other members
-// of the same run are stopped, too: they would wait for it in vain, up to the time limit within
-// which a gang must assemble.
+// of the same run are stopped, too: they would wait for a member that never starts, up to the time
+// limit within which a gang must assemble.
 func (e *Engine) abandonPlanned(a *attempt, why string) {
 	e.release(a)
 	e.detachAttempt(a)
@@ -498,7 +498,7 @@
 }
 
 // isGangStarted reports whether other members of the same run of the attempt's gang have been
-// ordered. They would wait in vain for a member that is not started.
+// ordered. They would wait for a member that never starts.
 func (e *Engine) isGangStarted(a *attempt) bool {
 	if !a.step.spec.IsGang {
 		return false
--- a/internal/dispatch/restart.go
+++ b/internal/dispatch/restart.go
@@ -33,8 +33,8 @@
 	e.sendRefusals(w)
 }
 
-// sendRefusals tells the worker to refuse abandoned orders, again and again until it has confirmed
-// that it does.
+// sendRefusals asks the worker to refuse abandoned orders, and repeats this until the worker has
+// confirmed it.
 func (e *Engine) sendRefusals(w *worker) {
 	if !w.refusals.HasPending() {
 		return
--- a/internal/dispatch/restart_test.go
+++ b/internal/dispatch/restart_test.go
@@ -21,7 +21,7 @@
 // knows of the previous one applies to it. State was once kept by the worker's ID alone, with two
 // effects:
 //
-// The new incarnation numbered its ends from the start. The owner took these numbers for ends that
+// The new incarnation numbered its ends from the start. The owner mistook these numbers for ends that
 // it had already received and confirmed the old ones, which made the worker forget the new ends.
 // Within 8 ms the owner missed the two tasks, which had succeeded, and started both elsewhere; the
 // log had "worker no longer knows an attempt" for each.
@@ -246,8 +246,8 @@
 }
 
 // A worker restarts between two listings, before the owner polls it again: the next poll renews the
-// lease by the previous incarnation's clock. The newer incarnation then goes on for 10 s, but the
-// owner took its lease as expired after 6 s.
+// lease by the previous incarnation's clock. The newer incarnation then continues for 10 s, but the
+// owner regarded its lease as expired after 6 s.
 func TestLeaseRenewedByTheEarlierIncarnationsClockIsWaitedFor(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newSimWithStartTimes(seed)
--- a/internal/dispatch/stall_test.go
+++ b/internal/dispatch/stall_test.go
@@ -11,8 +11,8 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// When this node's own process is kept from running, it receives answers late, and must not take
-// the orders in flight as unanswered. After a stall of 60 ms it once took all 35 of them as
+// When this node's own process is kept from running, it receives answers late, and must not treat
+// the orders in flight as unanswered. After a stall of 60 ms it once treated all 35 of them as
 // unanswered at once, polled the workers, and stopped some of the tasks.
 func TestStartsDoNotTimeOutBecauseThisNodeStalled(t *testing.T) {
 	for name, tc := range map[string]struct {
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -61,7 +61,7 @@
 }
 
 // An owner that hands over starts nothing new, but must still order the remaining members of a gang
-// of which some are ordered: these would wait for the others in vain.
+// of which some are ordered: these would wait for members that never start.
 func TestPausedOwnerOrdersTheRestOfAStartedGang(t *testing.T) {
 	const members = 120
 	fakeClock := clock.NewFake()
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -40,7 +40,7 @@
 	isShuttingDown bool
 	// isSuperseded means that the list has another incarnation of the worker in its place.
 	isSuperseded bool
-	// refusals are abandoned orders to start that may still arrive and that the worker is told to
+	// refusals are abandoned orders to start that may still arrive and that the worker is asked to
 	// refuse.
 	refusals abandoned.Refusals
 	health   outlier.Health
@@ -440,7 +440,7 @@
 
 // withdrawStart withdraws an order to start that Actions has not returned yet, and reports whether
 // there was one. A task that ends between its order and the call of Actions would otherwise be
-// started again, for example the last task of a job that callers were told had succeeded.
+// started again, for example the last task of a job that was reported to its caller as succeeded.
 func (e *Engine) withdrawStart(a *attempt) bool {
 	if a.phase != phaseOrdered || a.isSent {
 		return false
--- a/internal/dispatch/write_behind_test.go
+++ b/internal/dispatch/write_behind_test.go
@@ -11,7 +11,7 @@
 // In write-behind mode the owner orders starts before the store has their placements, and states
 // that in its record; the statement is withdrawn when the mode ends. Starts that were queued in
 // that mode were once still sent after its end without their placements being stored, so that the
-// next owner wrongly took all placements as known.
+// next owner wrongly assumed that it knew all placements.
 func TestNoStartWithoutStoredPlacementAfterWriteBehindEnds(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(40, workerCapacity)
--- a/internal/emulator/runner/faults.go
+++ b/internal/emulator/runner/faults.go
@@ -142,14 +142,14 @@
 	}
 }
 
-// pauseNode suspends a node's process for a while.
+// pauseNode suspends a node's process for d.
 func (p *Runner) pauseNode(n *node, d time.Duration) {
 	if n.Signal(syscall.SIGSTOP) == nil {
 		p.scheduleEnd(d, func() { _ = n.Signal(syscall.SIGCONT) })
 	}
 }
 
-// setStoreMode makes the store misbehave for a while. Overlapping faults of the store are not stacked:
+// setStoreMode makes the store misbehave for d. Overlapping faults of the store are not stacked:
 // the first to end restores the store.
 func (p *Runner) setStoreMode(mode site.StoreMode, d time.Duration) {
 	p.site.Store.SetMode(mode)
--- a/internal/estimate/run_times.go
+++ b/internal/estimate/run_times.go
@@ -13,14 +13,14 @@
 	// estimates counts as known.
 	minReliableSamples = 20
 	// maxReliableError is the mean error of estimates, as a logarithm, below which an estimate is
-	// good enough to tell that a single task is slow: at 0.4, one estimate in a hundred is
+	// good enough to detect that a single task is slow: at 0.4, one estimate in a hundred is
 	// off by a factor of 2.5.
 	maxReliableError = 0.4
 	// minSampleWeight is the least weight of a new task in the moving averages of bias and error.
 	minSampleWeight = 0.05
 	// warmUpRatio is how many times a task's estimate must have passed since the first order
 	// before the task's run time counts. The first tasks to end are the shortest ones; if
-	// they counted, all others would look slow.
+	// they counted, all others would appear slow.
 	warmUpRatio = 3
 )
 
@@ -43,7 +43,7 @@
 	return time.Duration(math.Exp(r.bias) * float64(estimate))
 }
 
-// IsReliable reports whether corrected estimates are accurate enough to tell that a single task is
+// IsReliable reports whether corrected estimates are accurate enough to detect that a single task is
 // slow.
 func (r *RunTimes) IsReliable() bool {
 	return r != nil && r.samples >= minReliableSamples && r.error < maxReliableError
--- a/internal/jobshard/job.go
+++ b/internal/jobshard/job.go
@@ -80,8 +80,8 @@
 	// starts any more.
 	isEnding bool
 	gang     gang
-	// expectedUsage is the largest usage of a task that a rack has told the shard to
-	// expect; zero as long as no rack has reported more than the tasks declare.
+	// expectedUsage is the largest usage of a task that a rack has reported as to be
+	// expected; zero as long as no rack has reported more than the tasks declare.
 	expectedUsage leverdyke.Resources
 	// blockedSince is since when no rack has had free capacity for any task of the
 	// job; zero if one has. starvedRequestAt is when a rack was last asked to keep a
--- a/internal/jobshard/loss_test.go
+++ b/internal/jobshard/loss_test.go
@@ -36,7 +36,7 @@
 }
 
 // A task that crashes its worker must not be started on one worker after the
-// other for ever. A crashed worker reports no failure, so that losses have to
+// other without end. A crashed worker reports no failure, so that losses have to
 // count too.
 func TestTaskLostWithEveryWorkerIsAbandoned(t *testing.T) {
 	for kind, want := range map[leverdyke.Kind]struct{ least, most int }{
--- a/internal/jobshard/report.go
+++ b/internal/jobshard/report.go
@@ -254,7 +254,7 @@
 
 // onWorkerLoss handles an attempt that was lost with its worker. The task
 // itself may have crashed the worker, which cannot report a failure; without a
-// limit such a task would crash one worker after the other for ever. The
+// limit such a task would crash one worker after the other without end. The
 // failure budget is applied to the losses of each task alone, since most losses
 // have another cause.
 func (h *Shard) onWorkerLoss(now time.Time, j *job, i int, item *node.AttemptStatus) bool {
--- a/internal/jobshard/shard.go
+++ b/internal/jobshard/shard.go
@@ -190,8 +190,8 @@
 	// EventUnschedulable: no worker of the region is large enough for a task of the
 	// job.
 	EventUnschedulable EventKind = "job-can-never-run"
-	// EventUnknownOutcome: a task that may not be repeated may have run, and no one
-	// can tell.
+	// EventUnknownOutcome: a task that may not be repeated may have run, and it
+	// cannot be determined whether it did.
 	EventUnknownOutcome EventKind = "task-fate-unknown"
 	// EventJobFailed: the job was ended because it failed.
 	EventJobFailed EventKind = "job-failed"
--- a/internal/jobshard/starve.go
+++ b/internal/jobshard/starve.go
@@ -19,7 +19,7 @@
 
 // chooseStarvedRack records that the job finds no free capacity. If this has
 // lasted for starvedAfter, it returns the index of a rack to send the task to
-// all the same, so that the rack keeps a VM free for it; otherwise -1. No
+// nevertheless, so that the rack keeps a VM free for it; otherwise -1. No
 // summary shows a VM with enough free capacity, and there would never be one as
 // long as smaller tasks use whatever becomes free. Only one job of a shard at a
 // time gets this (decision 0012).
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -50,7 +50,7 @@
 	region           string
 	isLogUnavailable bool
 	isDraining       bool
-	// hasHeartbeat is false for a node that was added and has not been heard.
+	// hasHeartbeat is false for a node that was added and has sent no heartbeat since.
 	hasHeartbeat bool
 	suspects     []state.NodeID
 }
@@ -65,7 +65,7 @@
 	// IsLogUnavailable means that the sender does not reach the log.
 	IsLogUnavailable bool
 	IsDraining       bool
-	// Suspects lists the nodes that the sender has not heard for SuspectAfter.
+	// Suspects lists the nodes of which the sender has received no heartbeat for SuspectAfter.
 	Suspects []state.NodeID
 }
 
@@ -80,7 +80,7 @@
 	return &Table{options: options, self: self, peers: map[state.NodeID]*peer{}}
 }
 
-// Add adds a node as if it had been heard now, unless it is already known.
+// Add adds a node as if a heartbeat had been received now, unless it is already known.
 func (t *Table) Add(now time.Time, n state.NodeID, region string) {
 	if t.peers[n] == nil && n != t.self {
 		t.peers[n] = &peer{lastHeard: now, region: region}
@@ -112,7 +112,7 @@
 
 // Tick must be called regularly. It reports whether this process was paused,
 // which it infers from more than PauseAfter since the last call. All peers then
-// count as heard now, because the process could not receive their heartbeats
+// count as if they had sent a heartbeat now, because the process could not receive their heartbeats
 // during the pause.
 func (t *Table) Tick(now time.Time) bool {
 	sinceLastTick := now.Sub(t.lastTick)
@@ -127,8 +127,8 @@
 	return true
 }
 
-// IsSuspect reports whether the node has not been heard for SuspectAfter or is
-// unknown. A node does not suspect itself.
+// IsSuspect reports whether no heartbeat of the node arrived for SuspectAfter, or
+// the node is unknown. A node does not suspect itself.
 func (t *Table) IsSuspect(now time.Time, n state.NodeID) bool {
 	p := t.peers[n]
 	return n != t.self && (p == nil || now.Sub(p.lastHeard) > t.options.SuspectAfter)
--- a/internal/node/frame_test.go
+++ b/internal/node/frame_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// A malformed frame has to give ErrFrame, by which a link tells it from a broken
-// connection and reports the peer.
+// A malformed frame has to give ErrFrame, by which a link distinguishes it from a
+// broken connection and reports the peer.
 func TestMalformedFrameReturnsErrFrame(t *testing.T) {
 	for name, data := range map[string][]byte{
 		"no length":        {0, 0, 0, 0},
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -174,7 +174,7 @@
 	ExpectedUsage *leverdyke.Resources `msgpack:"e,omitempty"`
 }
 
-// AttemptOrder tells a rack's owner what to do to attempts of a job shard, such as
+// AttemptOrder orders a rack's owner to act on attempts of a job shard, such as
 // to stop them. Attempts that the rack does not have are skipped.
 type AttemptOrder struct {
 	JobShard      state.ShardID `msgpack:"h"`
--- a/internal/order/workerid.go
+++ b/internal/order/workerid.go
@@ -27,7 +27,7 @@
 
 // NewWorkerID returns the ID of the incarnation of a worker that started at startedAt by the
 // worker's own wall clock; zero when the worker does not report it. Different times are different
-// incarnations. They do not tell which is the newer one, as wall clocks may be set back.
+// incarnations. They do not show which is the newer one, as wall clocks may be set back.
 func NewWorkerID(name string, startedAt time.Time) WorkerID {
 	if !startedAt.IsZero() {
 		return WorkerID(name + incarnationSeparator + strconv.FormatInt(startedAt.UnixMilli(), incarnationBase))
--- a/internal/outlier/health.go
+++ b/internal/outlier/health.go
@@ -27,7 +27,7 @@
 )
 
 // Health is how healthy a worker is, judged by the outcomes of its attempts. A worker that fails
-// too often is ejected: it gets no tasks for a while. After that it is on probation, with one
+// too often is ejected: it gets no tasks for a limited time. After that it is on probation, with one
 // task at a time as a probe, until one succeeds.
 type Health struct {
 	// consecutiveFailures counts the failures since the last success. Unless the worker is on
@@ -130,7 +130,7 @@
 	h.Eject(now)
 }
 
-// Eject keeps tasks off the worker for a while, longer each time, and puts it on probation after
+// Eject keeps tasks off the worker for a time that grows with each ejection, and puts it on probation after
 // that.
 func (h *Health) Eject(now time.Time) {
 	h.ejection = min(max(2*h.ejection, minEjection), maxEjection)
--- a/internal/owner/cancel_test.go
+++ b/internal/owner/cancel_test.go
@@ -16,7 +16,7 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// partitionedLog is a store that one node can be cut off from while others reach it.
+// partitionedLog is a store that is unreachable for one node while others reach it.
 type partitionedLog struct {
 	store.Log
 	isPartitioned atomic.Bool
@@ -56,12 +56,12 @@
 	return replacedOwner, partitioned, currentOwner
 }
 
-// Issue 15: a replaced owner, cut off from the store, answered that there is no such job because it
-// did not know the job. The caller took that as an acknowledgement of its cancellation, and the job
+// Issue 15: a replaced owner, partitioned from the store, answered that there is no such job because it
+// did not know the job. The caller regarded that as an acknowledgement of its cancellation, and the job
 // continued to run.
 func TestReplacedOwnerAcknowledgesNoCancel(t *testing.T) {
 	replacedOwner, partitioned, currentOwner := startReplacedOwner(t)
-	// While it is cut off, it cannot know whether it is still the owner, and gives no answer.
+	// While it is partitioned, it cannot know whether it is still the owner, and gives no answer.
 	ctx, cancel := context.WithTimeout(t.Context(), 2*tick)
 	defer cancel()
 	if _, err := replacedOwner.Cancel(ctx, "a", work.Caller{}); err == nil {
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -263,7 +263,7 @@
 }
 
 // A node with a link of 10 Mbit/s could not read jobs of more than 1.9 MB within its fixed timeout
-// of 1.5 s, and repeated the read for ever.
+// of 1.5 s, and repeated the read without end.
 func TestTakeoverOfManyJobsOverSlowLink(t *testing.T) {
 	log := fakestore.NewLog()
 	workers := newFakeWorkers()
--- a/internal/permit/bench_test.go
+++ b/internal/permit/bench_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// The candidates may come in any order. The choice must not depend on it, or the same state
+// The candidates may be listed in any order. The choice must not depend on it, or the same state
 // would lead to different calls.
 func TestChoiceDoesNotDependOnTheOrderOfCandidates(t *testing.T) {
 	all := candidatesOf(1100)
--- a/internal/permit/claims.go
+++ b/internal/permit/claims.go
@@ -12,7 +12,7 @@
 // Claims tracks the capacity of workers that is likely to be used by the steps whose calls are
 // in flight. Without it, steps that ask at the same time would all name the workers with the
 // most free capacity. The first of them would use that up, and the calls of the others would be
-// in vain. The zero value has none.
+// wasted. The zero value has no claims.
 type Claims struct {
 	byStep   map[work.StepID]claim
 	byWorker map[order.WorkerID]leverdyke.Resources
--- a/internal/permit/step.go
+++ b/internal/permit/step.go
@@ -53,7 +53,7 @@
 // RecordNoCandidates records that there is no worker to ask about for now.
 func (s *Step) RecordNoCandidates(now time.Time) { s.retryAt = now.Add(noCandidatePause) }
 
-// Defer makes the step leave the channels to other steps for a while.
+// Defer makes the step leave the channels to other steps until deferPause has passed.
 func (s *Step) Defer(now time.Time) { s.retryAt = now.Add(deferPause) }
 
 // RecordLost records that the call was lost with its channel, so that the next may be made at once.
--- a/internal/policy/docs.go
+++ b/internal/policy/docs.go
@@ -182,7 +182,7 @@
 }
 
 // Put replaces a document by a new version. Documents are checked before they are
-// appended to the log; if one cannot be parsed all the same, Put returns an error
+// appended to the log; if one nevertheless cannot be parsed, Put returns an error
 // and the previous version stays.
 func (s *Set) Put(doc string, body []byte) error {
 	kind, name, _ := strings.Cut(doc, "/")
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// Report records that so many bytes of an exchange were received or sent. 0 bytes record that the
+// Report records that a number of bytes of an exchange were received or sent. 0 bytes record that the
 // answer has begun, which also restarts the idle timeout. Report does nothing if ctx is not bounded
 // by this package.
 func Report(ctx context.Context, bytes int) {
--- a/internal/rack/grants.go
+++ b/internal/rack/grants.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// StopGrantsOf stops the grants of the nodes that have ended or are no longer
-// heard from. The worker lets the requests that run under a grant finish before
+// StopGrantsOf stops the grants of the nodes that have ended or no longer send
+// heartbeats. The worker lets the requests that run under a grant finish before
 // it reports the grant as ended.
 func (r *Rack) StopGrantsOf(now time.Time, hasEnded func(state.NodeID) bool) {
 	for _, a := range liveGrants(r.assignments) {
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -180,7 +180,7 @@
 )
 
 // A second start order could start an attempt after the worker refused the
-// first one and the job shard was told so. It may be sent only when the first
+// first one and this was reported to the job shard. It may be sent only when the first
 // is known to have failed.
 func TestUnacknowledgedStartIsNotOrderedTwice(t *testing.T) {
 	h := newHarness(t, 1, vmCapacity)
--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// leaseDuration is how long a worker goes on without a renewal: longer than a
+	// leaseDuration is how long a worker continues without a renewal: longer than a
 	// takeover takes with a slow store (about 3 s), short enough that the tasks of
-	// a worker that is cut off can soon be started elsewhere.
+	// a worker that is partitioned can soon be started elsewhere.
 	leaseDuration = 6 * time.Second
 	// doubleClockSkew is twice the share by which a worker's clock may be slower than the
 	// owner's.
@@ -68,7 +68,7 @@
 
 // ObserveAnswerClock records what the worker's clock showed in an answer that does not say which
 // incarnation gave it; 0 where the answer had none. It reports whether the value can be of this
-// incarnation's clock, and ignores it otherwise. A clock that has gone back is that of a newer
+// incarnation's clock, and ignores it otherwise. A clock that shows an earlier time is that of a newer
 // incarnation, which has received the end of a lease by the earlier clock: its lease may last as
 // long as workers accept. A clock that is too far ahead is that of a newer incarnation, too.
 // Were it recorded, the worker would seem to have run its tasks for longer than it did, and
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// A clock that has gone back is that of a newer incarnation. The end of the lease that was sent
+// A clock that runs behind its last value is that of a newer incarnation. The end of the lease that was sent
 // lies far ahead of it, so that its lease may last for 10 s, the longest that workers accept.
 func TestLeaseGivenByAnEarlierClockIsAwaited(t *testing.T) {
 	for clock, want := range map[order.WorkerTime]time.Duration{
@@ -142,7 +142,7 @@
 	}
 }
 
-// A listing that was overtaken by a newer one tells of a state that has passed.
+// A listing that was overtaken by a newer one shows an outdated state.
 func TestOvertakenListingIsIgnored(t *testing.T) {
 	s := session.Session{}
 	for i, tc := range []struct {
--- a/internal/state/record.go
+++ b/internal/state/record.go
@@ -89,7 +89,7 @@
 
 // LivenessQuery asks Nodes to show through the log that they are running. A
 // node writes it when it receives heartbeats from less than half of its region:
-// it cannot tell then whether those nodes have failed or it is partitioned
+// it cannot know then whether those nodes have failed or it is partitioned
 // itself. The record does not change the state.
 type LivenessQuery struct {
 	Nodes []NodeID `msgpack:"o"`
