--- a/internal/dispatch/evacuate.go
+++ b/internal/dispatch/evacuate.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		if a.step.waiting == 0 && !a.step.isMoving() {
-			e.stop(a, "its worker is draining")
+			e.stop(a, "its worker leaves")
 		}
 	}
 }
--- a/internal/dispatch/progress.go
+++ b/internal/dispatch/progress.go
@@ -111,7 +111,7 @@
 		if !a.step.spec.IsBestEffort {
 			a.worker.health.Eject(e.now)
 		}
-		e.replace(a, "no progress")
+		e.replace(a, "stands still")
 		return
 	}
 	if (a.worker.speed.IsSlow(e.now) || e.isDurationTrusted(a.step)) && e.isWorthReplacing(a) {
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -151,7 +151,7 @@
 func (e *Engine) preempt(a *attempt, other *step) {
 	a.step.tasks[a.id.Index].preemptions++
 	e.options.Log(events.TaskPreempted, "task", a.id, "run", a.run, "worker", a.worker.ID, "for", other.id, "percent", a.percent)
-	e.stop(a, "preempted for a more urgent task")
+	e.stop(a, "makes way")
 }
 
 // reservableWorker is a worker on which waiting tasks may run, with the attempts on it that will
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -351,7 +351,7 @@
 func (e *Engine) tickAttempt(a *attempt) {
 	if a.phase == phasePlanned {
 		if !e.isReachable(a.worker) {
-			e.stop(a, "worker is unreachable")
+			e.stop(a, "worker is not reached")
 		}
 		return
 	}
