--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -78,7 +78,7 @@
 	r, at, err := owner.ReadRecord(n.ctx, n.log)
 	n.storeLatency = n.options.Clock.Now().Sub(began)
 	if err == nil {
-		n.detour.ObserveLatency(n.storeLatency)
+		n.fallback.ObserveLatency(n.storeLatency)
 	}
 	return r, at, err
 }
@@ -144,7 +144,8 @@
 // task that it started. Its last record must not carry the write-behind flag and must be recent.
 // The age is checked twice, because each check alone may be wrong: by the owner's heartbeats on
 // this node's clock, as a heartbeat may have been delayed in flight; and by the time of day, which
-// may have been set. A node that received no heartbeat of that owner cannot tell.
+// may have been set. A node that received no heartbeat of that owner cannot know the
+// age of the record.
 func (n *Node) hasAllPlacements(previous *owner.Record) bool {
 	if previous == nil {
 		return true
@@ -188,10 +189,10 @@
 // runOwner runs the owner on this node until it ends. Unless the shard is being handed over, it
 // then closes all links, so that the followers notice at once.
 func (n *Node) runOwner(c owner.Claim) {
-	workers, list := n.options.NewOwner(n.detour)
+	workers, list := n.options.NewOwner(n.fallback)
 	o := owner.New(owner.Options{
-		Claim: c, Store: n.options.NewStore(n.detour), Workers: workers, List: list, PermissionChannels: &permissionChannels{n},
-		Clock: n.options.Clock, Log: n.options.Log, Metrics: n.options.Metrics, HasStoreOutage: n.detour.HasOutage, NodeZone: n.options.Zone,
+		Claim: c, Store: n.options.NewStore(n.fallback), Workers: workers, List: list, PermissionChannels: &permissionChannels{n},
+		Clock: n.options.Clock, Log: n.options.Log, Metrics: n.options.Metrics, HasStoreOutage: n.fallback.HasOutage, NodeZone: n.options.Zone,
 		StopTime: n.options.StopTime, Heartbeat: n.options.Heartbeat, MaxStrength: n.maxKnownStrength,
 		Delegates: &delegates{n}, DirectWorkers: n.options.MaxWorkers,
 	})
--- a/internal/core/fakelink_test.go
+++ b/internal/core/fakelink_test.go
@@ -39,8 +39,8 @@
 	return true
 }
 
-func (l *fakeLink) Act(deed worker.Action, keys []worker.Key) {
-	l.acts = append(l.acts, worker.Act{Epoch: l.epoch, Action: deed, Keys: keys})
+func (l *fakeLink) Act(action worker.Action, keys []worker.Key) {
+	l.acts = append(l.acts, worker.Act{Epoch: l.epoch, Action: action, Keys: keys})
 }
 
 func (l *fakeLink) Forget(keys []worker.Key) {
@@ -117,8 +117,8 @@
 	}
 }
 
-// handleError tells the core if an error says that the worker obeys a later
-// epoch, and reports whether there was an error.
+// handleError notifies the core if an error says that the worker has accepted a
+// later epoch, and reports whether there was an error.
 func (l *fakeLink) handleError(err error) bool {
 	f := &worker.FencedError{}
 	if errors.As(err, &f) {
