--- a/internal/policy/docs.go
+++ b/internal/policy/docs.go
@@ -78,7 +78,7 @@
 	}
 	kind, name, _ := strings.Cut(doc, "/")
 	if !IsName(name) {
-		return &document.FieldError{File: file, Key: doc, Problem: "is not a valid document name", Allowed: "office/NAME, team/NAME, template/NAME or drain/WORKER; NAME of " + nameAllowed}
+		return &document.FieldError{File: file, Key: doc, Problem: "is no document's name", Allowed: "office/NAME, team/NAME, template/NAME or drain/WORKER; NAME of " + nameAllowed}
 	}
 	switch kind + "/" {
 	case OfficePrefix:
@@ -94,7 +94,7 @@
 		_, err := document.Decode(file, body, &Drain{})
 		return err
 	}
-	return &document.FieldError{File: file, Key: doc, Problem: "does not begin with a known kind of document", Allowed: "office/, team/, template/, drain/"}
+	return &document.FieldError{File: file, Key: doc, Problem: "is no kind of document", Allowed: "office/, team/, template/, drain/"}
 }
 
 // ParseOffice parses and checks the document of an office.
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	if !IsName(t.Office) {
-		return nil, f.Errorf("office", nameAllowed, "%q is missing or not a valid name", t.Office)
+		return nil, f.Errorf("office", nameAllowed, "%q is missing or no name", t.Office)
 	}
 	if err := checkResources(f, "quota", t.Quota); err != nil {
 		return nil, err
--- a/internal/policy/jobs.go
+++ b/internal/policy/jobs.go
@@ -138,7 +138,7 @@
 func (j *JobFile) checkNames(f *document.File) error {
 	for _, n := range []struct{ key, value string }{{"team", j.Team}, {"region", j.Region}} {
 		if !IsName(n.value) {
-			return f.Errorf(n.key, nameAllowed, "%q is missing or not a valid name", n.value)
+			return f.Errorf(n.key, nameAllowed, "%q is missing or no name", n.value)
 		}
 	}
 	if j.Customer != "" && !IsName(j.Customer) {
