--- a/internal/cluster/request.go
+++ b/internal/cluster/request.go
@@ -84,7 +84,7 @@
 		t, ownerChanged, err := n.target()
 		var a *ownerReply
 		if err == nil {
-			a, err = t.ask(ctx, r)
+			a, err = t.send(ctx, r)
 		}
 		if err == nil || !isOwnerChange(err) && uncertain == nil {
 			return a, err
@@ -110,8 +110,8 @@
 	return false
 }
 
-// ask sends one request to the owner.
-func (t target) ask(ctx context.Context, r *request) (*ownerReply, error) {
+// send sends one request to the owner.
+func (t target) send(ctx context.Context, r *request) (*ownerReply, error) {
 	if t.owner != nil {
 		return r.callLocal(ctx, t.owner)
 	}
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -39,9 +39,9 @@
 	// guaranteed fewer than three starts after the third crash; one of them is reserved for
 	// crashes that a new owner does not know of.
 	weakNeeded = 4
-	// soleTrialAfter is under how many crashes of a single worker a task is tried only while no
+	// soloProbeAfter is under how many crashes of a single worker a task is tried only while no
 	// other such task is, so that their workers do not crash at the same moment.
-	soleTrialAfter = 2
+	soloProbeAfter = 2
 	// similarWithin is how far apart the times from a task's start to the crash may be for the
 	// crashes to be similar: they are known from a worker's listings, which arrive every 0.5 s.
 	similarWithin = 600 * time.Millisecond
@@ -107,9 +107,9 @@
 	return countStrong(crashes) > 0 || countEvidence(crashes) > 1
 }
 
-// NeedsSoleTrial reports whether a task is tried only while no other such task is. Crashes of
+// NeedsSoloProbe reports whether a task is tried only while no other such task is. Crashes of
 // many workers at once do not count: hundreds of tasks would wait for each other.
-func NeedsSoleTrial(crashes []work.Crash) bool { return countStrong(crashes) >= soleTrialAfter }
+func NeedsSoloProbe(crashes []work.Crash) bool { return countStrong(crashes) >= soloProbeAfter }
 
 // HasEvidence reports whether there is any evidence against a task.
 func HasEvidence(crashes []work.Crash) bool { return countEvidence(crashes) > 0 }
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -68,7 +68,7 @@
 		// A second crash on the same machine would be no further evidence.
 		return false
 	}
-	isAllowedNow := !crash.NeedsSoleTrial(t.crashes) || !e.now.Before(e.soloProbeUntil)
+	isAllowedNow := !crash.NeedsSoloProbe(t.crashes) || !e.now.Before(e.soloProbeUntil)
 	return isAllowedNow && w.hasNoRecentStart(e.now) && e.now.Sub(w.lastSuspectAt) >= crash.WeakWindow
 }
 
@@ -133,7 +133,7 @@
 		return
 	}
 	a.worker.lastSuspectAt, a.worker.isolatedUntil = e.now, e.now.Add(crash.IsolationTime)
-	if crash.NeedsSoleTrial(t.crashes) {
+	if crash.NeedsSoloProbe(t.crashes) {
 		e.soloProbeUntil = a.worker.isolatedUntil
 	}
 }
