--- a/internal/abandoned/refusals.go
+++ b/internal/abandoned/refusals.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// HasPending reports whether there are starts of which the worker has not acknowledged that it
+// HasPending reports whether there are starts for which the worker has not acknowledged that it
 // refuses them.
 func (r *Refusals) HasPending() bool { return len(r.pending) > 0 }
 
--- a/internal/abandoned/starts.go
+++ b/internal/abandoned/starts.go
@@ -70,7 +70,7 @@
 	return slices.DeleteFunc(slices.Clone(o.byName.Get(id.Name())), func(x Start) bool { return !x.mayArrive(now) })
 }
 
-// DropExpired drops the workers of which no abandoned start can arrive any more.
+// DropExpired drops the workers at which no abandoned start can arrive any more.
 func (o *Starts) DropExpired(now time.Time) {
 	for name, starts := range o.byName.All() {
 		if !slices.ContainsFunc(starts, func(x Start) bool { return x.mayArrive(now) }) {
--- a/internal/core/cluster_test.go
+++ b/internal/core/cluster_test.go
@@ -293,7 +293,7 @@
 	return s
 }
 
-// ownerOf returns the node that owns a shard by its own account, or nil.
+// ownerOf returns the node that considers itself the owner of a shard, or nil.
 func (cl *cluster) ownerOf(shard string) *fakeNode {
 	for _, n := range cl.nodes {
 		if n.core == nil {
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -201,7 +201,7 @@
 	cl.checkInvariants(t)
 }
 
-// Of the two workers of a rack the isolated owner reaches only the second, the
+// The isolated owner reaches only the second of the two workers of a rack, the
 // new owner only the first. Neither may consider the leases on the other worker
 // expired.
 func TestIsolatedOwnerTreatsNoLeaseAsExpired(t *testing.T) {
@@ -375,7 +375,7 @@
 	}
 }
 
-// Of two concurrent changes based on the same version of a document one must be
+// If two concurrent changes are based on the same version of a document, one must be
 // refused, else it would overwrite the other unnoticed.
 func TestOneOfTwoConcurrentChangesConflicts(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 1, workers: 1, seed: 14})
--- a/internal/crash/crash.go
+++ b/internal/crash/crash.go
@@ -8,9 +8,9 @@
 // power fails, or a rack is lost. What is known is which tasks were on the worker and for how
 // long, and which other workers became silent at the same moment. A task that crashes its
 // workers was on each of them, crashes them after a similar run time, and crashes one worker at
-// a time. So a task under which a worker has crashed is tried where nothing else starts, and its
-// job fails when three such trials are evidence against it. Each further start costs a worker
-// for some seconds, and all that runs there.
+// a time. A task that was on a crashed worker is therefore probed: it is started where
+// nothing else starts. Its job fails when three such probes are evidence against it. Each further
+// start costs a worker for some seconds, and all that runs there.
 package crash
 
 import (
@@ -25,22 +25,24 @@
 	// answers show, for the crash to be strong evidence against the task: long enough for a task
 	// that crashes its worker at its start, short enough that few others are suspected.
 	StrongWindow = 300 * time.Millisecond
-	// WeakWindow is the longest for a crash to be weak evidence, of which several must agree. It
-	// is also the time from one trial to the next on a worker: of tasks that are tried right
-	// after each other, one would be blamed for a crash that the next one causes.
+	// WeakWindow is the longest that a task may have been on its worker for the crash to be weak
+	// evidence, of which several pieces are needed. It is also the time between two probes on a
+	// worker: if tasks were probed right after each other, one would be considered the cause of a
+	// crash that the next one causes.
 	WeakWindow = time.Second
-	// IsolationTime is for how long nothing else starts beside a task that may crash its worker.
+	// IsolationTime is the time after the start of a task that may crash its worker during which
+	// nothing else starts there.
 	IsolationTime = StrongWindow
-	// strongNeeded is on how many machines a worker must have crashed alone, right after a task's
-	// start, for the task to be the culprit. Where workers crash by themselves, fewer are reached
-	// by chance.
+	// strongNeeded is the number of machines on which a worker must have crashed alone, right
+	// after a task's start, for the task to be considered the cause. Where workers crash for other
+	// reasons, a smaller number is reached by chance.
 	strongNeeded = 3
-	// weakNeeded is how many crashes are enough that are weak evidence each. Callers are
+	// weakNeeded is the number of crashes, each of them weak evidence, that suffice. Callers are
 	// guaranteed fewer than three starts after the third crash; one of them is reserved for
 	// crashes that a new owner does not know of.
 	weakNeeded = 4
-	// soloProbeAfter is under how many crashes of a single worker a task is tried only while no
-	// other such task is, so that their workers do not crash at the same moment.
+	// soloProbeAfter is the number of crashes, each of a single worker, from which a task is probed
+	// only while no other such task is, so that their workers do not crash at the same moment.
 	soloProbeAfter = 2
 	// similarWithin is how far apart the times from a task's start to the crash may be for the
 	// crashes to be similar: they are known from a worker's listings, which arrive every 0.5 s.
@@ -102,12 +104,12 @@
 }
 
 // IsSuspect reports whether a task may be one that crashes its workers. One crash that is weak
-// evidence is not enough: hundreds of tasks would have to be tried in isolation.
+// evidence is not enough: hundreds of tasks would have to be probed in isolation.
 func IsSuspect(crashes []work.Crash) bool {
 	return countStrong(crashes) > 0 || countEvidence(crashes) > 1
 }
 
-// NeedsSoloProbe reports whether a task is tried only while no other such task is. Crashes of
+// NeedsSoloProbe reports whether a task is probed only while no other such task is. Crashes of
 // many workers at once do not count: hundreds of tasks would wait for each other.
 func NeedsSoloProbe(crashes []work.Crash) bool { return countStrong(crashes) >= soloProbeAfter }
 
--- a/internal/delegate/router_test.go
+++ b/internal/delegate/router_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Of fifteen large and many small nodes in five zones, only the large ones must become delegates,
+// With fifteen large and many small nodes in five zones, only the large ones must become delegates,
 // each for workers of its own zone.
 func TestLargeNodesServeWorkersOfTheirZone(t *testing.T) {
 	zones := []string{"a", "b", "c", "d", "e"}
--- a/internal/dispatch/crash_test.go
+++ b/internal/dispatch/crash_test.go
@@ -330,7 +330,7 @@
 }
 
 // A suspected task must not be tried again on the machine that it has just crashed: a second crash
-// there is no further evidence and costs one more restart. With a trial of another task on each of
+// there is no further evidence and costs one more restart. With a probe of another task on each of
 // the other workers, that machine was once the only one left.
 func TestSuspectedTaskIsNotRetriedOnTheMachineItCrashed(t *testing.T) {
 	w := newSim(1)
@@ -354,7 +354,7 @@
 	expectNoViolations(t, w)
 }
 
-// Tasks that were on many workers lost at once must not be tried in isolation one after the other.
+// Tasks that were on many workers lost at once must not be probed in isolation one after the other.
 // After two losses of half of the workers, hundreds of tasks were once started at three a second,
 // and the callers' jobs made no progress.
 func TestTasksOfSimultaneouslyLostWorkersAreNotIsolatedOneByOne(t *testing.T) {
--- a/internal/dispatch/customer_test.go
+++ b/internal/dispatch/customer_test.go
@@ -103,7 +103,7 @@
 	expectNoViolations(t, w)
 }
 
-// Of a job that has ended the store keeps only its final state, so that a new owner does not know
+// The store keeps only the final state of a job that has ended, so that a new owner does not know
 // the size of its tasks that still run. No task of the customer may start until these are stopped.
 func TestTasksOfUnknownSizeBlockTheirCustomerUntilStopped(t *testing.T) {
 	w := newLimitedWorld(limitOf("a", 4))
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -291,7 +291,8 @@
 }
 
 const (
-	// Of customerCount customers hotCustomer sends hotLoadRatio times its usual load for a while.
+	// One of the customerCount customers, hotCustomer, sends hotLoadRatio times its usual load for a
+	// limited time.
 	// Its usual load is hotWeight times that of any other customer.
 	customerCount = 20
 	hotCustomer   = work.CustomerName("c00")
--- a/internal/dispatch/long_running_test.go
+++ b/internal/dispatch/long_running_test.go
@@ -165,7 +165,7 @@
 }
 
 // A long-running task that has run well since its last crash must not fail for earlier ones.
-// Callers saw a job as failed of which a task had been on three crashed workers, had run well
+// Callers saw a job as failed whose task had been on three crashed workers, had run well
 // since, and was on one more worker that was lost together with the owner.
 func TestRecoveredTaskIsNotFailedForEarlierCrashes(t *testing.T) {
 	w := newSim(1)
--- a/internal/dispatch/worker.go
+++ b/internal/dispatch/worker.go
@@ -216,7 +216,7 @@
 	return w
 }
 
-// mayRunInherited reports whether a worker of which only an unclear entry is known can be polled,
+// mayRunInherited reports whether a worker for which only an uncertain entry is known can be polled,
 // and may run tasks that a previous owner started.
 func (e *Engine) mayRunInherited(entry *order.Worker) bool {
 	return entry.Addr.IsValid() && e.hasUnresolved(entry.ID)
--- a/internal/emulator/runner/runner.go
+++ b/internal/emulator/runner/runner.go
@@ -54,7 +54,7 @@
 	violations   []rules.Violation
 	// openJobs has the accepted jobs that must end and were not yet reported as ended.
 	openJobs []*openJob
-	// refusedJobs has the IDs of the jobs of which every attempt to submit them was refused.
+	// refusedJobs has the IDs of the jobs that were refused at every attempt to submit them.
 	refusedJobs []string
 	lastJobID   int
 	// faultCount counts the faults that were started.
--- a/internal/health/detector.go
+++ b/internal/health/detector.go
@@ -99,7 +99,7 @@
 	IsWorkerAtFault bool
 	// IsReadmitted means that a worker that was ejected is in use again.
 	IsReadmitted bool
-	// EjectedFor is for how long the worker is ejected; 0 means that it is not.
+	// EjectedFor is the duration of the ejection; 0 means that the worker is not ejected.
 	EjectedFor time.Duration
 }
 
--- a/internal/jobshard/job.go
+++ b/internal/jobshard/job.go
@@ -90,7 +90,7 @@
 	starvedRackIndex               int
 	// waitReason says why the job's tasks wait, for operators.
 	waitReason string
-	// lackingResource names the resource of which no worker has enough for a task;
+	// lackingResource names the resource that no worker has enough of for a task;
 	// empty if the job can run.
 	lackingResource string
 }
--- a/internal/outlier/speed.go
+++ b/internal/outlier/speed.go
@@ -14,7 +14,7 @@
 	// counts as slow. Slow workers take four times as long and more; tasks of one kind differ
 	// in size by less.
 	SlowRatio = 2.5
-	// slowPause is for how long a slow worker gets only tasks that no other worker can take.
+	// slowPause is the time during which a slow worker gets only tasks that no other worker can take.
 	slowPause = 4 * time.Second
 )
 
