--- a/internal/cluster/failure_detector.go
+++ b/internal/cluster/failure_detector.go
@@ -11,7 +11,7 @@
 
 const (
 	// ownerSilenceTimeout is the time without a heartbeat over the link after which the owner
-	// counts as silent and the store is asked about it: three heartbeat periods, which also leaves
+	// counts as silent and its record in the store is read: three heartbeat periods, which also leaves
 	// time for a retransmission.
 	ownerSilenceTimeout = 300 * time.Millisecond
 	// recordTolerance is how late the owner's next record may be in the store. A node that has used
@@ -26,8 +26,8 @@
 	staleRecordAge = 1500 * time.Millisecond
 )
 
-// failureDetector decides in two steps whether the owner is dead. When the heartbeats over the link
-// stay away, the owner counts as silent and the store is asked. The owner is dead when its next
+// failureDetector decides in two steps whether the owner is dead. When no heartbeats arrive over the
+// link, the owner counts as silent and the store is read. The owner is dead when its next
 // record in the store is overdue. The second step prevents a node from claiming the shard when only
 // its own connection to a living owner is interrupted.
 type failureDetector struct {
--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -18,7 +18,7 @@
 	// store.
 	handOverTimeout = 900 * time.Millisecond
 	claimTimeout    = 1200 * time.Millisecond
-	// maxSuccessors is how many peers are asked, one after the other, to become the owner.
+	// maxSuccessors is the number of peers that are asked, one after the other, to become the owner.
 	maxSuccessors = 3
 )
 
--- a/internal/compare/stale_test.go
+++ b/internal/compare/stale_test.go
@@ -26,7 +26,7 @@
 	// its summary.
 	views   []placement.RackView
 	pending []int64
-	// excludedUntil has, by rack, the tick until which the rack is not chosen after a refusal.
+	// excludedUntil has, by rack, the tick until which the rack is excluded after a refusal.
 	excludedUntil []int
 	// waitingSince has the arrival ticks of the jobs that wait.
 	waitingSince []int
--- a/internal/dispatch/retry_test.go
+++ b/internal/dispatch/retry_test.go
@@ -139,7 +139,7 @@
 	}
 	c.advance(2 * time.Second)
 	if len(c.starts) != 2 {
-		t.Error("after 3 s without another worker: got: no start, want: one, as the task must not wait for ever")
+		t.Error("after 3 s without another worker: got: no start, want: one, as the task must not wait forever")
 	}
 }
 
--- a/internal/outlier/health.go
+++ b/internal/outlier/health.go
@@ -49,7 +49,7 @@
 }
 
 const (
-	// decayTime is after how long the weight of an end has decayed to 1/e, about a third: long
+	// decayTime is the time after which the weight of an end has decayed to 1/e, about a third: long
 	// enough for some ends of a busy worker (two to three a second), short enough to
 	// detect one that becomes degraded.
 	decayTime = 2 * time.Second
@@ -64,7 +64,7 @@
 	// of ten tasks that fail by their own fault are above it.
 	maxHealthyRate = 0.15
 	// failureRateWeight is the risk of a worker that fails all tasks. unprovenRisk is that of
-	// one of which nothing is known; each success halves it.
+	// a worker about which nothing is known; each success halves it.
 	failureRateWeight = 3.0
 	unprovenRisk      = 0.25
 )
@@ -85,8 +85,8 @@
 	return (h.failures + priorFailureRate*priorWeight) / (h.successes + h.failures + priorWeight)
 }
 
-// Risk returns how likely the worker fails a task that it is given: about 0 for one that has
-// just succeeded with several, 1 and more for one that fails most.
+// Risk returns how likely the worker is to fail a task that it is given: about 0 for a worker that
+// has just succeeded with several tasks, 1 and more for one that fails most of them.
 func (h *Health) Risk(now time.Time) float64 {
 	risk := failureRateWeight * max(h.FailureRate(now)-2*priorFailureRate, 0)
 	if h.IsOnProbation {
@@ -149,13 +149,13 @@
 func (h *Health) BeginProbation(now time.Time) { h.pausedUntil, h.probationFrom = now, now }
 
 // IsProbe reports whether an attempt that was ordered at orderedAt is a probe of a worker on
-// probation. Attempts that were ordered before the probation are none: they may run forever, so
-// that they prove nothing.
+// probation. Attempts that were ordered before the probation are not probes: they may run
+// forever and would prove nothing.
 func (h *Health) IsProbe(orderedAt time.Time) bool {
 	return h.IsOnProbation && !orderedAt.Before(h.probationFrom)
 }
 
-// RecordRefusal records that the worker has refused a task, and keeps tasks off it for a moment.
+// RecordRefusal records that the worker has refused a task, and keeps tasks off it for refusalPause.
 func (h *Health) RecordRefusal(now time.Time) {
 	if until := now.Add(refusalPause); until.After(h.pausedUntil) {
 		h.pausedUntil = until
--- a/internal/permit/choose.go
+++ b/internal/permit/choose.go
@@ -25,8 +25,8 @@
 	// minWorkersPerCall is the least workers that a call names, if there are that many
 	// candidates.
 	minWorkersPerCall = 6
-	// freedTasks is for how many tasks a worker without free capacity is expected to get some
-	// while a permit is valid, where it is permitted.
+	// freedTasks is the number of tasks for which a worker without free capacity is expected to
+	// get some while a permit is valid, if it is permitted.
 	freedTasks = 0.4
 )
 
--- a/internal/permit/claims.go
+++ b/internal/permit/claims.go
@@ -10,7 +10,7 @@
 )
 
 // Claims tracks the capacity of workers that is likely to be used by the steps whose calls are
-// in flight. Without it, steps that ask at the same time would all name the workers with the
+// in flight. Without it, steps that query at the same time would all name the workers with the
 // most free capacity. The first of them would use that up, and the calls of the others would be
 // wasted. The zero value has no claims.
 type Claims struct {
@@ -24,7 +24,7 @@
 	perWorker leverdyke.Resources
 }
 
-// Add records a call of a step that names the workers asked, for a number of tasks that use need
+// Add records a call of a step that names the queried workers, for a number of tasks that use need
 // each. It replaces the step's former claim.
 func (c *Claims) Add(id work.StepID, queried []order.WorkerID, tasks int, need leverdyke.Resources) {
 	if c.byStep == nil {
--- a/internal/permit/step.go
+++ b/internal/permit/step.go
@@ -18,8 +18,8 @@
 	// noCandidatePause is the time from one search for candidates that finds none to the next: a
 	// search goes over all workers, and hundreds of jobs may wait.
 	noCandidatePause = 50 * time.Millisecond
-	// deferPause is for how long a step leaves the channels to steps for which there is free
-	// capacity.
+	// deferPause is the time during which a step leaves the channels to steps for which there is
+	// free capacity.
 	deferPause = 400 * time.Millisecond
 )
 
--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -33,7 +33,7 @@
 	// OwnLeaseBound is how long after a renewal, by the owner's clock, all that runs on a worker
 	// has ended, if nothing renews the worker's lease again.
 	OwnLeaseBound = localBound(leaseDuration)
-	// AnyLeaseBound is the same for a lease that somebody else may have given, or whose end was
+	// AnyLeaseBound is the same for a lease that another owner may have given, or whose end was
 	// given by another incarnation's clock.
 	AnyLeaseBound = localBound(maxLeaseDuration)
 )
@@ -43,7 +43,7 @@
 	return lease + time.Duration(float64(lease)*doubleClockSkew) + expirySlack
 }
 
-// Lease tracks until when one incarnation of a worker may go on with what it runs, by its own
+// Lease tracks until when one incarnation of a worker may continue to run its tasks, by its own
 // clock. The zero value is a lease that was never renewed, of a worker that never answered.
 type Lease struct {
 	// lastHeardAt is when the worker's clock was last read, by the owner's clock. clock is what
@@ -72,7 +72,7 @@
 // incarnation, which has received the end of a lease by the earlier clock: its lease may last as
 // long as workers accept. A clock that is too far ahead is that of a newer incarnation, too.
 // Were it recorded, the worker would seem to have run its tasks for longer than it did, and
-// tasks that crash their workers would be found out too late.
+// tasks that crash their workers would be detected too late.
 func (l *Lease) ObserveAnswerClock(clock order.WorkerTime, now time.Time) bool {
 	elapsed := now.Sub(l.lastHeardAt)
 	latest := l.clock + order.WorkerTime(elapsed+time.Duration(float64(elapsed)*doubleClockSkew/2)+reorderSlack)
@@ -90,7 +90,7 @@
 }
 
 // IsPlausibleClock reports whether this incarnation's clock may show that value in an answer to
-// what was sent at sentAt. The clock of a newer incarnation is too far back for that, at least
+// what was sent at sentAt. The clock of a newer incarnation shows too early a time for that, at least
 // by the time for which the worker was down, also where the clocks of all incarnations begin at
 // the same value.
 func (l *Lease) IsPlausibleClock(clock order.WorkerTime, sentAt time.Time) bool {
@@ -114,7 +114,7 @@
 	return l.deadline
 }
 
-// RecordOtherLeases records that leases which others gave may last until then.
+// RecordOtherLeases records that leases which other owners gave may last until then.
 func (l *Lease) RecordOtherLeases(until time.Time) {
 	if until.After(l.othersExpireAt) {
 		l.othersExpireAt = until
--- a/internal/waits/waits.go
+++ b/internal/waits/waits.go
@@ -23,7 +23,7 @@
 	// Limit means that its customer already uses as much as its limit allows.
 	Limit Reason = "limit"
 	// Permission means that the permission service has been asked which workers may run the task,
-	// and has not answered yet. Channel means that the question could not be sent, as no
+	// and has not answered yet. Channel means that the query could not be sent, as no
 	// channel to the permission service is free.
 	Permission Reason = "permission"
 	Channel    Reason = "lane"
