--- a/internal/cluster/election.go
+++ b/internal/cluster/election.go
@@ -29,7 +29,7 @@
 	// which has probably ended. A node that is alive answers within some tens of milliseconds.
 	staleDialTimeout = 60 * time.Millisecond
 	// maxClaimDelay is how long the weakest node delays its claim to let stronger nodes claim
-	// first. The delay is the time that those need to find out that there is no owner.
+	// first. The delay is the time that those need to detect that there is no owner.
 	maxClaimDelay = 300 * time.Millisecond
 	// strengthTolerance is the relative difference in strength up to which two nodes count as
 	// equally strong.
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -236,7 +236,7 @@
 	cl.expectRunning(t, 6, 6)
 }
 
-// A node that a single peer does not hear, while others do, must keep its
+// A node whose heartbeats reach all peers but one must keep its
 // shards: IsDead needs the agreement of at least half of the live peers.
 func TestOneWayPartitionChangesNoOwner(t *testing.T) {
 	cl := newClusterWithService(t, 8)
--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// reserveForSuspect keeps other steps off a worker for a moment, so that a suspect can be run
+// reserveForSuspect keeps other steps off a worker for suspectReservationTime, so that a suspect can be run
 // there: where tasks arrive all the time, every worker has a recent start. One worker is reserved
 // in this way at a time.
 func (e *Engine) reserveForSuspect(s *step, i int, q *order.Queue) {
--- a/internal/jobshard/shard.go
+++ b/internal/jobshard/shard.go
@@ -51,8 +51,8 @@
 	// maxRackOffset bounds the index of the rack at which a new Shard begins its
 	// search; it is taken modulo the number of racks.
 	maxRackOffset = 1 << 16
-	// startRetry is after how long an unanswered start request is sent again,
-	// syncRetry after how long an unanswered JobShardSync is.
+	// startRetry is the time after which an unanswered start request is sent again,
+	// syncRetry that for an unanswered JobShardSync.
 	startRetry = time.Second
 	syncRetry  = time.Second
 	// scanPeriod is the longest time between two scans of the queue.
@@ -67,8 +67,8 @@
 	// again.
 	initialBackoff = time.Second
 	maxBackoff     = 2 * time.Minute
-	// finalsRetry is after how long ends that the log has not accepted are written
-	// again.
+	// finalsRetry is the time after which ends that the log has not accepted are
+	// written again.
 	finalsRetry = time.Second
 	// finalsFlushPeriod is how often ends are written to the log. Ends of one job
 	// are batched into few records, since nothing waits for them.
--- a/internal/jobshard/starve.go
+++ b/internal/jobshard/starve.go
@@ -12,8 +12,8 @@
 	// starvedRequestPeriod is how often a rack is asked for this. Each request makes
 	// the rack keep a VM free for several such periods.
 	starvedRequestPeriod = time.Second
-	// starvedTimeout is after how long without a request, for example because the
-	// quota is used up, another job may take this job's place.
+	// starvedTimeout is the time without a request, for example because the quota is
+	// used up, after which another job may take this job's place.
 	starvedTimeout = 5 * time.Second
 )
 
--- a/internal/journal/writer.go
+++ b/internal/journal/writer.go
@@ -87,7 +87,7 @@
 	seq         uint64
 	appendCount int64
 	// tokens and refilled are the token bucket that limits the rate of appends.
-	// tokens is negative by what was borrowed for an append that waits.
+	// tokens is negative while an append waits: it has borrowed tokens that are not refilled yet.
 	tokens   float64
 	refilled time.Time
 }
