--- a/internal/dispatch/crash.go
+++ b/internal/dispatch/crash.go
@@ -68,7 +68,7 @@
 		// A second crash on the same machine would be no further evidence.
 		return false
 	}
-	isAllowedNow := !crash.NeedsSoleTrial(t.crashes) || !e.now.Before(e.soloProbeUntil)
+	isAllowedNow := !crash.NeedsSoloProbe(t.crashes) || !e.now.Before(e.soloProbeUntil)
 	return isAllowedNow && w.hasNoRecentStart(e.now) && e.now.Sub(w.lastSuspectAt) >= crash.WeakWindow
 }
 
@@ -97,7 +97,7 @@
 	}
 }
 
-// reserveForSuspect keeps other steps off a worker for a moment, so that a suspect can be run
+// reserveForSuspect keeps other steps off a worker for suspectReservationTime, so that a suspect can be run
 // there: where tasks arrive all the time, every worker has a recent start. One worker is reserved
 // in this way at a time.
 func (e *Engine) reserveForSuspect(s *step, i int, q *order.Queue) {
@@ -133,7 +133,7 @@
 		return
 	}
 	a.worker.lastSuspectAt, a.worker.isolatedUntil = e.now, e.now.Add(crash.IsolationTime)
-	if crash.NeedsSoleTrial(t.crashes) {
+	if crash.NeedsSoloProbe(t.crashes) {
 		e.soloProbeUntil = a.worker.isolatedUntil
 	}
 }
