--- a/internal/core/keys.go
+++ b/internal/core/keys.go
@@ -19,7 +19,7 @@
 
 // ClaimKey appends a claim of an idempotency key to the log, which decides which
 // process may run the key's request. It calls done with the result, which is
-// never FateOpen.
+// never ClaimUnknown.
 func (c *Core) ClaimKey(key idempotency.Key, done func(KeyResult)) {
 	if owner, ok := c.state.IdempotencyKeys[key]; ok {
 		done(KeyResult{idempotency.ClaimLost, owner})
--- a/internal/nodeserver/environment.go
+++ b/internal/nodeserver/environment.go
@@ -31,15 +31,15 @@
 // false, and never calls done, if it does not accept the record.
 func (n *Node) Append(r state.Record, done func(error)) bool { return n.writer.Put(r, done) }
 
-// Folded notifies the log's writer that the core has read the writer's batch seq from the
+// BatchApplied notifies the log's writer that the core has read the writer's batch seq from the
 // log, with the outcome of its records.
 func (n *Node) BatchApplied(seq uint64, out state.Outcome) { n.writer.OnApplied(seq, out) }
 
-// Passed notifies the log's writer that the core has adopted a state from another node that
+// BatchesSkipped notifies the log's writer that the core has adopted a state from another node that
 // includes the writer's batches up to seq, so that their outcomes will not be seen here.
 func (n *Node) BatchesSkipped(seq uint64) { n.writer.OnSkipped(seq) }
 
-// IsAppendOut reports whether appending to the log has been failing for some time.
+// IsAppendFailing reports whether appending to the log has been failing for some time.
 func (n *Node) IsAppendFailing() bool { return n.writer.IsLogUnavailable() }
 
 // SkipTo makes the log's reader continue after offset.
--- a/internal/nodeserver/idempotency.go
+++ b/internal/nodeserver/idempotency.go
@@ -48,7 +48,7 @@
 	return node.SavedAnswer{}, false
 }
 
-// AnswerOnce replies to another node's query for the answer to a key. If the request is
+// AnswerKeyQuery replies to another node's query for the answer to a key. If the request is
 // still in progress, it replies when the request has ended.
 func (n *Node) AnswerKeyQuery(from state.NodeID, m *node.SavedAnswerRequest) {
 	e := n.answers.Find(m.Key)
@@ -71,7 +71,7 @@
 	n.links.Send(from, &node.Message{SavedAnswerReply: &node.SavedAnswerReply{ID: id, IsKnown: isKnown, Answer: a}})
 }
 
-// KeepAnswers stores the answers of another node that is about to stop.
+// StoreAnswers stores the answers of another node that is about to stop.
 func (n *Node) StoreAnswers(list []node.KeyedAnswer) { n.answers.Import(list) }
 
 // HandOverAnswers sends the stored answers to another node before this one stops. It
--- a/internal/nodeserver/node.go
+++ b/internal/nodeserver/node.go
@@ -191,7 +191,7 @@
 	events.Log(events.BadFrame, "from", from.String(), "err", err.Error())
 }
 
-// Counted adds the bytes of a frame between nodes to the metrics.
+// CountBytes adds the bytes of a frame between nodes to the metrics.
 func (n *Node) CountBytes(sent, received int) { n.countControlBytes("node", sent, received) }
 
 func (n *Node) countControlBytes(peer string, sent, received int) {
--- a/internal/nodeserver/operators.go
+++ b/internal/nodeserver/operators.go
@@ -294,7 +294,7 @@
 	return appendError(errs[0])
 }
 
-// Peers lists the addresses for operators of all nodes that have not left.
+// MemberAddresses lists the addresses for operators of all nodes that have not left.
 func (n *Node) MemberAddresses() []string {
 	return query(n, func(c *core.Core) []string {
 		list := []string{}
@@ -308,7 +308,7 @@
 	})
 }
 
-// Self returns this node's address for operators.
+// OwnAddress returns this node's address for operators.
 func (n *Node) OwnAddress() string { return n.settings.OperatorsAddr.String() }
 
 // IsReady reports whether the load balancer should send requests to this node.
