--- a/cmd/leverdyke-emulator/hunt.go
+++ b/cmd/leverdyke-emulator/hunt.go
@@ -23,16 +23,16 @@
 
 // hunt plays randomly generated days to find violations of the rules.
 type hunt struct {
-	playOptions
+	runOptions
 	dayCount, parallelDays int
 	length                 time.Duration
 	isShrunk               bool
 	deployment             *scenario.Deployment
 
 	mu sync.Mutex
-	// nextIndex is the index of the next day. playedDays counts the days that were played to the end,
+	// nextIndex is the index of the next day. completedDays counts the days that were played to the end,
 	// violatedDays those in which a rule was broken.
-	nextIndex, playedDays, violatedDays int
+	nextIndex, completedDays, violatedDays int
 	// failure is the last error that kept a day from being played. No further day is begun after one.
 	failure       error
 	out, progress io.Writer
@@ -68,10 +68,10 @@
 func (h *hunt) run(ctx context.Context) error {
 	wg := sync.WaitGroup{}
 	for range h.parallelDays {
-		wg.Go(func() { h.playDays(ctx) })
+		wg.Go(func() { h.runDays(ctx) })
 	}
 	wg.Wait()
-	_, _ = fmt.Fprintf(h.progress, "%d days on %s, %d with a rule broken\n", h.playedDays, h.deployment.Name, h.violatedDays)
+	_, _ = fmt.Fprintf(h.progress, "%d days on %s, %d with a rule broken\n", h.completedDays, h.deployment.Name, h.violatedDays)
 	switch {
 	case h.failure != nil:
 		return h.failure
@@ -81,11 +81,11 @@
 	return nil
 }
 
-func (h *hunt) playDays(ctx context.Context) {
+func (h *hunt) runDays(ctx context.Context) {
 	for i, ok := h.nextDay(ctx); ok; i, ok = h.nextDay(ctx) {
 		seed := h.seed + uint64(i)
 		day := scenario.RandomFaultSchedule(fmt.Sprintf("drawn-%d", seed), h.length, rand.New(rand.NewPCG(seed, 2)))
-		r, err := h.play(ctx, h.deployment, day, seed, io.Discard)
+		r, err := h.runDay(ctx, h.deployment, day, seed, io.Discard)
 		h.record(r, err)
 		if err == nil && len(r.Violations) > 0 && h.isShrunk {
 			h.shrink(ctx, day, seed)
@@ -114,7 +114,7 @@
 		return
 	}
 	if !r.IsPartial {
-		h.playedDays++
+		h.completedDays++
 	}
 	if len(r.Violations) > 0 {
 		h.violatedDays++
@@ -131,7 +131,7 @@
 func (h *hunt) shrink(ctx context.Context, day *scenario.FaultSchedule, seed uint64) {
 	for i := 0; i < len(day.Faults) && ctx.Err() == nil; {
 		reduced := day.WithoutFault(i)
-		r, err := h.play(ctx, h.deployment, reduced, seed, io.Discard)
+		r, err := h.runDay(ctx, h.deployment, reduced, seed, io.Discard)
 		if err == nil && len(r.Violations) > 0 {
 			day = reduced
 			continue
--- a/cmd/leverdyke-emulator/run.go
+++ b/cmd/leverdyke-emulator/run.go
@@ -17,14 +17,14 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
-// playOptions are the options of all commands that play days.
-type playOptions struct {
+// runOptions are the options of all commands that play days.
+type runOptions struct {
 	binary, keepDir string
 	seed            uint64
 	isJSON          bool
 }
 
-func (o *playOptions) addFlags(cmd *cobra.Command) {
+func (o *runOptions) addFlags(cmd *cobra.Command) {
 	f := cmd.Flags()
 	f.StringVar(&o.binary, "binary", defaultBinary(), "path of the node's program, leverdyked")
 	f.StringVar(&o.keepDir, "keep", "", "existing directory in which the settings and logs of days with a broken rule are kept")
@@ -33,7 +33,7 @@
 }
 
 func newRun() *cobra.Command {
-	o := playOptions{}
+	o := runOptions{}
 	isVaried := false
 	cmd := &cobra.Command{
 		Use: "run DEPLOYMENT DAY", Short: "Play one day", Args: cobra.ExactArgs(2),
@@ -50,7 +50,7 @@
 			if isVaried {
 				day = day.WithVariedTimes(rand.New(rand.NewPCG(o.seed, 3)))
 			}
-			r, err := o.play(cmd.Context(), deployment, day, o.seed, cmd.ErrOrStderr())
+			r, err := o.runDay(cmd.Context(), deployment, day, o.seed, cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
@@ -62,9 +62,9 @@
 	return cmd
 }
 
-// play plays one day in a temporary directory. The directory is removed afterwards unless a rule was broken and
+// runDay plays one day in a temporary directory. The directory is removed afterwards unless a rule was broken and
 // --keep was given.
-func (o *playOptions) play(ctx context.Context, deployment *scenario.Deployment, day *scenario.FaultSchedule, seed uint64, progress io.Writer) (*runner.Result, error) {
+func (o *runOptions) runDay(ctx context.Context, deployment *scenario.Deployment, day *scenario.FaultSchedule, seed uint64, progress io.Writer) (*runner.Result, error) {
 	dir, err := os.MkdirTemp(o.keepDir, "emulator-")
 	if err != nil {
 		return nil, fmt.Errorf("emulator: %w", err)
@@ -93,7 +93,7 @@
 }
 
 // printResult prints a result. It returns a violationError if a rule was broken.
-func (o *playOptions) printResult(w io.Writer, r *runner.Result) error {
+func (o *runOptions) printResult(w io.Writer, r *runner.Result) error {
 	write := report.Screen
 	if o.isJSON {
 		write = report.JSON
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -31,14 +31,14 @@
 }
 
 // expectRunning fails the test unless exactly the given number of tasks run, at
-// most lapses leases have expired, and no invariant has been violated.
-func (cl *cluster) expectRunning(t *testing.T, running, lapses int) {
+// most maxExpirations leases have expired, and no invariant has been violated.
+func (cl *cluster) expectRunning(t *testing.T, running, maxExpirations int) {
 	t.Helper()
 	if got := cl.runningCount(); got != running {
 		t.Errorf("got: %d running, want: %d", got, running)
 	}
-	if got := cl.oracle.Report().LeaseExpirations; got > lapses {
-		t.Errorf("got: %d expired leases, want: at most %d", got, lapses)
+	if got := cl.oracle.Report().LeaseExpirations; got > maxExpirations {
+		t.Errorf("got: %d expired leases, want: at most %d", got, maxExpirations)
 	}
 	cl.checkInvariants(t)
 }
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -58,17 +58,17 @@
 // them. Members that did not answer a query of this node are not counted: a node
 // whose VM died remains a member until its end is recorded.
 func (c *Core) isPartitioned(now time.Time) bool {
-	others, heard := 0, 0
+	others, reachable := 0, 0
 	for id, m := range c.state.Members {
 		if m.HasLeft || m.Region != c.options.Region || id == c.options.Self.Node || c.hasMissedLivenessCheck(now, id) {
 			continue
 		}
 		others++
 		if !c.members.IsSuspect(now, id) {
-			heard++
+			reachable++
 		}
 	}
-	return 2*heard < others
+	return 2*reachable < others
 }
 
 // hasMissedLivenessCheck reports whether a peer has appended nothing to the log
@@ -108,7 +108,7 @@
 		return
 	}
 	c.livenessChecks.queriedAt = now
-	events.Log(events.FewPeersHeard, "peers", suspects)
+	events.Log(events.FewPeersReachable, "peers", suspects)
 	c.Append(state.Record{LivenessQuery: &state.LivenessQuery{Nodes: suspects}}, nil)
 }
 
--- a/internal/core/messages.go
+++ b/internal/core/messages.go
@@ -149,7 +149,7 @@
 	c.heartbeatAt = now
 	summaries := c.summariesToSend(now)
 	hb := &node.Heartbeat{
-		Applied: c.state.Applied, IsLogOut: c.isLogUnavailable(now), IsDraining: c.isDraining, Suspects: c.members.Suspects(now), Summaries: summaries,
+		Applied: c.state.Applied, IsLogUnavailable: c.isLogUnavailable(now), IsDraining: c.isDraining, Suspects: c.members.Suspects(now), Summaries: summaries,
 	}
 	for _, id := range sorted(c.deputies) {
 		d := c.deputies[id]
@@ -200,7 +200,7 @@
 func (c *Core) onHeartbeat(now time.Time, from *node.Hello, hb *node.Heartbeat) {
 	c.members.OnHeartbeat(now, &membership.Heartbeat{
 		Node: from.Node, Incarnation: from.Incarnation, Region: from.Region, Applied: hb.Applied,
-		IsLogUnavailable: hb.IsLogOut, IsDraining: hb.IsDraining, Suspects: hb.Suspects,
+		IsLogUnavailable: hb.IsLogUnavailable, IsDraining: hb.IsDraining, Suspects: hb.Suspects,
 	})
 	for i := range hb.Summaries {
 		rackSummary := hb.Summaries[i]
--- a/internal/delegate/delegate.go
+++ b/internal/delegate/delegate.go
@@ -36,7 +36,7 @@
 	// not executed: the owner has abandoned it, and may have cancelled its job. A stale poll
 	// confirms no ends: the worker may have restarted, and the numbers of its previous incarnation
 	// would make it discard ends that it has not reported. Without that rule eight tasks ran twice
-	// in TestSiteWorkersStartAgainWhileCarriersEnd.
+	// in TestSiteWorkersStartAgainWhileDelegatesEnd.
 	tickStallThreshold = 600 * time.Millisecond
 	// staleOrderWindow is how long after a stall the orders that arrive may be stale.
 	staleOrderWindow = 300 * time.Millisecond
--- a/internal/integration/durability_test.go
+++ b/internal/integration/durability_test.go
@@ -124,12 +124,12 @@
 // A cancellation that was acknowledged must hold although all nodes and workers are lost. In an
 // outage of the store a cancellation is not acknowledged, since it cannot be persisted.
 func TestSiteCancelledJobsSurviveLossOfAllNodes(t *testing.T) {
-	for name, isOut := range map[string]bool{"the store serves": false, "the store is out": true} {
+	for name, isStoreOut := range map[string]bool{"the store serves": false, "the store is out": true} {
 		t.Run(name, func(t *testing.T) {
 			c := newSiteCluster(t, 3, site.Options{Workers: 2})
 			id := c.mustSubmit(smallStep(3, 4000))
 			c.await("its tasks run", func() bool { return c.running() == 3 })
-			if isOut {
+			if isStoreOut {
 				c.Store.SetMode(site.StoreBusy)
 			}
 			answered := make(chan int, 1)
@@ -141,14 +141,14 @@
 				answered <- status
 			}()
 			c.awaitLog("job is over", "cancelled")
-			if !isOut {
+			if !isStoreOut {
 				if got := <-answered; got != http.StatusOK {
 					t.Errorf("cancel: got: %d, want: 200", got)
 				}
 			}
 			c.replaceWorkers((*site.Worker).Crash)
 			c.powerCycleNodes()
-			if isOut {
+			if isStoreOut {
 				if got := <-answered; got == http.StatusOK {
 					t.Error("a cancellation that is not in the store: got: 200, want: no answer")
 				}
--- a/internal/integration/restart_test.go
+++ b/internal/integration/restart_test.go
@@ -103,7 +103,7 @@
 
 // Delegates are killed, stopped as planned, or frozen while their orders to a worker's previous
 // incarnation have not arrived. A frozen delegate sends its orders late, to the new incarnation.
-func TestSiteWorkersStartAgainWhileCarriersEnd(t *testing.T) {
+func TestSiteWorkersStartAgainWhileDelegatesEnd(t *testing.T) {
 	c := newDelegateCluster(t)
 	c.runRestartScenario(clockAhead, func(round int) {
 		owner := c.owner()
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -68,8 +68,8 @@
 	// Applied is the offset of the last log record that the sender has applied to
 	// its state.
 	Applied int64 `msgpack:"a"`
-	// IsLogOut means that the sender cannot reach the log.
-	IsLogOut bool `msgpack:"o,omitempty"`
+	// IsLogUnavailable means that the sender cannot reach the log.
+	IsLogUnavailable bool `msgpack:"o,omitempty"`
 	// IsDraining means that the sender hands over its shards and will leave.
 	IsDraining bool `msgpack:"x,omitempty"`
 	// Suspects lists the peers that the sender suspects of having failed.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -364,9 +364,9 @@
 	return a.lastUsedAt.After(b.lastUsedAt)
 }
 
-// Release frees the slot. isBad means that the worker refused the grant or could not be
+// Release frees the slot. hasFailed means that the worker refused the grant or could not be
 // reached: then no further request uses the grant.
-func (s *Slot) Release(isBad bool) {
+func (s *Slot) Release(hasFailed bool) {
 	r := s.router
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -374,7 +374,7 @@
 	s.grant.inUse--
 	s.service.inUse--
 	s.grant.lastUsedAt = now
-	if isBad {
+	if hasFailed {
 		s.grant.isRecalled = true
 	} else {
 		elapsed := now.Sub(s.acquiredAt)
