--- a/cmd/leverdyke-emulator/hunt.go
+++ b/cmd/leverdyke-emulator/hunt.go
@@ -18,10 +18,10 @@
 	"github.com/leverdyke/leverdyke/internal/emulator/scenario"
 )
 
-// maxParallel is the maximum number of days played at once: each day starts processes of its own.
+// maxParallel is the maximum number of days run at once: each day starts processes of its own.
 const maxParallel = 16
 
-// hunt plays randomly generated days to find violations of the rules.
+// hunt runs randomly generated days to find violations of the rules.
 type hunt struct {
 	runOptions
 	dayCount, parallelDays int
@@ -30,10 +30,10 @@
 	deployment             *scenario.Deployment
 
 	mu sync.Mutex
-	// nextIndex is the index of the next day. completedDays counts the days that were played to the end,
+	// nextIndex is the index of the next day. completedDays counts the days that were run to the end,
 	// violatedDays those in which a rule was broken.
 	nextIndex, completedDays, violatedDays int
-	// failure is the last error that kept a day from being played. No further day is begun after one.
+	// failure is the last error because of which a day could not be run. No further day is begun after one.
 	failure       error
 	out, progress io.Writer
 }
@@ -64,7 +64,7 @@
 	return cmd
 }
 
-// run plays the days, up to parallelDays at once, and prints a summary.
+// run runs the days, up to parallelDays at once, and prints a summary.
 func (h *hunt) run(ctx context.Context) error {
 	wg := sync.WaitGroup{}
 	for range h.parallelDays {
@@ -93,7 +93,7 @@
 	}
 }
 
-// nextDay returns the index of the next day. It reports false when all days have been begun, a day could not be played, or
+// nextDay returns the index of the next day. It reports false when all days have been begun, a day could not be run, or
 // ctx has ended.
 func (h *hunt) nextDay(ctx context.Context) (int, bool) {
 	h.mu.Lock()
@@ -126,8 +126,8 @@
 	_, _ = fmt.Fprintf(h.progress, "%s: %d faults, all rules held\n", r.Schedule, r.Faults)
 }
 
-// shrink tries to remove the faults of a day one at a time, each time by playing the rest. A fault without which
-// a rule is still broken stays removed. shrink prints the remaining faults.
+// shrink tries to remove the faults of a day one at a time, each time by running the day with the rest. A fault
+// without which a rule is still broken stays removed. shrink prints the remaining faults.
 func (h *hunt) shrink(ctx context.Context, day *scenario.FaultSchedule, seed uint64) {
 	for i := 0; i < len(day.Faults) && ctx.Err() == nil; {
 		reduced := day.WithoutFault(i)
--- a/cmd/leverdyke-emulator/main.go
+++ b/cmd/leverdyke-emulator/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Command leverdyke-emulator plays days, which are sequences of load and faults, on a deployment: it runs
+// Command leverdyke-emulator runs days, which are sequences of load and faults, on a deployment: it runs
 // real nodes as processes and emulates the workers, the store, the permission service and the callers.
 package main
 
--- a/cmd/leverdyke-emulator/run.go
+++ b/cmd/leverdyke-emulator/run.go
@@ -62,7 +62,7 @@
 	return cmd
 }
 
-// runDay plays one day in a temporary directory. The directory is removed afterwards unless a rule was broken and
+// runDay runs one day in a temporary directory. The directory is removed afterwards unless a rule was broken and
 // --keep was given.
 func (o *runOptions) runDay(ctx context.Context, deployment *scenario.Deployment, day *scenario.FaultSchedule, seed uint64, progress io.Writer) (*runner.Result, error) {
 	dir, err := os.MkdirTemp(o.keepDir, "emulator-")
--- a/cmd/leverdyked/main.go
+++ b/cmd/leverdyked/main.go
@@ -143,8 +143,8 @@
 }
 
 // stop stops the node as planned. The node reports that it is not ready and hands over what it owns. It keeps
-// serving for DrainWait, and then finishes the requests in progress, for at most MaxTimeout. Last, it gives
-// its kept answers to a peer and leaves the cluster.
+// serving for DrainWait, and then finishes the requests in progress, for at most MaxTimeout. Last, it sends
+// its stored answers to a peer and leaves the cluster.
 func (d *daemon) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), handOverTimeout)
 	defer cancel()
--- a/internal/clock/suspension_test.go
+++ b/internal/clock/suspension_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// Guards against two owners of a shard. An owner acts for 3 s on what it heard last. If the
-// machine is suspended for 5 s and those are not counted, the owner resumes and
-// acts beside the node that has become the owner meanwhile.
+// Guards against two owners of a shard. An owner may act for 3 s on the last messages that
+// it received. If the machine is suspended for 5 s and these are not counted, the owner
+// resumes and still acts, although another node has become the owner.
 func TestSuspendedTimeIsCounted(t *testing.T) {
 	m := &machine{monotonic: time.Hour, bootTime: 3 * time.Hour}
 	s := m.newSuspension()
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -30,7 +30,7 @@
 }
 
 // QueryAnswer asks for the answer that another process gave to an idempotency
-// key. The result is sent to reply, whose buffer must have room for one. If the
+// key. The result is sent to reply, whose buffer must have capacity for one. If the
 // process is draining, sends no heartbeats or has ended, all live nodes of the region
 // are asked, since it may have handed its answers over to one of them. The
 // returned ID is for AbandonQuery.
--- a/internal/core/faults_test.go
+++ b/internal/core/faults_test.go
@@ -76,8 +76,8 @@
 	cl.expectRunning(t, 6, 0)
 }
 
-// A draining node must hand over all its shards within 20 s, without a lease
-// that expires meanwhile.
+// A draining node must hand over all its shards within 20 s, and no lease may
+// expire during the handover.
 func TestDrainingEachNodeStopsNoTask(t *testing.T) {
 	cl := newClusterWithService(t, 3)
 	for _, n := range cl.nodes {
@@ -236,8 +236,8 @@
 	cl.expectRunning(t, 6, 6)
 }
 
-// A node that a single peer does not hear, while others do, must keep its
-// shards: IsDead needs the agreement of at least half of the live peers.
+// A node whose heartbeats reach all peers but one must keep its shards: IsDead
+// needs the agreement of at least half of the live peers.
 func TestOneWayPartitionChangesNoOwner(t *testing.T) {
 	cl := newClusterWithService(t, 8)
 	// Run until the nodes have stopped moving shards to balance their load.
@@ -262,7 +262,7 @@
 }
 
 // A task that may run at most once and whose worker died may have run: it must
-// end as of unknown fate, neither be restarted nor wait forever.
+// end with an unknown outcome, and neither be restarted nor wait forever.
 func TestAtMostOnceTaskOnADeadWorkerHasUnknownFate(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 2, workers: 2, seed: 23})
 	onceJob := batchSpec("once", 4, time.Minute)
@@ -300,7 +300,8 @@
 }
 
 // A paused owner resumes after its deputy has taken over the rack. The workers
-// obey the deputy, and the owner must yield, so that no task has two owners.
+// follow the deputy's higher epoch, so the owner must close the rack. Otherwise
+// both would manage the rack's tasks.
 func TestResumedOwnerYieldsToItsDeputy(t *testing.T) {
 	cl := newClusterWithService(t, 10)
 	cl.isLogUnavailable = true
@@ -528,7 +529,7 @@
 	}
 	other := cl.nodes[(n.index+1)%3]
 	if _, err := other.core.CheckRetire(cl.nodes[(n.index+2)%3].id()); err == nil {
-		t.Error("a node that is heard: got: retired, want: refused")
+		t.Error("a node that sends heartbeats: got: retired, want: refused")
 	}
 	leave, err := other.core.CheckRetire(n.id())
 	if err != nil {
--- a/internal/core/liveness.go
+++ b/internal/core/liveness.go
@@ -21,8 +21,9 @@
 	livenessCheckPeriod = 10 * time.Second
 )
 
-// livenessChecks are the queries that a node which hears few of its peers has
-// sent them through the log. Each live peer answers by appending a record.
+// livenessChecks are the queries that a node which receives heartbeats from few
+// of its peers has sent them through the log. Each live peer answers by
+// appending a record.
 // Without this check a node that is partitioned from its peers, but not from the
 // log, would consider them dead and claim their shards, and they would claim
 // them back (decision 0010).
@@ -53,10 +54,11 @@
 	return !c.isPartitioned(now) || c.isLogUnavailable(now) || c.hasMissedLivenessCheck(now, n)
 }
 
-// isPartitioned reports whether this node hears less than half of the other
-// members of its region, so that it may be this node that is partitioned from
-// them. Members that did not answer a query of this node are not counted: a node
-// whose VM died remains a member until its end is recorded.
+// isPartitioned reports whether this node receives heartbeats from less than
+// half of the other members of its region, so that it may be this node that is
+// partitioned from them. Members that did not answer a query of this node are
+// not counted: a node whose VM has failed remains a member until its end is
+// recorded.
 func (c *Core) isPartitioned(now time.Time) bool {
 	others, reachable := 0, 0
 	for id, m := range c.state.Members {
--- a/internal/core/liveness_test.go
+++ b/internal/core/liveness_test.go
@@ -25,8 +25,9 @@
 	return sum
 }
 
-// A node that hears no peer, while all nodes reach the log, must not consider its
-// peers dead and claim their shards: they would claim them back, again and again.
+// A node that receives no heartbeat, while all nodes reach the log, must not
+// consider its peers dead and claim their shards: they would claim them back, and
+// the shards would change owners over and over.
 func TestPartitionedNodeClaimsNothingFromLiveOwners(t *testing.T) {
 	for name, block := range map[string]func(cl *cluster, n, o *fakeNode){
 		"hears nobody and is not heard": func(cl *cluster, n, o *fakeNode) {
@@ -71,8 +72,8 @@
 	cl.expectRunning(t, 6, 0)
 }
 
-// Two nodes that do not hear each other, but reach the log, must not claim each
-// other's shards.
+// Two nodes that do not receive each other's heartbeats, but reach the log, must
+// not claim each other's shards.
 func TestTwoPartitionedNodesKeepTheirShards(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 2, racks: 2, workers: 1, seed: 42})
 	cl.run(30 * time.Second)
--- a/internal/core/policy_test.go
+++ b/internal/core/policy_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// When a worker of a running all-at-once job dies, the whole job must start
+// When a worker of a running all-at-once job fails, the whole job must start
 // again, not only the lost tasks.
 func TestBrokenAllAtOnceJobRestartsAsAWhole(t *testing.T) {
 	cl := newReadyCluster(t, 3)
@@ -298,8 +298,8 @@
 }
 
 // A job shard that has just moved must know the summaries of all racks: its new
-// owner has remembered those that it received before. Otherwise it would place a
-// service's tasks on the few racks that it has heard of since.
+// owner has stored those that it received before. Otherwise it would place a
+// service's tasks on the few racks whose summaries it has received since.
 func TestMovedJobShardSpreadsAServiceOverZones(t *testing.T) {
 	cl := newReadyClusterOf(t, clusterOptions{nodes: 3, racks: 4, workers: 2, seed: 52})
 	shard := string(ownership.JobShard(region, "filings"))
--- a/internal/core/view.go
+++ b/internal/core/view.go
@@ -27,9 +27,9 @@
 	m := c.state.Members[id]
 	switch {
 	case m == nil || m.HasLeft:
-		return nil, &document.FieldError{File: "node", Key: string(id), Problem: "is no member of the cell", Allowed: "a node of `leverdyke node list`"}
+		return nil, &document.FieldError{File: "node", Key: string(id), Problem: "is not a member of the cluster", Allowed: "a node of `leverdyke node list`"}
 	case id == c.options.Self.Node || !c.members.IsSuspect(c.now(), id):
-		return nil, &document.FieldError{File: "node", Key: string(id), Problem: "is heard: its process has not ended", Allowed: "a node that is silent; stop it first"}
+		return nil, &document.FieldError{File: "node", Key: string(id), Problem: "still sends heartbeats: its process has not ended", Allowed: "a node that sends no heartbeats; stop it first"}
 	}
 	return &state.Leave{Node: id, Incarnation: m.Incarnation}, nil
 }
--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -45,8 +45,8 @@
 }
 
 // A task that crashes its workers fails its job after a limited number of crashes. The count must
-// not be lost when the owner, which counts, is killed at each crash, nor when the store is out, so
-// that the owner cannot persist the count.
+// not be lost when the owner, which counts, is killed at each crash, nor when the store is
+// unavailable, so that the owner cannot persist the count.
 func TestSiteCrashLimitHoldsAcrossOwnersAndOutages(t *testing.T) {
 	for name, atCrash := range map[string]func(c *siteCluster, n int){
 		"owner is killed": func(c *siteCluster, _ int) {
@@ -95,7 +95,7 @@
 }
 
 // A delegate that is killed right after a worker crashed may not have reported the crash to the owner,
-// and nobody else reports it. The number of crashes must stay within the limit although all nodes but
+// and no other node reports it. The number of crashes must stay within the limit although all nodes but
 // the owner are killed at each crash.
 func TestSiteCrashLimitHoldsAcrossDelegateRestarts(t *testing.T) {
 	c := newDelegateCluster(t)
--- a/internal/integration/durability_test.go
+++ b/internal/integration/durability_test.go
@@ -163,7 +163,7 @@
 
 // Workers keep the ends of their tasks until the owner has confirmed them, which it may only do once
 // they are persisted. If an end were confirmed in an outage of the store, and all nodes and workers
-// were then lost, nobody would know of it, and the task would run again.
+// were then lost, no record of the end would remain, and the task would run again.
 func TestSiteConfirmedEndsSurviveLossOfNodesAndWorkers(t *testing.T) {
 	c := newSiteCluster(t, 3, site.Options{Workers: 2})
 	second := smallStep(2, 6000)
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -76,12 +76,12 @@
 	Suspects []state.NodeID `msgpack:"s,omitempty"`
 	// Summaries has the summaries of those racks of the sender that have changed.
 	Summaries []RackSummary `msgpack:"r,omitempty"`
-	// DeputyRacks lists the racks that the sender keeps alive as a deputy: their
-	// owner has failed, and while the log is out no successor can claim them.
+	// DeputyRacks lists the racks whose leases the sender renews as a deputy: their
+	// owner has failed, and while the log is unavailable no successor can claim them.
 	DeputyRacks []DeputyRack `msgpack:"d,omitempty"`
 }
 
-// DeputyRack is a rack that a deputy keeps alive, with the epoch that it uses.
+// DeputyRack is a rack whose leases a deputy renews, with the epoch that it uses.
 type DeputyRack struct {
 	Rack  state.ShardID `msgpack:"r"`
 	Epoch worker.Epoch  `msgpack:"e"`
--- a/internal/nodeserver/operators.go
+++ b/internal/nodeserver/operators.go
@@ -274,7 +274,7 @@
 }
 
 // Retire records, at an operator's request, that another node's process has ended. It
-// refuses if that node is still alive, whatever the operator says.
+// refuses if that node still sends heartbeats, even if the operator claims that it has ended.
 func (n *Node) Retire(ctx context.Context, id string) error {
 	type found struct {
 		leave *state.Leave
--- a/internal/nodeserver/workers.go
+++ b/internal/nodeserver/workers.go
@@ -171,8 +171,8 @@
 	}
 	if err != nil {
 		// It is unknown whether the attempts have started. The rack sends the order again,
-		// which starts none of them twice, and an attempt that nobody knows of ends with its
-		// lease.
+		// which starts none of them twice, and an attempt of which no owner knows ends when its
+		// lease expires.
 		l.node.enqueue(func(c *core.Core) { c.OnStartFailed(l.rack, l.epoch, l.id, o.start.Tasks) })
 		l.reportFailure(err)
 		return
--- a/internal/rack/rack_test.go
+++ b/internal/rack/rack_test.go
@@ -332,8 +332,9 @@
 	}
 }
 
-// A service does not end, so a worker that was probed with one used to get
-// nothing else for as long as the service ran.
+// An ejected worker that is probed with a task gets no other task until the probe
+// has ended or has run for some time. A service does not end: if the probe had to
+// end, a worker probed with a service would get nothing else while that runs.
 func TestWorkerProbedWithServiceIsReadmitted(t *testing.T) {
 	h := newHarness(t, 2, vmCapacity)
 	h.workers["w0"].SetFaults(native.WorkerFaults{IsFailingAll: true})
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -86,8 +86,9 @@
 	return done
 }
 
-// In a full queue a more urgent request displaces the least urgent one, whose caller is told
-// when to retry. A request that is not more urgent than any in the queue is refused.
+// In a full queue a more urgent request displaces the least urgent one, whose caller receives
+// an error that says when to retry. A request that is not more urgent than any in the queue
+// is refused.
 func TestFullQueueShedsLeastUrgentRequest(t *testing.T) {
 	r, _ := newRouter(2)
 	first := startWaiting(t, r, leverdyke.ClassNormal)
@@ -226,8 +227,8 @@
 	}
 }
 
-// Guards against slots that are lost to the count of free slots when their grant is
-// returned: the rack would look full after the first round.
+// Guards against slots that are not counted as free when their grant is returned: the rack
+// would appear to be full after the first round.
 func TestReturnedSlotsCountAsFreeAgain(t *testing.T) {
 	r, c := newRouter(0)
 	r.OnCapacity(&node.RackSummary{Rack: "rack/r1/k", Zone: "near", Services: []node.ServiceCapacity{{Service: "s", Slots: 1}}})
@@ -295,7 +296,7 @@
 	}
 }
 
-// Guards against surplus grants that are kept for ever. Requests spread over all grants, so
+// Guards against surplus grants that are never returned. Requests spread over all grants, so
 // that none becomes idle: those beyond the peak usage with its headroom must be returned,
 // and no others.
 func TestGrantsBeyondPeakUsageAreReturned(t *testing.T) {
