--- a/internal/crash/crash_test.go
+++ b/internal/crash/crash_test.go
@@ -66,8 +66,8 @@
 }
 
 // A task that crashes its workers must be found after few crashes, as each costs a worker and
-// all that runs there. A task that was only beside such crashes must not be blamed, or its job
-// fails without a fault of its own.
+// all that runs there. A task that only ran on the same workers as such a task must not count as
+// at fault, or its job fails without a fault of its own.
 func TestOnlyTasksThatCrashWorkersAreCulprits(t *testing.T) {
 	for name, c := range map[string]struct {
 		on   []crash.Suspect
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -147,9 +147,9 @@
 }
 
 // IsDead reports whether the node is suspected by this node and by at least half
-// of the other nodes of the region that this node hears. Without this vote, a
-// node that alone does not hear another, as in a one-way partition, would take
-// over the shards of a healthy owner.
+// of the other nodes of the region whose heartbeats this node receives. Without
+// this vote, a node that alone does not receive another's heartbeats, as in a
+// one-way partition, would take over the shards of a healthy owner.
 func (t *Table) IsDead(now time.Time, n state.NodeID, region string) bool {
 	if !t.IsSuspect(now, n) {
 		return false
