--- a/internal/dispatch/accelerator_test.go
+++ b/internal/dispatch/accelerator_test.go
@@ -58,7 +58,7 @@
 
 // Permission was only queried for workers with free capacity. Capacity that became free then stood
 // idle while the query ran, 0.5 s for these tasks, or was given to other tasks.
-func TestFreeCapacityIdleUntilPermissionQueried(t *testing.T) {
+func TestPermissionIsQueriedBeforeCapacityIsFree(t *testing.T) {
 	w := newAcceleratorSim(1)
 	w.submitTo("whole", "first", wholeWorkerStep(1, 3*time.Second))
 	w.run(time.Second)
@@ -107,7 +107,7 @@
 
 // A steady load of small tasks leaves no worker empty. Without a reservation a task that takes a
 // whole worker waited until some worker happened to have no small task.
-func TestLargeTasksStarvedBySmallTasks(t *testing.T) {
+func TestLargeTasksAreNotStarvedBySmallTasks(t *testing.T) {
 	t.Parallel()
 	w := newAcceleratorSim(8)
 	large, small := runMixedAcceleratorLoad(w)
@@ -131,7 +131,7 @@
 // their last success. The only worker that the task was permitted on was empty and reserved for it,
 // so that no other task ran there that could have shown the worker to be healthy: both the task and
 // the worker's capacity waited forever.
-func TestLastAttemptReservesWorkerForever(t *testing.T) {
+func TestLastAttemptReservesNoWorkerForever(t *testing.T) {
 	w := newAcceleratorSim(1)
 	w.failureShare = 1
 	w.submitTo("whole", "w", wholeWorkerStep(1, 300*time.Millisecond))
@@ -152,7 +152,7 @@
 
 // A reservation for other tasks must not delay tasks of a higher priority, not even until the next
 // time that reservations are planned.
-func TestReservationDelaysUrgentTasks(t *testing.T) {
+func TestReservationDoesNotDelayUrgentTasks(t *testing.T) {
 	w := newAcceleratorSim(1)
 	nonResumable := fractionStep(3, time.Minute)
 	nonResumable.IsResumable = false
@@ -174,7 +174,7 @@
 // With 40 large steps waiting, an owner of 98 workers planned the reservations for them anew in
 // each scheduling pass. That took 1.2 ms in each of 500 passes per second, and the owner no longer
 // answered anything in time.
-func TestReservationsPlannedInEachPass(t *testing.T) {
+func TestReservationsAreNotPlannedInEachPass(t *testing.T) {
 	w := newAcceleratorSim(4)
 	for i := range 40 {
 		w.submitTo("whole", fmt.Sprintf("w%d", i), wholeWorkerStep(2, time.Minute))
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestStepStartsBeforePredecessorEnds(t *testing.T) {
+func TestStepStartsOnlyAfterPredecessorEnds(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
@@ -57,7 +57,7 @@
 
 // A task must not start before the store has accepted its job: a job that is refused in the end
 // would have run.
-func TestJobStartedBeforePersisted(t *testing.T) {
+func TestJobStartsOnlyOncePersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
@@ -79,7 +79,7 @@
 
 // The engine must not confirm an end to the worker before the store has it: a worker forgets
 // confirmed ends, so that the end would be lost with the owner.
-func TestEndConfirmedBeforePersisted(t *testing.T) {
+func TestEndIsConfirmedOnlyOncePersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
@@ -102,7 +102,7 @@
 // A worker answers a poll at once while it has ends that are not confirmed. Polling again without a
 // pause, while the store was down and no end could be confirmed, led to 21 listings per second from
 // each worker.
-func TestUnconfirmedEndsCauseBusyPolling(t *testing.T) {
+func TestUnconfirmedEndsCauseNoBusyPolling(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
@@ -120,7 +120,7 @@
 
 // The answer to a start is lost and the start reaches its worker seconds later. If its capacity
 // were freed in between, the task would run twice or exceed the worker's capacity.
-func TestUnacknowledgedStartLosesItsCapacity(t *testing.T) {
+func TestUnacknowledgedStartKeepsItsCapacity(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
 	w.run(time.Second)
@@ -133,7 +133,7 @@
 	expectNoViolations(t, w)
 }
 
-func TestJobNotFailedAfterMaxAttempts(t *testing.T) {
+func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	w := newSim(1)
 	w.failureShare = 1
 	w.addWorkers(6, workerCapacity)
@@ -148,7 +148,7 @@
 
 // Workers list a failure again after a takeover if its confirmation has not reached them. The
 // failure is already in the store: if it counted twice, the job would fail after too few attempts.
-func TestFailureCountedTwiceAfterTakeover(t *testing.T) {
+func TestFailureIsCountedOnceAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.failureShare = 1
 	w.addWorkers(6, workerCapacity)
@@ -175,7 +175,7 @@
 	expectNoViolations(t, w)
 }
 
-func TestCancelLeavesTasksRunning(t *testing.T) {
+func TestCancelStopsRunningTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -197,7 +197,7 @@
 }
 
 // A new owner must adopt the tasks that it finds running instead of starting them again.
-func TestTakeoverRestartsRunningTasks(t *testing.T) {
+func TestTakeoverRestartsNoRunningTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -214,7 +214,7 @@
 
 // A new owner has granted no lease itself. It regarded the leases of the previous owner as expired,
 // and would have started their tasks a second time.
-func TestTakeoverIgnoresPreviousOwnersLeases(t *testing.T) {
+func TestTakeoverRespectsPreviousOwnersLeases(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -234,7 +234,7 @@
 // Until a new owner is trusted to own the shard it renews no lease. Only the previous owner's
 // leases then say that tasks may still run: if the new owner regards them as expired it starts
 // tasks a second time.
-func TestUntrustedOwnerIgnoresPreviousOwnersLeases(t *testing.T) {
+func TestUnconfirmedOwnerRespectsPreviousOwnersLeases(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -255,7 +255,7 @@
 // A worker that was draining when the owner was lost, and then became unreachable, delayed all
 // tasks of all jobs by 9.7 s: the new owner waited for its lease before it started anything. Only
 // the tasks that may run on that worker have to wait.
-func TestDrainingWorkerDelaysOtherTasksAfterTakeover(t *testing.T) {
+func TestDrainingWorkerDelaysNoOtherTasksAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
@@ -280,7 +280,7 @@
 }
 
 // No task may be placed on a worker that its platform drains.
-func TestDrainingWorkerGetsNewTasks(t *testing.T) {
+func TestDrainingWorkerGetsNoNewTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
@@ -295,7 +295,7 @@
 
 // Long-running tasks ran on a draining worker until it left; they were then not running for 6 s,
 // until its lease had expired. They have to be moved to other workers while it drains.
-func TestLongRunningTasksInterruptedByDraining(t *testing.T) {
+func TestLongRunningTasksAreMovedWhileTheirWorkerDrains(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
@@ -323,7 +323,7 @@
 
 // An owner that may have lost its shard must neither start tasks nor renew leases: another owner may
 // be in charge by then.
-func TestUntrustedOwnerStartsTasks(t *testing.T) {
+func TestUnconfirmedOwnerStartsNoTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
@@ -342,7 +342,7 @@
 // The entry of a crashed worker stays in the list for some seconds beside that of its replacement
 // on the same machine. The engine regarded each of the two entries in turn as the later one, so that
 // tasks of the live worker were started again.
-func TestStaleWorkerEntryEndsTasksOfReplacement(t *testing.T) {
+func TestStaleWorkerEntryEndsNoTasksOfReplacement(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -366,7 +366,7 @@
 // The answers to orders carry the worker's clock but no progress. Tasks on a worker that answered
 // many orders, and sent no listing meanwhile, counted as stuck because the clock advanced without
 // progress.
-func TestTaskCountedAsStuckWithoutListing(t *testing.T) {
+func TestTaskIsNotCountedAsStuckWithoutListing(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, leverdyke.Resources{MilliCPU: 20_000, MemoryMiB: 20_000})
 	w.run(time.Second)
@@ -387,7 +387,7 @@
 }
 
 // A task that makes no progress for too long is stopped and started on another worker.
-func TestStuckTaskNotStartedElsewhere(t *testing.T) {
+func TestStuckTaskIsStartedElsewhere(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
 	w.run(time.Second)
@@ -403,7 +403,7 @@
 // Two workers were lost together with the owner: all tasks of all jobs waited 9.8 s for the leases
 // of these workers, because any task might have been started there. Only the tasks that the store
 // has placed on a lost worker need to wait.
-func TestWorkerLostWithOwnerDelaysOtherTasks(t *testing.T) {
+func TestWorkerLostWithOwnerDelaysNoOtherTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(4, workerCapacity)
 	w.run(time.Second)
@@ -426,7 +426,7 @@
 
 // A start is only ordered when its placement is in the store: the next owner could not find the run
 // otherwise. After a longer outage the engine runs write-behind, so that jobs go on.
-func TestStartOrderedBeforePlacementPersisted(t *testing.T) {
+func TestStartIsOrderedOnlyOncePlacementIsPersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -449,7 +449,7 @@
 // The previous owner ran write-behind, so that any task may run on any worker without the store
 // having the placement. The new owner must start nothing before the previous owner's leases have
 // expired, or tasks would run twice.
-func TestUnpersistedStartsRunTwiceAfterTakeover(t *testing.T) {
+func TestUnpersistedStartsDoNotRunTwiceAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -473,7 +473,7 @@
 // listing. A listing that was requested before a start was confirmed therefore lacked the attempt
 // despite a later time stamp, and the task was started a second time (soak test with seed 1 on a
 // busy machine).
-func TestListingRequestedBeforeStartEndsAttempt(t *testing.T) {
+func TestListingRequestedBeforeStartEndsNoAttempt(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
@@ -523,7 +523,7 @@
 
 // After a stop was confirmed the engine asked the worker for a listing with an immediate poll. When
 // the answer was lost it waited up to 0.9 s before it polled again.
-func TestLostImmediatePollNotRetried(t *testing.T) {
+func TestLostImmediatePollIsRetried(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
@@ -568,7 +568,7 @@
 
 // Listings that report only progress are requested less often from many workers: at an interval of
 // 0.5 s for each of 1,100 workers they made up two thirds of an owner's messages.
-func TestManyWorkersPolledTooOften(t *testing.T) {
+func TestManyWorkersArePolledLessOften(t *testing.T) {
 	for workers, want := range map[int]time.Duration{48: 500 * time.Millisecond, 1100: 1100 * time.Millisecond, 5000: 2 * time.Second} {
 		c := clock.NewFake()
 		e := dispatch.NewEngine(dispatch.Options{})
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -265,7 +265,7 @@
 // Served in the order of arrival, all long jobs that arrive after a burst miss their objectives.
 // Jobs that can still meet their objectives have to go first, and the late jobs must end all the
 // same.
-func TestBurstMakesAllLaterLongJobsLate(t *testing.T) {
+func TestUrgencyKeepsMoreLongJobsOnTimeAfterABurst(t *testing.T) {
 	t.Parallel()
 	const seeds = 16
 	byUrgency, byAge := runBursts(seeds), runBursts(seeds, dispatch.MechanismUrgency)
@@ -338,7 +338,7 @@
 // A customer that sends eight times its usual load must not delay the jobs of nineteen customers
 // with their usual load. The hot customer gets its own share and the capacity that the others
 // leave.
-func TestHotCustomerSlowsOthers(t *testing.T) {
+func TestHotCustomerDoesNotDelayOthers(t *testing.T) {
 	t.Parallel()
 	const seeds = 2
 	type result struct{ long, short, own float64 }
@@ -375,7 +375,7 @@
 // When permission queries are the bottleneck and most capacity is free, jobs that can still meet
 // their objectives would always go before a late one. A job of which nothing runs must get priority
 // after a while, however late it is: callers regard a job that stalls as lost.
-func TestLateJobStallsWhileCapacityIsFree(t *testing.T) {
+func TestLateJobDoesNotStallWhileCapacityIsFree(t *testing.T) {
 	t.Parallel()
 	longest := func(disabled ...dispatch.Mechanism) time.Duration {
 		o := newLoadSim(1, testWorkerCount, disabled...)
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -28,7 +28,7 @@
 
 // A seed must give the same simulation each time, or a violation that it shows once could not be
 // traced. The engine must therefore never depend on the iteration order of a built-in map.
-func TestSameSeedGivesDifferentTrace(t *testing.T) {
+func TestSameSeedGivesSameTrace(t *testing.T) {
 	t.Parallel()
 	for name, run := range map[string]func(uint64) *sim{
 		"days": runRandomFaults, "workers that start again": simulateRestarts, "rooms that change": simulateResizing, "crashes": simulateCrashes,
--- a/internal/dispatch/time_of_day_test.go
+++ b/internal/dispatch/time_of_day_test.go
@@ -13,7 +13,7 @@
 // The engine's clock includes the time for which the owner's machine was suspended, so that a time
 // of day derived from it is ahead by as much. A round that is due at a time of day must not start
 // earlier because of that.
-func TestRoundStartsEarlyAfterSuspension(t *testing.T) {
+func TestRoundDoesNotStartEarlyAfterSuspension(t *testing.T) {
 	h := newSuccessor(0)
 	begin := h.clock.Now()
 	h.Inherit(begin, true, 0)
