--- a/internal/core/stateful_test.go
+++ b/internal/core/stateful_test.go
@@ -297,7 +297,7 @@
 
 // Replays sequences found by random runs in which the cluster once broke a
 // guarantee.
-func TestSequencesThatBrokeAGuarantee(t *testing.T) {
+func TestSequencesOfPastFaultsBreakNoGuarantee(t *testing.T) {
 	for name, sequence := range map[string][]string{
 		"a start that was ordered twice, refused and then accepted": {
 			"worker cut/20", "run 7s", "cut node from log/509", "submit urgent/934", "pause node/1321", "run 3s", "worker dies/3039", "settle/4019",
