--- a/internal/dispatch/accelerator_test.go
+++ b/internal/dispatch/accelerator_test.go
@@ -56,8 +56,9 @@
 	return w
 }
 
-// Permission was only queried for workers with free capacity. Capacity that became free then stood
-// idle while the query ran, 0.5 s for these tasks, or was given to other tasks.
+// Permission must be queried before the capacity for a task becomes free. It was once queried only
+// for workers with free capacity. Capacity that became free then stood idle while the query ran,
+// 0.5 s for these tasks, or was given to other tasks.
 func TestPermissionIsQueriedBeforeCapacityIsFree(t *testing.T) {
 	w := newAcceleratorSim(1)
 	w.submitTo("whole", "first", wholeWorkerStep(1, 3*time.Second))
@@ -105,8 +106,9 @@
 	return large, small
 }
 
-// A steady load of small tasks leaves no worker empty. Without a reservation a task that takes a
-// whole worker waited until some worker happened to have no small task.
+// A steady load of small tasks leaves no worker empty. A task that takes a whole worker must get
+// one by a reservation: without it the task waited until some worker happened to have no small
+// task.
 func TestLargeTasksAreNotStarvedBySmallTasks(t *testing.T) {
 	t.Parallel()
 	w := newAcceleratorSim(8)
@@ -127,10 +129,11 @@
 	expectNoViolations(t, w)
 }
 
-// For a task with one attempt left, permission was only queried for workers without a failure since
-// their last success. The only worker that the task was permitted on was empty and reserved for it,
-// so that no other task ran there that could have shown the worker to be healthy: both the task and
-// the worker's capacity waited forever.
+// A task with one attempt left must not keep an empty worker reserved that it may not start on.
+// Permission for such a task was once only queried for workers without a failure since their last
+// success. The only worker that the task was permitted on was empty and reserved for it, so that no
+// other task ran there that could have shown the worker to be healthy: the task waited and the
+// worker's capacity stood idle forever.
 func TestLastAttemptReservesNoWorkerForever(t *testing.T) {
 	w := newAcceleratorSim(1)
 	w.failureShare = 1
@@ -171,9 +174,9 @@
 	expectNoViolations(t, w)
 }
 
-// With 40 large steps waiting, an owner of 98 workers planned the reservations for them anew in
-// each scheduling pass. That took 1.2 ms in each of 500 passes per second, and the owner no longer
-// answered anything in time.
+// Reservations must be planned at intervals, not anew in each scheduling pass. With 40 large steps
+// waiting, an owner of 98 workers once planned them in each pass. That took 1.2 ms in each of 500
+// passes per second, and the owner no longer answered anything in time.
 func TestReservationsAreNotPlannedInEachPass(t *testing.T) {
 	w := newAcceleratorSim(4)
 	for i := range 40 {
--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -40,6 +40,7 @@
 	}
 }
 
+// No task of a step may start before all tasks of the step before it have ended.
 func TestStepStartsOnlyAfterPredecessorEnds(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
@@ -99,9 +100,9 @@
 	expectState(t, w, "a", work.JobSucceeded)
 }
 
-// A worker answers a poll at once while it has ends that are not confirmed. Polling again without a
-// pause, while the store was down and no end could be confirmed, led to 21 listings per second from
-// each worker.
+// The engine must pause between polls of a worker with unconfirmed ends, because such a worker
+// answers at once. Polling it again without a pause, while the store was down and no end could be
+// confirmed, led to 21 listings per second from each worker.
 func TestUnconfirmedEndsCauseNoBusyPolling(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
@@ -118,8 +119,9 @@
 	}
 }
 
-// The answer to a start is lost and the start reaches its worker seconds later. If its capacity
-// were freed in between, the task would run twice or exceed the worker's capacity.
+// The capacity of a start whose answer was lost must stay reserved, since the start may reach its
+// worker seconds later. If the capacity were freed in between, the task would run twice or exceed
+// the worker's capacity.
 func TestUnacknowledgedStartKeepsItsCapacity(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
@@ -133,6 +135,8 @@
 	expectNoViolations(t, w)
 }
 
+// A job must fail when one of its tasks has failed in the last of the queue's MaxAttempts attempts,
+// and the task must not start again.
 func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	w := newSim(1)
 	w.failureShare = 1
@@ -146,8 +150,9 @@
 	}
 }
 
-// Workers list a failure again after a takeover if its confirmation has not reached them. The
-// failure is already in the store: if it counted twice, the job would fail after too few attempts.
+// A failure that is in the store must not count again when a worker lists it after a takeover,
+// which it does if the confirmation has not reached it. If the failure counted twice, the job would
+// fail after too few attempts.
 func TestFailureIsCountedOnceAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.failureShare = 1
@@ -175,6 +180,8 @@
 	expectNoViolations(t, w)
 }
 
+// The cancellation of a job must stop its running tasks, and the cancellation of an unknown job
+// must report that there is no such job.
 func TestCancelStopsRunningTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -212,8 +219,9 @@
 	expectNoViolations(t, w)
 }
 
-// A new owner has granted no lease itself. It regarded the leases of the previous owner as expired,
-// and would have started their tasks a second time.
+// A new owner must let the leases of the previous owner run out before it treats their tasks as
+// lost. It has granted no lease itself, and once regarded those leases as expired: it would have
+// started their tasks a second time.
 func TestTakeoverRespectsPreviousOwnersLeases(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -231,9 +239,9 @@
 	}
 }
 
-// Until a new owner is trusted to own the shard it renews no lease. Only the previous owner's
-// leases then say that tasks may still run: if the new owner regards them as expired it starts
-// tasks a second time.
+// A new owner whose ownership is not confirmed yet renews no lease. Only the previous owner's
+// leases then show that tasks may still run: the new owner must not regard them as expired, or it
+// would start tasks a second time.
 func TestUnconfirmedOwnerRespectsPreviousOwnersLeases(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -252,9 +260,10 @@
 	}
 }
 
-// A worker that was draining when the owner was lost, and then became unreachable, delayed all
-// tasks of all jobs by 9.7 s: the new owner waited for its lease before it started anything. Only
-// the tasks that may run on that worker have to wait.
+// Only the tasks that may run on an unreachable draining worker have to wait for its lease after a
+// takeover. A worker that was draining when the owner was lost, and then became unreachable, once
+// delayed all tasks of all jobs by 9.7 s: the new owner waited for its lease before it started
+// anything.
 func TestDrainingWorkerDelaysNoOtherTasksAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
@@ -293,8 +302,8 @@
 	}
 }
 
-// Long-running tasks ran on a draining worker until it left; they were then not running for 6 s,
-// until its lease had expired. They have to be moved to other workers while it drains.
+// Long-running tasks must be moved to other workers while their worker drains. They once ran on it
+// until it left, and were then not running for 6 s, until its lease had expired.
 func TestLongRunningTasksAreMovedWhileTheirWorkerDrains(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
@@ -321,8 +330,8 @@
 	expectNoViolations(t, w)
 }
 
-// An owner that may have lost its shard must neither start tasks nor renew leases: another owner may
-// be in charge by then.
+// An owner whose ownership is not confirmed must neither start tasks nor renew leases: another
+// owner may have taken over the shard.
 func TestUnconfirmedOwnerStartsNoTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
@@ -340,8 +349,8 @@
 }
 
 // The entry of a crashed worker stays in the list for some seconds beside that of its replacement
-// on the same machine. The engine regarded each of the two entries in turn as the later one, so that
-// tasks of the live worker were started again.
+// on the same machine, and must not end the replacement's tasks. The engine once regarded each of
+// the two entries in turn as the later one, so that tasks of the live worker were started again.
 func TestStaleWorkerEntryEndsNoTasksOfReplacement(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -363,9 +372,9 @@
 	expectNoViolations(t, w)
 }
 
-// The answers to orders carry the worker's clock but no progress. Tasks on a worker that answered
-// many orders, and sent no listing meanwhile, counted as stuck because the clock advanced without
-// progress.
+// A task must not count as stuck while its worker sends no listing. The answers to orders carry the
+// worker's clock but no progress: tasks on a worker that answered many orders, and sent no listing
+// meanwhile, once counted as stuck because the clock advanced without progress.
 func TestTaskIsNotCountedAsStuckWithoutListing(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, leverdyke.Resources{MilliCPU: 20_000, MemoryMiB: 20_000})
@@ -386,7 +395,7 @@
 	}
 }
 
-// A task that makes no progress for too long is stopped and started on another worker.
+// A task that makes no progress for too long must be stopped and started on another worker.
 func TestStuckTaskIsStartedElsewhere(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
@@ -400,9 +409,9 @@
 	expectNoViolations(t, w)
 }
 
-// Two workers were lost together with the owner: all tasks of all jobs waited 9.8 s for the leases
-// of these workers, because any task might have been started there. Only the tasks that the store
-// has placed on a lost worker need to wait.
+// Only the tasks that the store has placed on a lost worker have to wait for its lease. When two
+// workers were lost together with the owner, all tasks of all jobs once waited 9.8 s for the leases
+// of these workers, because any task might have been started there.
 func TestWorkerLostWithOwnerDelaysNoOtherTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(4, workerCapacity)
@@ -424,8 +433,9 @@
 	expectNoViolations(t, w)
 }
 
-// A start is only ordered when its placement is in the store: the next owner could not find the run
-// otherwise. After a longer outage the engine runs write-behind, so that jobs go on.
+// A start must only be ordered when its placement is in the store: the next owner could not find
+// the run otherwise. The exception is write-behind mode, which the engine enters after a longer
+// outage so that jobs make progress.
 func TestStartIsOrderedOnlyOncePlacementIsPersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
@@ -469,10 +479,10 @@
 	}
 }
 
-// A worker stamps a listing with its clock when it answers, which is after it has assembled the
-// listing. A listing that was requested before a start was confirmed therefore lacked the attempt
-// despite a later time stamp, and the task was started a second time (soak test with seed 1 on a
-// busy machine).
+// A listing that was requested before a start was confirmed, and lacks the attempt, must not end
+// it. A worker stamps a listing with its clock when it answers, which is after it has assembled the
+// listing. Such a listing therefore lacked the attempt despite a later time stamp, and the task was
+// started a second time (soak test with seed 1 on a busy machine).
 func TestListingRequestedBeforeStartEndsNoAttempt(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
@@ -521,8 +531,9 @@
 	}
 }
 
-// After a stop was confirmed the engine asked the worker for a listing with an immediate poll. When
-// the answer was lost it waited up to 0.9 s before it polled again.
+// An immediate poll without an answer must be repeated soon, but not without a pause. The engine
+// sends one for a listing after a stop was confirmed. When the answer was lost it once waited up to
+// 0.9 s before it polled again.
 func TestLostImmediatePollIsRetried(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
@@ -566,8 +577,9 @@
 	}
 }
 
-// Listings that report only progress are requested less often from many workers: at an interval of
-// 0.5 s for each of 1,100 workers they made up two thirds of an owner's messages.
+// The more workers there are, the less often each must be asked for listings that report only
+// progress: at an interval of 0.5 s for each of 1,100 workers these made up two thirds of an
+// owner's messages.
 func TestManyWorkersArePolledLessOften(t *testing.T) {
 	for workers, want := range map[int]time.Duration{48: 500 * time.Millisecond, 1100: 1100 * time.Millisecond, 5000: 2 * time.Second} {
 		c := clock.NewFake()
--- a/internal/dispatch/load_test.go
+++ b/internal/dispatch/load_test.go
@@ -262,9 +262,9 @@
 	return simulations
 }
 
-// Served in the order of arrival, all long jobs that arrive after a burst miss their objectives.
-// Jobs that can still meet their objectives have to go first, and the late jobs must end all the
-// same.
+// Jobs that can still meet their objectives must go before those that are late already, and the
+// late jobs must end all the same. Served in the order of arrival, all long jobs that arrive after
+// a burst miss their objectives.
 func TestUrgencyKeepsMoreLongJobsOnTimeAfterABurst(t *testing.T) {
 	t.Parallel()
 	const seeds = 16
@@ -372,9 +372,9 @@
 // stallRate is a rate of long jobs for which two channels cannot query all permissions in time.
 const stallRate = 4 * longRate
 
-// When permission queries are the bottleneck and most capacity is free, jobs that can still meet
-// their objectives would always go before a late one. A job of which nothing runs must get priority
-// after a while, however late it is: callers regard a job that stalls as lost.
+// A job of which nothing runs must get priority after a while, however late it is: callers regard a
+// job that stalls as lost. When permission queries are the bottleneck and most capacity is free,
+// jobs that can still meet their objectives would otherwise always go before a late one.
 func TestLateJobDoesNotStallWhileCapacityIsFree(t *testing.T) {
 	t.Parallel()
 	longest := func(disabled ...dispatch.Mechanism) time.Duration {
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -147,7 +147,7 @@
 
 // The end of an earlier attempt may be reported after the next start was decided and before its
 // order is sent: the order must then not be sent. This violated an invariant about once in 3,000
-// runs of the random test in lab_test.go (seed 15116943577760558889).
+// runs of TestInvariantsHoldOnAcceleratorWorkers (seed 15116943577760558889).
 func TestStartOfAnEndedTaskIsNotSent(t *testing.T) {
 	fakeClock := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
