--- a/internal/dispatch/engine_test.go
+++ b/internal/dispatch/engine_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-func TestStepStartsBeforePredecessorEnds(t *testing.T) {
+// No task of a step may start before all tasks of the step before it have ended.
+func TestStepStartsOnlyAfterPredecessorEnds(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
@@ -57,7 +58,7 @@
 
 // A task must not start before the store has accepted its job: a job that is refused in the end
 // would have run.
-func TestJobStartedBeforePersisted(t *testing.T) {
+func TestJobStartsOnlyOncePersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
@@ -79,7 +80,7 @@
 
 // The engine must not confirm an end to the worker before the store has it: a worker forgets
 // confirmed ends, so that the end would be lost with the owner.
-func TestEndConfirmedBeforePersisted(t *testing.T) {
+func TestEndIsConfirmedOnlyOncePersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
@@ -99,10 +100,10 @@
 	expectState(t, w, "a", work.JobSucceeded)
 }
 
-// A worker answers a poll at once while it has ends that are not confirmed. Polling again without a
-// pause, while the store was down and no end could be confirmed, led to 21 listings per second from
-// each worker.
-func TestUnconfirmedEndsCauseBusyPolling(t *testing.T) {
+// The engine must pause between polls of a worker with unconfirmed ends, because such a worker
+// answers at once. Polling it again without a pause, while the store was down and no end could be
+// confirmed, led to 21 listings per second from each worker.
+func TestUnconfirmedEndsCauseNoBusyPolling(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
@@ -118,9 +119,10 @@
 	}
 }
 
-// The answer to a start is lost and the start reaches its worker seconds later. If its capacity
-// were freed in between, the task would run twice or exceed the worker's capacity.
-func TestUnacknowledgedStartLosesItsCapacity(t *testing.T) {
+// The capacity of a start whose answer was lost must stay reserved, since the start may reach its
+// worker seconds later. If the capacity were freed in between, the task would run twice or exceed
+// the worker's capacity.
+func TestUnacknowledgedStartKeepsItsCapacity(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
 	w.run(time.Second)
@@ -133,7 +135,9 @@
 	expectNoViolations(t, w)
 }
 
-func TestJobNotFailedAfterMaxAttempts(t *testing.T) {
+// A job must fail when one of its tasks has failed in the last of the queue's MaxAttempts attempts,
+// and the task must not start again.
+func TestJobFailsAfterMaxAttempts(t *testing.T) {
 	w := newSim(1)
 	w.failureShare = 1
 	w.addWorkers(6, workerCapacity)
@@ -146,9 +150,10 @@
 	}
 }
 
-// Workers list a failure again after a takeover if its confirmation has not reached them. The
-// failure is already in the store: if it counted twice, the job would fail after too few attempts.
-func TestFailureCountedTwiceAfterTakeover(t *testing.T) {
+// A failure that is in the store must not count again when a worker lists it after a takeover,
+// which it does if the confirmation has not reached it. If the failure counted twice, the job would
+// fail after too few attempts.
+func TestFailureIsCountedOnceAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.failureShare = 1
 	w.addWorkers(6, workerCapacity)
@@ -175,7 +180,9 @@
 	expectNoViolations(t, w)
 }
 
-func TestCancelLeavesTasksRunning(t *testing.T) {
+// The cancellation of a job must stop its running tasks, and the cancellation of an unknown job
+// must report that there is no such job.
+func TestCancelStopsRunningTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -197,7 +204,7 @@
 }
 
 // A new owner must adopt the tasks that it finds running instead of starting them again.
-func TestTakeoverRestartsRunningTasks(t *testing.T) {
+func TestTakeoverRestartsNoRunningTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -212,9 +219,10 @@
 	expectNoViolations(t, w)
 }
 
-// A new owner has granted no lease itself. It regarded the leases of the previous owner as expired,
-// and would have started their tasks a second time.
-func TestTakeoverIgnoresPreviousOwnersLeases(t *testing.T) {
+// A new owner must let the leases of the previous owner run out before it treats their tasks as
+// lost. It has granted no lease itself, and once regarded those leases as expired: it would have
+// started their tasks a second time.
+func TestTakeoverRespectsPreviousOwnersLeases(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -231,10 +239,10 @@
 	}
 }
 
-// Until a new owner is trusted to own the shard it renews no lease. Only the previous owner's
-// leases then say that tasks may still run: if the new owner regards them as expired it starts
-// tasks a second time.
-func TestUntrustedOwnerIgnoresPreviousOwnersLeases(t *testing.T) {
+// A new owner whose ownership is not confirmed yet renews no lease. Only the previous owner's
+// leases then show that tasks may still run: the new owner must not regard them as expired, or it
+// would start tasks a second time.
+func TestUnconfirmedOwnerRespectsPreviousOwnersLeases(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -252,10 +260,11 @@
 	}
 }
 
-// A worker that was draining when the owner was lost, and then became unreachable, delayed all
-// tasks of all jobs by 9.7 s: the new owner waited for its lease before it started anything. Only
-// the tasks that may run on that worker have to wait.
-func TestDrainingWorkerDelaysOtherTasksAfterTakeover(t *testing.T) {
+// Only the tasks that may run on an unreachable draining worker have to wait for its lease after a
+// takeover. A worker that was draining when the owner was lost, and then became unreachable, once
+// delayed all tasks of all jobs by 9.7 s: the new owner waited for its lease before it started
+// anything.
+func TestDrainingWorkerDelaysNoOtherTasksAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
@@ -280,7 +289,7 @@
 }
 
 // No task may be placed on a worker that its platform drains.
-func TestDrainingWorkerGetsNewTasks(t *testing.T) {
+func TestDrainingWorkerGetsNoNewTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
@@ -293,9 +302,9 @@
 	}
 }
 
-// Long-running tasks ran on a draining worker until it left; they were then not running for 6 s,
-// until its lease had expired. They have to be moved to other workers while it drains.
-func TestLongRunningTasksInterruptedByDraining(t *testing.T) {
+// Long-running tasks must be moved to other workers while their worker drains. They once ran on it
+// until it left, and were then not running for 6 s, until its lease had expired.
+func TestLongRunningTasksAreMovedWhileTheirWorkerDrains(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(3, workerCapacity)
 	w.run(time.Second)
@@ -321,9 +330,9 @@
 	expectNoViolations(t, w)
 }
 
-// An owner that may have lost its shard must neither start tasks nor renew leases: another owner may
-// be in charge by then.
-func TestUntrustedOwnerStartsTasks(t *testing.T) {
+// An owner whose ownership is not confirmed must neither start tasks nor renew leases: another
+// owner may have taken over the shard.
+func TestUnconfirmedOwnerStartsNoTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, workerCapacity)
 	w.run(time.Second)
@@ -340,9 +349,9 @@
 }
 
 // The entry of a crashed worker stays in the list for some seconds beside that of its replacement
-// on the same machine. The engine regarded each of the two entries in turn as the later one, so that
-// tasks of the live worker were started again.
-func TestStaleWorkerEntryEndsTasksOfReplacement(t *testing.T) {
+// on the same machine, and must not end the replacement's tasks. The engine once regarded each of
+// the two entries in turn as the later one, so that tasks of the live worker were started again.
+func TestStaleWorkerEntryEndsNoTasksOfReplacement(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -363,10 +372,10 @@
 	expectNoViolations(t, w)
 }
 
-// The answers to orders carry the worker's clock but no progress. Tasks on a worker that answered
-// many orders, and sent no listing meanwhile, counted as stuck because the clock advanced without
-// progress.
-func TestTaskCountedAsStuckWithoutListing(t *testing.T) {
+// A task must not count as stuck while its worker sends no listing. The answers to orders carry the
+// worker's clock but no progress: tasks on a worker that answered many orders, and sent no listing
+// meanwhile, once counted as stuck because the clock advanced without progress.
+func TestTaskIsNotCountedAsStuckWithoutListing(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(1, leverdyke.Resources{MilliCPU: 20_000, MemoryMiB: 20_000})
 	w.run(time.Second)
@@ -386,8 +395,8 @@
 	}
 }
 
-// A task that makes no progress for too long is stopped and started on another worker.
-func TestStuckTaskNotStartedElsewhere(t *testing.T) {
+// A task that makes no progress for too long must be stopped and started on another worker.
+func TestStuckTaskIsStartedElsewhere(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, leverdyke.Resources{MilliCPU: 1000, MemoryMiB: 1000})
 	w.run(time.Second)
@@ -400,10 +409,10 @@
 	expectNoViolations(t, w)
 }
 
-// Two workers were lost together with the owner: all tasks of all jobs waited 9.8 s for the leases
-// of these workers, because any task might have been started there. Only the tasks that the store
-// has placed on a lost worker need to wait.
-func TestWorkerLostWithOwnerDelaysOtherTasks(t *testing.T) {
+// Only the tasks that the store has placed on a lost worker have to wait for its lease. When two
+// workers were lost together with the owner, all tasks of all jobs once waited 9.8 s for the leases
+// of these workers, because any task might have been started there.
+func TestWorkerLostWithOwnerDelaysNoOtherTasks(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(4, workerCapacity)
 	w.run(time.Second)
@@ -424,9 +433,10 @@
 	expectNoViolations(t, w)
 }
 
-// A start is only ordered when its placement is in the store: the next owner could not find the run
-// otherwise. After a longer outage the engine runs write-behind, so that jobs go on.
-func TestStartOrderedBeforePlacementPersisted(t *testing.T) {
+// A start must only be ordered when its placement is in the store: the next owner could not find
+// the run otherwise. The exception is write-behind mode, which the engine enters after a longer
+// outage so that jobs make progress.
+func TestStartIsOrderedOnlyOncePlacementIsPersisted(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -449,7 +459,7 @@
 // The previous owner ran write-behind, so that any task may run on any worker without the store
 // having the placement. The new owner must start nothing before the previous owner's leases have
 // expired, or tasks would run twice.
-func TestUnpersistedStartsRunTwiceAfterTakeover(t *testing.T) {
+func TestUnpersistedStartsDoNotRunTwiceAfterTakeover(t *testing.T) {
 	w := newSim(1)
 	w.addWorkers(2, workerCapacity)
 	w.run(time.Second)
@@ -469,11 +479,11 @@
 	}
 }
 
-// A worker stamps a listing with its clock when it answers, which is after it has assembled the
-// listing. A listing that was requested before a start was confirmed therefore lacked the attempt
-// despite a later time stamp, and the task was started a second time (soak test with seed 1 on a
-// busy machine).
-func TestListingRequestedBeforeStartEndsAttempt(t *testing.T) {
+// A listing that was requested before a start was confirmed, and lacks the attempt, must not end
+// it. A worker stamps a listing with its clock when it answers, which is after it has assembled the
+// listing. Such a listing therefore lacked the attempt despite a later time stamp, and the task was
+// started a second time (soak test with seed 1 on a busy machine).
+func TestListingRequestedBeforeStartEndsNoAttempt(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
@@ -521,9 +531,10 @@
 	}
 }
 
-// After a stop was confirmed the engine asked the worker for a listing with an immediate poll. When
-// the answer was lost it waited up to 0.9 s before it polled again.
-func TestLostImmediatePollNotRetried(t *testing.T) {
+// An immediate poll without an answer must be repeated soon, but not without a pause. The engine
+// sends one for a listing after a stop was confirmed. When the answer was lost it once waited up to
+// 0.9 s before it polled again.
+func TestLostImmediatePollIsRetried(t *testing.T) {
 	c := clock.NewFake()
 	e := dispatch.NewEngine(dispatch.Options{})
 	e.Advance(c.Now())
@@ -566,9 +577,10 @@
 	}
 }
 
-// Listings that report only progress are requested less often from many workers: at an interval of
-// 0.5 s for each of 1,100 workers they made up two thirds of an owner's messages.
-func TestManyWorkersPolledTooOften(t *testing.T) {
+// The more workers there are, the less often each must be asked for listings that report only
+// progress: at an interval of 0.5 s for each of 1,100 workers these made up two thirds of an
+// owner's messages.
+func TestManyWorkersArePolledLessOften(t *testing.T) {
 	for workers, want := range map[int]time.Duration{48: 500 * time.Millisecond, 1100: 1100 * time.Millisecond, 5000: 2 * time.Second} {
 		c := clock.NewFake()
 		e := dispatch.NewEngine(dispatch.Options{})
