--- a/internal/core/stateful_test.go
+++ b/internal/core/stateful_test.go
@@ -223,11 +223,11 @@
 	case 23:
 		return &command{name("lose replies"), func(s *system) { s.loseReplies = 3 }}
 	case 24:
-		return &command{name("worker dies"), func(s *system) { s.fault(i, native.ModeDead) }}
+		return &command{name("worker dies"), func(s *system) { s.setWorkerMode(i, native.ModeDead) }}
 	case 25:
-		return &command{name("worker cut"), func(s *system) { s.fault(i, native.ModePartitioned) }}
+		return &command{name("worker cut"), func(s *system) { s.setWorkerMode(i, native.ModePartitioned) }}
 	case 26:
-		return &command{name("worker back"), func(s *system) { s.fault(i, native.ModeUp) }}
+		return &command{name("worker back"), func(s *system) { s.setWorkerMode(i, native.ModeUp) }}
 	case 27:
 		return &command{name("heal cuts"), func(s *system) { s.blockedLinks = map[[2]string]bool{} }}
 	case 28:
@@ -251,7 +251,7 @@
 	n.start()
 }
 
-func (s *system) fault(i int, m native.Mode) {
+func (s *system) setWorkerMode(i int, m native.Mode) {
 	s.workers[s.names[i%len(s.names)]].SetFaults(native.WorkerFaults{Mode: m})
 }
 
--- a/internal/dispatch/customer.go
+++ b/internal/dispatch/customer.go
@@ -142,15 +142,15 @@
 		s.waitReason = waits.Limit
 		if !isBlocked[name] {
 			isBlocked[name] = e.quota.FitsEventually(name, s.minimumNeed())
-			e.logHeldByLimit(s)
+			e.logBlockedByLimit(s)
 		}
 	}
 	e.admittedBuffer = out
 	return out
 }
 
-// logHeldByLimit logs which limit holds a step back, at most once per limitLogInterval.
-func (e *Engine) logHeldByLimit(s *step) {
+// logBlockedByLimit logs which limit holds a step back, at most once per limitLogInterval.
+func (e *Engine) logBlockedByLimit(s *step) {
 	if e.now.Before(e.limitLogDueAt) {
 		return
 	}
--- a/internal/jobshard/shard.go
+++ b/internal/jobshard/shard.go
@@ -327,8 +327,8 @@
 
 // isAllSynced reports whether every rack has reported all its attempts.
 func (h *Shard) isAllSynced() bool {
-	for _, v := range h.racks {
-		if !v.isSynced {
+	for _, rack := range h.racks {
+		if !rack.isSynced {
 			return false
 		}
 	}
