--- a/internal/core/stateful_test.go
+++ b/internal/core/stateful_test.go
@@ -99,6 +99,9 @@
 	}
 }
 
+// cancelOne cancels the first accepted job, in the order of the jobs' names, that
+// has not been cancelled and whose name ends with the last digit of n. It does
+// nothing if there is none.
 func (s *system) cancelOne(n int) {
 	for _, id := range slices.Sorted(maps.Keys(s.accepted)) {
 		if s.cancelled[id] || !strings.HasSuffix(id, strconv.Itoa(n%10)) {
@@ -186,12 +189,21 @@
 	return gen.IntRange(0, 1<<20).Map(func(n int) commands.Command { return newCommand(n) })
 }
 
-// newCommand returns the command that a random number stands for: n%32 selects
-// the kind and n>>8 is the parameter, which follows the name after a slash.
+// newCommand returns the command that a random number stands for. n%32 selects
+// the kind of command; several numbers may select the same kind, so that it is
+// chosen more often. n>>8 is the parameter: it selects the node, the worker, the
+// kind of job or the duration. Except in a run command, which prints its duration,
+// the parameter follows the name after a slash. The number 31 has no case of its
+// own and stands for a run command.
+//
+// The names are recorded in the sequences of TestSequencesThatBrokeAGuarantee and
+// must stay. In them, "cut" means that messages are lost, and "out" and "back" that
+// something becomes unavailable and available again.
 func newCommand(n int) *command {
 	i, kind := n>>8, []string{"batch", "service", "gang", "once", "urgent"}[(n>>8)%5]
 	name := func(text string) string { return fmt.Sprintf("%s/%d", text, i) }
 	switch n % 32 {
+	// Operators' changes.
 	case 0, 1, 2, 3:
 		return &command{name("submit " + kind), func(s *system) { s.submitNext(kind) }}
 	case 4:
@@ -200,6 +212,9 @@
 		return &command{name("publish"), func(s *system) { s.publish(false) }}
 	case 7:
 		return &command{name("publish stale"), func(s *system) { s.publish(true) }}
+	// Faults of nodes. A paused node runs no code until it is woken and keeps its
+	// state, so that it may then act on a state that is out of date. A restarted node
+	// loses its state.
 	case 8, 9:
 		return &command{name("kill node"), func(s *system) { s.nodeAt(i).kill() }}
 	case 10, 11:
@@ -208,6 +223,11 @@
 		return &command{name("pause node"), func(s *system) { s.nodeAt(i).isPaused = true }}
 	case 14, 15:
 		return &command{name("wake node"), func(s *system) { s.nodeAt(i).isPaused = false }}
+	// Faults of single links: all messages from one sender to one receiver are lost
+	// until "heal cuts" or "settle". The other direction still works, and so do the
+	// other links of both. A node that is cut from the log can neither append to it nor
+	// read it. "cut node from worker" loses what one node sends to the worker, "cut
+	// worker's answers" what the worker sends to one node.
 	case 16, 17:
 		return &command{name("cut nodes"), func(s *system) { s.block(s.nodeAt(i).name(), s.nodeAt(i/3+1).name()) }}
 	case 18:
@@ -216,12 +236,17 @@
 		return &command{name("cut node from worker"), func(s *system) { s.block(s.nodeAt(i).name(), string(s.names[i/3%len(s.names)])) }}
 	case 20:
 		return &command{name("cut worker's answers"), func(s *system) { s.block(string(s.names[i/3%len(s.names)]), s.nodeAt(i).name()) }}
+	// Faults of the log: it is unavailable to all nodes until "log back"; or the next
+	// three appends take effect, but their replies are lost.
 	case 21:
 		return &command{name("log out"), func(s *system) { s.isLogUnavailable = true }}
 	case 22:
 		return &command{name("log back"), func(s *system) { s.isLogUnavailable = false }}
 	case 23:
 		return &command{name("lose replies"), func(s *system) { s.loseReplies = 3 }}
+	// Faults of a worker. One that dies loses its tasks. "worker cut" partitions a
+	// worker from all nodes, in both directions, while its tasks continue to run.
+	// "worker back" ends each fault of the worker.
 	case 24:
 		return &command{name("worker dies"), func(s *system) { s.setWorkerMode(i, native.ModeDead) }}
 	case 25:
@@ -230,12 +255,16 @@
 		return &command{name("worker back"), func(s *system) { s.setWorkerMode(i, native.ModeUp) }}
 	case 27:
 		return &command{name("heal cuts"), func(s *system) { s.blockedLinks = map[[2]string]bool{} }}
+	// Ends all faults and checks the guarantees.
 	case 28:
 		return &command{name("settle"), (*system).settle}
+	// The tasks of a worker use three times the resources that their jobs declare.
 	case 30:
 		return &command{name("worker's tasks use thrice"), func(s *system) {
 			s.workers[s.names[i%len(s.names)]].SetFaults(native.WorkerFaults{Mode: native.ModeUp, UsageFactor: 3})
 		}}
+	// The messages by which nodes let workers drop ended attempts are lost until
+	// "settle", so that workers keep reporting these attempts.
 	case 29:
 		return &command{name("lose words to forget"), func(s *system) { s.areForgetsLost = true }}
 	}
