--- a/internal/cluster/handover.go
+++ b/internal/cluster/handover.go
@@ -73,7 +73,9 @@
 // for a node that has not owned the shard and knows of no handover.
 type fitness struct {
 	// ownedAt is when this node became the owner. handedOverAt is the time of the last handover
-	// because of an unfit owner in which this node took part, as the old or as the new owner.
+	// because of an unfit owner in which this node took part: as the owner that handed over, or as
+	// a follower that was asked to claim the shard. The time starts minHandoverInterval on both
+	// nodes, so that the shard does not move from node to node when all of them are overloaded.
 	ownedAt, handedOverAt time.Time
 }
 
--- a/internal/cluster/messages.go
+++ b/internal/cluster/messages.go
@@ -110,7 +110,9 @@
 // does not replace a later owner.
 type claimRequest struct {
 	Epoch uint64
-	// IsUnfit means that the owner stopped because it was unfit to own the shard.
+	// IsUnfit means that the owner, which sent this request, stopped because it was unfit: its
+	// process got too little processor time, or a follower's node is much stronger. Otherwise it
+	// stopped because its process is about to end.
 	IsUnfit bool
 }
 
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -100,8 +100,8 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	startedAt time.Time
-	// claimRequests asks the election goroutine to claim the shard at once: the owner of that epoch
-	// has stopped.
+	// claimRequests has the epoch of an owner that has stopped and has asked this node to be its
+	// successor. The election goroutine receives it and claims the shard at once.
 	claimRequests chan uint64
 
 	mu sync.Mutex
--- a/internal/cluster/peers.go
+++ b/internal/cluster/peers.go
@@ -24,7 +24,8 @@
 	peerRetention = 8 * time.Second
 )
 
-// peer is a follower with a link to this node.
+// peer is a node that has made a link to this node while this node was the owner, and so is its
+// follower. The term peer is used for its link and reachability.
 type peer struct {
 	hello hello
 	conn  *link.Conn
@@ -40,13 +41,15 @@
 	isStoreUnavailable bool
 }
 
-// peers are the followers of this node. It is safe for concurrent use.
+// peers has the followers that have a link to this node. Only the owner has any: it adds a node that
+// says hello on a new link, and closes all these links when it stops. It is safe for concurrent use.
 type peers struct {
 	clock clock.Service
 
 	mu     sync.Mutex
 	byName map[string]*peer
-	// lastLinkedAt is when a peer was last linked or lost its link, by name.
+	// lastLinkedAt has, by name, when each peer made its link or, if the link has ended since, when
+	// it ended. IsMajority counts a peer without a link for peerRetention after that.
 	lastLinkedAt map[string]time.Time
 	// nextSample rotates the peers that Sample returns.
 	nextSample int
@@ -146,9 +149,10 @@
 	return out
 }
 
-// Sample returns the names of up to n peers through which requests to the store can be sent. It
-// prefers peers that can read from the store, and returns strong peers before weak ones. Successive
-// calls rotate through the peers of each group.
+// Sample returns the names of up to n peers through which requests to the store can be sent. Package
+// fallback sends a request through them when the direct request from this node fails or is slow.
+// Sample prefers peers that can read from the store, and returns strong peers before weak ones.
+// Successive calls rotate through the peers of each group.
 func (p *peers) Sample(n int) []string {
 	usable := p.withStore()
 	if len(usable) == 0 {
--- a/internal/cluster/serve.go
+++ b/internal/cluster/serve.go
@@ -124,10 +124,17 @@
 	return w, nil
 }
 
-// handleClaim makes the election goroutine claim the shard after the owner of the request's epoch,
-// and returns once this node owns it.
+// handleClaim handles the request of an owner that has stopped to become its successor. The
+// request names the epoch of that owner. The election goroutine claims the shard if that owner is
+// still the one that this node follows; handleClaim returns once this node is the owner, or with an
+// error after claimTimeout. A newer request replaces one that the election goroutine has not received
+// yet. The call of the replaced request waits on, and succeeds too if this node becomes the owner in
+// time.
 func (n *Node) handleClaim(ctx context.Context, c claimRequest) (any, error) {
 	if c.IsUnfit {
+		// The previous owner handed over because it was too slow or weak. This node records the
+		// time, so that as the owner it does not hand over again for the same reason within
+		// minHandoverInterval.
 		n.mu.Lock()
 		n.fitness.handedOverAt = n.options.Clock.Now()
 		n.mu.Unlock()
