--- a/internal/integration/crash_test.go
+++ b/internal/integration/crash_test.go
@@ -94,9 +94,13 @@
 	return func() bool { return time.Now().After(at) }
 }
 
-// A delegate that is killed right after a worker crashed may not have reported the crash to the owner,
-// and no other node reports it. The number of crashes must stay within the limit although all nodes but
-// the owner are killed at each crash.
+// The limit is that of the crashes that one task may cause before its job fails. A delegate is a node
+// that polls workers and sends them orders on behalf of the owner. One that is killed right after a
+// worker crashed may not have reported the crash to the owner, and no other node reports it. The owner
+// must count the crash nevertheless, so that the job fails within the limit: it knows which tasks it
+// ordered the worker to run, and learns of the crash from the platform's worker list, from a later
+// poll of the worker, or from the expiry of the worker's lease. Here all nodes but the owner are killed
+// at each crash.
 func TestSiteCrashLimitHoldsAcrossDelegateRestarts(t *testing.T) {
 	c := newDelegateCluster(t)
 	c.runCrashScenario(func(int) {
