--- a/internal/rack/rack.go
+++ b/internal/rack/rack.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package rack is the owner of one rack: the only process that decides what
-// runs on the rack's workers. With a single writer, one check here is enough to
-// ensure that no VM is given more than its capacity.
+// Package rack implements the owner of a rack. A rack here is not the hardware but
+// a shard: it has the workers of one rack and one owner, which is the only process
+// that decides what runs on these workers. With a single writer, one check here is
+// enough to ensure that no VM is given more than its capacity.
 //
 // The package does no I/O and reads no clock: callers pass events and the
 // current time in, and collect orders and messages with TakeOutput.
@@ -49,7 +50,8 @@
 	orderRetryPeriod = time.Second
 )
 
-// Rack is the owner's state of one rack. It is not safe for concurrent use.
+// Rack is the state that the owner of one rack keeps: the rack's workers, what runs
+// on them, and the requests of job shards. It is not safe for concurrent use.
 type Rack struct {
 	// ID and Epoch never change; a new epoch gets a new Rack.
 	ID        state.ShardID
--- a/internal/rack/updates.go
+++ b/internal/rack/updates.go
@@ -51,6 +51,12 @@
 	r.output.ToJobShards = append(r.output.ToJobShards, JobShardMessage{jobShard, node.Message{AttemptReport: n}})
 }
 
+// updateItem returns the state of an attempt for an update. An attempt that has
+// not ended is reported as running, also while its start order is unacknowledged:
+// the worker may have carried the order out, so the job shard must not start the
+// task elsewhere. The job shard only distinguishes running from ended attempts.
+// Worker is the ID of the VM on which the attempt was placed; each VM runs one
+// worker.
 func updateItem(a *assignment) node.AttemptStatus {
 	s := a.task.State
 	if a.phase != phaseEnded {
