--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The leverdyke Authors
 // SPDX-License-Identifier: Apache-2.0
 
-// Package router assigns slots on workers to callers' requests. It uses the grants of
-// slots that the owners of racks have given to this node, requests further grants for
-// requests that wait, bounds the queue of waiting requests, and refuses a request early
-// if it cannot get a slot in time.
+// Package router assigns slots on workers to callers' requests. A slot of a worker that
+// runs a service is used by one request at a time. A grant is the right, given to this
+// node by the owner of a rack, to use a number of slots of one worker. The router uses the
+// grants that this node has, requests further grants for requests that wait, bounds the
+// queue of waiting requests, and refuses a request early if it cannot get a slot in time.
 package router
 
 import (
@@ -26,10 +27,11 @@
 type NewRouterOptions struct {
 	// Zone is this node's availability zone; workers there are preferred.
 	Zone string
-	// MaxWaiting bounds the queue of requests that wait for a slot of one service; 0 means
-	// 512.
+	// MaxWaiting is the maximum number of requests that wait for a slot of one service; 0
+	// means 512.
 	MaxWaiting int
-	// IdleTimeout is how long a grant may be unused before it is returned; 0 means 2 s.
+	// IdleTimeout is how long a grant may be without a request in progress before it is
+	// returned to the owner of its rack; 0 means 2 s.
 	IdleTimeout time.Duration
 	Clock       clock.Service
 }
@@ -60,7 +62,8 @@
 
 	mu       sync.Mutex
 	services map[string]*service
-	// planDue holds a value when Plan has to be called without waiting for the next tick.
+	// planDue holds a value when grants may have to be requested or returned: the caller
+	// of Plan then calls it at once instead of at its next tick.
 	planDue chan struct{}
 }
 
@@ -152,7 +155,8 @@
 	acquiredAt time.Time
 }
 
-// NewRouter returns a router without grants.
+// NewRouter returns a router that has no grants of slots yet. Plan returns the messages that
+// request them.
 func NewRouter(options NewRouterOptions) *Router {
 	if options.MaxWaiting == 0 {
 		options.MaxWaiting = defaultMaxWaiting
