--- a/internal/dispatch/customer.go
+++ b/internal/dispatch/customer.go
@@ -15,8 +15,8 @@
 	"github.com/leverdyke/leverdyke/internal/work"
 )
 
-// limitLogInterval is the time between two log lines about steps that the limits of their customers
-// hold back.
+// limitLogInterval is the minimum time between two log lines about steps that are blocked by the
+// limits of their customers.
 const limitLogInterval = time.Second
 
 // SetCustomers applies the limits and shares of a configuration.
@@ -127,9 +127,9 @@
 	return n
 }
 
-// withinLimits returns the steps that the limits of their customers do not hold back. If a step is
-// held back and will fit later, no later step of the same customer may start either. Otherwise a
-// wide step would starve as long as small ones keep arriving.
+// withinLimits returns the steps that are not blocked by the limits of their customers. If a step is
+// blocked and will fit later, the later steps of the same customer are blocked too. Otherwise a wide
+// step would starve as long as small ones keep arriving.
 func (e *Engine) withinLimits(steps []*step) []*step {
 	isBlocked := map[work.CustomerName]bool{}
 	out := e.admittedBuffer[:0]
@@ -149,7 +149,9 @@
 	return out
 }
 
-// logBlockedByLimit logs which limit holds a step back, at most once per limitLogInterval.
+// logBlockedByLimit logs that a step is blocked by the limit of its customer. The engine writes at
+// most one such line per limitLogInterval, whichever step and customer it is about, so that some
+// blocked steps are not logged.
 func (e *Engine) logBlockedByLimit(s *step) {
 	if e.now.Before(e.limitLogDueAt) {
 		return
--- a/internal/dispatch/engine.go
+++ b/internal/dispatch/engine.go
@@ -100,10 +100,11 @@
 	// poolUsageDueAt.
 	poolUsage      map[string]float64
 	poolUsageDueAt time.Time
-	// admittedBuffer is the reusable result slice of withinLimits. The next log line about a step
-	// that a limit holds back is written no earlier than limitLogDueAt.
+	// admittedBuffer is the reusable result slice of withinLimits.
 	admittedBuffer []*step
-	limitLogDueAt  time.Time
+	// limitLogDueAt is the earliest time of the next log line about a step that is blocked by the
+	// limit of its customer. There is one such time for all customers.
+	limitLogDueAt time.Time
 	// notRunningLogDueAt is the earliest time of the next log lines about long-running tasks that
 	// do not run.
 	notRunningLogDueAt time.Time
@@ -141,8 +142,8 @@
 	// startsInActions are the attempts whose start orders are in actions.
 	startsInActions []*attempt
 	// readyStarts are planned attempts that may be started and wait until the window allows another
-	// unanswered order. startsInFlight counts the start orders that have been issued and not
-	// answered yet.
+	// unanswered order. startsInFlight counts the start orders that have been issued and for which
+	// StartAnswered has not been called yet.
 	readyStarts    []*attempt
 	startsInFlight int
 	// At reservationDueAt all reservations are dropped and computed again; isReserving means that
@@ -201,7 +202,7 @@
 	tickedAt, stalledUntil time.Time
 	// answerTimes estimates how long workers take to answer an order to start.
 	answerTimes estimate.ResponseTime
-	// startWindow limits the number of start orders without an answer.
+	// startWindow limits startsInFlight, the number of start orders whose answers are awaited.
 	startWindow estimate.Window
 	// Until lossyUntil the answers of workers may get lost, because one was lost recently.
 	lossyUntil time.Time
@@ -323,13 +324,15 @@
 	// stallThreshold is the time between two ticks above which this node is taken to have been
 	// without processor time in between. The owner ticks every 20 ms.
 	stallThreshold = 60 * time.Millisecond
-	// maxStall limits how much time one such gap adds.
+	// maxStall is the maximum time for which one such gap keeps orders from being marked as
+	// unacknowledged.
 	maxStall = 300 * time.Millisecond
 )
 
 // detectStall finds out from the time since the last tick whether this node was without processor
-// time. Answers that arrived during the gap are processed later by up to its length, so for the
-// same time no order is treated as unacknowledged.
+// time. An answer that arrived during the gap may not have been processed yet, although it arrived
+// in time. So for as long as the gap was, but no longer than maxStall, no further order is marked as
+// unacknowledged.
 func (e *Engine) detectStall() {
 	gap := e.now.Sub(e.tickedAt)
 	if !e.tickedAt.IsZero() && gap > stallThreshold {
--- a/internal/dispatch/inherit_test.go
+++ b/internal/dispatch/inherit_test.go
@@ -33,7 +33,8 @@
 	return &successor{e, c}
 }
 
-// startsAfter advances the time by d and returns how many starts are ordered.
+// startsAfter advances the time by d and returns the number of orders to start a task that the
+// engine issues then.
 func (s *successor) startsAfter(d time.Duration) int {
 	s.clock.Advance(d)
 	s.Advance(s.clock.Now())
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -437,8 +437,11 @@
 	}
 }
 
-// queueStart queues the order to start a planned attempt. It is sent as soon as the number of
-// unanswered orders is below the window's limit.
+// queueStart queues the order to start a planned attempt. It is sent as soon as startsInFlight is
+// below the limit of startWindow, which bounds how many orders are unanswered at a time. An order is
+// unanswered from when it is issued until StartAnswered is called for it, or it is withdrawn before
+// it was sent. If the answer takes too long, the attempt is marked as unacknowledged, but its order
+// counts as unanswered until then.
 func (e *Engine) queueStart(a *attempt) {
 	e.readyStarts = append(e.readyStarts, a)
 	e.sendReadyStarts()
--- a/internal/dispatch/restart_simulation_test.go
+++ b/internal/dispatch/restart_simulation_test.go
@@ -66,7 +66,9 @@
 	return stops
 }
 
-// listedEntry returns the worker's entry as the workers' list shows it.
+// listedEntry returns the entry that the platform's worker list shows for the worker. Until
+// listedFrom it is the entry of the previous incarnation: a worker that has started writes its own
+// entry into the list with some delay.
 func (m *modelWorker) listedEntry(now time.Time) order.Worker {
 	if now.Before(m.listedFrom) {
 		return m.previousEntry
