--- a/internal/jobshard/gang.go
+++ b/internal/jobshard/gang.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// reservationExpiry is how long a rack keeps a reservation; reservationTimeout
-	// is how long the shard waits for a rack's reply before it releases the
-	// reservations in all racks.
-	reservationExpiry  = 10 * time.Second
+	// reservationExpiry is how long a rack keeps a reservation.
+	reservationExpiry = 10 * time.Second
+	// reservationTimeout is how long the shard waits for a rack's reply before it
+	// releases the reservations in all racks.
 	reservationTimeout = 3 * time.Second
 	gangRetry          = 500 * time.Millisecond
 	// requestAllRacksAge is the age from which an all-at-once job requests
@@ -36,15 +36,16 @@
 	reservationID uint64
 	taskCount     int
 	racks         []state.ShardID
-	// reserved has the number of tasks by rack for which capacity is reserved;
-	// rackIndex is the index in racks of the rack that was asked last.
-	reserved  map[state.ShardID]int
+	// reserved has, by rack, the number of tasks for which capacity is reserved.
+	reserved map[state.ShardID]int
+	// rackIndex is the index in racks of the rack to which the last reservation
+	// request was sent. The request was sent at sentAt.
 	rackIndex int
 	sentAt    time.Time
 	// notBefore is when to try again after the reservations were released.
 	notBefore time.Time
-	// isStarted means that the tasks were started together; isRestarting that the
-	// running ones are being stopped, so that all start together again.
+	// isStarted means that the tasks were started together. isRestarting means that
+	// the running tasks are being stopped, so that all start together again.
 	isStarted, isRestarting bool
 }
 
--- a/internal/jobshard/shard.go
+++ b/internal/jobshard/shard.go
@@ -325,7 +325,8 @@
 	}
 }
 
-// isAllSynced reports whether every rack has reported all its attempts.
+// isAllSynced reports whether every rack has reported all its attempts. It
+// reports false if the shard knows no rack, because then it cannot know what runs.
 func (h *Shard) isAllSynced() bool {
 	for _, rack := range h.racks {
 		if !rack.isSynced {
