--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -114,6 +114,8 @@
 }
 
 // DocVersion describes an earlier version of a document, without its body.
+// Offset is the log offset of the Publish record that wrote the version, and
+// Millis is the wall clock of its writer then, in Unix milliseconds.
 type DocVersion struct {
 	Version uint64 `msgpack:"v"`
 	Offset  int64  `msgpack:"o"`
