--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -267,6 +267,9 @@
 	}
 }
 
+// write sends a message as one frame. It fails if the frame cannot be written
+// within writeTimeout; the connection cannot be used after that, as a part of the
+// frame may have been sent.
 func (o *outgoing) write(c net.Conn, m *Message) error {
 	buf, err := AppendFrame(nil, m)
 	if err != nil {
