--- a/internal/standin/site/worker.go
+++ b/internal/standin/site/worker.go
@@ -87,7 +87,9 @@
 // longRunningFailDelay is how long a long-running task runs on a worker that fails such tasks.
 const longRunningFailDelay = 100 * time.Millisecond
 
-// SetFailsLongRunning sets whether long-running tasks that the worker starts from now on fail.
+// SetFailsLongRunning sets whether each long-running task that the worker starts from now on fails
+// longRunningFailDelay after its start. Tasks that already run are not affected; FailLongRunning ends
+// them. While it is set, the worker is not among those that accept tasks in the stand-in's snapshot.
 func (w *Worker) SetFailsLongRunning(fails bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
