--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -47,8 +47,10 @@
 	}
 }
 
-// A large entry that stays blocked must not be starved by small ones behind it:
-// after MaxBypass bypasses they wait. More urgent work never waits for it.
+// A large entry that stays blocked must not be starved by small entries behind it,
+// for which the free capacity suffices. After MaxBypass bypasses the small entries
+// of the same or a less urgent class wait until it has started. Entries of a more
+// urgent class never wait for it.
 func TestBlockedEntryIsBypassedAtMostMaxBypassTimes(t *testing.T) {
 	q := queue.NewQueue(queue.NewQueueOptions{MaxBypass: 3})
 	big := entry("big", "a", leverdyke.ClassNormal, 100)
